--- a/example/toy.py
+++ b/example/toy.py
@@ -15,8 +15,8 @@
 
 from aiohttp import web
 
-from meadowworks.attempts.again import ANSWERED, UNRUN, Way
 from meadowworks.attempts.machine import Attempts, Final
+from meadowworks.attempts.retry_policy import ANSWERED, UNRUN, Way
 
 SECOND = 1_000_000_000
 CONFIG = json.loads(Path(os.environ.get("NODE_CONFIG") or Path(__file__).parent / "config.json").read_text())
--- a/meadowworks/__main__.py
+++ b/meadowworks/__main__.py
@@ -11,14 +11,14 @@
 
 from loguru import logger
 
-from meadowworks.node.config import Config, load
-from meadowworks.node.controller import Node
-from meadowworks.node.discovery import Discovery
-from meadowworks.node.invariants import count
-from meadowworks.node.listener import Door
-from meadowworks.node.mailbox import Mailbox
-from meadowworks.node.messages import Follow, Moved, News
-from meadowworks.settings import Missing
+from meadowworks.fleet.config import Config, load
+from meadowworks.fleet.controller import Node
+from meadowworks.fleet.discovery import Discovery
+from meadowworks.fleet.invariants import count
+from meadowworks.fleet.listener import Door
+from meadowworks.fleet.mailbox import Mailbox
+from meadowworks.fleet.messages import Follow, Moved, News
+from meadowworks.fleet.settings import Missing
 
 REPORTS_MOST = 16384  # waiting for the module: more than a minute of all that a report rate brings
 LIST_MOST = 1  # nothing in the list's mailbox is a report
@@ -84,7 +84,7 @@
 
 def main() -> int:
     if len(sys.argv) > 1:
-        from meadowworks import commands  # what a word needs, a controller's start does not
+        from meadowworks.cli import main as commands  # what a word needs, a controller's start does not
 
         return commands.main()
     logger.remove()
--- a/meadowworks/attempts/machine.py
+++ b/meadowworks/attempts/machine.py
@@ -1,8 +1,8 @@
 """All calls at one proxy, as a machine: one method for each thing that can happen, acting by its host.
 
-Used by whoever plays a proxy in this repository; `meadowworks/check` explores this very class. The rules it
-keeps: a mutating call never runs twice by its doing, each asking gets one final answer, at most two further
-tries, none to a backend that the table lacks, and what is given up is answered at once.
+Used by whoever plays a proxy in this repository; `meadowworks/modelcheck` explores this very class. It
+keeps these rules: a mutating call never runs twice by its doing, each asking gets one final answer, at most
+two further tries, none to a backend that the table lacks, and what is given up is answered at once.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from meadowworks.attempts.again import (
+from meadowworks.attempts.retry_policy import (
     ANSWERED,
     CANCELLED,
     LATE,
--- a/meadowworks/commands.py
+++ b/meadowworks/cli/main.py
@@ -10,18 +10,18 @@
 from collections.abc import Sequence
 
 WORDS = {
-    "check": ("meadowworks.check.commands", "check", "explore the machines whole in small worlds"),
-    "days": ("meadowworks.lab.regression", "days", "play the days of our own by the users' bench"),
-    "lab": ("meadowworks.lab.commands", "lab", "measure the product's own machines"),
+    "check": ("meadowworks.modelcheck.commands", "check", "explore the machines whole in small worlds"),
+    "days": ("meadowworks.simulation.regression", "days", "play the days of our own by the users' bench"),
+    "lab": ("meadowworks.simulation.commands", "lab", "measure the product's own machines"),
     "local": ("meadowworks.local.commands", "local", "start a small gateway on this machine, to try it"),
-    "status": ("meadowworks.operate.commands", "status", "what a controller of the gateway knows"),
-    "why": ("meadowworks.operate.commands", "why", "what a junction's last decisions on a service rest on"),
-    "members": ("meadowworks.operate.members", "members", "who votes, and why one is not in"),
-    "nodes": ("meadowworks.operate.commands", "nodes", "the controllers that a signalbox knows"),
-    "backends": ("meadowworks.operate.commands", "backends", "the backends that a controller knows"),
-    "config": ("meadowworks.operate.commands", "config", "check, put, get or diff a configuration"),
-    "rude": ("meadowworks.local.rude", "rude", "slow, rude and lying clients against one junction"),
-    "settings": ("meadowworks.operate.commands", "settings", "check a settings file of the gateway"),
+    "status": ("meadowworks.cli.operations", "status", "what a controller of the gateway knows"),
+    "why": ("meadowworks.cli.operations", "why", "what a junction's last decisions on a service rest on"),
+    "members": ("meadowworks.cli.members", "members", "who votes, and why one is not in"),
+    "nodes": ("meadowworks.cli.operations", "nodes", "the controllers that a signalbox knows"),
+    "backends": ("meadowworks.cli.operations", "backends", "the backends that a controller knows"),
+    "config": ("meadowworks.cli.operations", "config", "check, put, get or diff a configuration"),
+    "rude": ("meadowworks.local.hostile_clients", "rude", "slow and misbehaving clients against one proxy"),
+    "settings": ("meadowworks.cli.operations", "settings", "check a settings file of the gateway"),
 }
 USAGE = "usage: meadowworks WORD [OPTION ...]; without a word the controller runs, as NODE_CONFIG says"
 
--- a/meadowworks/operate/members.py
+++ b/meadowworks/cli/members.py
@@ -8,8 +8,8 @@
 
 from cappa import Arg
 
-from meadowworks.commands import Bad
-from meadowworks.operate.commands import call, lay
+from meadowworks.cli.main import Bad
+from meadowworks.cli.operations import call, lay
 
 COLUMNS = ("disk", "address", "node", "epoch", "lease_ms", "in", "why not in")
 Status = dict[str, Any]
--- a/meadowworks/operate/commands.py
+++ b/meadowworks/cli/operations.py
@@ -11,11 +11,11 @@
 
 from cappa import Arg
 
-from meadowworks.commands import Bad
-from meadowworks.timetable.check import Invalid, check
-from meadowworks.track import boot
-from meadowworks.track.errors import BadSettings, NoAnswer
-from meadowworks.track.line import Reply, connect
+from meadowworks.cli.main import Bad
+from meadowworks.config.validation import Invalid, check
+from meadowworks.runtime import node_settings as boot
+from meadowworks.runtime.errors import BadSettings, NoAnswer
+from meadowworks.runtime.http_connection import Reply, connect
 
 WAIT_S = 5.0
 
--- /dev/null
+++ b/meadowworks/config/__init__.py
@@ -0,0 +1,1 @@
+"""The operator's configuration: schema, validation, incremental reading, route look-up."""
--- a/meadowworks/timetable/routes.py
+++ b/meadowworks/config/route_table.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
-from meadowworks.timetable.reading import Steps, at_once, reading
+from meadowworks.config.incremental_json import Steps, at_once, reading
 
 AIM_OVER_MS = 60_000  # a target may lie less than a minute over its route's deadline
 FIGURE_MOST = 1e15  # figures above it are left to the schema
--- a/meadowworks/timetable/check.py
+++ b/meadowworks/config/validation.py
@@ -7,8 +7,8 @@
 
 from marshmallow import EXCLUDE, Schema, ValidationError, fields, validate
 
-from meadowworks.timetable.reading import Steps, at_once, reading
-from meadowworks.timetable.routes import AIM_OVER_MS, PATH, STEP, Route, Splits, compact, usual
+from meadowworks.config.incremental_json import Steps, at_once, reading
+from meadowworks.config.route_table import AIM_OVER_MS, PATH, STEP, Route, Splits, compact, usual
 
 VERSION = validate.Regexp(r"^[0-9a-f]{8}$", error="is not eight hexadecimal digits")
 NAME = validate.Length(min=1)
--- a/meadowworks/timetable/register.py
+++ b/meadowworks/consensus/register.py
@@ -21,7 +21,7 @@
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
-from meadowworks.track.errors import BrokenInvariant
+from meadowworks.runtime.errors import BrokenInvariant
 
 HISTORY = 256  # versions below the one held whose content's digest is remembered
 UNKNOWN = -1  # the number of no epoch
--- a/meadowworks/timetable/replica.py
+++ b/meadowworks/consensus/replica.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from meadowworks.timetable.register import (
+from meadowworks.consensus.register import (
     MEMBERSHIP,
     NONE,
     UNKNOWN,
--- a/meadowworks/signalbox/resources.py
+++ b/meadowworks/controlplane/api.py
@@ -7,14 +7,14 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from meadowworks.roster.beats import Bad, Beats, Full, Nearby, Taken
-from meadowworks.signalbox.fencing import Fencing
-from meadowworks.signalbox.office import Office
-from meadowworks.timetable.check import Invalid, checking
-from meadowworks.timetable.replica import Another, Late
-from meadowworks.track import logs
-from meadowworks.track.aside import aside
-from meadowworks.track.program import now_ns
+from meadowworks.config.validation import Invalid, checking
+from meadowworks.consensus.replica import Another, Late
+from meadowworks.controlplane.config_service import Office
+from meadowworks.controlplane.drain_service import Fencing
+from meadowworks.registry.heartbeats import Bad, Beats, Full, Nearby, Taken
+from meadowworks.runtime import logging as logs
+from meadowworks.runtime.cooperative import aside
+from meadowworks.runtime.process import now_ns
 
 HELD_S = 0.7  # that a drain's acknowledgement waits for disks to hold it: a caller gives a beat a second
 ACK_MOST = 4096  # bytes of an acknowledgement: a larger one is none
--- a/meadowworks/signalbox/office.py
+++ b/meadowworks/controlplane/config_service.py
@@ -13,11 +13,9 @@
 from typing import Any
 from uuid import uuid4
 
-from meadowworks.depot.disk import Disk
-from meadowworks.telegraph import post
-from meadowworks.timetable import register
-from meadowworks.timetable.register import Held, Reply, Request
-from meadowworks.timetable.replica import (
+from meadowworks.consensus import register
+from meadowworks.consensus.register import Held, Reply, Request
+from meadowworks.consensus.replica import (
     LEAVE,
     Answer,
     Ask,
@@ -29,11 +27,13 @@
     Write,
     acceptor_for,
 )
-from meadowworks.track import logs
-from meadowworks.track.boot import Boot
-from meadowworks.track.errors import NoAnswer
-from meadowworks.track.peer import Peer
-from meadowworks.track.program import Tasks, now_ns
+from meadowworks.gossip import messages as post
+from meadowworks.runtime import logging as logs
+from meadowworks.runtime.errors import NoAnswer
+from meadowworks.runtime.node_settings import Boot
+from meadowworks.runtime.peer_client import Peer
+from meadowworks.runtime.process import Tasks, now_ns
+from meadowworks.storage.sqlite_store import Disk
 
 LETTER_S = 1.0  # that a request's reply is waited for
 SMALL = 4096  # bytes above which a body is compressed off the loop
--- a/meadowworks/signalbox/fencing.py
+++ b/meadowworks/controlplane/drain_service.py
@@ -8,10 +8,10 @@
 from concurrent.futures import Executor
 from typing import Any
 
-from meadowworks.depot.disk import Disk
-from meadowworks.roster.fences import Fences
-from meadowworks.telegraph import post
-from meadowworks.track import logs
+from meadowworks.gossip import messages as post
+from meadowworks.registry.drain_log import Fences
+from meadowworks.runtime import logging as logs
+from meadowworks.storage.sqlite_store import Disk
 
 AGAIN_S = 0.2  # before a write that the disk has refused is tried again
 log = logs.part("box")
--- a/meadowworks/signalbox/program.py
+++ b/meadowworks/controlplane/server.py
@@ -13,28 +13,28 @@
 from typing import Any
 from uuid import uuid4
 
-from meadowworks.carriage.room import Room
-from meadowworks.depot.disk import Disk
-from meadowworks.points.figures import PREFIX as FIGURES
-from meadowworks.points.figures import Sums
-from meadowworks.roster.beats import PREFIX as BACKENDS
-from meadowworks.roster.beats import Beats
-from meadowworks.roster.fences import Fences
-from meadowworks.roster.lives import Lives
-from meadowworks.signalbox.fencing import Fencing, read
-from meadowworks.signalbox.office import Office
-from meadowworks.signalbox.resources import Backends, Config, routes
-from meadowworks.telegraph import post
-from meadowworks.telegraph.members import Card, Members
-from meadowworks.telegraph.news import News, Piece, Told
-from meadowworks.timetable.register import Held
-from meadowworks.track import logs
-from meadowworks.track.aside import aside, deflating, inflating
-from meadowworks.track.boot import Boot, load
-from meadowworks.track.door import Cut, Door, Limits, answer, whole_body
-from meadowworks.track.errors import BadSettings, NoAnswer
-from meadowworks.track.peer import Peer
-from meadowworks.track.program import Tasks, now_ns, run
+from meadowworks.consensus.register import Held
+from meadowworks.controlplane.api import Backends, Config, routes
+from meadowworks.controlplane.config_service import Office
+from meadowworks.controlplane.drain_service import Fencing, read
+from meadowworks.forwarding.memory_budget import Room
+from meadowworks.gossip import messages as post
+from meadowworks.gossip.peer_sampling import Card, Members
+from meadowworks.gossip.updates import News, Piece, Told
+from meadowworks.load_balancing.load_reports import PREFIX as FIGURES
+from meadowworks.load_balancing.load_reports import Sums
+from meadowworks.registry.backends import Lives
+from meadowworks.registry.drain_log import Fences
+from meadowworks.registry.heartbeats import PREFIX as BACKENDS
+from meadowworks.registry.heartbeats import Beats
+from meadowworks.runtime import logging as logs
+from meadowworks.runtime.cooperative import aside, deflating, inflating
+from meadowworks.runtime.errors import BadSettings, NoAnswer
+from meadowworks.runtime.http_server import Cut, Door, Limits, answer, whole_body
+from meadowworks.runtime.node_settings import Boot, load
+from meadowworks.runtime.peer_client import Peer
+from meadowworks.runtime.process import Tasks, now_ns, run
+from meadowworks.storage.sqlite_store import Disk
 
 PULL_MS, PULL_S = 500, 1.5  # that a pull may be held back, and is waited for
 HELD_BACK_MS = 1000  # at most, whatever a puller asks for
--- a/meadowworks/node/config.py
+++ b/meadowworks/fleet/config.py
@@ -8,9 +8,9 @@
 from dataclasses import dataclass
 from typing import Any
 
-from meadowworks.host import Settings
-from meadowworks.node.messages import Listing, figure, listing
-from meadowworks.settings import Missing, flatten, read
+from meadowworks.fleet.messages import Listing, figure, listing
+from meadowworks.fleet.settings import Missing, flatten, read
+from meadowworks.policy.interface import Settings
 
 SOCKETS = 1024  # where no limit is told: what a process may hold on a common system
 
--- a/meadowworks/node/life.py
+++ b/meadowworks/fleet/connection_state.py
@@ -3,7 +3,7 @@
 host that it is handed, reads no clock and no socket.
 
 Two tasks drive it: the protocol on the socket for what comes in and for the transport, and the peer's actor
-for its mailbox. `meadowworks/check` explores this very class.
+for its mailbox. `meadowworks/modelcheck` explores this very class.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from meadowworks.node.invariants import holds
-from meadowworks.node.messages import (
+from meadowworks.fleet.invariants import holds
+from meadowworks.fleet.messages import (
     BEAT_OK,
     LINE_MOST,
     PARTS_MOST,
--- a/meadowworks/node/controller.py
+++ b/meadowworks/fleet/controller.py
@@ -11,13 +11,11 @@
 
 from loguru import logger
 
-from meadowworks.door import Names
-from meadowworks.host import Entry
-from meadowworks.node import invariants
-from meadowworks.node.config import Config
-from meadowworks.node.invariants import count, holds
-from meadowworks.node.mailbox import Mailbox
-from meadowworks.node.messages import (
+from meadowworks.fleet import invariants
+from meadowworks.fleet.config import Config
+from meadowworks.fleet.invariants import count, holds
+from meadowworks.fleet.mailbox import Mailbox
+from meadowworks.fleet.messages import (
     Asked,
     Done,
     Due,
@@ -31,9 +29,11 @@
     Told,
     Track,
 )
-from meadowworks.node.orders import Orders
-from meadowworks.node.streams import Streams
-from meadowworks.rules import Controller
+from meadowworks.fleet.names import Names
+from meadowworks.fleet.streams import Streams
+from meadowworks.fleet.table_updates import Orders
+from meadowworks.policy import Controller
+from meadowworks.policy.interface import Entry
 
 SECOND = 1_000_000_000
 HOPS = 4  # turns of the loop from a socket to this mailbox: what has come in joins the batch
--- a/meadowworks/node/discovery.py
+++ b/meadowworks/fleet/discovery.py
@@ -7,9 +7,9 @@
 import aiohttp
 from loguru import logger
 
-from meadowworks.node.invariants import count
-from meadowworks.node.mailbox import Mailbox
-from meadowworks.node.messages import Follow, ListFailed, Listing, Moved, News, Track, read_listing
+from meadowworks.fleet.invariants import count
+from meadowworks.fleet.mailbox import Mailbox
+from meadowworks.fleet.messages import Follow, ListFailed, Listing, Moved, News, Track, read_listing
 
 # A watch waits so long, of the time within which the settings want the list asked for. Short, so that a
 # connection that has gone silent is told soon; a watch that goes on costs discovery nothing.
--- a/meadowworks/node/listener.py
+++ b/meadowworks/fleet/listener.py
@@ -13,12 +13,11 @@
 from aiohttp.base_protocol import BaseProtocol
 from loguru import logger
 
-from meadowworks.node import peers
-from meadowworks.node.crowd import Collectors, Crowd
-from meadowworks.node.invariants import count
-from meadowworks.node.life import Bounds, Life
-from meadowworks.node.mailbox import Mailbox
-from meadowworks.node.messages import (
+from meadowworks.fleet import peers
+from meadowworks.fleet.connection_state import Bounds, Life
+from meadowworks.fleet.invariants import count
+from meadowworks.fleet.mailbox import Mailbox
+from meadowworks.fleet.messages import (
     Attach,
     Collector,
     End,
@@ -30,6 +29,7 @@
     decode,
     strange,
 )
+from meadowworks.runtime.connection_limit import Collectors, Crowd
 
 SECOND = 1_000_000_000
 BOUNDS = Bounds()
--- a/meadowworks/node/mailbox.py
+++ b/meadowworks/fleet/mailbox.py
@@ -7,7 +7,7 @@
 from collections.abc import AsyncIterator
 from typing import Generic, TypeVar
 
-from meadowworks.node.invariants import count, holds
+from meadowworks.fleet.invariants import count, holds
 
 T = TypeVar("T")
 
--- a/meadowworks/node/messages.py
+++ b/meadowworks/fleet/messages.py
@@ -11,8 +11,8 @@
 from math import isfinite
 from typing import Any
 
-from meadowworks.door import STATES
-from meadowworks.node.mailbox import Mailbox
+from meadowworks.fleet.mailbox import Mailbox
+from meadowworks.fleet.names import STATES
 
 MS = 1_000_000
 LINE_MOST = 1 << 20  # the protocol's limit for a message
--- a/meadowworks/node/peers.py
+++ b/meadowworks/fleet/peers.py
@@ -5,9 +5,9 @@
 
 from loguru import logger
 
-from meadowworks.node.life import Life
-from meadowworks.node.mailbox import Mailbox
-from meadowworks.node.messages import Attach, Collector, Told
+from meadowworks.fleet.connection_state import Life
+from meadowworks.fleet.mailbox import Mailbox
+from meadowworks.fleet.messages import Attach, Collector, Told
 
 
 def who(first: Attach | Collector | None) -> str:
--- a/meadowworks/settings.py
+++ b/meadowworks/fleet/settings.py
@@ -10,7 +10,7 @@
 from math import isfinite, nan
 from typing import Any
 
-from meadowworks.host import Route, Settings
+from meadowworks.policy.interface import Route, Settings
 
 TRUE = ("true", "1")
 
--- a/meadowworks/node/streams.py
+++ b/meadowworks/fleet/streams.py
@@ -9,10 +9,10 @@
 from collections import deque
 from collections.abc import Callable, Iterator
 
-from meadowworks.node.invariants import holds
-from meadowworks.node.mailbox import Mailbox
-from meadowworks.node.messages import End, Message, Told, encode
-from meadowworks.node.orders import Orders
+from meadowworks.fleet.invariants import holds
+from meadowworks.fleet.mailbox import Mailbox
+from meadowworks.fleet.messages import End, Message, Told, encode
+from meadowworks.fleet.table_updates import Orders
 
 MARKS_KEPT = 64  # unanswered on a stream: more than may be sent to a proxy while a mark can still count
 
--- a/meadowworks/node/orders.py
+++ b/meadowworks/fleet/table_updates.py
@@ -9,8 +9,8 @@
 from collections.abc import Iterator, Mapping, Sequence
 from dataclasses import replace
 
-from meadowworks.node.invariants import holds
-from meadowworks.node.messages import Part
+from meadowworks.fleet.invariants import holds
+from meadowworks.fleet.messages import Part
 
 Grant = tuple[float, int]
 Bound = tuple[int | None, ...]  # a proxy's table by route
--- a/meadowworks/carriage/journey.py
+++ b/meadowworks/forwarding/attempts.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
 
-from meadowworks.attempts.again import (
+from meadowworks.attempts.retry_policy import (
     AFTER_ANY,
     ANSWERED,
     DROPPED,
@@ -26,7 +26,7 @@
     sure,
     wait_ns,
 )
-from meadowworks.carriage.answers import PROMISES
+from meadowworks.forwarding.response_check import PROMISES
 
 MS = 1_000_000
 EARLY = 0.5  # part of the usual wait after which a try has another beside it, where a slot is free
--- a/meadowworks/carriage/yard.py
+++ b/meadowworks/forwarding/connection_pool.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from typing import Generic, Protocol, TypeVar
 
-from meadowworks.carriage.choice import learn
+from meadowworks.forwarding.latency_estimate import learn
 
 SECOND = 1_000_000_000
 IDLE_NS = 4 * SECOND  # that a line is kept where its backend tells no time
--- a/meadowworks/carriage/answers.py
+++ b/meadowworks/forwarding/response_check.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from meadowworks.attempts.again import ANSWERED, DROPPED, UNRUN
+from meadowworks.attempts.retry_policy import ANSWERED, DROPPED, UNRUN
 
 PROMISES = (408, 421, 429, 503)  # statuses that promise that a request has not run
 
--- a/meadowworks/telegraph/post.py
+++ b/meadowworks/gossip/messages.py
@@ -11,11 +11,11 @@
 
 import msgpack
 
-from meadowworks.telegraph.members import Card
-from meadowworks.telegraph.news import Piece
+from meadowworks.gossip.peer_sampling import Card
+from meadowworks.gossip.updates import Piece
 
 if TYPE_CHECKING:  # a junction speaks no letters: their import would be a tenth of its start
-    from meadowworks.timetable.register import Epoch, History, Seen
+    from meadowworks.consensus.register import Epoch, History, Seen
 
 SHAPE = (TypeError, ValueError, AttributeError, LookupError)  # what reading a message of another shape raises
 
@@ -82,7 +82,7 @@
     def pack_members(self) -> list[Any]:
         if self.seen is None and self.epoch is None:
             return [None, None, []]
-        from meadowworks.timetable import register
+        from meadowworks.consensus import register
 
         return [
             None if self.seen is None else register.pack(self.seen),
@@ -107,7 +107,7 @@
     """Raises ValueError, TypeError or KeyError."""
     if seen is None and epoch is None and history == []:
         return None, None, ()
-    from meadowworks.timetable import register
+    from meadowworks.consensus import register
 
     found = None if seen is None else register.unpack(seen)
     if not (found is None or isinstance(found, register.Seen)):
--- a/meadowworks/points/service.py
+++ b/meadowworks/load_balancing/service.py
@@ -11,11 +11,11 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from meadowworks.door import Names
-from meadowworks.host import Entry, Route, Settings
-from meadowworks.roster.beats import DRAINING, UP
-from meadowworks.roster.lives import Backend
-from meadowworks.rules import Controller
+from meadowworks.fleet.names import Names
+from meadowworks.policy import Controller
+from meadowworks.policy.interface import Entry, Route, Settings
+from meadowworks.registry.backends import Backend
+from meadowworks.registry.heartbeats import DRAINING, UP
 
 SECOND = 1_000_000_000
 REPORT_NS = SECOND
--- a/meadowworks/local/backend.py
+++ b/meadowworks/local/backend.py
@@ -8,9 +8,9 @@
 from contextlib import suppress
 from typing import Any
 
-from meadowworks.track.door import Door, answer, whole_body
-from meadowworks.track.errors import NoAnswer
-from meadowworks.track.line import connect
+from meadowworks.runtime.errors import NoAnswer
+from meadowworks.runtime.http_connection import connect
+from meadowworks.runtime.http_server import Door, answer, whole_body
 
 ACK_MOST = 4096  # bytes of an answer: a larger one acknowledges nothing
 
--- a/meadowworks/local/commands.py
+++ b/meadowworks/local/commands.py
@@ -14,10 +14,10 @@
 
 from cappa import Arg
 
-from meadowworks.commands import Bad
+from meadowworks.cli.main import Bad
+from meadowworks.cli.operations import call
 from meadowworks.local.backend import Backend
 from meadowworks.local.system import BEAT_MS, ZONES, Plan, Ports, configuration, taken
-from meadowworks.operate.commands import call
 
 ROUTES = {"/read/": ("safe", "lookup"), "/order/": ("unsafe", "orders")}
 ROOT = Path(__file__).parents[2]
@@ -51,7 +51,7 @@
     file = folder / f"{place}.json"
     file.write_text(json.dumps(plan.settings(place, folder / f"disk-{place}")))
     env = {**os.environ, "PYTHONPATH": str(ROOT), "MEADOWWORKS_NODE_FILE": str(file)}
-    program = "meadowworks.signalbox" if box else "meadowworks.junction"
+    program = "meadowworks.controlplane" if box else "meadowworks.proxy"
     return subprocess.Popen([sys.executable, "-m", program], env=env)
 
 
--- a/meadowworks/local/rude.py
+++ b/meadowworks/local/hostile_clients.py
@@ -19,11 +19,11 @@
 
 from cappa import Arg
 
-from meadowworks.commands import Bad
+from meadowworks.cli.main import Bad
+from meadowworks.cli.operations import call
 from meadowworks.local.backend import Backend
 from meadowworks.local.commands import ROUTES, start
 from meadowworks.local.system import BEAT_MS, Plan, configuration, free_ports
-from meadowworks.operate.commands import call
 
 HEAD = b"GET /read/x HTTP/1.1\r\nHost: local.example\r\nX-Request-Id: %d\r\n\r\n"
 POST = b"POST /read/x HTTP/1.1\r\nHost: local.example\r\nContent-Length: %d\r\n\r\n"
--- a/meadowworks/check/commands.py
+++ b/meadowworks/modelcheck/commands.py
@@ -14,10 +14,10 @@
 from rich.progress import Progress, SpinnerColumn, TextColumn
 from rich.table import Table
 
-from meadowworks.check import faults, paths, runs
-from meadowworks.check.explore import IMPLIED, explore
-from meadowworks.check.model import Broken, Model, Result
-from meadowworks.commands import Bad
+from meadowworks.cli.main import Bad
+from meadowworks.modelcheck import faults, paths, runs
+from meadowworks.modelcheck.explore import IMPLIED, explore
+from meadowworks.modelcheck.model import Broken, Model, Result
 
 
 def check(
--- a/meadowworks/check/explore.py
+++ b/meadowworks/modelcheck/explore.py
@@ -20,8 +20,8 @@
 
 from xxhash import xxh3_64_intdigest
 
-from meadowworks.check.live import Edges, never_answered
-from meadowworks.check.model import DEADLOCK, FAULT, Broken, Model, Property, Result, Step, World
+from meadowworks.modelcheck.live import Edges, never_answered
+from meadowworks.modelcheck.model import DEADLOCK, FAULT, Broken, Model, Property, Result, Step, World
 
 MARSHAL = 2  # the last form without back references, which depend on more than the value
 ROOT = 0  # as the parent's fingerprint of a start
--- a/meadowworks/check/faults.py
+++ b/meadowworks/modelcheck/faults.py
@@ -17,7 +17,7 @@
 from types import CodeType, FunctionType
 from typing import Any
 
-from meadowworks.check.model import FAULT
+from meadowworks.modelcheck.model import FAULT
 
 
 @dataclass(frozen=True, slots=True)
@@ -75,7 +75,7 @@
         whole.__code__ = code
 
 
-AGAIN, MACHINE = "meadowworks.attempts.again:", "meadowworks.attempts.machine:Attempts."
+AGAIN, MACHINE = "meadowworks.attempts.retry_policy:", "meadowworks.attempts.machine:Attempts."
 ATTEMPT = (
     Fault(
         "a mutating call is tried again after any failure",
@@ -311,11 +311,11 @@
         ("within the limit",),
     ),
 )
-LIFE, STREAMS = "meadowworks.node.life:Life.", "meadowworks.node.streams:Streams."
+LIFE, STREAMS = "meadowworks.fleet.connection_state:Life.", "meadowworks.fleet.streams:Streams."
 CROWD, ORDERS, BOX = (
-    "meadowworks.node.crowd:Crowd.",
-    "meadowworks.node.orders:Orders.",
-    "meadowworks.node.mailbox:",
+    "meadowworks.runtime.connection_limit:Crowd.",
+    "meadowworks.fleet.table_updates:Orders.",
+    "meadowworks.fleet.mailbox:",
 )
 STRANGER = "not self.over and not self.first"
 CONNECTION = (
@@ -564,7 +564,7 @@
     ),
 )
 
-BUDGET, HOLDER = "meadowworks.grants.machine:Budget.", "meadowworks.grants.machine:Holder."
+BUDGET, HOLDER = "meadowworks.quota.machine:Budget.", "meadowworks.quota.machine:Holder."
 GRANTS = (
     Fault(
         "a grant counts as given back when a smaller one was sent",
@@ -668,7 +668,7 @@
     ),
 )
 
-RULES = "meadowworks.rules:Controller."
+RULES = "meadowworks.policy:Controller."
 MODULE = (
     Fault(
         "what drains goes with the rest, at the usual pace",
@@ -817,7 +817,7 @@
         ("levels sane",),
     ),
 )
-REGISTER, REPLICA = "meadowworks.timetable.register:", "meadowworks.timetable.replica:"
+REGISTER, REPLICA = "meadowworks.consensus.register:", "meadowworks.consensus.replica:"
 CONTENT = ("one content", "lasts")
 TIMETABLE = (
     *(
@@ -1397,8 +1397,8 @@
 )
 
 CLIENTS, BREAKS, KEPT, NAMELESS, BETWEEN = tuple(range(9)), (9,), (10,), (12,), (14,)  # worlds of the model
-LINE = "meadowworks.track.line:Line."
-JOURNEY, ANSWERS = "meadowworks.carriage.journey:Journey.", "meadowworks.carriage.answers:"
+LINE = "meadowworks.runtime.http_connection:Line."
+JOURNEY, ANSWERS = "meadowworks.forwarding.attempts:Journey.", "meadowworks.forwarding.response_check:"
 CARRIAGE = (
     *(
         Fault(name, "carriage", at, was, now, breaks, starts=CLIENTS)
@@ -1475,14 +1475,14 @@
             ),
             (
                 "one try more than allowed",
-                "meadowworks.carriage.journey:policy",
+                "meadowworks.forwarding.attempts:policy",
                 "if tries <= 1 or jammed:",
                 "if jammed:",
                 ("tries bounded",),
             ),
             (
                 "what drains is in the tables",
-                "meadowworks.roster.lives:Lives.state",
+                "meadowworks.registry.backends:Lives.state",
                 "return GONE if rank == RANK[GONE] else DRAINING",
                 "return GONE if rank == RANK[GONE] else UP",
                 ("drains kept",),
@@ -1518,7 +1518,7 @@
         ),
         (
             "a kept line is taken without a look",
-            "meadowworks.carriage.yard:Yard.take",
+            "meadowworks.forwarding.connection_pool:Yard.take",
             " and line.usable()",
             "",
             ("clean lines",),
@@ -1542,7 +1542,7 @@
         ),
         (
             "a call without an id goes on a kept line",
-            "meadowworks.junction.forward:attempt",
+            "meadowworks.proxy.upstream_attempt:attempt",
             " if request.ident is not None else None",
             "",
             ("wrong caller",),
@@ -1566,7 +1566,7 @@
         ),
         (
             "a line is kept whose answer was another's",
-            "meadowworks.junction.forward:attempt",
+            "meadowworks.proxy.upstream_attempt:attempt",
             "if found.keep:",
             "if True:",
             ("clean lines",),
@@ -1574,7 +1574,7 @@
         ),
         (
             "a line whose answer was another's is let go as it is",
-            "meadowworks.junction.forward:attempt",
+            "meadowworks.proxy.upstream_attempt:attempt",
             "line.close()\n        if not found.sound:",
             "pass\n        if not found.sound:",
             ("no line left",),
@@ -1582,7 +1582,7 @@
         ),
         (
             "a reply to another question is taken",
-            "meadowworks.track.peer:Peer.call",
+            "meadowworks.runtime.peer_client:Peer.call",
             "if reply.get(QUESTION) != question:",
             "if False:",
             ("wrong caller",),
@@ -1590,8 +1590,8 @@
         ),
     )
 )
-NEWS, BEATS = "meadowworks.telegraph.news:", "meadowworks.roster.beats:Beats."
-FENCES = "meadowworks.roster.fences:Fences."
+NEWS, BEATS = "meadowworks.gossip.updates:", "meadowworks.registry.heartbeats:Beats."
+FENCES = "meadowworks.registry.drain_log:Fences."
 TELEGRAPH = (
     *(
         Fault(name, "telegraph", at, was, now, breaks)
@@ -1605,14 +1605,14 @@
             ),
             (
                 "the newest word counts, not the furthest",
-                "meadowworks.roster.lives:Lives.state",
+                "meadowworks.registry.backends:Lives.state",
                 "rank = max(RANK[s.state] for s in sources.values())",
                 "rank = RANK[list(sources.values())[-1].state]",
                 ("never back", "acknowledged", "same list", "own words"),
             ),
             (
                 "a signalbox's first word of a life stands",
-                "meadowworks.roster.lives:Lives.told",
+                "meadowworks.registry.backends:Lives.told",
                 "sources[event.source] = said",
                 "sources.setdefault(event.source, said)",
                 ("own words",),
@@ -1626,7 +1626,7 @@
             ),
             (
                 "one that calls a life quiet is enough",
-                "meadowworks.roster.lives:Lives.state",
+                "meadowworks.registry.backends:Lives.state",
                 "all(s.quiet for s in alive.values())",
                 "any(s.quiet for s in alive.values())",
                 ("quiet by all",),
@@ -1682,7 +1682,7 @@
             ),
             (
                 "an older card replaces a newer",
-                "meadowworks.telegraph.members:Members.met",
+                "meadowworks.gossip.peer_sampling:Members.met",
                 "if old is None or card.beat > old.card.beat:",
                 "if True:",
                 ("cards rise",),
--- a/meadowworks/check/models/attempt.py
+++ b/meadowworks/modelcheck/models/attempt.py
@@ -14,9 +14,9 @@
 from functools import partial
 from typing import Any
 
-from meadowworks.attempts.again import ANSWERED, CANCELLED, DROPPED, SENT, UNRUN, Try, Way
 from meadowworks.attempts.machine import Attempts, Call, Final, Table
-from meadowworks.check.model import Live, Model, Property, Step, taken
+from meadowworks.attempts.retry_policy import ANSWERED, CANCELLED, DROPPED, SENT, UNRUN, Try, Way
+from meadowworks.modelcheck.model import Live, Model, Property, Step, taken
 
 LIMIT, WAIT, LEAST, HOLD = 3, 1, 2, 1  # units: a call's time limit, a followed try's wait, see Way
 PACE = 10
--- a/meadowworks/check/models/connection.py
+++ b/meadowworks/modelcheck/models/connection.py
@@ -14,11 +14,9 @@
 from functools import cache, partial
 from typing import Any
 
-from meadowworks.check.model import Live, Model, Property, Step, taken
-from meadowworks.node.crowd import Crowd
-from meadowworks.node.life import Bounds, Life
-from meadowworks.node.mailbox import Mailbox
-from meadowworks.node.messages import (
+from meadowworks.fleet.connection_state import Bounds, Life
+from meadowworks.fleet.mailbox import Mailbox
+from meadowworks.fleet.messages import (
     BEAT_OK,
     Asked,
     Attach,
@@ -32,8 +30,10 @@
     News,
     Told,
 )
-from meadowworks.node.orders import Orders
-from meadowworks.node.streams import Streams
+from meadowworks.fleet.streams import Streams
+from meadowworks.fleet.table_updates import Orders
+from meadowworks.modelcheck.model import Live, Model, Property, Step, taken
+from meadowworks.runtime.connection_limit import Crowd
 
 BOUNDS = Bounds(unsent=1, unreadable=2, strange=1)  # messages, lines and bytes that a world has room for
 REPORTS_MOST = 1
--- a/meadowworks/check/models/timetable.py
+++ b/meadowworks/modelcheck/models/consensus.py
@@ -1,4 +1,4 @@
-"""One register a version and one of members an epoch: `meadowworks.timetable.register.Acceptor`s on disks
+"""One register a version and one of members an epoch: `meadowworks.consensus.register.Acceptor`s on disks
 that are wiped, replaced, restarted and taken off, and `Proposer`s, `Change`s, `Reader`s and `Teacher`s that
 race, are given up, begun anew, or finish what another began, as `replica.Replica` has them do.
 
@@ -17,8 +17,7 @@
 from itertools import combinations
 from typing import Any
 
-from meadowworks.check.model import Model, Property, Step
-from meadowworks.timetable.register import (
+from meadowworks.consensus.register import (
     MEMBERSHIP,
     Accept,
     Accepted,
@@ -49,7 +48,8 @@
     Whole,
     digest,
 )
-from meadowworks.timetable.replica import Job, Replica, acceptor_for, pack_members, unpack_members
+from meadowworks.consensus.replica import Job, Replica, acceptor_for, pack_members, unpack_members
+from meadowworks.modelcheck.model import Model, Property, Step
 
 Members = tuple[tuple[str, str], ...]
 Op = Proposer | Change | Reader | Teacher
--- a/meadowworks/check/models/carriage.py
+++ b/meadowworks/modelcheck/models/forwarding.py
@@ -13,15 +13,15 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from meadowworks.attempts.again import DROPPED, UNRUN
-from meadowworks.carriage.answers import PROMISES, judge
-from meadowworks.carriage.budget import Budget
-from meadowworks.carriage.journey import MS, Forward, Journey, Refuse, Send, policy, way
-from meadowworks.carriage.yard import Yard
-from meadowworks.check.model import Model, Property, Step
-from meadowworks.check.models import wires
-from meadowworks.roster.lives import Lives
-from meadowworks.telegraph.news import Told
+from meadowworks.attempts.retry_policy import DROPPED, UNRUN
+from meadowworks.forwarding.attempts import MS, Forward, Journey, Refuse, Send, policy, way
+from meadowworks.forwarding.connection_pool import Yard
+from meadowworks.forwarding.response_check import PROMISES, judge
+from meadowworks.forwarding.retry_budget import Budget
+from meadowworks.gossip.updates import Told
+from meadowworks.modelcheck.model import Model, Property, Step
+from meadowworks.modelcheck.models import wires
+from meadowworks.registry.backends import Lives
 
 LIVES, ADDRESSES, OTHER = ("a", "b"), ("x:1", "y:1"), "c"  # `c` is another service's, at an address of before
 SERVICE, FOREIGN = "s", "t"
--- a/meadowworks/check/models/telegraph.py
+++ b/meadowworks/modelcheck/models/gossip.py
@@ -15,12 +15,12 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from meadowworks.check.model import Model, Property, Step
-from meadowworks.roster.beats import DRAINING, GONE, PREFIX, RANK, UP, Beats
-from meadowworks.roster.fences import Fences
-from meadowworks.roster.lives import QUIET, Lives
-from meadowworks.telegraph.members import Card, Members
-from meadowworks.telegraph.news import News, Piece, Told
+from meadowworks.gossip.peer_sampling import Card, Members
+from meadowworks.gossip.updates import News, Piece, Told
+from meadowworks.modelcheck.model import Model, Property, Step
+from meadowworks.registry.backends import QUIET, Lives
+from meadowworks.registry.drain_log import Fences
+from meadowworks.registry.heartbeats import DRAINING, GONE, PREFIX, RANK, UP, Beats
 
 BOXES, JUNCTION = (0, 1), 2
 X, Y = "x", "y"  # the backend that goes, and the one that is forgotten
--- a/meadowworks/check/models/module.py
+++ b/meadowworks/modelcheck/models/policy.py
@@ -1,4 +1,4 @@
-"""The decision module itself, `meadowworks.rules.Controller`, with the node's real `Orders`, in a small
+"""The decision module itself, `meadowworks.policy.Controller`, with the node's real `Orders`, in a small
 world:
 three backends, two zones, a proxy in each; the list changes, proxies join and leave, reports come or do not,
 the channel answers its marks or stands, time goes by or jumps, in every order to a stated depth.
@@ -15,11 +15,11 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from meadowworks.check.model import Model, Property, Step
-from meadowworks.host import Entry, Route, Settings
-from meadowworks.node.messages import Part
-from meadowworks.node.orders import Orders
-from meadowworks.rules import Controller
+from meadowworks.fleet.messages import Part
+from meadowworks.fleet.table_updates import Orders
+from meadowworks.modelcheck.model import Model, Property, Step
+from meadowworks.policy import Controller
+from meadowworks.policy.interface import Entry, Route, Settings
 
 SECOND = 1_000_000_000
 ROUTES = (Route(2.0, SECOND, False), Route(1.0, SECOND, False))
--- a/meadowworks/check/models/grants.py
+++ b/meadowworks/modelcheck/models/quota.py
@@ -1,4 +1,4 @@
-"""Grants under one budget: `meadowworks.grants.machine.Budget` and its `Holder`s, with a network between them
+"""Grants under one budget: `meadowworks.quota.machine.Budget` and its `Holder`s, with a network between them
 that delays, loses and reorders, calls that come and end, holders that come, leave and die, and a clock that
 each reads a little differently.
 
@@ -13,8 +13,8 @@
 from functools import partial
 from typing import Any
 
-from meadowworks.check.model import Live, Model, Property, Step, taken
-from meadowworks.grants.machine import Account, Budget, Grant, Holder, Report
+from meadowworks.modelcheck.model import Live, Model, Property, Step, taken
+from meadowworks.quota.machine import Account, Budget, Grant, Holder, Report
 
 LEASE, MARGIN = 2, 1  # units
 NEVER = 1 << 20  # a lease that does not end
--- a/meadowworks/check/models/roster.py
+++ b/meadowworks/modelcheck/models/registry.py
@@ -12,11 +12,11 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from meadowworks.check.model import Model, Property, Step
-from meadowworks.roster.beats import DRAINING, RANK, UP, Beats, Taken
-from meadowworks.roster.fences import Fences
-from meadowworks.roster.lives import Lives
-from meadowworks.telegraph.news import News, Piece, Told
+from meadowworks.gossip.updates import News, Piece, Told
+from meadowworks.modelcheck.model import Model, Property, Step
+from meadowworks.registry.backends import Lives
+from meadowworks.registry.drain_log import Fences
+from meadowworks.registry.heartbeats import DRAINING, RANK, UP, Beats, Taken
 
 LIVES = ("i", "j")
 DETAILS = {"svc": "s", "zone": "z", "capacity": 2, "ver": "v"}
--- a/meadowworks/check/models/replica.py
+++ b/meadowworks/modelcheck/models/replica.py
@@ -1,4 +1,4 @@
-"""Signalboxes' parts in the agreement, whole: `meadowworks.timetable.replica.Replica`s, each with a disk on
+"""Signalboxes' parts in the agreement, whole: `meadowworks.consensus.replica.Replica`s, each with a disk on
 which a write is made or lost with the power, and requests that come at any time, or from a life that is over.
 
 What a replica holds in memory and what is on its disk are two things here; a write is on the disk at a step
@@ -15,9 +15,7 @@
 from itertools import combinations
 from typing import Any
 
-from meadowworks.check.model import Model, Property, Step
-from meadowworks.check.models.timetable import ABC, X, Y, disks, flat_acceptor, forward
-from meadowworks.timetable.register import (
+from meadowworks.consensus.register import (
     MEMBERSHIP,
     NONE,
     Accept,
@@ -34,7 +32,7 @@
     Seen,
     Slot,
 )
-from meadowworks.timetable.replica import (
+from meadowworks.consensus.replica import (
     SECOND,
     Answer,
     Ask,
@@ -47,6 +45,8 @@
     acceptor_for,
     pack_members,
 )
+from meadowworks.modelcheck.model import Model, Property, Step
+from meadowworks.modelcheck.models.consensus import ABC, X, Y, disks, flat_acceptor, forward
 
 AB, BC = disks("a", "b"), disks("b", "c")
 NOW, FAR = 10 * SECOND, 99 * SECOND
--- a/meadowworks/check/models/wires.py
+++ b/meadowworks/modelcheck/models/wires.py
@@ -18,18 +18,18 @@
 from functools import cache
 from typing import Any, cast
 
-from meadowworks.attempts.again import CANCELLED
-from meadowworks.carriage.answers import PROMISES
-from meadowworks.carriage.journey import MS, Forward, Journey, Refuse, Send, policy, way
-from meadowworks.carriage.yard import Yard
-from meadowworks.check.model import Step
-from meadowworks.junction import forward
-from meadowworks.junction.forward import Request, Tried
-from meadowworks.roster.lives import Backend
-from meadowworks.track import peer as peers
-from meadowworks.track.errors import NoAnswer
-from meadowworks.track.line import Line, Stream
-from meadowworks.track.peer import Peer
+from meadowworks.attempts.retry_policy import CANCELLED
+from meadowworks.forwarding.attempts import MS, Forward, Journey, Refuse, Send, policy, way
+from meadowworks.forwarding.connection_pool import Yard
+from meadowworks.forwarding.response_check import PROMISES
+from meadowworks.modelcheck.model import Step
+from meadowworks.proxy import upstream_attempt as forward
+from meadowworks.proxy.upstream_attempt import Request, Tried
+from meadowworks.registry.backends import Backend
+from meadowworks.runtime import peer_client as peers
+from meadowworks.runtime.errors import NoAnswer
+from meadowworks.runtime.http_connection import Line, Stream
+from meadowworks.runtime.peer_client import Peer
 
 LIVES = ("a", "b")
 LINES = {place: 1.0 for place in range(len(LIVES))}
--- a/meadowworks/check/paths.py
+++ b/meadowworks/modelcheck/paths.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from meadowworks.check.model import Broken, Model, Step
+from meadowworks.modelcheck.model import Broken, Model, Step
 
 FORM = 1
 
--- a/meadowworks/check/plain.py
+++ b/meadowworks/modelcheck/plain.py
@@ -6,7 +6,7 @@
 from collections import deque
 from typing import Any
 
-from meadowworks.check.model import Model, Result
+from meadowworks.modelcheck.model import Model, Result
 
 
 def explore(model: Model, most: int = 0) -> Result:
--- a/meadowworks/check/runs.py
+++ b/meadowworks/modelcheck/runs.py
@@ -9,32 +9,32 @@
 from contextlib import ExitStack
 from dataclasses import dataclass, replace
 
-from meadowworks.check import faults, plain
-from meadowworks.check.explore import explore, replay
-from meadowworks.check.model import Broken, Model, Result
-from meadowworks.check.models import (
+from meadowworks.modelcheck import faults, plain
+from meadowworks.modelcheck.explore import explore, replay
+from meadowworks.modelcheck.model import Broken, Model, Result
+from meadowworks.modelcheck.models import (
     attempt,
-    carriage,
     connection,
-    grants,
-    module,
+    consensus,
+    forwarding,
+    gossip,
+    policy,
+    quota,
+    registry,
     replica,
-    roster,
-    telegraph,
-    timetable,
 )
-from meadowworks.check.paths import Kept
+from meadowworks.modelcheck.paths import Kept
 
 MODELS: dict[str, Callable[[bool], Model]] = {
     "attempt": attempt.model,
     "connection": connection.model,
-    "module": module.model,
-    "grants": grants.model,
-    "timetable": timetable.model,
+    "module": policy.model,
+    "grants": quota.model,
+    "timetable": consensus.model,
     "replica": replica.model,
-    "carriage": carriage.model,
-    "telegraph": telegraph.model,
-    "roster": roster.model,
+    "carriage": forwarding.model,
+    "telegraph": gossip.model,
+    "roster": registry.model,
 }
 FAULT_MOST = 1 << 19  # states looked at for a fault; none needs as many
 
--- a/meadowworks/rules/__init__.py
+++ b/meadowworks/policy/__init__.py
@@ -1,15 +1,15 @@
 """All decisions of a meadowworks controller.
 
-An adapter builds a `Controller`, hands it a host (`meadowworks/host.py`) and calls a method for what happens,
-the clock in nanoseconds. Files, each on those before: state, channel, views, levels, tables, orders."""
+An adapter builds a `Controller`, hands it a host (`policy/interface.py`) and calls a method for what happens,
+the clock in ns. Each file rests on those before: state, control_channel, zone_views, admission, weights, publisher."""
 
 import heapq
 from collections.abc import Sequence
 from functools import partial
 
-from meadowworks.host import Entry
-from meadowworks.rules.orders import Orders
-from meadowworks.rules.state import LAST, Backend, Met, Proxy
+from meadowworks.policy.interface import Entry
+from meadowworks.policy.publisher import Orders
+from meadowworks.policy.state import LAST, Backend, Met, Proxy
 
 ASK_PART, ASK_MOST = 0.05, 0.4  # waits after a list call failed, of the time to ask within: first, longest
 STALL_TICKS, RECHECK = 3, 4.0  # a turn this late was held up; reports until one called gone is looked at
--- a/meadowworks/rules/levels.py
+++ b/meadowworks/policy/admission.py
@@ -3,8 +3,8 @@
 from collections import deque
 from statistics import median
 
-from meadowworks.rules.state import FRESH_NS, OPEN_RATE, WINDOW_NS
-from meadowworks.rules.views import SLO_PART, Views
+from meadowworks.policy.state import FRESH_NS, OPEN_RATE, WINDOW_NS
+from meadowworks.policy.zone_views import SLO_PART, Views
 
 TOLERANCE, LEAST_CUT, GAIN, CAP = 2.0, 0.5, 0.1, 2.0  # the design's (docs/design/): of a view
 PROVEN, PROVEN_CALM = 0.4, 0.8  # parts of the best throughput that a budget keeps; the latter in calm
--- a/meadowworks/rules/channel.py
+++ b/meadowworks/policy/control_channel.py
@@ -3,7 +3,7 @@
 from collections import deque
 from collections.abc import Sequence
 
-from meadowworks.rules.state import FRESH_NS, PACE_NS, SECOND, WINDOW_NS, Proxy, State
+from meadowworks.policy.state import FRESH_NS, PACE_NS, SECOND, WINDOW_NS, Proxy, State
 
 CHANNEL_TRUST, MARKS = (0.5, 0.33), 65536  # of its rate: by urgent orders; by the rest. Numbers of marks
 KEEP_DRAIN, KEEP_JOIN, KEEP_USUAL = 0.1, 0.3, 0.5  # parts of the caps that orders of a kind leave free
--- a/meadowworks/host.py
+++ b/meadowworks/policy/interface.py
@@ -1,8 +1,8 @@
 """What the decision module is handed: its settings, the list's entries, and the host that it acts through.
 
 Only types live here. A protocol's adapter builds `Settings`, implements `Host` and calls the methods of
-`meadowworks.rules.Controller`. Backends, zones and routes are small indices given out by the adapter; proxies
-and tables keep their numbers. All times are whole nanoseconds.
+`meadowworks.policy.Controller`. Backends, zones and routes are small indices given out by the adapter;
+proxies and tables keep their numbers. All times are whole nanoseconds.
 """
 
 from __future__ import annotations
--- a/meadowworks/rules/orders.py
+++ b/meadowworks/policy/publisher.py
@@ -1,9 +1,9 @@
 """Orders: tables brought to what is wanted, line by line as the channel allows; and slices, one by one."""
 
-from meadowworks.rules.channel import KEEP_DRAIN, KEEP_JOIN, KEEP_USUAL
-from meadowworks.rules.levels import LINE_STEP
-from meadowworks.rules.state import PACE_NS, Pool, Proxy
-from meadowworks.rules.tables import Tables
+from meadowworks.policy.admission import LINE_STEP
+from meadowworks.policy.control_channel import KEEP_DRAIN, KEEP_JOIN, KEEP_USUAL
+from meadowworks.policy.state import PACE_NS, Pool, Proxy
+from meadowworks.policy.weights import Tables
 
 
 class Orders(Tables):
--- a/meadowworks/rules/state.py
+++ b/meadowworks/policy/state.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from meadowworks.host import Host, Settings
+from meadowworks.policy.interface import Host, Settings
 
 SECOND = 1_000_000_000
 WINDOW_NS = 30 * SECOND  # of baselines, and of what is remembered
--- a/meadowworks/rules/tables.py
+++ b/meadowworks/policy/weights.py
@@ -1,8 +1,8 @@
 """Each zone's table: its own servers by capacity, others' where a guard below says so."""
 
-from meadowworks.rules.levels import PROVEN, Levels
-from meadowworks.rules.state import FRESH_NS, RUNGS, SECOND, Met, Pool, View
-from meadowworks.rules.views import ILL, LEAST_QUEUE, LEAST_TRIES, SLO_PART
+from meadowworks.policy.admission import PROVEN, Levels
+from meadowworks.policy.state import FRESH_NS, RUNGS, SECOND, Met, Pool, View
+from meadowworks.policy.zone_views import ILL, LEAST_QUEUE, LEAST_TRIES, SLO_PART
 
 JAM, CALM = (0.08, 0.02), 3.0  # dropped share that jams a zone, and ends it; times as much if none is avoided
 SPILL_AT, SPILL_STEP, CROWD = 0.85, 0.1, 1.0  # part of its fair room, and calls waiting, to send some abroad
--- a/meadowworks/rules/views.py
+++ b/meadowworks/policy/zone_views.py
@@ -2,8 +2,8 @@
 
 from statistics import median
 
-from meadowworks.rules.channel import Channel
-from meadowworks.rules.state import LAST, OPEN_RATE, SECOND, WINDOW_NS, Met
+from meadowworks.policy.control_channel import Channel
+from meadowworks.policy.state import LAST, OPEN_RATE, SECOND, WINDOW_NS, Met
 
 SLO_PART, LN2 = 0.5, 0.6931  # latency under this part of the SLO time is none to throttle for
 ILL, DEAD = 0.15, 0.6  # dropped share above the fleet's median that costs a rung, or all of them
--- a/meadowworks/junction/__main__.py
+++ b/meadowworks/proxy/__main__.py
@@ -2,10 +2,10 @@
 
 gc.disable()  # until the start is over: it makes much and drops little
 
-from meadowworks.track import lean  # noqa: E402
+from meadowworks.runtime import lazy_imports as lean  # noqa: E402
 
 lean.start()
 
-from meadowworks.junction.program import main  # noqa: E402
+from meadowworks.proxy.server import main  # noqa: E402
 
 raise SystemExit(main())
--- a/meadowworks/junction/upstream.py
+++ b/meadowworks/proxy/control_plane_selection.py
@@ -4,7 +4,7 @@
 
 import xxhash
 
-from meadowworks.telegraph.members import Card
+from meadowworks.gossip.peer_sampling import Card
 
 AVOID_NS = 1_500_000_000  # that one which gave no answer, or is not sure, is passed over
 
--- a/meadowworks/junction/program.py
+++ b/meadowworks/proxy/server.py
@@ -12,32 +12,32 @@
 
 import xxhash
 
-from meadowworks.attempts.again import ANSWERED, CANCELLED, UNRUN, come_back_ns
-from meadowworks.carriage.budget import Budget
-from meadowworks.carriage.choice import delays, reach, suffices
-from meadowworks.carriage.journey import PACE_NS, Forward, Journey, Refuse, Send, Step, policy, way
-from meadowworks.carriage.picture import Picture
-from meadowworks.carriage.room import Room, Share
-from meadowworks.carriage.yard import Yard
-from meadowworks.junction.forward import Request, Tried, attempt, back_headers, on_headers
-from meadowworks.junction.upstream import Upstream
-from meadowworks.points.figures import PREFIX as FIGURES
-from meadowworks.points.figures import Sums
-from meadowworks.points.service import Met, Service
-from meadowworks.roster.beats import DRAINING
-from meadowworks.roster.lives import Backend, Lives
-from meadowworks.telegraph import post
-from meadowworks.telegraph.members import Card, Members
-from meadowworks.telegraph.news import News, Told
-from meadowworks.timetable.routes import Route, Timetable, loading
-from meadowworks.track import logs
-from meadowworks.track.aside import Steps, aside, inflating
-from meadowworks.track.boot import Boot, load
-from meadowworks.track.door import Cut, Door, answer, whole_body
-from meadowworks.track.errors import BadSettings, BrokenInvariant, NoAnswer
-from meadowworks.track.line import Line, Reply
-from meadowworks.track.peer import Peer
-from meadowworks.track.program import Tasks, now_ns, run
+from meadowworks.attempts.retry_policy import ANSWERED, CANCELLED, UNRUN, come_back_ns
+from meadowworks.config.route_table import Route, Timetable, loading
+from meadowworks.forwarding.attempts import PACE_NS, Forward, Journey, Refuse, Send, Step, policy, way
+from meadowworks.forwarding.connection_pool import Yard
+from meadowworks.forwarding.latency_estimate import delays, reach, suffices
+from meadowworks.forwarding.memory_budget import Room, Share
+from meadowworks.forwarding.retry_budget import Budget
+from meadowworks.forwarding.staleness import Picture
+from meadowworks.gossip import messages as post
+from meadowworks.gossip.peer_sampling import Card, Members
+from meadowworks.gossip.updates import News, Told
+from meadowworks.load_balancing.load_reports import PREFIX as FIGURES
+from meadowworks.load_balancing.load_reports import Sums
+from meadowworks.load_balancing.service import Met, Service
+from meadowworks.proxy.control_plane_selection import Upstream
+from meadowworks.proxy.upstream_attempt import Request, Tried, attempt, back_headers, on_headers
+from meadowworks.registry.backends import Backend, Lives
+from meadowworks.registry.heartbeats import DRAINING
+from meadowworks.runtime import logging as logs
+from meadowworks.runtime.cooperative import Steps, aside, inflating
+from meadowworks.runtime.errors import BadSettings, BrokenInvariant, NoAnswer
+from meadowworks.runtime.http_connection import Line, Reply
+from meadowworks.runtime.http_server import Cut, Door, answer, whole_body
+from meadowworks.runtime.node_settings import Boot, load
+from meadowworks.runtime.peer_client import Peer
+from meadowworks.runtime.process import Tasks, now_ns, run
 
 MS, SECOND = 1_000_000, 1_000_000_000
 PULL_MS, PULL_S = 1000, 1.6
--- a/meadowworks/junction/forward.py
+++ b/meadowworks/proxy/upstream_attempt.py
@@ -6,13 +6,13 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from meadowworks.attempts.again import DROPPED, UNRUN
-from meadowworks.carriage.answers import judge
-from meadowworks.carriage.yard import Yard
-from meadowworks.roster.lives import Backend
-from meadowworks.track.errors import NoAnswer
-from meadowworks.track.line import Headers, Line, Reply, connect
-from meadowworks.track.program import now_ns
+from meadowworks.attempts.retry_policy import DROPPED, UNRUN
+from meadowworks.forwarding.connection_pool import Yard
+from meadowworks.forwarding.response_check import judge
+from meadowworks.registry.backends import Backend
+from meadowworks.runtime.errors import NoAnswer
+from meadowworks.runtime.http_connection import Headers, Line, Reply, connect
+from meadowworks.runtime.process import now_ns
 
 MS = 1_000_000
 CONNECT_S = 1.0
--- a/meadowworks/roster/lives.py
+++ b/meadowworks/registry/backends.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from meadowworks.roster.beats import DRAINING, GONE, PREFIX, RANK, UP
-from meadowworks.telegraph.news import Told
+from meadowworks.gossip.updates import Told
+from meadowworks.registry.heartbeats import DRAINING, GONE, PREFIX, RANK, UP
 
 DEAD_NS = 8_000_000_000  # a source that has said nothing for so long vouches for nobody
 QUIET = "quiet"
--- a/meadowworks/roster/fences.py
+++ b/meadowworks/registry/drain_log.py
@@ -11,8 +11,8 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from meadowworks.roster.beats import GONE, KEEP_NS, PREFIX, RANK, UP
-from meadowworks.telegraph.news import Told
+from meadowworks.gossip.updates import Told
+from meadowworks.registry.heartbeats import GONE, KEEP_NS, PREFIX, RANK, UP
 
 FENCES_MOST = 8192  # beyond it the oldest that are on disk go, those that are gone first
 LOOK_NS = KEEP_NS // 4  # after which it is looked whether somebody still says so
--- a/meadowworks/track/line.py
+++ b/meadowworks/runtime/http_connection.py
@@ -21,7 +21,7 @@
 from httpcore import AsyncHTTP11Connection, Origin, Request  # noqa: E402
 from httpcore._async import http11  # noqa: E402
 
-from meadowworks.track.errors import NoAnswer  # noqa: E402
+from meadowworks.runtime.errors import NoAnswer  # noqa: E402
 
 # httpcore takes its lock and its shield from anyio, whose import is most of a first call. A line carries
 # one request at a time, and its stream ends without waiting: neither has anything to guard.
--- a/meadowworks/track/door.py
+++ b/meadowworks/runtime/http_server.py
@@ -14,7 +14,7 @@
 from uvicorn.protocols.http.httptools_impl import HttpToolsProtocol
 from uvicorn.server import ServerState
 
-from meadowworks.node.crowd import Crowd
+from meadowworks.runtime.connection_limit import Crowd
 
 Scope = MutableMapping[str, Any]
 QUESTION, LIFE = b"x-question", b"x-life"  # between controllers: which call is answered, and by which process
--- a/meadowworks/track/lean.py
+++ b/meadowworks/runtime/lazy_imports.py
@@ -12,7 +12,7 @@
 from types import ModuleType
 from typing import Any
 
-from meadowworks.track.errors import BrokenInvariant
+from meadowworks.runtime.errors import BrokenInvariant
 
 # httpcore imports trio where it finds it: half of a start.
 ABSENT = ("trio",)
--- a/meadowworks/track/boot.py
+++ b/meadowworks/runtime/node_settings.py
@@ -14,7 +14,7 @@
 
 from marshmallow import EXCLUDE, Schema, ValidationError, fields, validate
 
-from meadowworks.track.errors import BadSettings
+from meadowworks.runtime.errors import BadSettings
 
 VARIABLE = "MEADOWWORKS_NODE_FILE"
 
--- a/meadowworks/track/peer.py
+++ b/meadowworks/runtime/peer_client.py
@@ -9,9 +9,9 @@
 import asyncio
 from secrets import token_hex
 
-from meadowworks.track.door import LIFE, QUESTION
-from meadowworks.track.errors import NoAnswer
-from meadowworks.track.line import Line, connect
+from meadowworks.runtime.errors import NoAnswer
+from meadowworks.runtime.http_connection import Line, connect
+from meadowworks.runtime.http_server import LIFE, QUESTION
 
 CONNECT_S = 0.25  # a machine without power is silent: the next one is asked
 ANSWER_MOST = 64 << 20
--- a/meadowworks/track/program.py
+++ b/meadowworks/runtime/process.py
@@ -10,9 +10,9 @@
 from collections.abc import Awaitable, Callable, Coroutine
 from typing import Any
 
-from meadowworks.track import logs
-from meadowworks.track.boot import Boot, load
-from meadowworks.track.errors import BadSettings, BrokenInvariant
+from meadowworks.runtime import logging as logs
+from meadowworks.runtime.errors import BadSettings, BrokenInvariant
+from meadowworks.runtime.node_settings import Boot, load
 
 log = logs.part("start")
 
--- a/meadowworks/lab/campaign.py
+++ b/meadowworks/simulation/campaign.py
@@ -10,9 +10,9 @@
 from functools import partial
 from typing import Any
 
-from meadowworks.commands import Bad
-from meadowworks.lab import drill, guards
-from meadowworks.lab.control import Counts
+from meadowworks.cli.main import Bad
+from meadowworks.simulation import drill, guards
+from meadowworks.simulation.control import Counts
 
 Found = tuple[int, Counts, list[str]]
 
--- a/meadowworks/lab/commands.py
+++ b/meadowworks/simulation/commands.py
@@ -12,8 +12,8 @@
 
 from cappa import Arg
 
-from meadowworks.commands import Bad
-from meadowworks.lab import cost, report, scale, series
+from meadowworks.cli.main import Bad
+from meadowworks.simulation import cost, report, scale, series
 
 WHAT = (
     "cost: of joins, reports, ticks, routes, at two sizes; control: days of losses; "
@@ -62,7 +62,7 @@
     if what == "cost":
         return cost.main()
     if what == "control":
-        from meadowworks.lab import campaign  # needs apsw
+        from meadowworks.simulation import campaign  # needs apsw
 
         return campaign.main(point, seeds, without, guards, 4 if processes is None else processes, as_json)
     if what == "report":
--- a/meadowworks/lab/control.py
+++ b/meadowworks/simulation/control.py
@@ -15,10 +15,8 @@
 from functools import partial
 from typing import Any
 
-from meadowworks.lab.disks import Medium, PlayedDisk
-from meadowworks.lab.network import MS, SECOND, Network, Time
-from meadowworks.timetable.register import NONE, Accept, Acceptor, Ballot, Epoch, Held, Seen, digest
-from meadowworks.timetable.replica import (
+from meadowworks.consensus.register import NONE, Accept, Acceptor, Ballot, Epoch, Held, Seen, digest
+from meadowworks.consensus.replica import (
     LEASE_NS,
     LEAVE,
     Another,
@@ -32,6 +30,8 @@
     Write,
     acceptor_for,
 )
+from meadowworks.simulation.disks import Medium, PlayedDisk
+from meadowworks.simulation.network import MS, SECOND, Network, Time
 
 POLL_NS, CALL_NS = SECOND // 2, SECOND  # that a pull without news is held; that any reply is waited for
 SYNC_NS = 4 * SECOND  # after which a machine that is back counts as there
--- a/meadowworks/lab/cost.py
+++ b/meadowworks/simulation/cost.py
@@ -1,7 +1,7 @@
 """What a join, a report line and a tick cost the decision module at two sizes, and finding a route among 20
 and 420 against the plain way, as ratios within one run.
 
-    python -O -m meadowworks.lab.cost
+    python -O -m meadowworks.simulation.cost
 
 The host does nothing; times are the processor's, the median of several rounds. Another text of the module is
 measured with PYTHONPATH set to its folder and this file started by its path.
@@ -14,10 +14,10 @@
 from time import process_time
 from typing import Any
 
-from meadowworks.host import Entry, Route, Settings
-from meadowworks.rules import Controller
-from meadowworks.timetable.routes import Route as Route_
-from meadowworks.timetable.routes import Timetable
+from meadowworks.config.route_table import Route as Route_
+from meadowworks.config.route_table import Timetable
+from meadowworks.policy import Controller
+from meadowworks.policy.interface import Entry, Route, Settings
 
 SECOND = 1_000_000_000
 SIZES = ((50, 20), (640, 120))
--- a/meadowworks/lab/disks.py
+++ b/meadowworks/simulation/disks.py
@@ -16,7 +16,7 @@
 
 import apsw
 
-from meadowworks.depot.disk import Disk
+from meadowworks.storage.sqlite_store import Disk
 
 NAME = "played"
 
--- a/meadowworks/lab/drill.py
+++ b/meadowworks/simulation/drill.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 from functools import partial
 
-from meadowworks.lab.control import NEVER, Box, Day, Order, Truth
-from meadowworks.lab.network import MS, SECOND
+from meadowworks.simulation.control import NEVER, Box, Day, Order, Truth
+from meadowworks.simulation.network import MS, SECOND
 
 Trace = Callable[[str], None]
 
--- a/meadowworks/lab/fleet.py
+++ b/meadowworks/simulation/fleet.py
@@ -14,14 +14,10 @@
 from collections.abc import Callable
 from typing import Any
 
-from meadowworks.door import STATES
-from meadowworks.host import Settings
-from meadowworks.lab.proxies import Proxy
-from meadowworks.lab.servers import SECOND, SLACK, Server
-from meadowworks.node.config import Config
-from meadowworks.node.controller import Clock, Node
-from meadowworks.node.mailbox import Mailbox
-from meadowworks.node.messages import (
+from meadowworks.fleet.config import Config
+from meadowworks.fleet.controller import Clock, Node
+from meadowworks.fleet.mailbox import Mailbox
+from meadowworks.fleet.messages import (
     Asked,
     Attach,
     Done,
@@ -37,6 +33,10 @@
     Told,
     Track,
 )
+from meadowworks.fleet.names import STATES
+from meadowworks.policy.interface import Settings
+from meadowworks.simulation.proxies import Proxy
+from meadowworks.simulation.servers import SECOND, SLACK, Server
 
 STEP_NS = SECOND // 10
 BATCH_NS = SECOND // 200
--- a/meadowworks/lab/forward.py
+++ b/meadowworks/simulation/forward.py
@@ -1,5 +1,5 @@
 """What a forwarded request costs a junction, beside a bare uvicorn answer, in one run: processor time a
-request of each process, by turns. `python -m meadowworks.lab.forward [REQUESTS]`."""
+request of each process, by turns. `python -m meadowworks.simulation.forward [REQUESTS]`."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 from meadowworks.local.backend import Backend
 from meadowworks.local.commands import ROOT, ROUTES, start
 from meadowworks.local.system import BEAT_MS, ZONES, Plan, configuration, free_ports
-from meadowworks.track.door import Door, answer
-from meadowworks.track.errors import NoAnswer
-from meadowworks.track.line import Line, connect
+from meadowworks.runtime.errors import NoAnswer
+from meadowworks.runtime.http_connection import Line, connect
+from meadowworks.runtime.http_server import Door, answer
 
 TURNS = 4
 HEADERS = [(b"host", b"local.example"), (b"x-request-id", b"q"), (b"x-deadline-ms", b"1500")]
@@ -59,7 +59,7 @@
     parts = [start(plan, place, folder) for place in range(4)]
     port = free_ports().http
     env = {**os.environ, "PYTHONPATH": str(ROOT)}
-    code = f"import asyncio; from meadowworks.lab.forward import bare; asyncio.run(bare({port}))"
+    code = f"import asyncio; from meadowworks.simulation.forward import bare; asyncio.run(bare({port}))"
     plain = subprocess.Popen([sys.executable, "-c", code], env=env)
     tasks = []
     try:
--- a/meadowworks/lab/guards.py
+++ b/meadowworks/simulation/guards.py
@@ -11,9 +11,8 @@
 from typing import Any
 from unittest import mock
 
-from meadowworks.lab import control, disks
-from meadowworks.timetable import register, replica
-from meadowworks.timetable.register import (
+from meadowworks.consensus import register, replica
+from meadowworks.consensus.register import (
     MEMBERSHIP,
     NONE,
     Accepted,
@@ -37,7 +36,8 @@
     Slot,
     State,
 )
-from meadowworks.timetable.replica import Another, Answer, Replica, Taken
+from meadowworks.consensus.replica import Another, Answer, Replica, Taken
+from meadowworks.simulation import control, disks
 
 FAR = 1 << 60
 Patches = Callable[[], list[Any]]
--- a/meadowworks/lab/hollow.py
+++ b/meadowworks/simulation/hollow.py
@@ -18,18 +18,18 @@
 from dataclasses import dataclass, field, replace
 from typing import Any, TypeVar
 
-from meadowworks.carriage.yard import Yard
-from meadowworks.points.figures import PREFIX as FIGURES
-from meadowworks.points.figures import Sums
-from meadowworks.points.service import Met, Service
-from meadowworks.roster.beats import PREFIX as BACKENDS
-from meadowworks.roster.beats import Beats
-from meadowworks.roster.lives import Lives
-from meadowworks.telegraph import post
-from meadowworks.telegraph.members import Card, Members
-from meadowworks.telegraph.news import News, Piece, Told
-from meadowworks.timetable.routes import Timetable
-from meadowworks.timetable.routes import load as load_table
+from meadowworks.config.route_table import Timetable
+from meadowworks.config.route_table import load as load_table
+from meadowworks.forwarding.connection_pool import Yard
+from meadowworks.gossip import messages as post
+from meadowworks.gossip.peer_sampling import Card, Members
+from meadowworks.gossip.updates import News, Piece, Told
+from meadowworks.load_balancing.load_reports import PREFIX as FIGURES
+from meadowworks.load_balancing.load_reports import Sums
+from meadowworks.load_balancing.service import Met, Service
+from meadowworks.registry.backends import Lives
+from meadowworks.registry.heartbeats import PREFIX as BACKENDS
+from meadowworks.registry.heartbeats import Beats
 
 MS, SECOND = 1_000_000, 1_000_000_000
 PORT = 7540
--- a/meadowworks/lab/pauses.py
+++ b/meadowworks/simulation/pauses.py
@@ -3,7 +3,7 @@
 First its steps in one loop beside a heartbeat: the longest time between two beats, by the clock and in
 processor time of the loop's thread, and the same for the libraries' calls in one go. Then three signalboxes
 and two junctions, each a process beside a heartbeat of its own, take it from an operator.
-`python -O -m meadowworks.lab.pauses [ROUTES]`, 52,000 if none are named.
+`python -O -m meadowworks.simulation.pauses [ROUTES]`, 52,000 if none are named.
 """
 
 from __future__ import annotations
@@ -21,14 +21,14 @@
 from pathlib import Path
 from typing import Any
 
-from meadowworks.junction.program import Junction
-from meadowworks.lab.forward import reached_ctl
+from meadowworks.config.route_table import loading
+from meadowworks.config.validation import checking
+from meadowworks.controlplane.server import Signalbox
 from meadowworks.local.system import Plan, configuration, free_ports
-from meadowworks.signalbox.program import Signalbox
-from meadowworks.timetable.check import checking
-from meadowworks.timetable.routes import loading
-from meadowworks.track.aside import aside, deflating, inflating
-from meadowworks.track.boot import read
+from meadowworks.proxy.server import Junction
+from meadowworks.runtime.cooperative import aside, deflating, inflating
+from meadowworks.runtime.node_settings import read
+from meadowworks.simulation.forward import reached_ctl
 
 AFTER_S = 4.0  # that is looked at with nothing to do, and after an acknowledgement
 
--- a/meadowworks/lab/proxies.py
+++ b/meadowworks/simulation/proxies.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass, field
 
-from meadowworks.node.mailbox import Mailbox
-from meadowworks.node.messages import Told
+from meadowworks.fleet.mailbox import Mailbox
+from meadowworks.fleet.messages import Told
 
 
 @dataclass(slots=True)
--- a/meadowworks/lab/regression.py
+++ b/meadowworks/simulation/regression.py
@@ -19,7 +19,7 @@
 
 from cappa import Arg
 
-from meadowworks.commands import Bad
+from meadowworks.cli.main import Bad
 
 FOLDER = Path(__file__).parent / "days"
 JOBS_MOST = 8
--- a/meadowworks/lab/report.py
+++ b/meadowworks/simulation/report.py
@@ -9,7 +9,7 @@
 from statistics import mean
 from typing import Any
 
-from meadowworks.lab.series import SIZES, TARGET
+from meadowworks.simulation.series import SIZES, TARGET
 
 AXES = tuple(name for name in TARGET if name != "target")
 Pick = Callable[[dict[str, Any]], float | None]
--- a/meadowworks/lab/scale.py
+++ b/meadowworks/simulation/scale.py
@@ -26,12 +26,12 @@
 from pathlib import Path
 from typing import Any
 
-from meadowworks.junction.upstream import Upstream
-from meadowworks.lab.hollow import MS, SECOND, Caller, Junction, Meter, Signalbox, card
-from meadowworks.points.figures import Sums
-from meadowworks.telegraph import post
-from meadowworks.telegraph.members import STALE_NS
-from meadowworks.timetable.check import check
+from meadowworks.config.validation import check
+from meadowworks.gossip import messages as post
+from meadowworks.gossip.peer_sampling import STALE_NS
+from meadowworks.load_balancing.load_reports import Sums
+from meadowworks.proxy.control_plane_selection import Upstream
+from meadowworks.simulation.hollow import MS, SECOND, Caller, Junction, Meter, Signalbox, card
 
 BEAT_MS = 1500
 SYNC_NS = 5 * MS
--- a/meadowworks/lab/series.py
+++ b/meadowworks/simulation/series.py
@@ -12,7 +12,7 @@
 from time import sleep
 from typing import IO, Any
 
-from meadowworks.lab.scale import Asked
+from meadowworks.simulation.scale import Asked
 
 POINTS: dict[str, tuple[float, ...]] = {
     "controllers": (10, 30, 100, 300, 1000, 3300),
--- a/meadowworks/lab/servers.py
+++ b/meadowworks/simulation/servers.py
@@ -6,7 +6,7 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from meadowworks.host import Settings
+from meadowworks.policy.interface import Settings
 
 SECOND = 1_000_000_000
 TIP_OVER_NS = 2 * SECOND  # a cold server that is sent too much for so long falls over
--- a/meadowworks/wirehost/__main__.py
+++ b/meadowworks/simulator_adapter/__main__.py
@@ -4,7 +4,7 @@
 
 import sys
 
-from meadowworks.wirehost.wire import Malformed, serve
+from meadowworks.simulator_adapter.wire import Malformed, serve
 
 if __name__ == "__main__":
     try:
--- a/meadowworks/wirehost/wire.py
+++ b/meadowworks/simulator_adapter/wire.py
@@ -6,10 +6,10 @@
 from collections.abc import Callable, Iterator
 from typing import TextIO
 
-from meadowworks.door import STATES, Names
-from meadowworks.host import Entry
-from meadowworks.rules import Controller
-from meadowworks.settings import Missing, read
+from meadowworks.fleet.names import STATES, Names
+from meadowworks.fleet.settings import Missing, read
+from meadowworks.policy import Controller
+from meadowworks.policy.interface import Entry
 
 LISTS = {"diff": "changes", "snapshot": "whole", "disk": "disk", "error": "error"}
 EVENTS = {  # values after the name; a row of two figures gives the least and the most
--- a/meadowworks/depot/disk.py
+++ b/meadowworks/storage/sqlite_store.py
@@ -10,8 +10,8 @@
 
 import msgpack
 
-from meadowworks.timetable.register import Held, Slot, ballot
-from meadowworks.timetable.replica import Rows
+from meadowworks.consensus.register import Held, Slot, ballot
+from meadowworks.consensus.replica import Rows
 
 SCHEMA = """
 CREATE TABLE IF NOT EXISTS meta (name TEXT PRIMARY KEY, value BLOB);
--- a/tests/gateway/helpers.py
+++ b/tests/gateway/helpers.py
@@ -6,8 +6,8 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from meadowworks.roster.lives import Backend
-from meadowworks.track.line import Line, Reply, connect
+from meadowworks.registry.backends import Backend
+from meadowworks.runtime.http_connection import Line, Reply, connect
 
 SECOND = 1_000_000_000
 
--- a/tests/gateway/test_agreement.py
+++ b/tests/gateway/test_agreement.py
@@ -6,9 +6,8 @@
 
 import pytest
 
-from meadowworks.telegraph import post
-from meadowworks.timetable import register
-from meadowworks.timetable.register import (
+from meadowworks.consensus import register
+from meadowworks.consensus.register import (
     NONE,
     UNKNOWN,
     Acceptor,
@@ -30,7 +29,8 @@
     digest,
     members_after,
 )
-from meadowworks.timetable.replica import LEAVE, SECOND, Answer, Ask, Job, Replica, Taken, Write, acceptor_for
+from meadowworks.consensus.replica import LEAVE, SECOND, Answer, Ask, Job, Replica, Taken, Write, acceptor_for
+from meadowworks.gossip import messages as post
 from tests.gateway.test_state import mutants
 
 A, B, C, D, E = (("a", "h:0"), ("b", "h:1"), ("c", "h:2"), ("d", "h:3"), ("e", "h:4"))
--- a/tests/gateway/test_callers.py
+++ b/tests/gateway/test_callers.py
@@ -7,16 +7,16 @@
 
 import pytest
 
-from meadowworks.attempts.again import ANSWERED, DROPPED, UNRUN
-from meadowworks.carriage.answers import judge
-from meadowworks.carriage.picture import Picture
-from meadowworks.carriage.yard import Yard
-from meadowworks.junction.forward import Request, Tried, attempt
-from meadowworks.track.door import Door, answer, whole_body
-from meadowworks.track.errors import NoAnswer
-from meadowworks.track.line import Line
-from meadowworks.track.peer import Peer
-from meadowworks.track.program import now_ns
+from meadowworks.attempts.retry_policy import ANSWERED, DROPPED, UNRUN
+from meadowworks.forwarding.connection_pool import Yard
+from meadowworks.forwarding.response_check import judge
+from meadowworks.forwarding.staleness import Picture
+from meadowworks.proxy.upstream_attempt import Request, Tried, attempt
+from meadowworks.runtime.errors import NoAnswer
+from meadowworks.runtime.http_connection import Line
+from meadowworks.runtime.http_server import Door, answer, whole_body
+from meadowworks.runtime.peer_client import Peer
+from meadowworks.runtime.process import now_ns
 from tests.gateway.helpers import SECOND, Raw, backend, until
 
 # What a controller that is called says to the first question, piece by piece; None ends the connection.
--- a/tests/gateway/test_carriage.py
+++ b/tests/gateway/test_carriage.py
@@ -10,15 +10,15 @@
 import pytest
 from pytest_bdd import given, parsers, scenarios, then, when
 
-from meadowworks.attempts.again import ANSWERED, DROPPED, UNRUN
-from meadowworks.carriage.answers import proof
-from meadowworks.carriage.budget import Budget
-from meadowworks.carriage.choice import delays, reach, suffices
-from meadowworks.carriage.journey import Forward, Journey, Refuse, Send, Wait, policy, way
-from meadowworks.carriage.yard import Yard
-from meadowworks.junction.forward import Request, Tried, attempt, on_headers
-from meadowworks.track.line import Line
-from meadowworks.track.program import now_ns
+from meadowworks.attempts.retry_policy import ANSWERED, DROPPED, UNRUN
+from meadowworks.forwarding.attempts import Forward, Journey, Refuse, Send, Wait, policy, way
+from meadowworks.forwarding.connection_pool import Yard
+from meadowworks.forwarding.latency_estimate import delays, reach, suffices
+from meadowworks.forwarding.response_check import proof
+from meadowworks.forwarding.retry_budget import Budget
+from meadowworks.proxy.upstream_attempt import Request, Tried, attempt, on_headers
+from meadowworks.runtime.http_connection import Line
+from meadowworks.runtime.process import now_ns
 from tests.gateway.helpers import SECOND, Raw, backend
 
 scenarios("features/carriage.feature")
--- a/tests/gateway/test_door.py
+++ b/tests/gateway/test_door.py
@@ -9,8 +9,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from meadowworks.carriage.room import Room
-from meadowworks.track.door import Cut, Door, Limits, answer, whole_body
+from meadowworks.forwarding.memory_budget import Room
+from meadowworks.runtime.http_server import Cut, Door, Limits, answer, whole_body
 
 OK = b"GET /a HTTP/1.1\r\nHost: h\r\n\r\n"
 CASES = {
@@ -132,7 +132,7 @@
 def test_who_is_idle_gives_way_when_there_are_too_many_and_who_is_at_work_does_not(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("meadowworks.track.door.GRACE_NS", 0)
+    monkeypatch.setattr("meadowworks.runtime.http_server.GRACE_NS", 0)
 
     async def main() -> None:
         gate = asyncio.Event()
--- a/tests/gateway/test_ends.py
+++ b/tests/gateway/test_ends.py
@@ -9,16 +9,16 @@
 
 import pytest
 
-from meadowworks.attempts.again import CANCELLED, DROPPED
-from meadowworks.carriage.journey import Journey, Refuse, Send, Wait, policy, way
-from meadowworks.carriage.room import Room, Share
-from meadowworks.carriage.yard import Yard
-from meadowworks.junction.forward import Request, attempt
+from meadowworks.attempts.retry_policy import CANCELLED, DROPPED
+from meadowworks.forwarding.attempts import Journey, Refuse, Send, Wait, policy, way
+from meadowworks.forwarding.connection_pool import Yard
+from meadowworks.forwarding.memory_budget import Room, Share
 from meadowworks.local.system import Plan, free_ports
-from meadowworks.track import boot
-from meadowworks.track.door import Caller, Door, Limits, answer
-from meadowworks.track.line import Line, connect
-from meadowworks.track.program import Tasks, now_ns
+from meadowworks.proxy.upstream_attempt import Request, attempt
+from meadowworks.runtime import node_settings as boot
+from meadowworks.runtime.http_connection import Line, connect
+from meadowworks.runtime.http_server import Caller, Door, Limits, answer
+from meadowworks.runtime.process import Tasks, now_ns
 from tests.gateway.helpers import SECOND, Raw, ask, backend, until
 from tests.gateway.test_fleet import ROUTES, Fleet, fleet  # noqa: F401  # the fixture
 
--- a/tests/gateway/test_fleet.py
+++ b/tests/gateway/test_fleet.py
@@ -14,18 +14,18 @@
 import pytest
 from pytest_bdd import given, scenarios, then, when
 
-from meadowworks import commands
-from meadowworks.carriage.picture import FRESH_NS
-from meadowworks.junction.program import SETTLE_NS, Junction
+from meadowworks.cli import main as commands
+from meadowworks.config.route_table import load
+from meadowworks.consensus.register import Ballot, Outside, Prepare
+from meadowworks.controlplane.server import Signalbox
+from meadowworks.forwarding.staleness import FRESH_NS
 from meadowworks.local.backend import Backend
 from meadowworks.local.system import Plan, configuration, free_ports
-from meadowworks.signalbox.program import Signalbox
-from meadowworks.timetable.register import Ballot, Outside, Prepare
-from meadowworks.timetable.routes import load
-from meadowworks.track import boot
-from meadowworks.track.errors import NoAnswer
-from meadowworks.track.line import connect
-from meadowworks.track.program import now_ns
+from meadowworks.proxy.server import SETTLE_NS, Junction
+from meadowworks.runtime import node_settings as boot
+from meadowworks.runtime.errors import NoAnswer
+from meadowworks.runtime.http_connection import connect
+from meadowworks.runtime.process import now_ns
 from tests.gateway.helpers import ask, until
 
 scenarios("features/fleet.feature")
--- a/tests/gateway/test_lab_control.py
+++ b/tests/gateway/test_lab_control.py
@@ -7,12 +7,12 @@
 
 import pytest
 
-from meadowworks import commands
-from meadowworks.depot.disk import Disk
-from meadowworks.lab import campaign, drill, guards
-from meadowworks.lab.disks import Medium, PlayedDisk
-from meadowworks.timetable.register import Held
-from meadowworks.timetable.replica import Rows
+from meadowworks.cli import main as commands
+from meadowworks.consensus.register import Held
+from meadowworks.consensus.replica import Rows
+from meadowworks.simulation import campaign, drill, guards
+from meadowworks.simulation.disks import Medium, PlayedDisk
+from meadowworks.storage.sqlite_store import Disk
 
 
 @pytest.mark.parametrize("point", sorted(drill.POINTS))
--- a/tests/gateway/test_long.py
+++ b/tests/gateway/test_long.py
@@ -14,13 +14,13 @@
 import pytest
 from marshmallow import ValidationError
 
-from meadowworks.timetable import check as check_
-from meadowworks.timetable import reading as reading_
-from meadowworks.timetable.check import Invalid, Valid, Whole, check, checking, sentence, wrong
-from meadowworks.timetable.reading import at_once, reading
-from meadowworks.timetable.routes import load, loading
-from meadowworks.track import aside as aside_
-from meadowworks.track.aside import aside, deflating, inflating
+from meadowworks.config import incremental_json as reading_
+from meadowworks.config import validation as check_
+from meadowworks.config.incremental_json import at_once, reading
+from meadowworks.config.route_table import load, loading
+from meadowworks.config.validation import Invalid, Valid, Whole, check, checking, sentence, wrong
+from meadowworks.runtime import cooperative as aside_
+from meadowworks.runtime.cooperative import aside, deflating, inflating
 from tests.gateway.test_state import mutants
 
 ROUTE = {"name": "a", "prefix": "/a/", "type": "safe", "deadlineMs": 900, "targetMs": 200.5, "prio": 1}
--- a/tests/gateway/test_roster.py
+++ b/tests/gateway/test_roster.py
@@ -13,8 +13,12 @@
 
 import pytest
 
-from meadowworks.depot.disk import Disk
-from meadowworks.roster.beats import (
+from meadowworks.controlplane.api import Answer, Backends
+from meadowworks.controlplane.drain_service import Fencing, read
+from meadowworks.gossip.updates import News, Told
+from meadowworks.registry.backends import Lives
+from meadowworks.registry.drain_log import Fences
+from meadowworks.registry.heartbeats import (
     AVOID_NS,
     KEEP_NS,
     STRANGERS_MOST,
@@ -24,11 +28,7 @@
     Nearby,
     Taken,
 )
-from meadowworks.roster.fences import Fences
-from meadowworks.roster.lives import Lives
-from meadowworks.signalbox.fencing import Fencing, read
-from meadowworks.signalbox.resources import Answer, Backends
-from meadowworks.telegraph.news import News, Told
+from meadowworks.storage.sqlite_store import Disk
 from tests.gateway.helpers import SECOND, until
 
 
--- a/tests/gateway/test_scale.py
+++ b/tests/gateway/test_scale.py
@@ -10,9 +10,9 @@
 
 import pytest
 
-from meadowworks.commands import main
-from meadowworks.lab import report
-from meadowworks.lab.scale import Asked, measure
+from meadowworks.cli.main import main
+from meadowworks.simulation import report
+from meadowworks.simulation.scale import Asked, measure
 
 SMALL = Asked(
     controllers=13,
--- a/tests/gateway/test_start.py
+++ b/tests/gateway/test_start.py
@@ -8,18 +8,18 @@
 
 import pytest
 
-from meadowworks.track import lean
-from meadowworks.track.errors import BrokenInvariant
+from meadowworks.runtime import lazy_imports as lean
+from meadowworks.runtime.errors import BrokenInvariant
 
 PROGRAM = """
 import sys
-from meadowworks.track import lean
+from meadowworks.runtime import lazy_imports as lean
 lean.start()
 import asyncio
-import meadowworks.junction.program, meadowworks.signalbox.program
+import meadowworks.proxy.server, meadowworks.controlplane.server
 from marshmallow import Schema, ValidationError, fields
-from meadowworks.track.door import Door, answer
-from meadowworks.track.line import connect
+from meadowworks.runtime.http_server import Door, answer
+from meadowworks.runtime.http_connection import connect
 
 async def app(scope, receive, send):
     if scope["path"] == "/rest":
--- a/tests/gateway/test_state.py
+++ b/tests/gateway/test_state.py
@@ -11,24 +11,24 @@
 
 import pytest
 
-from meadowworks.commands import main
-from meadowworks.depot.disk import Disk
-from meadowworks.junction.upstream import Upstream
+from meadowworks.cli.main import main
+from meadowworks.cli.operations import differences
+from meadowworks.config.route_table import load
+from meadowworks.config.validation import Invalid, Valid, check
+from meadowworks.consensus import register
+from meadowworks.consensus.register import Accept, Acceptor, Ballot, Epoch, Held, Past, Prepare, Promised
+from meadowworks.consensus.replica import Replica, acceptor_for
+from meadowworks.gossip import messages as post
+from meadowworks.gossip.peer_sampling import STALE_NS, Card, Members
+from meadowworks.gossip.updates import FORGET_NS, TOMBS, News, Piece, Told
+from meadowworks.load_balancing.service import Met, Service
 from meadowworks.local.system import Plan, Ports, configuration
-from meadowworks.operate.commands import differences
-from meadowworks.points.service import Met, Service
-from meadowworks.roster.beats import Bad, Beats, Taken
-from meadowworks.roster.lives import Backend, Lives
-from meadowworks.telegraph import post
-from meadowworks.telegraph.members import STALE_NS, Card, Members
-from meadowworks.telegraph.news import FORGET_NS, TOMBS, News, Piece, Told
-from meadowworks.timetable import register
-from meadowworks.timetable.check import Invalid, Valid, check
-from meadowworks.timetable.register import Accept, Acceptor, Ballot, Epoch, Held, Past, Prepare, Promised
-from meadowworks.timetable.replica import Replica, acceptor_for
-from meadowworks.timetable.routes import load
-from meadowworks.track import boot
-from meadowworks.track.errors import BadSettings
+from meadowworks.proxy.control_plane_selection import Upstream
+from meadowworks.registry.backends import Backend, Lives
+from meadowworks.registry.heartbeats import Bad, Beats, Taken
+from meadowworks.runtime import node_settings as boot
+from meadowworks.runtime.errors import BadSettings
+from meadowworks.storage.sqlite_store import Disk
 from tests.gateway.helpers import SECOND
 
 ODD: tuple[Any, ...] = (None, "", "x", -1, 0, 1.5, True, [], {}, "ff" * 9)
--- a/tests/gateway/test_words.py
+++ b/tests/gateway/test_words.py
@@ -9,11 +9,11 @@
 
 import pytest
 
-from meadowworks import commands
-from meadowworks.junction.program import Junction
+from meadowworks.cli import main as commands
+from meadowworks.cli import members
 from meadowworks.local.commands import ROOT, to_try
 from meadowworks.local.system import Plan, Ports
-from meadowworks.operate import members
+from meadowworks.proxy.server import Junction
 
 
 @pytest.mark.parametrize(
@@ -100,7 +100,7 @@
 
 def test_an_idle_junction_says_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     said: list[Any] = []
-    monkeypatch.setattr("meadowworks.junction.program.log.info", lambda *words: said.append(words))
+    monkeypatch.setattr("meadowworks.proxy.server.log.info", lambda *words: said.append(words))
     junction = Junction.__new__(Junction)
     junction.counts, junction.summed, junction.budgets = {}, {}, {}
     junction.door = type("Idle", (), {"at_work": lambda self: 0})()
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -16,8 +16,8 @@
 
 from aiohttp import web
 
-from meadowworks.host import Entry, Route, Settings
-from meadowworks.rules import Controller
+from meadowworks.policy import Controller
+from meadowworks.policy.interface import Entry, Route, Settings
 
 SECOND = 1_000_000_000
 ROUTES = (Route(2.0, SECOND, False), Route(1.0, SECOND, False), Route(2.0, SECOND, False))
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -8,7 +8,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from meadowworks.attempts.again import (
+from meadowworks.attempts.machine import NO_BACK, Attempts, Final
+from meadowworks.attempts.retry_policy import (
     ANSWERED,
     DROPPED,
     ENOUGH,
@@ -27,7 +28,6 @@
     pick,
     wait_ns,
 )
-from meadowworks.attempts.machine import NO_BACK, Attempts, Final
 
 MS = 1_000_000
 SAFE, ONCE = (
--- a/tests/test_check.py
+++ b/tests/test_check.py
@@ -15,11 +15,11 @@
 
 import pytest
 
-from meadowworks import commands
-from meadowworks.check import faults, paths, plain, runs
-from meadowworks.check.explore import explore, replay
-from meadowworks.check.model import DEADLOCK, FAULT, Live, Model, Property, Step, taken
-from meadowworks.check.models import module
+from meadowworks.cli import main as commands
+from meadowworks.modelcheck import faults, paths, plain, runs
+from meadowworks.modelcheck.explore import explore, replay
+from meadowworks.modelcheck.model import DEADLOCK, FAULT, Live, Model, Property, Step, taken
+from meadowworks.modelcheck.models import policy as module
 
 
 class Lamp:
@@ -132,7 +132,7 @@
 
 
 def stated(fault: faults.Fault) -> list[tuple[str, str]]:
-    from meadowworks.check.commands import stated as all_stated
+    from meadowworks.modelcheck.commands import stated as all_stated
 
     return all_stated(runs.model_of(fault.model, fault.large))
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -10,11 +10,11 @@
 import pytest
 from loguru import logger
 
-from meadowworks.check.faults import Fault, planted
-from meadowworks.lab.fleet import Fleet
+from meadowworks.modelcheck.faults import Fault, planted
+from meadowworks.simulation.fleet import Fleet
 from tests.helpers import SECOND, SETTINGS
 
-RULES = "meadowworks.rules:Controller."
+RULES = "meadowworks.policy:Controller."
 ZONES, ROUTES = ("east", "west"), ("look", "book")
 FLEET = replace(SETTINGS, proxies=60, controllers=3, base_retry=0, queue_cap=4000.0, cold_ns=12 * SECOND,
                 cold_share=0.15, routes=SETTINGS.routes[:2])
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from meadowworks.node.discovery import HASTE_S
+from meadowworks.fleet.discovery import HASTE_S
 from tests.helpers import NESTED, PATIENCE_S, Desk, Peer, Program, listed, play
 
 THREE = listed("s-1"), listed("s-2"), listed("s-9", "west")
@@ -329,8 +329,8 @@
 
 FAULTY = """
 import sys
-from meadowworks import __main__, rules
-from meadowworks.node import life
+from meadowworks import __main__, policy as rules
+from meadowworks.fleet import connection_state as life
 life.PARTS_MOST = 0 if "parts" in sys.argv else life.PARTS_MOST
 del sys.argv[1:]
 sound = rules.Controller.joined
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -13,12 +13,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from meadowworks.door import Names
-from meadowworks.node import controller, discovery, listener
-from meadowworks.node.config import load
-from meadowworks.node.life import Bounds
-from meadowworks.node.mailbox import Mailbox
-from meadowworks.node.messages import (
+from meadowworks.fleet import controller, discovery, listener
+from meadowworks.fleet.config import load
+from meadowworks.fleet.connection_state import Bounds
+from meadowworks.fleet.mailbox import Mailbox
+from meadowworks.fleet.messages import (
     Asked,
     Attach,
     Done,
@@ -35,10 +34,11 @@
     encode,
     listing,
 )
-from meadowworks.node.orders import Orders
-from meadowworks.node.streams import Streams
-from meadowworks.settings import flatten, read
-from meadowworks.wirehost.wire import Instance
+from meadowworks.fleet.names import Names
+from meadowworks.fleet.settings import flatten, read
+from meadowworks.fleet.streams import Streams
+from meadowworks.fleet.table_updates import Orders
+from meadowworks.simulator_adapter.wire import Instance
 from tests.helpers import LANES, NESTED, Desk, Peer, Program
 
 NAMES = dict(enumerate(("s-0", "s-1", "s-2")))
--- a/tests/test_regression.py
+++ b/tests/test_regression.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from meadowworks.commands import main
-from meadowworks.lab.regression import FOLDER
+from meadowworks.cli.main import main
+from meadowworks.simulation.regression import FOLDER
 
 POINTS = ("cut-", "race-", "loss-", "storm-", "answers-")
 KINDS = """release replace_with_reuse scale_in answer_lost garble node_kill roll_term herd_kill replace_core
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -7,8 +7,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from meadowworks.rules.state import RUNGS
-from meadowworks.rules.tables import LEAST_LINES
+from meadowworks.policy.state import RUNGS
+from meadowworks.policy.weights import LEAST_LINES
 from tests.helpers import ROUTES, SECOND, SETTINGS, Fleet, entry, started
 
 STEP = st.one_of(
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from meadowworks.wirehost import wire
+from meadowworks.simulator_adapter import wire
 
 SPAWN = "SPAWN\tcontroller-3\t77\t" + "\t".join("""balancers=1 extra.base_mode=0 extra.blackhole_us=5700000
 extra.channel_rate=800.0 extra.class_writes=false extra.cycle_us=500000 extra.exclusive=false
@@ -72,6 +72,6 @@
     def fall(*_: object) -> None:
         raise RuntimeError("no sense")
 
-    monkeypatch.setattr("meadowworks.rules.Controller.tick", fall)
+    monkeypatch.setattr("meadowworks.policy.Controller.tick", fall)
     replies = answer(f"{SPAWN}\n{LIST}\n", "ELAPSED\tcontroller-3\ttick\n")
     assert "BUG\tcontroller-3\tRuntimeError: no sense (fall," in replies[1]
