--- a/example/both.py
+++ b/example/both.py
@@ -33,8 +33,10 @@
         return 2
     end = time.monotonic() + float(sys.argv[1]) if len(sys.argv) > 1 else float("inf")
     env = {**os.environ, "PYTHONPATH": str(HERE.parent)}
-    parts = [subprocess.Popen([sys.executable, *words], env=env, cwd=HERE.parent)
-             for words in ((str(HERE / "toy.py"),), ("-m", "meadowworks"))]
+    parts = [
+        subprocess.Popen([sys.executable, *words], env=env, cwd=HERE.parent)
+        for words in ((str(HERE / "toy.py"),), ("-m", "meadowworks"))
+    ]
     try:
         while all(part.poll() is None for part in parts) and time.monotonic() < end:
             time.sleep(0.1)
--- a/example/toy.py
+++ b/example/toy.py
@@ -35,8 +35,16 @@
 
     def put(self, name: str, status: str = "in_service", since_ms: int = 0) -> None:
         self.index += 1
-        entry = {"name": name, "address": "127.0.0.1:1", "zone": "east", "type": "toy", "group": 0,
-                 "status": status, "weight": 2.0, "since_ms": since_ms}
+        entry = {
+            "name": name,
+            "address": "127.0.0.1:1",
+            "zone": "east",
+            "type": "toy",
+            "group": 0,
+            "status": status,
+            "weight": 2.0,
+            "since_ms": since_ms,
+        }
         self.entries[name] = self.index, entry
         self.changed.set()
         self.changed = asyncio.Event()
@@ -143,8 +151,10 @@
             while not writer.is_closing():
                 calls.period()
                 for name, (tries, bad) in calls.met.items():
-                    writer.write(f"upstream_stats site=east target={name} count={tries} fail={bad} "
-                                 "mean=80 over=500 util=queue:0\r\n".encode())
+                    writer.write(
+                        f"upstream_stats site=east target={name} count={tries} fail={bad} "
+                        "mean=80 over=500 util=queue:0\r\n".encode()
+                    )
                 for route, (count, dropped) in zip(ROUTES, calls.asked, strict=True):
                     said = f"client_stats id=0 lane={route} count={count} fail={dropped} over=500\r\n"
                     writer.write(said.encode())
--- a/meadowworks/attempts/retry_policy.py
+++ b/meadowworks/attempts/retry_policy.py
@@ -66,8 +66,12 @@
     return open_to[-1][0] if open_to else None  # what rounding left over
 
 
-def quickest(lines: Mapping[int, float], tried: Container[int], delays: Mapping[int, float], chance: float,
-             ) -> int | None:
+def quickest(
+    lines: Mapping[int, float],
+    tried: Container[int],
+    delays: Mapping[int, float],
+    chance: float,
+) -> int | None:
     """The backend of the table, none that was tried, that is expected to answer first; `delays` holds the
     times, in any one unit. Among equals by weight."""
     open_to = {p: delays.get(p, 0.0) for p, w in lines.items() if w > 0 and p not in tried}
@@ -90,7 +94,12 @@
 
 
 def again(
-    way: Way, policy: int, tries: Sequence[Try], lines: Mapping[int, float], left_ns: int, chance: float,
+    way: Way,
+    policy: int,
+    tries: Sequence[Try],
+    lines: Mapping[int, float],
+    left_ns: int,
+    chance: float,
     delays: Mapping[int, float] | None = None,
 ) -> Again | Stop:
     """The decision after a try has ended. `lines` is the table as it is now: what drains is not in it. With
--- a/meadowworks/cli/main.py
+++ b/meadowworks/cli/main.py
@@ -70,8 +70,12 @@
         )
     quiet = cappa.Output(error_console=Console(file=io.StringIO()))  # an error is told in one line of ours
     try:
-        status = cappa.invoke(cappa.command(name=f"meadowworks {words[0]}")(act), argv=list(words[1:]),
-                              output=quiet, completion=False)
+        status = cappa.invoke(
+            cappa.command(name=f"meadowworks {words[0]}")(act),
+            argv=list(words[1:]),
+            output=quiet,
+            completion=False,
+        )
     except (Bad, ValueError) as trouble:
         return bad(str(trouble))
     except cappa.Exit as end:
--- a/meadowworks/fleet/config.py
+++ b/meadowworks/fleet/config.py
@@ -75,7 +75,15 @@
     except ValueError as trouble:
         raise Missing(f"tick_us or limits.sockets: missing or bad: {trouble}") from trouble
     return Config(
-        name=text("name"), host=host, port=port, discovery=text("discovery"),
-        seed=zlib.crc32(str(given.get("seed", "")).encode()), sockets=sockets, known=known,
-        settings=settings, zones=zones, routes=routes, batch_ns=batch_us * 1000,
+        name=text("name"),
+        host=host,
+        port=port,
+        discovery=text("discovery"),
+        seed=zlib.crc32(str(given.get("seed", "")).encode()),
+        sockets=sockets,
+        known=known,
+        settings=settings,
+        zones=zones,
+        routes=routes,
+        batch_ns=batch_us * 1000,
     )
--- a/meadowworks/fleet/controller.py
+++ b/meadowworks/fleet/controller.py
@@ -54,8 +54,14 @@
     """`call_at` is the loop's: a time in seconds of the monotonic clock, what to call and with what. The
     laboratory hands in its own, and its own clock."""
 
-    def __init__(self, config: Config, mailbox: Mailbox[News], lists: Mailbox[Follow],
-                 call_at: Callable[..., object], clock: Clock | None = None) -> None:
+    def __init__(
+        self,
+        config: Config,
+        mailbox: Mailbox[News],
+        lists: Mailbox[Follow],
+        call_at: Callable[..., object],
+        clock: Clock | None = None,
+    ) -> None:
         self.mailbox, self.lists = mailbox, lists
         self.zones, self.routes = config.zones, config.routes
         self.batch_ns = config.batch_ns
@@ -137,8 +143,16 @@
         match item:
             case Met(zone, backend, tries, bad, latency, covers, load):
                 if zone in self.zones and backend in self.backends.places:
-                    self.module.heard(self.now, self.zones[zone], self.backends.places[backend], tries, bad,
-                                      latency, covers, load)
+                    self.module.heard(
+                        self.now,
+                        self.zones[zone],
+                        self.backends.places[backend],
+                        tries,
+                        bad,
+                        latency,
+                        covers,
+                        load,
+                    )
                 else:
                     count("reports passed over: unknown zone or backend")
             case Asked(proxy, route, calls, dropped, covers):
@@ -196,5 +210,10 @@
             descriptors = str(len(os.listdir("/proc/self/fd")))
         except OSError:  # not one left to look with
             descriptors = "all"
-        logger.info("counters: {}; {} proxies, {} descriptors, {} MB at most", invariants.summary(),
-                    len(self.streams.by_proxy), descriptors, memory)
+        logger.info(
+            "counters: {}; {} proxies, {} descriptors, {} MB at most",
+            invariants.summary(),
+            len(self.streams.by_proxy),
+            descriptors,
+            memory,
+        )
--- a/meadowworks/fleet/discovery.py
+++ b/meadowworks/fleet/discovery.py
@@ -25,8 +25,12 @@
 
 class Discovery:
     def __init__(
-        self, address: str, index: int | None, ask_within_ns: int,
-        mailbox: Mailbox[Follow], module: Mailbox[News],
+        self,
+        address: str,
+        index: int | None,
+        ask_within_ns: int,
+        mailbox: Mailbox[Follow],
+        module: Mailbox[News],
     ) -> None:
         self.address, self.index = address, index
         self.wait_ms = min(WAIT_MOST_MS, int(ask_within_ns * WAIT_PART) // 1_000_000) or WAIT_MOST_MS
@@ -63,8 +67,12 @@
                 else:
                     self.goes_on = True
                     if news.whole or news.entries:
-                        logger.info("list: index {}, {}, {} entries", news.index,
-                                    "whole" if news.whole else "changes", len(news.entries))
+                        logger.info(
+                            "list: index {}, {}, {} entries",
+                            news.index,
+                            "whole" if news.whole else "changes",
+                            len(news.entries),
+                        )
                     self.module.put(news)
                     if news.index == was and (loop.time() - began) * 2000 < self.wait_ms:
                         count("list answers without a wait")
--- a/meadowworks/fleet/listener.py
+++ b/meadowworks/fleet/listener.py
@@ -146,7 +146,7 @@
             return self.rest.clear()
         self.scanned = len(self.rest)
         if self.rest:
-            self.life.unended(len(self.rest), strange(bytes(self.rest[:BOUNDS.strange])))
+            self.life.unended(len(self.rest), strange(bytes(self.rest[: BOUNDS.strange])))
 
     def line(self, line: bytes) -> None:
         try:
--- a/meadowworks/fleet/messages.py
+++ b/meadowworks/fleet/messages.py
@@ -224,8 +224,9 @@
             case "telemetry":
                 return Collector(says["site"])
             case "attach":
-                return Attach(whole(says["id"]), says["site"], figure(says.get("rps", "0")),
-                              yes(says.get("new", "0")))
+                return Attach(
+                    whole(says["id"]), says["site"], figure(says.get("rps", "0")), yes(says.get("new", "0"))
+                )
             case "done":
                 figure(says["ms"])  # not needed, and yet it tells whether the line is spoilt
                 return Done(whole(says["id"]), whole(says["seq"]))
@@ -235,11 +236,23 @@
                     raise ValueError(f"{bad} of {tries} tries failed")
                 latency = span(says.get("mean", "0") if bad == tries else says["mean"])
                 load = pairs(says["util"].split(","), ":") if says.get("util") else {}
-                return Met(says["site"], says["target"], tries, bad, latency, covered(says["over"]),
-                           {name: figure(value) for name, value in load.items()})
+                return Met(
+                    says["site"],
+                    says["target"],
+                    tries,
+                    bad,
+                    latency,
+                    covered(says["over"]),
+                    {name: figure(value) for name, value in load.items()},
+                )
             case _:
-                return Asked(whole(says["id"]), says["lane"], whole(says["count"]), whole(says["fail"]),
-                             covered(says["over"]))
+                return Asked(
+                    whole(says["id"]),
+                    says["lane"],
+                    whole(says["count"]),
+                    whole(says["fail"]),
+                    covered(says["over"]),
+                )
     except KeyError as missing:
         raise ValueError(f"{kind} without {missing}") from missing
 
--- a/meadowworks/fleet/settings.py
+++ b/meadowworks/fleet/settings.py
@@ -83,11 +83,13 @@
     for place in range(count):
         at = f"profiles.{place}."
         names[text(at + "name")] = place
-        routes.append(Route(
-            importance=number(at + "worth"),
-            slo_ns=span(at + "on_time_us"),
-            home_only=home[place],
-        ))
+        routes.append(
+            Route(
+                importance=number(at + "worth"),
+                slo_ns=span(at + "on_time_us"),
+                home_only=home[place],
+            )
+        )
     zones = {name: place for place, name in enumerate(text("zones").split(","))}
     settings = Settings(
         routes=tuple(routes),
--- a/meadowworks/fleet/table_updates.py
+++ b/meadowworks/fleet/table_updates.py
@@ -91,8 +91,11 @@
         """What is told to those that hold these tables, of which some are new to them."""
         by_grant: dict[Grant, list[int]] = {}
         for k, number in enumerate(bound):
-            if number is not None and k in (table := self.tables[number]).grants and (
-                    number in fresh or k in table.granted):  # a full table forgets levels
+            if (
+                number is not None
+                and k in (table := self.tables[number]).grants
+                and (number in fresh or k in table.granted)
+            ):  # a full table forgets levels
                 by_grant.setdefault(table.grants[k], []).append(k)
         grants = {tuple(routes): grant for grant, routes in by_grant.items()}
         parts = []
@@ -117,8 +120,10 @@
                     cost = sum(part.cost() for part in parts)
                     counted = sum(self.tables[number].counted for number in {*bound} if number is not None)
                     counted += self.mark is not None
-                    holds(all(cost <= counted + self.counted.get(proxy, 0) for proxy in users),
-                          "no more lines to a proxy than were counted for it")
+                    holds(
+                        all(cost <= counted + self.counted.get(proxy, 0) for proxy in users),
+                        "no more lines to a proxy than were counted for it",
+                    )
                     yield sorted(users), parts
         finally:  # a fault in one message is no fault in the next batch
             for number in self.changed:
--- a/meadowworks/modelcheck/commands.py
+++ b/meadowworks/modelcheck/commands.py
@@ -23,9 +23,7 @@
 def check(
     model: Annotated[str, Arg(help=f"{', '.join(runs.MODELS)}; all without one")] = "",
     large: Annotated[bool, Arg(long=True, help="larger worlds: minutes on several cores")] = False,
-    seeded: Annotated[
-        bool, Arg(long="--faults/--no-faults", help="look for the seeded faults too")
-    ] = True,
+    seeded: Annotated[bool, Arg(long="--faults/--no-faults", help="look for the seeded faults too")] = True,
     workers: Annotated[int, Arg(long=True, help="processes; 0: one a core")] = 0,
     most: Annotated[
         str, Arg(long=True, help="a bound on the states of a model; what it leaves out is said")
--- a/meadowworks/modelcheck/faults.py
+++ b/meadowworks/modelcheck/faults.py
@@ -1170,7 +1170,7 @@
             (
                 "the life on the disk is not read",
                 REPLICA + "acceptor_for",
-                "int(meta[\"life\"]),",
+                'int(meta["life"]),',
                 "0,",
                 ("one ballot", "never back"),
                 (5,),
@@ -1186,8 +1186,8 @@
             (
                 "who is told not to vote does",
                 REPLICA + "acceptor_for",
-                "bool(meta[\"installed\"]) and voting,",
-                "bool(meta[\"installed\"]),",
+                'bool(meta["installed"]) and voting,',
+                'bool(meta["installed"]),',
                 ("members vote", "voters alone"),
                 (29,),
             ),
@@ -1527,7 +1527,7 @@
         (
             "an answer without a length ends with its connection",
             LINE + "ask",
-            "if not whole or not framed and method != b\"HEAD\":",
+            'if not whole or not framed and method != b"HEAD":',
             "if False:",
             ("wrong caller",),
             BREAKS,
@@ -1535,8 +1535,8 @@
         (
             "a line that breaks is proof",
             LINE + "ask",
-            "raise NoAnswer(f\"broken off: {trouble}\", True)",
-            "raise NoAnswer(f\"broken off: {trouble}\", False)",
+            'raise NoAnswer(f"broken off: {trouble}", True)',
+            'raise NoAnswer(f"broken off: {trouble}", False)',
             ("ran twice",),
             BREAKS,
         ),
@@ -1600,7 +1600,7 @@
                 "a late beat takes a drain back",
                 BEATS + "beat",
                 "state = max(told, key=RANK.__getitem__)",
-                "state = status[\"state\"]",
+                'state = status["state"]',
                 ("never back", "own words"),
             ),
             (
@@ -1740,7 +1740,7 @@
                 "what is on disk is not said after a loss of power",
                 FENCES + "restore",
                 "Fence(tuple(value), now)",
-                "Fence((*value[:4], \"up\", *value[5:]), now)",
+                'Fence((*value[:4], "up", *value[5:]), now)',
                 ("known by both", "said again"),
             ),
         )
--- a/meadowworks/policy/__init__.py
+++ b/meadowworks/policy/__init__.py
@@ -1,7 +1,7 @@
 """All decisions of a meadowworks controller.
 
-An adapter builds a `Controller`, hands it a host (`policy/interface.py`) and calls a method for what happens,
-the clock in ns. Each file rests on those before: state, control_channel, zone_views, admission, weights, publisher."""
+An adapter builds a `Controller`, gives it a host (`policy/interface.py`) and calls a method for what happens.
+Files, each on those before: state, control_channel, zone_views, admission, weights, publisher."""
 
 import heapq
 from collections.abc import Sequence
--- a/meadowworks/simulation/commands.py
+++ b/meadowworks/simulation/commands.py
@@ -70,8 +70,23 @@
     if what != "scale":
         raise Bad(f"there is no measurement {what!r}: there are cost, control, scale and report")
     asked = scale.Asked(
-        controllers, boxes, zones, backends, services, routes, changes, churn, requests, seconds, whole, seed,
-        cpu, memory, loss, profile, most_mb,
+        controllers,
+        boxes,
+        zones,
+        backends,
+        services,
+        routes,
+        changes,
+        churn,
+        requests,
+        seconds,
+        whole,
+        seed,
+        cpu,
+        memory,
+        loss,
+        profile,
+        most_mb,
     )
     sound(asked)
     many = 1 if processes is None else processes
@@ -148,8 +163,10 @@
 
 def plain(found: dict[str, Any]) -> str:
     asked = found["asked"]
-    lines = [", ".join(f"{name} {asked[name]:g}" for name in series.TARGET if name in asked)
-             + ("" if found["complete"] else f" (not to its end: {found['why']})")]
+    lines = [
+        ", ".join(f"{name} {asked[name]:g}" for name in series.TARGET if name in asked)
+        + ("" if found["complete"] else f" (not to its end: {found['why']})")
+    ]
     for name, role in found["roles"].items():
         if role:
             memory = found["memory"].get(name, {}).get("held_mb")
--- a/meadowworks/simulation/cost.py
+++ b/meadowworks/simulation/cost.py
@@ -35,12 +35,35 @@
     """Of a fleet under one controller, with room in its channel for all."""
     routes = (Route(2.0, 2 * SECOND, False), Route(1.0, SECOND, False), Route(2.0, SECOND, False))
     return Settings(
-        routes=routes, zones=2, proxies=proxies, connections=46.0, controllers=1, by_zone=True,
-        subscribe=True, ask_within_ns=10 * SECOND, only_draining_binds=False, probes=False,
-        level_kind="share", base_retry=0, ejects=5, report_ns=SECOND // 2, fixed_weights=True,
-        channel_rate=1e6, queue_cap=1e7, head=10.0, messages_most=0, messages_over_ns=10 * SECOND,
-        delay_most_ns=SECOND // 2, cold_share=0.3, tip=2.5, cold_ns=15 * SECOND, slices=0,
-        exclusive=False, lease_ns=SECOND, in_flight_ns=SECOND)
+        routes=routes,
+        zones=2,
+        proxies=proxies,
+        connections=46.0,
+        controllers=1,
+        by_zone=True,
+        subscribe=True,
+        ask_within_ns=10 * SECOND,
+        only_draining_binds=False,
+        probes=False,
+        level_kind="share",
+        base_retry=0,
+        ejects=5,
+        report_ns=SECOND // 2,
+        fixed_weights=True,
+        channel_rate=1e6,
+        queue_cap=1e7,
+        head=10.0,
+        messages_most=0,
+        messages_over_ns=10 * SECOND,
+        delay_most_ns=SECOND // 2,
+        cold_share=0.3,
+        tip=2.5,
+        cold_ns=15 * SECOND,
+        slices=0,
+        exclusive=False,
+        lease_ns=SECOND,
+        in_flight_ns=SECOND,
+    )
 
 
 def once(proxies: int, backends: int) -> tuple[float, float, float]:
@@ -96,13 +119,21 @@
     for n, row in ((20, few), (420, many)):
         print(f"a route of {n}: {row[0]:.2f} us, plainly {row[1]:.1f} us")
     print(f"ratios: of 420 to 20 {many[0] / few[0]:.2f}, plainly {many[1] / few[1]:.1f}")
-    rows = [[median(found) for found in zip(*(once(*size) for _ in range(ROUNDS)), strict=True)]
-            for size in SIZES]
+    rows = [
+        [median(found) for found in zip(*(once(*size) for _ in range(ROUNDS)), strict=True)] for size in SIZES
+    ]
     for (proxies, backends), row in zip(SIZES, rows, strict=True):
-        print(f"{proxies} proxies, {backends} backends: join {row[0]:.1f} us, report line {row[1]:.2f} us, "
-              f"tick {row[2]:.0f} us")
-    print("ratios: " + ", ".join(f"{name} {large / small:.1f}" for name, small, large in zip(
-        ("join", "report line", "tick"), *rows, strict=True)))
+        print(
+            f"{proxies} proxies, {backends} backends: join {row[0]:.1f} us, report line {row[1]:.2f} us, "
+            f"tick {row[2]:.0f} us"
+        )
+    print(
+        "ratios: "
+        + ", ".join(
+            f"{name} {large / small:.1f}"
+            for name, small, large in zip(("join", "report line", "tick"), *rows, strict=True)
+        )
+    )
     return 0
 
 
--- a/meadowworks/simulation/drill.py
+++ b/meadowworks/simulation/drill.py
@@ -194,6 +194,7 @@
         day.network.slow[box.address, other.address] = chance.randrange(10, 300) * MS
     day.orders.append(Order(day, version, b"%d-eve" % version, 0.1, first=box))
     if others:
+
         def rival() -> None:
             day.orders.append(Order(day, version, b"%d-rival" % version, 0.1, first=others[0]))
 
@@ -383,6 +384,7 @@
     start, until = 3 * SECOND + chance.randrange(SECOND), end - chance.randrange(end // 2)
     day.time.at(start, away)
     if chance.random() < 0.5:
+
         def stop() -> None:
             all_stop(day, chance.random() < 0.5)
 
--- a/meadowworks/simulation/fleet.py
+++ b/meadowworks/simulation/fleet.py
@@ -81,16 +81,27 @@
     `broken`: what, and when in seconds."""
 
     def __init__(
-        self, settings: Settings, zones: tuple[str, ...], routes: tuple[str, ...], *,
-        controllers: int, servers: int, load: float, seed: int = 1, speed: float = 1.0, intake: int = 100,
+        self,
+        settings: Settings,
+        zones: tuple[str, ...],
+        routes: tuple[str, ...],
+        *,
+        controllers: int,
+        servers: int,
+        load: float,
+        seed: int = 1,
+        speed: float = 1.0,
+        intake: int = 100,
         list_calls: int = 10,
     ) -> None:
         self.settings, self.zones, self.routes, self.seed = settings, zones, routes, seed
         self.speed, self.intake, self.list_calls = speed, intake, list_calls
         self.now, self.count = START_NS, 0
         self.due: list[tuple[int, int, Callable[..., Any], tuple[Any, ...]]] = []
-        self.servers = {s.name: s for s in (
-            Server(f"s-{k}", zones[k % len(zones)], 20.0, settings) for k in range(servers))}
+        self.servers = {
+            s.name: s
+            for s in (Server(f"s-{k}", zones[k % len(zones)], 20.0, settings) for k in range(servers))
+        }
         self.index = 1
         self.changed = {name: 1 for name in self.servers}  # at which index of the list
         self.calls: deque[int] = deque()  # at discovery, lately
@@ -99,9 +110,16 @@
         self.counts: defaultdict[str, float] = defaultdict(float)
         power = sum(s.power for s in self.servers.values())
         weights = [0.3 + 1.7 * self.chance() for _ in range(settings.proxies)]
-        self.proxies = [Proxy(p, zones[p % len(zones)], load * power * w / sum(weights), routes, dict(
-            (s.name, 1.0) for s in list(self.here(zones[p % len(zones)]))[p % 3:p % 3 + 3]))
-            for p, w in enumerate(weights)]
+        self.proxies = [
+            Proxy(
+                p,
+                zones[p % len(zones)],
+                load * power * w / sum(weights),
+                routes,
+                dict((s.name, 1.0) for s in list(self.here(zones[p % len(zones)]))[p % 3 : p % 3 + 3]),
+            )
+            for p, w in enumerate(weights)
+        ]
         self.seats = [Seat(k, zones[k % len(zones)]) for k in range(controllers)]
         cost = settings.proxies * (settings.head + servers / len(zones) + 2) / settings.channel_rate / speed
         # What cannot be put off fits, with all proxies at one controller.
@@ -143,10 +161,18 @@
         lists: Mailbox[Follow] = Mailbox(1)
         news: Mailbox[News] = Mailbox(16384)
         config = Config(
-            name=f"n{seat.number}", host="", port=0, discovery="", sockets=1024,
-            seed=self.seed * 100 + seat.number, known=seat.known, settings=self.settings,
+            name=f"n{seat.number}",
+            host="",
+            port=0,
+            discovery="",
+            sockets=1024,
+            seed=self.seed * 100 + seat.number,
+            known=seat.known,
+            settings=self.settings,
             zones={z: k for k, z in enumerate(self.zones)},
-            routes={r: k for k, r in enumerate(self.routes)}, batch_ns=BATCH_NS)
+            routes={r: k for k, r in enumerate(self.routes)},
+            batch_ns=BATCH_NS,
+        )
 
         def call_at(when: float, act: Callable[..., Any], *what: Any) -> None:
             self.at(round(when * SECOND) - self.now, self.alarm, seat, news, act, what)
@@ -190,8 +216,13 @@
             return
         seat.node.batch()
         self.lists(seat)
-        told = [(p, item) for p in self.proxies if p.at == seat.number and p.stream
-                for item in p.stream.drain() if isinstance(item, Message)]
+        told = [
+            (p, item)
+            for p in self.proxies
+            if p.at == seat.number and p.stream
+            for item in p.stream.drain()
+            if isinstance(item, Message)
+        ]
         calls = seat.node.module.calls
         for proxy, message in sorted(told, key=lambda t: (-calls(t[0].number), t[0].number)):
             self.send(seat, proxy, message)
@@ -217,7 +248,7 @@
         self.at(wait_ns, self.arrive, seat, proxy, proxy.stream, message.text)
 
     def cost(self, text: bytes) -> int:
-        return (text.count(b"full=1") + text.count(b":") + text.count(b"admit=") + text.count(b"nonce_out="))
+        return text.count(b"full=1") + text.count(b":") + text.count(b"admit=") + text.count(b"nonce_out=")
 
     def arrive(self, seat: Seat, proxy: Proxy, stream: Mailbox[Told], text: bytes) -> None:
         if proxy.stream is not stream or not seat.node:
@@ -283,8 +314,15 @@
         if seat.index == self.index:
             return
         missed = self.index - seat.index > CHANGES_MOST
-        listing = self.whole() if missed or not seat.index else Listing(self.index, False, tuple(
-            self.entry(s) for s in self.servers.values() if self.changed[s.name] > seat.index))
+        listing = (
+            self.whole()
+            if missed or not seat.index
+            else Listing(
+                self.index,
+                False,
+                tuple(self.entry(s) for s in self.servers.values() if self.changed[s.name] > seat.index),
+            )
+        )
         gone = {n for n, s in self.servers.items() if s.state == "terminated"} if listing.whole else set()
         for name, state in [(e.name, e.state) for e in listing.entries] + [(n, "gone") for n in gone]:
             seat.states[name] = state
@@ -340,7 +378,8 @@
                 self.counts["calls"] += calls
                 if proxy.at >= 0:
                     told = self.seats[proxy.at].asked.setdefault(
-                        proxy.number, [0.0] * len(self.routes) + [self.now])
+                        proxy.number, [0.0] * len(self.routes) + [self.now]
+                    )
                     told[k] += calls
                 for name, weight in proxy.tables[k].items():
                     part = calls * min(1.0, proxy.grants[k][0]) * weight / total
@@ -362,16 +401,22 @@
     def report(self, seat: Seat) -> None:
         """As many lines as a controller is given, the oldest first; the rest adds up."""
         seat.reported_ns, left = self.now, int(self.intake * self.settings.report_ns / SECOND)
-        for key in sorted(seat.met, key=lambda key: (seat.met[key][3], key))[:left // 2]:
+        for key in sorted(seat.met, key=lambda key: (seat.met[key][3], key))[: left // 2]:
             tries, bad, latency, since = seat.met[key]
             if tries >= 1:
                 whole = int(tries)
                 load = {"queue": self.servers[key[1]].queued}
                 del seat.met[key]
-                item = Met(*key, whole, min(whole, round(bad)), int(latency),
-                           max(self.settings.report_ns, int(self.now - since)), load)
+                item = Met(
+                    *key,
+                    whole,
+                    min(whole, round(bad)),
+                    int(latency),
+                    max(self.settings.report_ns, int(self.now - since)),
+                    load,
+                )
                 self.at(HEARD_LATE_NS, self.put, seat, item, True)
-        for proxy in sorted(seat.asked, key=lambda p: (seat.asked[p][-1], p))[:left // 2]:
+        for proxy in sorted(seat.asked, key=lambda p: (seat.asked[p][-1], p))[: left // 2]:
             *calls, since = seat.asked.pop(proxy)
             covers = max(self.settings.report_ns, int(self.now - since))
             for name, count in zip(self.routes, calls, strict=True):
@@ -385,8 +430,10 @@
             if proxy.at < 0:
                 continue
             seat = self.seats[proxy.at]
-            warm = any(state == "ready" and not self.servers[name].cold(self.now)
-                       for name, state in seat.states.items())
+            warm = any(
+                state == "ready" and not self.servers[name].cold(self.now)
+                for name, state in seat.states.items()
+            )
             if warm and not all(proxy.tables):
                 proxy.bare_ns = proxy.bare_ns or self.now
                 if self.now - proxy.bare_ns > self.grace_ns:
--- a/meadowworks/simulation/hollow.py
+++ b/meadowworks/simulation/hollow.py
@@ -155,9 +155,7 @@
     def look(self, one: Waiting) -> None:
         if one.done:
             return
-        pieces = self.meter.timed(
-            "what it lacks", lambda: self.news.lacks(one.pull.vector, one.pull.me.life)
-        )
+        pieces = self.meter.timed("what it lacks", lambda: self.news.lacks(one.pull.vector, one.pull.me.life))
         if self.now() < one.until_ns and not self.urgent(pieces, one.pull):
             self.waiting[id(one)] = one
             return
@@ -222,9 +220,7 @@
     def ask(self, cards: bool) -> bytes:
         def act() -> bytes:
             told = tuple(self.members.swap()[1:]) or (self.members.me,) if cards else ()
-            return post.Pull(
-                self.members.me, told, self.news.vector(), self.held[0], self.PULL_MS
-            ).pack()
+            return post.Pull(self.members.me, told, self.news.vector(), self.held[0], self.PULL_MS).pack()
 
         body = self.meter.timed("ask others", act)
         self.meter.left(len(body))
--- a/meadowworks/simulation/report.py
+++ b/meadowworks/simulation/report.py
@@ -201,8 +201,15 @@
     return short(middle) + (f" ±{spread:.0%}" if len(values) > 1 and spread >= 0.005 else "")
 
 
-def plot(title: str, axis: str, points: list[tuple[float, float]], found: Fit | None,
-         budget: float | None, wide: int = 420, high: int = 260) -> str:
+def plot(
+    title: str,
+    axis: str,
+    points: list[tuple[float, float]],
+    found: Fit | None,
+    budget: float | None,
+    wide: int = 420,
+    high: int = 260,
+) -> str:
     """Both scales logarithmic."""
     points = [(x, y) for x, y in points if x > 0 and y > 0]
     if not points:
@@ -216,27 +223,39 @@
     low_y, top_y = math.log10(min(ys)) - 0.1, math.log10(max(ys)) + 0.1
 
     def spot(x: float, y: float) -> tuple[float, float]:
-        return (50 + (math.log10(x) - low_x) / (top_x - low_x) * (wide - 60),
-                high - 30 - (math.log10(y) - low_y) / (top_y - low_y) * (high - 60))
+        return (
+            50 + (math.log10(x) - low_x) / (top_x - low_x) * (wide - 60),
+            high - 30 - (math.log10(y) - low_y) / (top_y - low_y) * (high - 60),
+        )
 
     marks = []
     for k in range(math.ceil(low_x), math.floor(top_x) + 1):
         at = spot(10.0**k, 10**low_y)
-        marks.append(f'<text x="{at[0]:.0f}" y="{high - 14}" text-anchor="middle">{10.0**k:g}</text>'
-                     f'<path d="M{at[0]:.0f} 30V{high - 30}" stroke="#ddd"/>')
+        marks.append(
+            f'<text x="{at[0]:.0f}" y="{high - 14}" text-anchor="middle">{10.0**k:g}</text>'
+            f'<path d="M{at[0]:.0f} 30V{high - 30}" stroke="#ddd"/>'
+        )
     for k in range(math.ceil(low_y), math.floor(top_y) + 1):
         at = spot(10**low_x, 10.0**k)
-        marks.append(f'<text x="46" y="{at[1] + 4:.0f}" text-anchor="end">{10.0**k:g}</text>'
-                     f'<path d="M50 {at[1]:.0f}H{wide - 10}" stroke="#ddd"/>')
+        marks.append(
+            f'<text x="46" y="{at[1] + 4:.0f}" text-anchor="end">{10.0**k:g}</text>'
+            f'<path d="M50 {at[1]:.0f}H{wide - 10}" stroke="#ddd"/>'
+        )
     if found:
         steps = [10 ** (low_x + (math.log10(max(xs)) - low_x) * k / 40) for k in range(41)]
         way = [spot(x, found.at(x)) for x in steps if found.at(x) > 0 and math.log10(found.at(x)) >= low_y]
-        marks.append('<polyline fill="none" stroke="#27c" points="'
-                     + " ".join(f"{x:.1f},{y:.1f}" for x, y in way) + '"/>')
+        marks.append(
+            '<polyline fill="none" stroke="#27c" points="'
+            + " ".join(f"{x:.1f},{y:.1f}" for x, y in way)
+            + '"/>'
+        )
     if budget:
         y = spot(xs[0], budget)[1]
         marks.append(f'<path d="M50 {y:.1f}H{wide - 10}" stroke="#c33" stroke-dasharray="5 4"/>')
     marks += [f'<circle cx="{spot(x, y)[0]:.1f}" cy="{spot(x, y)[1]:.1f}" r="3"/>' for x, y in points]
-    return (f'<svg xmlns="http://www.w3.org/2000/svg" width="{wide}" height="{high}" font-size="11" '
-            f'font-family="sans-serif"><text x="50" y="18" font-size="13">{escape(title)} by {axis}</text>'
-            + "".join(marks) + "</svg>")
+    return (
+        f'<svg xmlns="http://www.w3.org/2000/svg" width="{wide}" height="{high}" font-size="11" '
+        f'font-family="sans-serif"><text x="50" y="18" font-size="13">{escape(title)} by {axis}</text>'
+        + "".join(marks)
+        + "</svg>"
+    )
--- a/meadowworks/simulation/scale.py
+++ b/meadowworks/simulation/scale.py
@@ -192,7 +192,9 @@
             me = card(f"core-{k}", f"10.0.0.{k + 1}", zone, True)
             node = Node(me.name, zone, Meter())
             box = Signalbox(
-                me, BEAT_MS, lambda: self.now,
+                me,
+                BEAT_MS,
+                lambda: self.now,
                 lambda wait, act, node=node: self.send(wait, partial(self.give, node, act)),  # type: ignore[misc]
             )
             box.meter, box.others = node.meter, asked.boxes // 2
@@ -747,9 +749,12 @@
             return {}
         after = (self.until_ns - self.lost_ns) / SECOND
         return {
-            "kind": self.asked.loss, "controllers lost": len(self.down), "backends lost": len(self.lost),
+            "kind": self.asked.loss,
+            "controllers lost": len(self.down),
+            "backends lost": len(self.lost),
             "junctions concerned": len(self.unfed | self.restarted),
-            "lives that beat elsewhere": len(self.moved), "followed for_s": after,
+            "lives that beat elsewhere": len(self.moved),
+            "followed for_s": after,
             "known_s": quantiles(list(self.seen.values())),
         }
 
@@ -880,7 +885,10 @@
             for k in range(services)
         ],
         "limits": {
-            "maxHeaderBytes": 16384, "maxBodyBytes": 67108864, "headerTimeoutMs": 3000, "idleTimeoutMs": 15000
+            "maxHeaderBytes": 16384,
+            "maxBodyBytes": 67108864,
+            "headerTimeoutMs": 3000,
+            "idleTimeoutMs": 15000,
         },
         "vhosts": hosts,
     }
--- a/meadowworks/simulator_adapter/wire.py
+++ b/meadowworks/simulator_adapter/wire.py
@@ -13,9 +13,20 @@
 
 LISTS = {"diff": "changes", "snapshot": "whole", "disk": "disk", "error": "error"}
 EVENTS = {  # values after the name; a row of two figures gives the least and the most
-    "DOWN": (1, 1), "SPAWN": (3, 1 << 20), "TOPOLOGY": (4, 4), "ELAPSED": (2, 2), "PROBED": (5, 5),
-    "FROM_PEER": (3, 3), "CONNECTED": (5, 5), "LEFT": (2, 2), "STATS": (8, 8), "DEMAND": (6, 6),
-    "HOTNESS": (6, 6), "TENURE": (3, 3), "STANDING_LINE": (4, 4), "INSTALLED": (4, 4),
+    "DOWN": (1, 1),
+    "SPAWN": (3, 1 << 20),
+    "TOPOLOGY": (4, 4),
+    "ELAPSED": (2, 2),
+    "PROBED": (5, 5),
+    "FROM_PEER": (3, 3),
+    "CONNECTED": (5, 5),
+    "LEFT": (2, 2),
+    "STATS": (8, 8),
+    "DEMAND": (6, 6),
+    "HOTNESS": (6, 6),
+    "TENURE": (3, 3),
+    "STANDING_LINE": (4, 4),
+    "INSTALLED": (4, 4),
 }
 
 
@@ -143,8 +154,13 @@
     match kind:
         case "TOPOLOGY":
             listed = [
-                Entry(host.backends.index(e[5]), host.zones[e[6]], STATES[e[2]],
-                      0 if e[3] == "-" else int(e[3]) * 1000, 1.0 if e[7] == "-" else float(e[7]))
+                Entry(
+                    host.backends.index(e[5]),
+                    host.zones[e[6]],
+                    STATES[e[2]],
+                    0 if e[3] == "-" else int(e[3]) * 1000,
+                    1.0 if e[7] == "-" else float(e[7]),
+                )
                 for e in entries
             ]
             how = LISTS[v[2]]
@@ -166,7 +182,12 @@
             return lambda now: module.heard(now, zone, backend, tries, bad, latency, covers, load)
         case "DEMAND":
             proxy, route, calls, dropped, covers = (
-                int(v[2]), host.routes[v[3]], int(v[4]), int(v[5]), int(v[6]) * 1000)
+                int(v[2]),
+                host.routes[v[3]],
+                int(v[4]),
+                int(v[5]),
+                int(v[6]) * 1000,
+            )
             return lambda now: module.asked(now, proxy, route, calls, dropped, covers)
         case "INSTALLED":
             mark = int(v[3])
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -22,13 +22,34 @@
 SECOND = 1_000_000_000
 ROUTES = (Route(2.0, SECOND, False), Route(1.0, SECOND, False), Route(2.0, SECOND, False))
 SETTINGS = Settings(
-    routes=ROUTES, zones=2, proxies=40, connections=0.0, controllers=1,
-    by_zone=True, subscribe=True, ask_within_ns=10 * SECOND,
-    only_draining_binds=False, probes=False, level_kind="share",
-    base_retry=1, ejects=5, report_ns=SECOND // 2, fixed_weights=True, channel_rate=800.0, queue_cap=1600.0,
-    head=10.0, messages_most=20, messages_over_ns=10 * SECOND, delay_most_ns=SECOND // 3, cold_share=0.3,
+    routes=ROUTES,
+    zones=2,
+    proxies=40,
+    connections=0.0,
+    controllers=1,
+    by_zone=True,
+    subscribe=True,
+    ask_within_ns=10 * SECOND,
+    only_draining_binds=False,
+    probes=False,
+    level_kind="share",
+    base_retry=1,
+    ejects=5,
+    report_ns=SECOND // 2,
+    fixed_weights=True,
+    channel_rate=800.0,
+    queue_cap=1600.0,
+    head=10.0,
+    messages_most=20,
+    messages_over_ns=10 * SECOND,
+    delay_most_ns=SECOND // 3,
+    cold_share=0.3,
     tip=2.5,
-    cold_ns=15 * SECOND, slices=0, exclusive=False, lease_ns=2 * SECOND, in_flight_ns=2 * SECOND,
+    cold_ns=15 * SECOND,
+    slices=0,
+    exclusive=False,
+    lease_ns=2 * SECOND,
+    in_flight_ns=2 * SECOND,
 )
 
 
@@ -168,22 +189,51 @@
 
 LANES, PATIENCE_S = ("look", "book"), 30.0  # what has not come by then never will, on a slow machine too
 NESTED: dict[str, Any] = {
-    "balancers": 1, "tick_us": 5000, "zones": ["east", "west"], "membership_mode": "subscribe",
-    "weight_kind": "nominal", "limits": {"probes": False}, "new": {"key": [{"a": 1}, {"a": 2}]},
-    "profiles": [{"name": "look", "worth": 2.0, "on_time_us": 2000000, "repeat": "safe"},
-                 {"name": "book", "worth": 1.0, "on_time_us": 800000, "repeat": "unsafe"}],
-    "extra": {"base_mode": 1, "by_zone": True, "channel_rate": 800.0, "cycle_us": 500000, "ejects": 5,
-              "exclusive": False, "fixed_cost": 10.0, "home_only": [False, False],
-              "in_flight_max_us": 2520000, "keeps_writing_us": 2500000, "level_kind": "share",
-              "proxy_count": 4, "push_delay_max_us": 320000,
-              "queue_cap": 1600.0, "reloads_max": 20, "slices": 0, "update_window_us": 10000000},
+    "balancers": 1,
+    "tick_us": 5000,
+    "zones": ["east", "west"],
+    "membership_mode": "subscribe",
+    "weight_kind": "nominal",
+    "limits": {"probes": False},
+    "new": {"key": [{"a": 1}, {"a": 2}]},
+    "profiles": [
+        {"name": "look", "worth": 2.0, "on_time_us": 2000000, "repeat": "safe"},
+        {"name": "book", "worth": 1.0, "on_time_us": 800000, "repeat": "unsafe"},
+    ],
+    "extra": {
+        "base_mode": 1,
+        "by_zone": True,
+        "channel_rate": 800.0,
+        "cycle_us": 500000,
+        "ejects": 5,
+        "exclusive": False,
+        "fixed_cost": 10.0,
+        "home_only": [False, False],
+        "in_flight_max_us": 2520000,
+        "keeps_writing_us": 2500000,
+        "level_kind": "share",
+        "proxy_count": 4,
+        "push_delay_max_us": 320000,
+        "queue_cap": 1600.0,
+        "reloads_max": 20,
+        "slices": 0,
+        "update_window_us": 10000000,
+    },
     "safety": {"ask_within_us": 10000000, "cold_share": 0.3, "cold_us": 15000000},
 }
 
 
 def listed(name: str, zone: str = "east", status: str = "in_service", since_ms: int = 0) -> dict[str, Any]:
-    return {"name": name, "address": "127.0.0.9:1", "zone": zone, "type": "t", "group": 0, "status": status,
-            "weight": 2.0, "since_ms": since_ms}
+    return {
+        "name": name,
+        "address": "127.0.0.9:1",
+        "zone": zone,
+        "type": "t",
+        "group": 0,
+        "status": status,
+        "weight": 2.0,
+        "since_ms": since_ms,
+    }
 
 
 class Desk:
@@ -295,10 +345,13 @@
         with socket.create_server(("127.0.0.1", 0)) as free:
             self.port = free.getsockname()[1]
         self.config: dict[str, Any] = {
-            "name": "n0", "listen": f"127.0.0.1:{self.port}", "seed": "8c1f30d2",
+            "name": "n0",
+            "listen": f"127.0.0.1:{self.port}",
+            "seed": "8c1f30d2",
             "limits": {"sockets": sockets},
             "known": {"index": 1, "snapshot": True, "endpoints": [e for _, e in desk.entries.values()]},
-            "settings": settings}
+            "settings": settings,
+        }
 
     def write(self, **change: Any) -> Path:
         self.config.update(change)
@@ -317,9 +370,13 @@
         config = self.write()
         with open(self.folder / "log", "w") as log:
             self.process = await asyncio.create_subprocess_exec(
-                sys.executable, *(command or ("-m", "meadowworks")), env={"NODE_CONFIG": str(config)},
-                stdout=log, stderr=log,
-                preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (self.sockets, self.sockets)))
+                sys.executable,
+                *(command or ("-m", "meadowworks")),
+                env={"NODE_CONFIG": str(config)},
+                stdout=log,
+                stderr=log,
+                preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (self.sockets, self.sockets)),
+            )
         return self
 
     async def peer(self, *lines: str) -> Peer:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -16,8 +16,16 @@
 
 RULES = "meadowworks.policy:Controller."
 ZONES, ROUTES = ("east", "west"), ("look", "book")
-FLEET = replace(SETTINGS, proxies=60, controllers=3, base_retry=0, queue_cap=4000.0, cold_ns=12 * SECOND,
-                cold_share=0.15, routes=SETTINGS.routes[:2])
+FLEET = replace(
+    SETTINGS,
+    proxies=60,
+    controllers=3,
+    base_retry=0,
+    queue_cap=4000.0,
+    cold_ns=12 * SECOND,
+    cold_share=0.15,
+    routes=SETTINGS.routes[:2],
+)
 
 
 def fleet(load: float, speed: float = 1.0, **changes: Any) -> Fleet:
@@ -128,27 +136,73 @@
 
 
 GUARDS = (
-    (roll, "queue", "what cannot be put off finds the channel full", "take",
-     "int((self.set.queue_cap * (1 - k) - q - heads) / len(users)) for k", "1 << 20 for k"),
-    (herd, "drain", "what drains waits with the rest", "settle",
-     "(1 if not b.ready or self.cold(now, b) and (shut or w > b.weight * self.part(now, b))", "(2 if False"),
-    (zone, "cold", "a start under an old name is passed over", "listed",
-     "if entry.since_ns > known.since_ns:", "if False:"),
-    (split, "drain", "who is absent from a whole list stays", "listed",
-     "if place not in named]", "if False]"),
-    (join, "cold", "a new server enters at its whole weight", "part",
-     "RUNGS[backend.rung] * (1.0 if step == RAMP[-1] else RAMP_PART * least if step else ENTRY)",
-     "RUNGS[backend.rung]"),
-    (crowd, "calls", "a list call that failed is made again at once", "listed",
-     "wait = min(ASK_MOST, ASK_PART * 2**self.failures) * self.set.ask_within_ns", "wait = 0"),
-    (crowd, "list", "a list call that failed is not made again", "listed",
-     "self.later(now + int(wait * (0.5 + self.chance())), partial(self.host.track, True))", "None"),
+    (
+        roll,
+        "queue",
+        "what cannot be put off finds the channel full",
+        "take",
+        "int((self.set.queue_cap * (1 - k) - q - heads) / len(users)) for k",
+        "1 << 20 for k",
+    ),
+    (
+        herd,
+        "drain",
+        "what drains waits with the rest",
+        "settle",
+        "(1 if not b.ready or self.cold(now, b) and (shut or w > b.weight * self.part(now, b))",
+        "(2 if False",
+    ),
+    (
+        zone,
+        "cold",
+        "a start under an old name is passed over",
+        "listed",
+        "if entry.since_ns > known.since_ns:",
+        "if False:",
+    ),
+    (
+        split,
+        "drain",
+        "who is absent from a whole list stays",
+        "listed",
+        "if place not in named]",
+        "if False]",
+    ),
+    (
+        join,
+        "cold",
+        "a new server enters at its whole weight",
+        "part",
+        "RUNGS[backend.rung] * (1.0 if step == RAMP[-1] else RAMP_PART * least if step else ENTRY)",
+        "RUNGS[backend.rung]",
+    ),
+    (
+        crowd,
+        "calls",
+        "a list call that failed is made again at once",
+        "listed",
+        "wait = min(ASK_MOST, ASK_PART * 2**self.failures) * self.set.ask_within_ns",
+        "wait = 0",
+    ),
+    (
+        crowd,
+        "list",
+        "a list call that failed is not made again",
+        "listed",
+        "self.later(now + int(wait * (0.5 + self.chance())), partial(self.host.track, True))",
+        "None",
+    ),
 )
 
 
 @pytest.mark.parametrize("day, breaks, name, at, was, now", GUARDS, ids=[guard[2] for guard in GUARDS])
 def test_without_its_guard_a_day_breaks_a_rule(
-    day: Callable[[], Fleet], breaks: str, name: str, at: str, was: str, now: str,
+    day: Callable[[], Fleet],
+    breaks: str,
+    name: str,
+    at: str,
+    was: str,
+    now: str,
 ) -> None:
     with planted(Fault(name, "fleet", RULES + at, was, now, (breaks,))):
         assert breaks in kept(day())
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -104,8 +104,12 @@
     async def act(program: Program) -> None:
         east = await program.proxy(0)
         await east.until(holds("s-1", "s-2"))
-        await desk.tell({**listed("s-2", status="terminating"), "since_ms": "soon"}, listed("s-3"),
-                        {**listed("s-4"), "status": "odd"}, {**listed("s-5"), "name": 7})
+        await desk.tell(
+            {**listed("s-2", status="terminating"), "since_ms": "soon"},
+            listed("s-3"),
+            {**listed("s-4"), "status": "odd"},
+            {**listed("s-5"), "name": 7},
+        )
         await east.until(holds("s-1", "s-2", "s-3"))  # the sound one; none of the others is taken to be gone
         await desk.tell(listed("s-2", status="terminating"))
         await east.until(rid("s-2"))
@@ -190,13 +194,18 @@
         proxy = await program.proxy(0)
         collector = await program.peer("telemetry site=east")
         for peer in (proxy, collector):
-            peer.say("", "what", "done id=0", "client_stats id=0 lane=none count=1 fail=0 over=1000",
-                     "client_stats id=0 lane=look count=-1 fail=0 over=1000",
-                     "upstream_stats site=east target=s-404 count=2 fail=0 mean=3 over=1000",
-                     "upstream_stats site=moon target=s-1 count=2 fail=0 mean=3 over=1000",
-                     "upstream_stats site=east target=s-1 count=2 fail=0 mean=nan over=1000",
-                     "upstream_stats site=east target=s-1 count=2 fail=0 mean=3 over=inf",
-                     "upstream_stats site=east target=s-1 count=2 fail=0 mean=3 over=1000 util=queue:x")
+            peer.say(
+                "",
+                "what",
+                "done id=0",
+                "client_stats id=0 lane=none count=1 fail=0 over=1000",
+                "client_stats id=0 lane=look count=-1 fail=0 over=1000",
+                "upstream_stats site=east target=s-404 count=2 fail=0 mean=3 over=1000",
+                "upstream_stats site=moon target=s-1 count=2 fail=0 mean=3 over=1000",
+                "upstream_stats site=east target=s-1 count=2 fail=0 mean=nan over=1000",
+                "upstream_stats site=east target=s-1 count=2 fail=0 mean=3 over=inf",
+                "upstream_stats site=east target=s-1 count=2 fail=0 mean=3 over=1000 util=queue:x",
+            )
             peer.writer.write(b"\xff\xfe\r\n")
             peer.say("upstream_stats site=east target=s-1 count=2 fail=0 mean=3 over=1000 util=queue:1", "hb")
             await peer.until(beaten)
@@ -238,12 +247,23 @@
     play(act, tmp_path, Desk(*THREE), sockets=64)
 
 
-@pytest.mark.parametrize("said", [
-    b"\x16\x03\x01\x02\r\n", b"GET / HTTP/1.1\r\nHost: x\r\n\r\n", b"y" * (1 << 14), b"\r\n",
-    b"assign full=1 endpoints=s-1:1\r\n", b"client_stats id=0 lane=look count=1 fail=0 over=1000\r\n",
-    b"upstream_stats site=east target=s-1 count=2 fail=0 mean=3 over=1000\r\n", b"done id=0 seq=1 ms=1\r\n",
-    b"attach id=0 site=moon rps=1 new=1\r\n", b"attach id=4 site=east rps=1 new=1\r\n",
-    b"attach id=x site=east rps=1 new=1\r\n", b"telemetry site=moon\r\n"])
+@pytest.mark.parametrize(
+    "said",
+    [
+        b"\x16\x03\x01\x02\r\n",
+        b"GET / HTTP/1.1\r\nHost: x\r\n\r\n",
+        b"y" * (1 << 14),
+        b"\r\n",
+        b"assign full=1 endpoints=s-1:1\r\n",
+        b"client_stats id=0 lane=look count=1 fail=0 over=1000\r\n",
+        b"upstream_stats site=east target=s-1 count=2 fail=0 mean=3 over=1000\r\n",
+        b"done id=0 seq=1 ms=1\r\n",
+        b"attach id=0 site=moon rps=1 new=1\r\n",
+        b"attach id=4 site=east rps=1 new=1\r\n",
+        b"attach id=x site=east rps=1 new=1\r\n",
+        b"telemetry site=moon\r\n",
+    ],
+)
 def test_a_stranger_without_sense_is_told_so_and_ended_at_once(tmp_path: Path, said: bytes) -> None:
     async def act(program: Program) -> None:
         client = await program.peer("hb")
@@ -275,8 +295,10 @@
         async def report() -> None:
             while True:
                 for k in (1, 2, 3):
-                    collector.say(f"upstream_stats site=east target=s-{k} count=20 fail={20 * (k == 1)} "
-                                  "mean=90 over=500 util=queue:0")
+                    collector.say(
+                        f"upstream_stats site=east target=s-{k} count=20 fail={20 * (k == 1)} "
+                        "mean=90 over=500 util=queue:0"
+                    )
                 collector.say("client_stats id=0 lane=look count=20 fail=0 over=500")
                 await asyncio.sleep(0.2)
 
@@ -304,16 +326,19 @@
     play(act, tmp_path, desk)
 
 
-@pytest.mark.parametrize(("change", "said"), [
-    ({"settings": {**NESTED, "zones": None}}, "setting zones is missing"),
-    ({"settings": {**NESTED, "extra": {**NESTED["extra"], "queue_cap": "much"}}}, "extra.queue_cap"),
-    ({"settings": {**NESTED, "limits": {"probes": True}}}, "limits.probes"),
-    ({"settings": {**NESTED, "extra": {**NESTED["extra"], "slices": 8}}}, "extra.slices"),
-    ({"settings": None}, "settings are missing"),
-    ({"listen": "nowhere"}, "listen is no address"),
-    ({"name": ""}, "NODE_NAME is not set"),
-    ({"known": {"index": 1}}, "known cannot be read"),
-])
+@pytest.mark.parametrize(
+    ("change", "said"),
+    [
+        ({"settings": {**NESTED, "zones": None}}, "setting zones is missing"),
+        ({"settings": {**NESTED, "extra": {**NESTED["extra"], "queue_cap": "much"}}}, "extra.queue_cap"),
+        ({"settings": {**NESTED, "limits": {"probes": True}}}, "limits.probes"),
+        ({"settings": {**NESTED, "extra": {**NESTED["extra"], "slices": 8}}}, "extra.slices"),
+        ({"settings": None}, "settings are missing"),
+        ({"listen": "nowhere"}, "listen is no address"),
+        ({"name": ""}, "NODE_NAME is not set"),
+        ({"known": {"index": 1}}, "known cannot be read"),
+    ],
+)
 def test_what_it_cannot_start_with_is_named_in_one_line(
     tmp_path: Path, change: dict[str, Any], said: str
 ) -> None:
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -45,8 +45,9 @@
 ORDER = st.one_of(
     st.tuples(st.just("set_line"), st.integers(0, 1), st.integers(0, 2), st.sampled_from([0.0, 0.5, 2.0])),
     st.tuples(st.just("bind"), st.integers(0, 3), st.integers(0, 2), st.integers(0, 1)),
-    st.tuples(st.just("admit"), st.integers(0, 1), st.integers(0, 3), st.sampled_from([0.1, 1.0]),
-              st.integers(0, 1)),
+    st.tuples(
+        st.just("admit"), st.integers(0, 1), st.integers(0, 3), st.sampled_from([0.1, 1.0]), st.integers(0, 1)
+    ),
     st.tuples(st.just("leave"), st.integers(0, 2)),
     st.tuples(st.just("turn")),
 )
@@ -173,7 +174,9 @@
     told = sorted((users, parts) for users, parts in orders.messages())
     assert [users for users, _ in told] == [[0], list(range(1, 59, 2))]
     assert [(part.full, part.lines) for _, parts in told for part in parts] == [
-        (True, (("s-0", 2.0),)), (False, (("s-0", 2.0),))]
+        (True, (("s-0", 2.0),)),
+        (False, (("s-0", 2.0),)),
+    ]
     assert not list(orders.messages())
 
 
@@ -224,7 +227,7 @@
         orders.bind(1, proxy, 0)
         orders.bind(2, proxy, 1)
     orders.mark = 905
-    (users, parts), = orders.messages()
+    ((users, parts),) = orders.messages()
     lines = encode(parts).decode().split("\r\n")[:-1]
     assert users == [0, 1] and ["nonce_out=905" in line for line in lines] == [False, True]
     assert [part.cost() for part in parts] == [1, 2] and orders.mark is None
@@ -301,8 +304,10 @@
         here, there = Met("a", "s", 1, 0, 1, 1, {}), Met("b", "s", 1, 0, 1, 1, {})
         mine, other = Asked(2, "look", 1, 0, 1), Asked(3, "look", 1, 0, 1)
         said: list[Told] = [mine, other, Done(2, 9), Done(3, 9), here, there, End("over")]
-        for first, passed in ((b"attach id=2 site=a rps=1 new=1\r\n", [mine, said[2]]),
-                              (b"telemetry site=a\r\n", [mine, other, here])):
+        for first, passed in (
+            (b"attach id=2 site=a rps=1 new=1\r\n", [mine, said[2]]),
+            (b"telemetry site=a\r\n", [mine, other, here]),
+        ):
             peer, _, module = hired(first)
             for item in said:
                 peer.mailbox.put(item)
@@ -375,16 +380,27 @@
     asyncio.run(act())
 
 
-@pytest.mark.parametrize("line", [
-    "client_stats id=1_0 lane=a count=1 fail=0 over=1", "client_stats id=\u0661 lane=a count=1 fail=0 over=1",
-    "client_stats id=0 lane=a count=+1 fail=0 over=1", "client_stats id=0 lane=a count=1.5 fail=0 over=1",
-    "client_stats id=0 lane=a count=1 fail=0 over=0", "client_stats id=0 lane=a count=1 fail=0 over=nan",
-    "client_stats id=0 lane=a count=1 fail=0 over=1 count=2", "client_stats id=0 lane=a count fail=0 over=1",
-    "client_stats id=0 lane=a count=1 fail=0 over=" + "9" * 400, "client_stats id=0 lane=a count=1 fail=0",
-    "upstream_stats site=a target=b count=1 fail=0 mean=-1 over=1000",
-    "upstream_stats site=a target=b count=1 fail=0 mean=2 over=1000 util=queue",
-    "upstream_stats site=a target=b count=1 fail=0 mean=2 over=1000 util=queue:1,queue:2",
-    "attach id=0 site=a rps=1e999 new=1", "attach id=0 site=a rps=1 new=maybe", "done id=0 seq=x ms=1"])
+@pytest.mark.parametrize(
+    "line",
+    [
+        "client_stats id=1_0 lane=a count=1 fail=0 over=1",
+        "client_stats id=\u0661 lane=a count=1 fail=0 over=1",
+        "client_stats id=0 lane=a count=+1 fail=0 over=1",
+        "client_stats id=0 lane=a count=1.5 fail=0 over=1",
+        "client_stats id=0 lane=a count=1 fail=0 over=0",
+        "client_stats id=0 lane=a count=1 fail=0 over=nan",
+        "client_stats id=0 lane=a count=1 fail=0 over=1 count=2",
+        "client_stats id=0 lane=a count fail=0 over=1",
+        "client_stats id=0 lane=a count=1 fail=0 over=" + "9" * 400,
+        "client_stats id=0 lane=a count=1 fail=0",
+        "upstream_stats site=a target=b count=1 fail=0 mean=-1 over=1000",
+        "upstream_stats site=a target=b count=1 fail=0 mean=2 over=1000 util=queue",
+        "upstream_stats site=a target=b count=1 fail=0 mean=2 over=1000 util=queue:1,queue:2",
+        "attach id=0 site=a rps=1e999 new=1",
+        "attach id=0 site=a rps=1 new=maybe",
+        "done id=0 seq=x ms=1",
+    ],
+)
 def test_a_field_spoilt_is_told_from_what_is_no_message(line: str) -> None:
     with pytest.raises(ValueError) as found:
         decode(line.encode())
@@ -415,7 +431,7 @@
 
 
 def test_answers_to_marks_beyond_a_connections_bound_give_way_as_reports_do(
-    monkeypatch: pytest.MonkeyPatch
+    monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(listener, "REPORTS_MOST", 3)
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -388,8 +388,9 @@
 def test_what_is_gone_for_long_is_forgotten_and_what_drains_or_came_back_is_not() -> None:
     fleet = started()
     for turn in range(60):  # a fleet that replaces a backend every other second, all under new ids
-        fleet.module.listed(fleet.now, "changes", [
-            entry(6 + turn, turn % 2, since=fleet.now), entry(turn, turn % 2, "gone")])
+        fleet.module.listed(
+            fleet.now, "changes", [entry(6 + turn, turn % 2, since=fleet.now), entry(turn, turn % 2, "gone")]
+        )
         fleet.run(2)
     assert fleet.forgotten == list(range(len(fleet.forgotten))) and len(fleet.forgotten) > 30
     assert len(fleet.module.backends) < 6 + 60 - 30
@@ -408,8 +409,12 @@
     view, asked = fleet.module.views[0], dict(fleet.module.proxies[0].asked)
     lines = dict(view.lines)
     for latency, covers, tries, queue in (
-            (10**21, SECOND, 9, 0.0), (SECOND, 10**21, 9, 0.0), (SECOND, 0, 9, 0.0),
-            (SECOND, SECOND, 10**12, 0.0), (SECOND, SECOND, 9, 1e30)):
+        (10**21, SECOND, 9, 0.0),
+        (SECOND, 10**21, 9, 0.0),
+        (SECOND, 0, 9, 0.0),
+        (SECOND, SECOND, 10**12, 0.0),
+        (SECOND, SECOND, 9, 1e30),
+    ):
         fleet.module.heard(fleet.now, 0, 0, tries, 0, latency, covers, {"queue": queue})
     for covers, calls in ((10**21, 9), (0, 9), (SECOND, 10**12)):
         fleet.module.asked(fleet.now, 0, 0, calls, 0, covers)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -8,7 +8,8 @@
 
 from meadowworks.simulator_adapter import wire
 
-SPAWN = "SPAWN\tcontroller-3\t77\t" + "\t".join("""balancers=1 extra.base_mode=0 extra.blackhole_us=5700000
+SPAWN = "SPAWN\tcontroller-3\t77\t" + "\t".join(
+    """balancers=1 extra.base_mode=0 extra.blackhole_us=5700000
 extra.channel_rate=800.0 extra.class_writes=false extra.cycle_us=500000 extra.exclusive=false
 extra.fixed_cost=10.0 extra.home_only=false extra.in_flight_max_us=2520000 extra.keeps_writing_us=2500000
 extra.level_kind=share extra.proxy_count=4 extra.push_delay_max_us=320000 extra.push_delay_us=128000
@@ -17,7 +18,8 @@
 profiles.count=1 profiles.0.deadline_us=6000000 profiles.0.name=look profiles.0.on_time_us=2000000
 profiles.0.repeat=safe profiles.0.worth=2.0 safety.ask_within_us=10000000 safety.cold_share=0.3
 safety.cold_us=15000000 safety.stop_sending_within_us=3300000 safety.tip_multiple=2.5 weight_kind=nominal
-zones=east,west""".split())
+zones=east,west""".split()
+)
 LIST = "TOPOLOGY\tcontroller-3\tdisk\t4\t1\nBACKEND\tk\tin_service\t-\t0\t10.0.0.1:80\teast\t1.5"
 
 
@@ -29,9 +31,14 @@
 
 
 def test_a_short_exchange() -> None:
-    replies = answer("", f"{SPAWN}\n{LIST}\n", "CONNECTED\tcontroller-3\t2\teast\t6.5\t1\n",
-                     "STATS\tcontroller-3\teast\t10.0.0.9:80\t14\t1\t48250\t500000\tqueue:3\n",
-                     "LEFT\tcontroller-3\t2\nLEFT\tcontroller-3\t2\n", "DOWN\tcontroller-3\n")
+    replies = answer(
+        "",
+        f"{SPAWN}\n{LIST}\n",
+        "CONNECTED\tcontroller-3\t2\teast\t6.5\t1\n",
+        "STATS\tcontroller-3\teast\t10.0.0.9:80\t14\t1\t48250\t500000\tqueue:3\n",
+        "LEFT\tcontroller-3\t2\nLEFT\tcontroller-3\t2\n",
+        "DOWN\tcontroller-3\n",
+    )
     assert replies[0] == replies[3] == replies[4] == replies[5] == ""  # odd but legal: a backend in no list
     assert "TRACK\tcontroller-3\t1\n" in replies[1]
     assert "UPSERT\tcontroller-3\t0\t10.0.0.1:80\t1.5\n" in replies[1]
@@ -53,15 +60,18 @@
     assert 0 < replies[1].count("SUBSCRIBE_TO") <= 1600 / 12
 
 
-@pytest.mark.parametrize(("batch", "said"), [
-    ("NOISE\tcontroller-3\n", "unknown event 'NOISE'"),
-    ("LEFT\tcontroller-3\t2\n", "has not started"),
-    (f"{SPAWN}\nLEFT\tcontroller-3\n", "LEFT has 1 values"),
-    (f"{SPAWN}\nLEFT\tcontroller-3\ttwo\n", "invalid literal"),
-    (SPAWN.replace("profiles.0.worth=2.0\t", "") + "\n", "setting profiles.0.worth is missing"),
-    (SPAWN.replace("cycle_us=500000", "cycle_us=often") + "\n", "extra.cycle_us is no number"),
-    (f"{SPAWN}\n{LIST.replace('BACKEND', 'SERVER')}\n", "a list entry was due"),
-])
+@pytest.mark.parametrize(
+    ("batch", "said"),
+    [
+        ("NOISE\tcontroller-3\n", "unknown event 'NOISE'"),
+        ("LEFT\tcontroller-3\t2\n", "has not started"),
+        (f"{SPAWN}\nLEFT\tcontroller-3\n", "LEFT has 1 values"),
+        (f"{SPAWN}\nLEFT\tcontroller-3\ttwo\n", "invalid literal"),
+        (SPAWN.replace("profiles.0.worth=2.0\t", "") + "\n", "setting profiles.0.worth is missing"),
+        (SPAWN.replace("cycle_us=500000", "cycle_us=often") + "\n", "extra.cycle_us is no number"),
+        (f"{SPAWN}\n{LIST.replace('BACKEND', 'SERVER')}\n", "a list entry was due"),
+    ],
+)
 def test_what_the_wire_does_not_allow_is_named_with_its_line(batch: str, said: str) -> None:
     with pytest.raises(wire.Malformed, match=r"line \d+") as trouble:
         answer(batch)
