--- a/meadowworks/modelcheck/runs.py
+++ b/meadowworks/modelcheck/runs.py
@@ -11,6 +11,7 @@
 
 from meadowworks.modelcheck import faults, plain
 from meadowworks.modelcheck.explore import explore, replay
+from meadowworks.modelcheck.fault import Fault, planted
 from meadowworks.modelcheck.model import Broken, Model, Result
 from meadowworks.modelcheck.models import (
     attempt,
@@ -51,7 +52,7 @@
     return replace(model, depth=depth) if depth else model
 
 
-def fault_of(name: str) -> faults.Fault:
+def fault_of(name: str) -> Fault:
     for fault in faults.FAULTS:
         if fault.name == name:
             return fault
@@ -63,7 +64,7 @@
     """What became of a seeded fault: the broken property with the shortest path, and whether playing that
     path again, with the fault still in, breaks it again."""
 
-    fault: faults.Fault
+    fault: Fault
     broken: Broken | None
     again: bool
     states: int
@@ -78,7 +79,7 @@
     """Plants a fault and explores until a property that it is said to break has broken."""
     fault = fault_of(name)
     began = time.monotonic()
-    with faults.planted(fault):
+    with planted(fault):
         model = model_of(fault.model, fault.large, fault.depth)
         result = explore(model, most=FAULT_MOST, until=frozenset(fault.breaks), only=fault.starts)
         hits = sorted(
@@ -100,7 +101,7 @@
     the path does not fit."""
     with ExitStack() as stack:
         if kept.fault:
-            stack.enter_context(faults.planted(fault_of(kept.fault)))
+            stack.enter_context(planted(fault_of(kept.fault)))
         model = model_of(kept.model, kept.large)
         return model, replay(model, kept.start, kept.steps, kept.cycle)
 
--- /dev/null
+++ b/meadowworks/modelcheck/seeded_faults/__init__.py
@@ -0,0 +1,1 @@
+"""Seeded faults, a table a model; `meadowworks.modelcheck.faults` joins them."""
--- /dev/null
+++ b/meadowworks/modelcheck/seeded_faults/upstream.py
@@ -0,0 +1,102 @@
+"""Seeded faults of the model of a connection to a backend and a call between programs."""
+
+from __future__ import annotations
+
+from meadowworks.modelcheck.fault import Fault
+
+CLIENTS, BREAKS, KEPT, NAMELESS, BETWEEN = tuple(range(9)), (9,), (10,), (12,), (14,)  # worlds of the model
+LINE = "meadowworks.runtime.http_connection:Line."
+JOURNEY, ANSWERS = "meadowworks.forwarding.attempts:Journey.", "meadowworks.forwarding.response_check:"
+UPSTREAM_FAULTS = tuple(
+    Fault(name, "carriage", at, was, now, breaks, starts=starts)
+    for name, at, was, now, breaks, starts in (
+        (
+            "bytes behind an answer stay on its line",
+            LINE + "ask",
+            "if self.connection.surplus or self.stream.buffer:",
+            "if False:",
+            ("clean lines",),
+            KEPT,
+        ),
+        (
+            "a line is used on which bytes have come while it rested",
+            LINE + "usable",
+            " and not self.connection.has_expired()",
+            "",
+            ("clean lines",),
+            KEPT,
+        ),
+        (
+            "a kept line is taken without a look",
+            "meadowworks.forwarding.connection_pool:Yard.take",
+            " and line.usable()",
+            "",
+            ("clean lines",),
+            KEPT,
+        ),
+        (
+            "an answer without a length ends with its connection",
+            LINE + "ask",
+            'if not whole or not framed and method != b"HEAD":',
+            "if False:",
+            ("wrong caller",),
+            BREAKS,
+        ),
+        (
+            "a line that breaks is proof",
+            LINE + "ask",
+            'raise NoAnswer(f"broken off: {trouble}", True)',
+            'raise NoAnswer(f"broken off: {trouble}", False)',
+            ("ran twice",),
+            BREAKS,
+        ),
+        (
+            "a call without an id goes on a kept line",
+            "meadowworks.proxy.upstream_attempt:attempt",
+            " if request.ident is not None else None",
+            "",
+            ("wrong caller",),
+            NAMELESS,
+        ),
+        (
+            "a late answer is taken for the next call's",
+            ANSWERS + "judge",
+            "if spoilt(asked, status, get, first):",
+            "if False:",
+            ("wrong caller",),
+            KEPT,
+        ),
+        (
+            "a promise without a name is taken on a kept line",
+            ANSWERS + "spoilt",
+            " or not first)",
+            ")",
+            ("ran twice", "clean lines"),
+            KEPT,
+        ),
+        (
+            "a line is kept whose answer was another's",
+            "meadowworks.proxy.upstream_attempt:attempt",
+            "if found.keep:",
+            "if True:",
+            ("clean lines",),
+            KEPT,
+        ),
+        (
+            "a line whose answer was another's is let go as it is",
+            "meadowworks.proxy.upstream_attempt:attempt",
+            "line.close()\n        if not found.sound:",
+            "pass\n        if not found.sound:",
+            ("no line left",),
+            KEPT,
+        ),
+        (
+            "a reply to another question is taken",
+            "meadowworks.runtime.peer_client:Peer.call",
+            "if reply.get(QUESTION) != question:",
+            "if False:",
+            ("wrong caller",),
+            BETWEEN,
+        ),
+    )
+)
--- a/tests/test_check.py
+++ b/tests/test_check.py
@@ -18,8 +18,10 @@
 from meadowworks.cli import main as commands
 from meadowworks.modelcheck import faults, paths, plain, runs
 from meadowworks.modelcheck.explore import explore, replay
+from meadowworks.modelcheck.fault import Fault, function, planted
 from meadowworks.modelcheck.model import DEADLOCK, FAULT, Live, Model, Property, Step, taken
 from meadowworks.modelcheck.models import policy as module
+from meadowworks.modelcheck.seeded_faults.policy import RULES
 
 
 class Lamp:
@@ -117,9 +119,9 @@
 def test_every_fault_of_the_table_fits_the_code_and_leaves_no_trace() -> None:
     assert len({fault.name for fault in faults.FAULTS}) == len(faults.FAULTS) >= 25
     for fault in faults.FAULTS:
-        whole = faults.function(fault.at)
+        whole = function(fault.at)
         code = whole.__code__
-        with faults.planted(fault):
+        with planted(fault):
             assert (
                 whole.__code__ is not code
                 and whole.__code__.co_code
@@ -131,7 +133,7 @@
         assert set(fault.breaks) <= {name for name, _ in stated(fault)}
 
 
-def stated(fault: faults.Fault) -> list[tuple[str, str]]:
+def stated(fault: Fault) -> list[tuple[str, str]]:
     from meadowworks.modelcheck.commands import stated as all_stated
 
     return all_stated(runs.model_of(fault.model, fault.large))
@@ -140,7 +142,7 @@
 def test_a_guard_that_is_not_there_is_an_error_in_the_table() -> None:
     with (
         pytest.raises(ValueError, match="stands 0 times"),
-        faults.planted(replace(faults.FAULTS[0], was="no such text")),
+        planted(replace(faults.FAULTS[0], was="no such text")),
     ):
         pass
 
@@ -170,7 +172,7 @@
     capsys: pytest.CaptureFixture[str], tmp_path: Path
 ) -> None:
     fault = faults.FAULTS[0]
-    with faults.planted(fault):
+    with planted(fault):
         status, out, _ = run(
             capsys, "check", "attempt", "--no-faults", "--json", "--most", "400", "--keep", str(tmp_path)
         )
@@ -311,7 +313,7 @@
 
     at, was, now = guard
     assert held()
-    with faults.planted(faults.Fault("", "module", faults.RULES + at, was, now, ())):
+    with planted(Fault("", "module", RULES + at, was, now, ())):
         assert not held()
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -10,7 +10,7 @@
 import pytest
 from loguru import logger
 
-from meadowworks.modelcheck.faults import Fault, planted
+from meadowworks.modelcheck.fault import Fault, planted
 from meadowworks.simulation.fleet import Fleet
 from tests.helpers import SECOND, SETTINGS
 
