--- a/tests/test_check.py
+++ b/tests/test_check.py
@@ -248,7 +248,9 @@
     names = set(out.split())
     assert not names & set(TOOLS) and {"aiohttp", "loguru"} <= names
     own = {name.split(".")[1] for name in names if name.startswith("meadowworks.")}
-    assert own == {"__main__", "door", "host", "node", "rules", "settings"}
+    assert own == {"__main__", "fleet", "policy", "runtime"}
+    shared = {name for name in names if name.startswith("meadowworks.runtime.")}
+    assert shared == {"meadowworks.runtime.connection_limit"}
 
 
 def example(folder: Path, listen: int, discovery: int) -> dict[str, str]:
