--- a/tests/gateway/golden_product.py
+++ b/tests/gateway/golden_product.py
@@ -281,9 +281,11 @@
 
     def __init__(self) -> None:
         self.sent: list[tuple[bytes, bytes]] = []
+        self.first = asyncio.Event()
 
     async def call(self, path: bytes, body: bytes, wait_s: float) -> bytes:
         self.sent.append((path, body))
+        self.first.set()
         return b""
 
 
@@ -322,6 +324,15 @@
     return found
 
 
+async def sent_pull_of_signalbox(box: Signalbox, host: str, port: int) -> tuple[bytes, bytes]:
+    recorder = Recorder()
+    box.peer = lambda host, port: recorder  # type: ignore[assignment,method-assign,return-value]
+    pulls = box.tasks.start(box.pull(host, port))
+    await recorder.first.wait()
+    pulls.cancel()
+    return recorder.sent[0]
+
+
 async def sent_pull(junction: Junction) -> tuple[bytes, bytes]:
     """The path and the body under which a junction pulls."""
     recorder = Recorder()
--- a/tests/gateway/test_golden.py
+++ b/tests/gateway/test_golden.py
@@ -392,6 +392,9 @@
             assert product.encode_news(news) == body
             raw = product.unpack(body)
             assert raw[0][:6] == ["signalbox-0", "10.0.0.1", 7000, "north", True, product.identity(box)[0]]
+            life, _ = product.identity(box)
+            gone = ["größe", "10.0.0.9:8080", "north", 2.0, "gone", 1, 1500, 0]
+            assert raw[2] == [[life, True, 2, [[2, "b/b1", gone]]]]
             assert raw[3] is False and (raw[4] is None) != voter and (raw[5] is None) != voter
             if voter:
                 assert zlib.decompress(raw[4][1]) == CONFIGURATION
@@ -417,13 +420,19 @@
     play(act())
 
 
-def test_a_signalbox_sends_its_letters_as_ever(tmp_path: Path) -> None:
+def test_a_signalbox_sends_its_letters_and_pulls_as_ever(tmp_path: Path) -> None:
     async def act() -> None:
         box = product.make_signalbox(settings(tmp_path, True))
         path, body = await product.sent_letter(box, 70001, "10.0.0.2:7000", LETTERS["accept"])
         question, packed = product.unpack(body)
         assert path == b"/letter" and question == 70001
         assert zlib.decompress(packed) == golden_bytes("letters")["accept"]
+        product.signalbox_learns(box, [JUNCTION_CARD], CONFIGURATION, KNOWN_BACKENDS)
+        path, body = await product.sent_pull_of_signalbox(box, "10.0.0.2", 7000)
+        raw = product.unpack(body)
+        card = ["signalbox-0", "10.0.0.1", 7000, "north", True, product.identity(box)[0]]
+        assert path == b"/pull" and raw[0][:6] == card and product.pack(raw) == body
+        assert raw[1:] == [[product.unpack(golden_bytes("cards")["junction"])], {}, 7, 500, None, 0, ["", -1]]
         product.stop_signalbox(box)
 
     play(act())
