--- a/tests/gateway/golden_product.py
+++ b/tests/gateway/golden_product.py
@@ -14,23 +14,10 @@
 from typing import Any
 from unittest.mock import patch
 
-from meadowworks import commands
-from meadowworks.depot.disk import Disk
-from meadowworks.junction.program import Junction
-from meadowworks.node import messages
-from meadowworks.points.figures import PREFIX as FIGURES_PREFIX
-from meadowworks.points.figures import Sums
-from meadowworks.roster.beats import PREFIX as BACKENDS_PREFIX
-from meadowworks.roster.beats import Beats
-from meadowworks.roster.fences import Fences
-from meadowworks.roster.lives import Lives
-from meadowworks.signalbox import fencing, office
-from meadowworks.signalbox.program import Signalbox
-from meadowworks.telegraph import post
-from meadowworks.telegraph.members import Card
-from meadowworks.telegraph.news import Piece, Told
-from meadowworks.timetable import register
-from meadowworks.timetable.replica import (
+from meadowworks.cli import main as commands
+from meadowworks.config.route_table import load as load_configuration
+from meadowworks.consensus import register
+from meadowworks.consensus.replica import (
     Ask,
     Replica,
     Rows,
@@ -40,10 +27,24 @@
     pack_members,
     unpack_members,
 )
-from meadowworks.timetable.routes import load as load_configuration
-from meadowworks.track import boot
-from meadowworks.track.door import Door, answer, whole_body
-from meadowworks.track.peer import Peer
+from meadowworks.controlplane import config_service as office
+from meadowworks.controlplane import drain_service as fencing
+from meadowworks.controlplane.server import Signalbox
+from meadowworks.fleet import messages
+from meadowworks.gossip import messages as post
+from meadowworks.gossip.peer_sampling import Card
+from meadowworks.gossip.updates import Piece, Told
+from meadowworks.load_balancing.load_reports import PREFIX as FIGURES_PREFIX
+from meadowworks.load_balancing.load_reports import Sums
+from meadowworks.proxy.server import Junction
+from meadowworks.registry.backends import Lives
+from meadowworks.registry.drain_log import Fences
+from meadowworks.registry.heartbeats import PREFIX as BACKENDS_PREFIX
+from meadowworks.registry.heartbeats import Beats
+from meadowworks.runtime import node_settings as boot
+from meadowworks.runtime.http_server import Door, answer, whole_body
+from meadowworks.runtime.peer_client import Peer
+from meadowworks.storage.sqlite_store import Disk
 
 __all__ = ["BACKENDS_PREFIX", "FIGURES_PREFIX", "Card", "Piece", "load_configuration"]
 
@@ -475,13 +476,15 @@
 @contextmanager
 def days_not_played() -> Iterator[None]:
     """The laboratory's days are left out: its object has the same names without them."""
-    from meadowworks.lab import campaign  # with what else the laboratory needs: messages are tested without
-    from meadowworks.lab.control import Counts
+    from meadowworks.simulation import (
+        campaign,  # with what else the laboratory needs: messages are tested without
+    )
+    from meadowworks.simulation.control import Counts
 
     nothing: tuple[Counts, list[str], bool] = (Counts(), [], True)
     with patch.object(campaign, "run", lambda *words: nothing):
         yield
 
 
-PROGRAMS = ("meadowworks", "meadowworks.junction", "meadowworks.signalbox")  # modules that start one
+PROGRAMS = ("meadowworks", "meadowworks.proxy", "meadowworks.controlplane")  # modules that start one
 SETTINGS_VARIABLE = "MEADOWWORKS_NODE_FILE"
