--- a/meadowworks/cli/operations.py
+++ b/meadowworks/cli/operations.py
@@ -12,32 +12,32 @@
 from cappa import Arg
 
 from meadowworks.cli.main import Bad
-from meadowworks.config.validation import Invalid, check
-from meadowworks.runtime import node_settings as boot
-from meadowworks.runtime.errors import BadSettings, NoAnswer
-from meadowworks.runtime.http_connection import Reply, connect
+from meadowworks.config.validation import InvalidConfiguration, validate_configuration
+from meadowworks.runtime import node_settings
+from meadowworks.runtime.errors import RequestError, SettingsError
+from meadowworks.runtime.http_connection import Response, connect
 
 WAIT_S = 5.0
 
 
-def call(at: str, method: bytes, path: bytes, body: bytes = b"") -> Reply:
+def call(at: str, method: bytes, path: bytes, body: bytes = b"") -> Response:
     """One call to a controller. Raises Bad if there is no answer."""
     host, colon, port = at.rpartition(":")
     if not colon or not port.isdigit():
         raise Bad(f"{at!r} is no address with a port")
 
-    async def whole() -> Reply:
+    async def whole() -> Response:
         async with asyncio.timeout(WAIT_S):
             line = await connect(host, int(port), WAIT_S)
             headers = [(b"host", at.encode()), (b"content-length", str(len(body)).encode())]
             try:
-                return await line.ask(method, path, headers, body, 64 << 20)
+                return await line.request(method, path, headers, body, 64 << 20)
             finally:
                 line.close()
 
     try:
         return asyncio.run(whole())
-    except (NoAnswer, TimeoutError) as trouble:
+    except (RequestError, TimeoutError) as trouble:
         raise Bad(f"{at} gives no answer: {trouble or 'silence'}") from None
 
 
@@ -256,9 +256,9 @@
         body = file.read_bytes()
     except OSError as trouble:
         raise Bad(f"{file} cannot be read: {trouble.strerror}") from None
-    found = check(body)
-    if isinstance(found, Invalid):
-        raise Bad(f"{file}: {found.why}")
+    found = validate_configuration(body)
+    if isinstance(found, InvalidConfiguration):
+        raise Bad(f"{file}: {found.reason}")
     if action == "check":
         print(f"{file}: version {found.version:08x} makes sense")
         return 0
@@ -278,10 +278,10 @@
 def settings(file: Annotated[Path, Arg(help="a settings file")]) -> int:
     """Whether a settings file makes sense."""
     try:
-        found = boot.read(file.read_bytes())
+        found = node_settings.parse_settings(file.read_bytes())
     except OSError as trouble:
         raise Bad(f"{file} cannot be read: {trouble.strerror}") from None
-    except BadSettings as trouble:
+    except SettingsError as trouble:
         raise Bad(f"{file}: {trouble}") from None
-    print(f"{file}: {found.node} of {found.zone}, serves {', '.join(found.serves)}")
+    print(f"{file}: {found.node} of {found.zone}, serves {', '.join(found.roles)}")
     return 0
--- a/meadowworks/controlplane/__main__.py
+++ b/meadowworks/controlplane/__main__.py
@@ -2,9 +2,9 @@
 
 gc.disable()  # until the start is over: it makes much and drops little
 
-from meadowworks.runtime import lazy_imports as lean  # noqa: E402
+from meadowworks.runtime import lazy_imports  # noqa: E402
 
-lean.start()
+lazy_imports.install()
 
 from meadowworks.controlplane.server import main  # noqa: E402
 
--- a/meadowworks/controlplane/api.py
+++ b/meadowworks/controlplane/api.py
@@ -7,13 +7,13 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from meadowworks.config.validation import Invalid, checking
+from meadowworks.config.validation import InvalidConfiguration, validation_steps
 from meadowworks.consensus.replica import Another, Late
 from meadowworks.controlplane.config_service import Office
 from meadowworks.controlplane.drain_service import Fencing
 from meadowworks.registry.heartbeats import Bad, Beats, Full, Nearby, Taken
 from meadowworks.runtime import logging as logs
-from meadowworks.runtime.cooperative import aside
+from meadowworks.runtime.cooperative import run_cooperatively
 from meadowworks.runtime.process import now_ns
 
 HELD_S = 0.7  # that a drain's acknowledgement waits for disks to hold it: a caller gives a beat a second
@@ -22,7 +22,7 @@
 PROPOSE_NS, BYTE_NS = 800_000_000, 100  # and so much more a byte: it is compressed, sent, and twice on a disk
 READ_NS = 800_000_000
 LARGE = 1 << 18  # bytes of a configuration from which on one is checked at a time
-log = logs.part("ctl")
+log = logs.get_logger("ctl")
 
 
 @dataclass(frozen=True, slots=True)
@@ -105,10 +105,10 @@
     async def replace(self, ident: str, body: bytes) -> Answer:
         if not self.office.replica.sure(now_ns()):
             return error(503, "no majority of disks is in touch", 1.0)
-        found = await aside(checking(body), self.one if len(body) > LARGE else None)
-        if isinstance(found, Invalid):
-            log.info("configuration refused: {}", found.why)
-            return error(400, found.why)
+        found = await run_cooperatively(validation_steps(body), self.one if len(body) > LARGE else None)
+        if isinstance(found, InvalidConfiguration):
+            log.info("configuration refused: {}", found.reason)
+            return error(400, found.reason)
         match await self.office.order(found.version, body, PROPOSE_NS + BYTE_NS * len(body)):
             case Another():
                 return error(409, f"version {found.version:08x} has another content")
--- a/meadowworks/controlplane/config_service.py
+++ b/meadowworks/controlplane/config_service.py
@@ -29,15 +29,15 @@
 )
 from meadowworks.gossip import messages as post
 from meadowworks.runtime import logging as logs
-from meadowworks.runtime.errors import NoAnswer
-from meadowworks.runtime.node_settings import Boot
+from meadowworks.runtime.errors import RequestError
+from meadowworks.runtime.node_settings import NodeSettings
 from meadowworks.runtime.peer_client import Peer
 from meadowworks.runtime.process import Tasks, now_ns
 from meadowworks.storage.sqlite_store import Disk
 
 LETTER_S = 1.0  # that a request's reply is waited for
 SMALL = 4096  # bytes above which a body is compressed off the loop
-log = logs.part("table")
+log = logs.get_logger("table")
 Outcome = Any  # of an order: what replica.Answer holds
 
 
@@ -46,7 +46,7 @@
 
     def __init__(
         self,
-        boot: Boot,
+        boot: NodeSettings,
         disk: Disk,
         peers: Callable[[str, int], Peer],
         in_force: Callable[[Held], None],
@@ -57,15 +57,17 @@
         acceptor = acceptor_for(
             stored.meta,
             disk=uuid4().hex,
-            address=f"{boot.ip}:{boot.inner}",
-            seeds=tuple(f"{host}:{boot.inner}" for host, _ in boot.seeds),  # ports are alike on all machines
+            address=f"{boot.ip}:{boot.peer_port}",
+            seeds=tuple(
+                f"{host}:{boot.peer_port}" for host, _ in boot.seeds
+            ),  # ports are alike on all machines
             bootstrap=boot.bootstrap,
             voting=boot.voting,
             held=stored.held,
             history=stored.history,
             slots=stored.slots,
         )
-        self.replica = Replica(acceptor, boot.tolerate, random.random)
+        self.replica = Replica(acceptor, boot.tolerated_failures, random.random)
         self.thread = ThreadPoolExecutor(1)
         self.orders: dict[int, asyncio.Future[Outcome]] = {}
         self.count = 0
@@ -142,7 +144,7 @@
             question, who, reply = read_reply(raw)
             if question != what.question:
                 raise post.Garbled("the reply to another question")
-        except (NoAnswer, *post.SHAPE) as trouble:
+        except (RequestError, *post.SHAPE) as trouble:
             log.debug("a request without reply: {}", trouble)
             self.replica.failed(now_ns(), what.question)
         else:
--- a/meadowworks/controlplane/drain_service.py
+++ b/meadowworks/controlplane/drain_service.py
@@ -14,7 +14,7 @@
 from meadowworks.storage.sqlite_store import Disk
 
 AGAIN_S = 0.2  # before a write that the disk has refused is tried again
-log = logs.part("box")
+log = logs.get_logger("box")
 
 
 class Fencing:
--- a/meadowworks/controlplane/server.py
+++ b/meadowworks/controlplane/server.py
@@ -28,10 +28,10 @@
 from meadowworks.registry.heartbeats import PREFIX as BACKENDS
 from meadowworks.registry.heartbeats import Beats
 from meadowworks.runtime import logging as logs
-from meadowworks.runtime.cooperative import aside, deflating, inflating
-from meadowworks.runtime.errors import BadSettings, NoAnswer
-from meadowworks.runtime.http_server import Cut, Door, Limits, answer, whole_body
-from meadowworks.runtime.node_settings import Boot, load
+from meadowworks.runtime.cooperative import compress_steps, decompress_steps, run_cooperatively
+from meadowworks.runtime.errors import RequestError, SettingsError
+from meadowworks.runtime.http_server import BodyError, HttpServer, RequestLimits, read_body, send_response
+from meadowworks.runtime.node_settings import NodeSettings, load_settings
 from meadowworks.runtime.peer_client import Peer
 from meadowworks.runtime.process import Tasks, now_ns, run
 from meadowworks.storage.sqlite_store import Disk
@@ -46,14 +46,14 @@
 BODY_S = 300.0  # that an operator's body may take: 7 MB over a line of 200 kbit/s; a part is waited for 30 s
 BODIES = 0.25  # part of the memory that such bodies may take while they come
 OWN_PART = 0.1  # of it that one may have: its check takes four times its size beside it
-log = logs.part("box")
+log = logs.get_logger("box")
 
 
 class Signalbox:
-    def __init__(self, boot: Boot) -> None:
+    def __init__(self, boot: NodeSettings) -> None:
         self.boot = boot
         self.life = f"{boot.node}.{uuid4().hex[:8]}"
-        card = Card(boot.node, boot.ip, boot.inner, boot.zone, boot.voting, self.life, int(time.time()))
+        card = Card(boot.node, boot.ip, boot.peer_port, boot.zone, boot.voting, self.life, int(time.time()))
         self.members = Members(card, random.getrandbits(32))
         self.news = News(self.life)
         self.news.listeners.append(self.told)
@@ -70,7 +70,7 @@
         self.summed_ns = now_ns()
         self.pulse = 0
         self.leaving = False
-        folder = boot.datadir or tempfile.mkdtemp(prefix="meadowworks-")
+        folder = boot.data_dir or tempfile.mkdtemp(prefix="meadowworks-")
         self.tasks = Tasks()
         self.office = Office(boot, Disk(folder), self.peer, self.learnt, self.tasks)
         self.kept = self.office.disk.lives()
@@ -80,11 +80,11 @@
         self.beats.restore(now_ns(), fenced | read(self.kept))
         self.backends = Backends(self.beats, self.fencing, self.held_by_enough, self.near, self.sure)
         self.routes = routes(self.backends, Config(self.office))
-        self.inner_door = Door(self.inner, Limits(65536, 3.0, 30.0), life=self.life)
-        self.room = Room(int(boot.mem_mb * 1e6 * BODIES))
+        self.inner_door = HttpServer(self.inner, RequestLimits(65536, 3.0, 30.0), incarnation=self.life)
+        self.room = Room(int(boot.memory_mb * 1e6 * BODIES))
         self.packed: tuple[int, bytes] = (0, b"")  # the version held and its configuration, compressed
         self.packing: tuple[int, asyncio.Task[bytes]] | None = None
-        self.ctl_door = Door(self.ctl, Limits(65536, 3.0, 30.0))
+        self.ctl_door = HttpServer(self.ctl, RequestLimits(65536, 3.0, 30.0))
 
     def peer(self, host: str, port: int) -> Peer:
         return self.peers.setdefault((host, port), Peer(host, port))
@@ -97,7 +97,9 @@
         """Of the epoch's members: whoever else may vote may be gone for good tomorrow."""
         members = self.office.replica.acceptor.newest().members
         hosts = {address.rpartition(":")[0] for _, address in members} - {self.boot.ip}
-        return self.fences.kept(version, hosts, self.boot.tolerate, self.office.replica.acceptor.votes())
+        return self.fences.kept(
+            version, hosts, self.boot.tolerated_failures, self.office.replica.acceptor.votes()
+        )
 
     def near(self, ident: str) -> list[str]:
         """Ctl addresses of signalboxes in a backend's zone, if this one is of another; ports are alike."""
@@ -125,24 +127,24 @@
     # -- the inner door
 
     async def inner(self, scope: Any, receive: Any, send: Any) -> None:
-        body = await whole_body(receive, BODY_MOST)
-        if isinstance(body, Cut):
-            return await answer(send, 413)
+        body = await read_body(receive, BODY_MOST)
+        if isinstance(body, BodyError):
+            return await send_response(send, 413)
         try:
             match scope["path"]:
                 case "/pull":
-                    return await answer(send, 200, await self.pulled(post.read_pull(body)), [])
+                    return await send_response(send, 200, await self.pulled(post.read_pull(body)), [])
                 case "/letter":
-                    return await answer(send, 200, await self.office.asked(body), [])
+                    return await send_response(send, 200, await self.office.asked(body), [])
                 case "/status":
-                    return await answer(send, 200, json.dumps(self.status()).encode())
+                    return await send_response(send, 200, json.dumps(self.status()).encode())
         except post.SHAPE as trouble:
             log.warning("a call without sense: {}", trouble)
-            return await answer(send, 400)
+            return await send_response(send, 400)
         except sqlite3.Error as trouble:
             log.warning("the disk refuses: {}", trouble)
-            return await answer(send, 503)
-        await answer(send, 404)
+            return await send_response(send, 503)
+        await send_response(send, 404)
 
     async def pulled(self, pull: post.Pull) -> bytes:
         now = now_ns()
@@ -188,7 +190,7 @@
         """Compresses the configuration held, once for all who lack it."""
         held = self.held
         if self.packing is None or self.packing[0] != held.version:
-            self.packing = held.version, self.tasks.start(aside(deflating(held.content)))
+            self.packing = held.version, self.tasks.start(run_cooperatively(compress_steps(held.content)))
         version, task = self.packing
         self.packed = version, await asyncio.shield(task)
 
@@ -242,8 +244,11 @@
                 try:
                     news = post.read_news(await peer.call(b"/pull", pull.pack(), PULL_S))
                     version, packed = news.table or (0, b"")
-                    held = Held(version, await aside(inflating(packed, BODY_MOST)) if version else b"")
-                except (NoAnswer, ValueError) as trouble:
+                    held = Held(
+                        version,
+                        await run_cooperatively(decompress_steps(packed, BODY_MOST)) if version else b"",
+                    )
+                except (RequestError, ValueError) as trouble:
                     log.debug("no news: {}", trouble)
                     await asyncio.sleep(0.2 if self.sure() else 0.05)
                     continue
@@ -273,7 +278,7 @@
     def neighbours(self) -> None:
         """Begins to pull from each signalbox that is known, and from seeds that nobody speaks for."""
         at = [(c.host, c.port) for c in self.members.voters()]
-        for address in [*at, *self.members.lonely(self.boot.seeds, self.boot.inner)]:
+        for address in [*at, *self.members.lonely(self.boot.seeds, self.boot.peer_port)]:
             if address not in self.pulling and address[0] != self.boot.ip:
                 self.pulling.add(address)
                 self.tasks.start(self.pull(*address))
@@ -331,37 +336,39 @@
     # -- the outer door
 
     async def ctl(self, scope: Any, receive: Any, send: Any) -> None:
-        most = min(BODY_MOST, int(self.boot.mem_mb * 1e6 * OWN_PART))
-        body = await whole_body(receive, most, self.room, BODY_S)
-        if isinstance(body, Cut):
-            return await answer(send, {Cut.LARGE: 413, Cut.FULL: 503}.get(body, 408))
+        most = min(BODY_MOST, int(self.boot.memory_mb * 1e6 * OWN_PART))
+        body = await read_body(receive, most, self.room, BODY_S)
+        if isinstance(body, BodyError):
+            return await send_response(
+                send, {BodyError.TOO_LARGE: 413, BodyError.OUT_OF_MEMORY: 503}.get(body, 408)
+            )
         name, _, ident = scope["path"].removeprefix("/api/").partition("/")
         act = self.routes.get((scope["method"], name))
         if act is None or not scope["path"].startswith("/api/"):
-            return await answer(send, 404, b'{"err":"there is no such call"}')
+            return await send_response(send, 404, b'{"err":"there is no such call"}')
         try:
             found = await act(ident, body)
         except sqlite3.Error as trouble:
             log.warning("the disk refuses: {}", trouble)
-            return await answer(send, 503, b'{"err":"the disk refuses"}')
+            return await send_response(send, 503, b'{"err":"the disk refuses"}')
         headers = [(b"content-type", b"application/json")]
         if found.retry_s:
             headers.append((b"retry-after", f"{found.retry_s:g}".encode()))
-        await answer(send, found.status, found.body, headers)
+        await send_response(send, found.status, found.body, headers)
 
     def again(self) -> None:
         """Reads the settings again: the seeds may be others now."""
         try:
-            self.boot = load()
-        except BadSettings as trouble:
+            self.boot = load_settings()
+        except SettingsError as trouble:
             log.warning("settings not taken, the old ones stand: {}", trouble)
 
     async def serve(self, told: asyncio.Future[None]) -> None:
         asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, self.again)
         inner, ctl = self.inner_door, self.ctl_door
-        await inner.open(self.boot.ip, self.boot.inner)
+        await inner.listen(self.boot.ip, self.boot.peer_port)
         await self.office.begin()
-        await ctl.open(*self.boot.bind["ctl"])
+        await ctl.listen(*self.boot.bind["ctl"])
         log.info("{} serves", self.boot.node)
         self.neighbours()
         self.tasks.start(self.tasks.every(1.0, self.second))
@@ -373,18 +380,18 @@
         self.leaving = True
         loop = asyncio.get_running_loop()
         start, grace_s = loop.time(), self.boot.bounds.grace_s
-        ctl.leave()
+        ctl.drain()
         self.ring()
         # What stands here alone is handed over before the others hear no more of this disk.
         handed = await self.office.leave(int(grace_s / 2 * 1e9))
         log.info("handed over: {}", type(handed).__name__)
-        inner.leave()
+        inner.drain()
         self.ring()
-        while loop.time() < start + min(1.5, grace_s / 2) and (ctl.at_work() or inner.at_work()):
+        while loop.time() < start + min(1.5, grace_s / 2) and (ctl.pending_count() or inner.pending_count()):
             await asyncio.sleep(0.05)
 
 
-async def serve(boot: Boot, told: asyncio.Future[None]) -> None:
+async def serve(boot: NodeSettings, told: asyncio.Future[None]) -> None:
     await Signalbox(boot).serve(told)
 
 
--- a/meadowworks/fleet/listener.py
+++ b/meadowworks/fleet/listener.py
@@ -29,7 +29,7 @@
     decode,
     strange,
 )
-from meadowworks.runtime.connection_limit import Collectors, Crowd
+from meadowworks.runtime.connection_limit import Collectors, ConnectionLimit
 
 SECOND = 1_000_000_000
 BOUNDS = Bounds()
@@ -49,7 +49,7 @@
 
     def __init__(self, module: Mailbox[News], zones: Container[str], proxies: int, sockets: int) -> None:
         self.module, self.zones, self.proxies = module, zones, proxies
-        self.crowd: Crowd[Connection] = Crowd(sockets - SPARE, int(GRACE_S * SECOND))
+        self.crowd: ConnectionLimit[Connection] = ConnectionLimit(sockets - SPARE, int(GRACE_S * SECOND))
         self.collectors: Collectors[Mailbox[Told]] = Collectors(COLLECTORS_MOST)
         self.peers: set[asyncio.Task[None]] = set()
 
@@ -88,8 +88,8 @@
 
     async def room(self) -> None:
         loop = asyncio.get_running_loop()
-        while self.crowd.full():
-            oldest, wait_ns = self.crowd.gives_way(int(loop.time() * SECOND))
+        while self.crowd.is_full():
+            oldest, wait_ns = self.crowd.next_eviction(int(loop.time() * SECOND))
             if oldest:
                 oldest.life.crowded()
             await asyncio.sleep(min(AGAIN_S, wait_ns / SECOND) if oldest or wait_ns else AGAIN_S)
@@ -129,7 +129,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
-        self.door.crowd.come(int(self._loop.time() * SECOND), self)
+        self.door.crowd.on_open(int(self._loop.time() * SECOND), self)
         # Never put off: who only asks for signs of life holds a descriptor as the silent do.
         self.limit = self._loop.call_later(STRANGER_S, self.life.late)
 
@@ -159,7 +159,7 @@
 
     def connection_lost(self, exc: BaseException | None) -> None:
         super().connection_lost(exc)
-        self.door.crowd.gone(self)
+        self.door.crowd.on_close(self)
         self.life.lost("closed" if exc is None else f"{exc}")
         if not self.life.first:
             del self.life.line  # guards against crowds that only a collection of garbage would free
@@ -182,7 +182,7 @@
             self.transport.abort()
 
     def named(self) -> None:
-        self.door.crowd.named(self)
+        self.door.crowd.protect(self)
         if self.limit:
             self.limit.cancel()
 
--- a/meadowworks/local/hostile_clients.py
+++ b/meadowworks/local/hostile_clients.py
@@ -21,20 +21,20 @@
 
 from meadowworks.cli.main import Bad
 from meadowworks.cli.operations import call
-from meadowworks.local.backend import Backend
-from meadowworks.local.commands import ROUTES, start
-from meadowworks.local.system import BEAT_MS, Plan, configuration, free_ports
-
-HEAD = b"GET /read/x HTTP/1.1\r\nHost: local.example\r\nX-Request-Id: %d\r\n\r\n"
-POST = b"POST /read/x HTTP/1.1\r\nHost: local.example\r\nContent-Length: %d\r\n\r\n"
-CHUNKED = b"POST /read/x HTTP/1.1\r\nHost: local.example\r\nTransfer-Encoding: chunked\r\n\r\n"
-LIARS = (
-    POST % 5 + b"ab",  # less than it says, then gone
-    CHUNKED.replace(b"Host", b"Content-Length: 5\r\nHost") + b"0\r\n\r\n",
-    HEAD % 1 + b"\x00\xff not a request\r\n\r\n",
-    HEAD.replace(b"Host", b"Host: a\r\nHost") % 1,
+from meadowworks.local.backend import StubBackend
+from meadowworks.local.commands import DEMO_ROUTES, start_node
+from meadowworks.local.system import HEARTBEAT_INTERVAL_MS, SystemLayout, build_configuration, free_ports
+
+GET_REQUEST = b"GET /read/x HTTP/1.1\r\nHost: local.example\r\nX-Request-Id: %d\r\n\r\n"
+POST_HEADERS = b"POST /read/x HTTP/1.1\r\nHost: local.example\r\nContent-Length: %d\r\n\r\n"
+CHUNKED_POST_HEADERS = b"POST /read/x HTTP/1.1\r\nHost: local.example\r\nTransfer-Encoding: chunked\r\n\r\n"
+MALFORMED_REQUESTS = (
+    POST_HEADERS % 5 + b"ab",  # less than it says, then gone
+    CHUNKED_POST_HEADERS.replace(b"Host", b"Content-Length: 5\r\nHost") + b"0\r\n\r\n",
+    GET_REQUEST % 1 + b"\x00\xff not a request\r\n\r\n",
+    GET_REQUEST.replace(b"Host", b"Host: a\r\nHost") % 1,
     b"GET /read/x HTTP/1.1\r\nHost: local.example\r\nX: " + b"y" * 40_000,
-    CHUNKED + b"ffffffffffffffffff\r\n",
+    CHUNKED_POST_HEADERS + b"ffffffffffffffffff\r\n",
 )
 KB = 1024
 
@@ -44,12 +44,12 @@
     sent: int = 0
     served: int = 0
     slowest_s: float = 0.0
-    rude: dict[str, int] = field(default_factory=dict)
+    hostile_connections: dict[str, int] = field(default_factory=dict)
     rss_mb: list[float] = field(default_factory=list)
     fds: list[int] = field(default_factory=list)
 
     def count(self, kind: str) -> None:
-        self.rude[kind] = self.rude.get(kind, 0) + 1
+        self.hostile_connections[kind] = self.hostile_connections.get(kind, 0) + 1
 
 
 def rude(
@@ -61,11 +61,11 @@
     served, memory stayed flat and no descriptor was left."""
     if not 5 <= seconds <= 600 or not 1 <= clients <= 100:
         raise Bad("--seconds is from 5 to 600, --clients from 1 to 100")
-    plan = Plan(79, free_ports(), signalboxes=1, junctions=1)
+    plan = SystemLayout(79, free_ports(), control_plane_nodes=1, proxies=1)
     with tempfile.TemporaryDirectory(prefix="meadowworks-") as folder:
-        parts = [start(plan, place, Path(folder)) for place in (0, 1)]
+        parts = [start_node(plan, place, Path(folder)) for place in (0, 1)]
         try:
-            tally, idle = asyncio.run(play(plan, parts[1].pid, seconds, clients))
+            tally, idle = asyncio.run(run_clients(plan, parts[1].pid, seconds, clients))
         finally:
             for part in parts:
                 part.terminate()
@@ -78,7 +78,7 @@
         "sent": tally.sent,
         "served": tally.served,
         "slowest_s": round(tally.slowest_s, 3),
-        "rude": tally.rude,
+        "rude": tally.hostile_connections,
         "rss_mb_middle_third": round(early, 1),
         "rss_mb_last_third": round(late, 1),
         "rss_mb_most": round(max(tally.rss_mb), 1),
@@ -104,26 +104,31 @@
     return pages * os.sysconf("SC_PAGE_SIZE") / 1e6
 
 
-async def play(plan: Plan, pid: int, seconds: float, clients: int) -> tuple[Tally, tuple[int, int]]:
+async def run_clients(
+    layout: SystemLayout, pid: int, seconds: float, clients: int
+) -> tuple[Tally, tuple[int, int]]:
     """What was counted, and the junction's descriptors before and after."""
     made = [
-        Backend(f"{svc}-{k}", svc, "south", plan.host(20 + k))
+        StubBackend(f"{svc}-{k}", svc, "south", layout.ip_address(20 + k))
         for svc in ("lookup", "orders")
         for k in range(2)
     ]
     for backend in made:
-        await backend.open()
-    beats = [asyncio.create_task(backend.beats(plan.ctls(), BEAT_MS / 1000)) for backend in made]
-    host, port = plan.https()[0]
+        await backend.start()
+    beats = [
+        asyncio.create_task(backend.run_heartbeats(layout.control_addresses(), HEARTBEAT_INTERVAL_MS / 1000))
+        for backend in made
+    ]
+    host, port = layout.proxy_addresses()[0]
     tally, end = Tally(), 0.0
     try:
-        await ready(plan)
+        await wait_until_ready(layout)
         before = descriptors(pid)
         end = time.monotonic() + seconds
         kinds = (slow_headers, slow_body, stops, deaf, liar, comes_and_goes, large)
-        rudes = [again(kind, host, port, tally, end) for kind in kinds for _ in range(clients)]
-        good = [polite(host, port, tally, end, k) for k in range(4)]
-        await asyncio.gather(watch(pid, tally, end), *good, *rudes)
+        rudes = [repeat_behaviour(kind, host, port, tally, end) for kind in kinds for _ in range(clients)]
+        good = [run_polite_client(host, port, tally, end, k) for k in range(4)]
+        await asyncio.gather(sample_resources(pid, tally, end), *good, *rudes)
         after, patience = (
             descriptors(pid),
             time.monotonic() + 20,
@@ -136,18 +141,22 @@
         for beat in beats:
             beat.cancel()
         for backend in made:
-            backend.end()
+            backend.stop()
 
 
-async def ready(plan: Plan) -> None:
+async def wait_until_ready(layout: SystemLayout) -> None:
     """The configuration is taken and the junction serves. Raises Bad after half a minute."""
-    (ctl,), (http,) = plan.ctls(), plan.https()
+    (ctl,), (http,) = layout.control_addresses(), layout.proxy_addresses()
     patience = time.monotonic() + 30
     while time.monotonic() < patience:
         try:
             at = f"{ctl[0]}:{ctl[1]}"
-            await asyncio.to_thread(call, at, b"POST", b"/api/Config.Replace", configuration(1, ROUTES))
-            if (await asyncio.to_thread(call, f"{http[0]}:{plan.ports.readyz}", b"GET", b"/")).status == 200:
+            await asyncio.to_thread(
+                call, at, b"POST", b"/api/Config.Replace", build_configuration(1, DEMO_ROUTES)
+            )
+            if (
+                await asyncio.to_thread(call, f"{http[0]}:{layout.ports.readyz}", b"GET", b"/")
+            ).status == 200:
                 return
         except Bad:
             pass
@@ -155,17 +164,17 @@
     raise Bad("the junction did not come up")
 
 
-async def watch(pid: int, tally: Tally, end: float) -> None:
+async def sample_resources(pid: int, tally: Tally, end: float) -> None:
     while time.monotonic() < end:
         tally.rss_mb.append(resident_mb(pid))
         tally.fds.append(descriptors(pid))
         await asyncio.sleep(0.5)
 
 
-Kind = Callable[[asyncio.StreamReader, asyncio.StreamWriter, int], Awaitable[None]]
+ClientBehaviour = Callable[[asyncio.StreamReader, asyncio.StreamWriter, int], Awaitable[None]]
 
 
-async def again(kind: Kind, host: str, port: int, tally: Tally, end: float) -> None:
+async def repeat_behaviour(kind: ClientBehaviour, host: str, port: int, tally: Tally, end: float) -> None:
     turn = 0
     while time.monotonic() < end:
         turn += 1
@@ -184,7 +193,7 @@
             writer.transport.abort()
 
 
-async def drip(writer: asyncio.StreamWriter, data: bytes, pause_s: float) -> None:
+async def write_slowly(writer: asyncio.StreamWriter, data: bytes, pause_s: float) -> None:
     for byte in data:
         writer.write(bytes([byte]))
         await writer.drain()
@@ -192,46 +201,46 @@
 
 
 async def slow_headers(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, turn: int) -> None:
-    await drip(writer, HEAD % turn, 0.2)
+    await write_slowly(writer, GET_REQUEST % turn, 0.2)
 
 
 async def slow_body(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, turn: int) -> None:
-    writer.write(POST % 500_000)
-    await drip(writer, b"z" * 10_000, 0.05)
+    writer.write(POST_HEADERS % 500_000)
+    await write_slowly(writer, b"z" * 10_000, 0.05)
 
 
 async def stops(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, turn: int) -> None:
-    writer.write(POST % 500_000 + b"z" * 100 * KB)
+    writer.write(POST_HEADERS % 500_000 + b"z" * 100 * KB)
     await reader.read()
 
 
 async def deaf(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, turn: int) -> None:
     """Asks and asks, and reads nothing."""
     for number in range(2000):
-        writer.write(HEAD % number)
+        writer.write(GET_REQUEST % number)
         await writer.drain()
 
 
 async def liar(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, turn: int) -> None:
-    writer.write(LIARS[turn % len(LIARS)])
+    writer.write(MALFORMED_REQUESTS[turn % len(MALFORMED_REQUESTS)])
     await asyncio.sleep(0.05)
 
 
 async def comes_and_goes(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, turn: int) -> None:
-    writer.write((HEAD % turn)[: turn % 60])
+    writer.write((GET_REQUEST % turn)[: turn % 60])
     await asyncio.sleep(0.01)
 
 
 async def large(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, turn: int) -> None:
     """Twice as much as the configuration allows."""
-    writer.write(POST % (2 << 20))
+    writer.write(POST_HEADERS % (2 << 20))
     for _ in range(32):
         writer.write(b"z" * 64 * KB)
         await writer.drain()
     await reader.read(100)
 
 
-async def polite(host: str, port: int, tally: Tally, end: float, place: int) -> None:
+async def run_polite_client(host: str, port: int, tally: Tally, end: float, client_index: int) -> None:
     """Five requests a second, each on a connection of its own, and all wanted back within two seconds."""
     number = 0
     while time.monotonic() < end - 2:
@@ -242,7 +251,8 @@
             async with asyncio.timeout(2.0):
                 reader, writer = await asyncio.open_connection(host, port)
                 writer.write(
-                    HEAD.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n") % (place << 32 | number)
+                    GET_REQUEST.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n")
+                    % (client_index << 32 | number)
                 )
                 said = await reader.read()
                 tally.served += said.startswith(b"HTTP/1.1 200")
--- a/meadowworks/local/system.py
+++ b/meadowworks/local/system.py
@@ -9,15 +9,15 @@
 from typing import Any
 
 ZONES = {"north": "loop", "south": "loop"}
-BEAT_MS = 500
+HEARTBEAT_INTERVAL_MS = 500
 
 
 @dataclass(frozen=True, slots=True)
 class Ports:
     http: int
     readyz: int
-    ctl: int
-    inner: int
+    control: int
+    peer: int
 
 
 def free_ports() -> Ports:
@@ -33,7 +33,7 @@
     return Ports(*numbers)
 
 
-def taken(addresses: list[tuple[str, int]]) -> str | None:
+def first_unavailable(addresses: list[tuple[str, int]]) -> str | None:
     """The first address that cannot be listened at, with the reason."""
     for host, port in addresses:
         try:
@@ -44,58 +44,60 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
+class SystemLayout:
     """Controllers with their settings, as JSON values. `net` is the third number of the addresses."""
 
-    net: int
+    subnet: int
     ports: Ports
-    signalboxes: int = 3
-    junctions: int = 2
+    control_plane_nodes: int = 3
+    proxies: int = 2
 
-    def host(self, place: int) -> str:
-        return f"127.0.{self.net}.{place + 1}"
+    def ip_address(self, index: int) -> str:
+        return f"127.0.{self.subnet}.{index + 1}"
 
-    def ctls(self) -> list[tuple[str, int]]:
-        return [(self.host(k), self.ports.ctl) for k in range(self.signalboxes)]
+    def control_addresses(self) -> list[tuple[str, int]]:
+        return [(self.ip_address(k), self.ports.control) for k in range(self.control_plane_nodes)]
 
-    def https(self) -> list[tuple[str, int]]:
-        return [(self.host(self.signalboxes + k), self.ports.http) for k in range(self.junctions)]
+    def proxy_addresses(self) -> list[tuple[str, int]]:
+        return [(self.ip_address(self.control_plane_nodes + k), self.ports.http) for k in range(self.proxies)]
 
-    def addresses(self) -> list[tuple[str, int]]:
-        p, n = self.ports, self.signalboxes
-        found = [(self.host(k), port) for k in range(n) for port in (p.ctl, p.inner)]
+    def all_addresses(self) -> list[tuple[str, int]]:
+        p, n = self.ports, self.control_plane_nodes
+        found = [(self.ip_address(k), port) for k in range(n) for port in (p.control, p.peer)]
         return found + [
-            (self.host(n + k), port) for k in range(self.junctions) for port in (p.http, p.readyz, p.inner)
+            (self.ip_address(n + k), port) for k in range(self.proxies) for port in (p.http, p.readyz, p.peer)
         ]
 
-    def settings(self, place: int, folder: Path | None, bootstrap: bool = True) -> dict[str, Any]:
+    def node_settings(self, index: int, data_dir: Path | None, bootstrap: bool = True) -> dict[str, Any]:
         """`place` counts the signalboxes first. `folder` is where a signalbox keeps its disk."""
-        box, zones = place < self.signalboxes, list(ZONES)
-        ip, p = self.host(place), self.ports
-        bind = {"ctl": f"{ip}:{p.ctl}"} if box else {"http": f"{ip}:{p.http}", "readyz": f"{ip}:{p.readyz}"}
+        box, zones = index < self.control_plane_nodes, list(ZONES)
+        ip, p = self.ip_address(index), self.ports
+        bind = (
+            {"ctl": f"{ip}:{p.control}"} if box else {"http": f"{ip}:{p.http}", "readyz": f"{ip}:{p.readyz}"}
+        )
         return {
             "self": {
-                "node": f"{'signalbox' if box else 'junction'}-{place}",
+                "node": f"{'signalbox' if box else 'junction'}-{index}",
                 "serves": ["ctl" if box else "edge"],
                 "ip": ip,
-                "zone": zones[place % len(zones)],
+                "zone": zones[index % len(zones)],
                 "region": "loop",
                 "voting": box,
                 "bootstrap": bootstrap,
-                "datadir": str(folder) if box and folder else None,
+                "datadir": str(data_dir) if box and data_dir else None,
             },
             "network": {
                 "bind": bind,
-                "portRange": [p.inner, p.inner],
+                "portRange": [p.peer, p.peer],
                 "zones": ZONES,
-                "seeds": [f"{host}:{port}" for host, port in self.ctls()[:3]],
+                "seeds": [f"{host}:{port}" for host, port in self.control_addresses()[:3]],
             },
-            "infra": {"heartbeatMs": BEAT_MS},
-            "terms": {"tolerate": {"nodes": (self.signalboxes - 1) // 2}},
+            "infra": {"heartbeatMs": HEARTBEAT_INTERVAL_MS},
+            "terms": {"tolerate": {"nodes": (self.control_plane_nodes - 1) // 2}},
         }
 
 
-def configuration(version: int, routes: dict[str, tuple[str, str]], tries: int = 2) -> bytes:
+def build_configuration(version: int, routes: dict[str, tuple[str, str]], max_attempts: int = 2) -> bytes:
     """A configuration of one host, `local.example`; `routes` gives type and service by prefix."""
     prefixes = [
         {
@@ -106,7 +108,7 @@
             "targetMs": 500,
             "prio": 1,
             "svc": svc,
-            "tries": tries,
+            "tries": max_attempts,
         }
         for k, (prefix, (kind, svc)) in enumerate(routes.items())
     ]
--- a/meadowworks/modelcheck/models/connection.py
+++ b/meadowworks/modelcheck/models/connection.py
@@ -33,7 +33,7 @@
 from meadowworks.fleet.streams import Streams
 from meadowworks.fleet.table_updates import Orders
 from meadowworks.modelcheck.model import Live, Model, Property, Step, taken
-from meadowworks.runtime.connection_limit import Crowd
+from meadowworks.runtime.connection_limit import ConnectionLimit
 
 BOUNDS = Bounds(unsent=1, unreadable=2, strange=1)  # messages, lines and bytes that a world has room for
 REPORTS_MOST = 1
@@ -108,7 +108,7 @@
         self.open = False
 
     def named(self) -> None:
-        self.world.crowd.named(self.place)
+        self.world.crowd.protect(self.place)
 
     def employ(self, first: Attach | Collector) -> None:
         self.hired = True
@@ -146,7 +146,7 @@
         self.module: Mailbox[News] = Mailbox(REPORTS_MOST)
         self.orders = Orders(("all",), {0: "b"})
         self.streams = Streams(self.orders)
-        self.crowd: Crowd[int] = Crowd(scene.descriptors, 0)
+        self.crowd: ConnectionLimit[int] = ConnectionLimit(scene.descriptors, 0)
         self.sides = [Side(self, k) for k in range(scene.proxies + scene.strangers)]
         self.heard = [Heard() for _ in self.sides]
         self.orders_left, self.mark, self.weight = scene.orders, 0, 1.0
@@ -162,9 +162,9 @@
         found: list[Step] = []
         for k, side in enumerate(self.sides):
             if side.other == AWAY:
-                if not self.crowd.full():
+                if not self.crowd.is_full():
                     found.append(("dial", k))
-                elif self.crowd.strangers:
+                elif self.crowd.evictable:
                     found.append(("crowd", k))
                 continue
             if side.other in (HERE, DEAF):
@@ -214,12 +214,12 @@
     def do_dial(self, k: int) -> None:
         side = self.sides[k]
         side.other, side.open = HERE, True
-        self.crowd.come(self.now, k)
+        self.crowd.on_open(self.now, k)
 
     def do_crowd(self, k: int) -> None:
         """Somebody waits for a descriptor, and there is none."""
         self.now += 1
-        oldest, _ = self.crowd.gives_way(self.now)
+        oldest, _ = self.crowd.next_eviction(self.now)
         if oldest is not None:
             self.did.append(("gave way", bool(self.sides[oldest].life.first)))
             self.sides[oldest].life.crowded()
@@ -273,7 +273,7 @@
     def do_lost(self, k: int) -> None:
         side = self.sides[k]
         side.open, side.told_lost = False, True
-        self.crowd.gone(k)
+        self.crowd.on_close(k)
         side.life.lost("closed")
 
     def do_begin(self, k: int) -> None:
@@ -419,8 +419,8 @@
             self.orders_left,
             self.weight,
             self.bound,
-            self.crowd.open,
-            tuple(self.crowd.strangers),
+            self.crowd.open_count,
+            tuple(self.crowd.evictable),
         )
 
     def freeze(self) -> Any:
@@ -440,8 +440,8 @@
         key
     )
     world.module = Mailbox(REPORTS_MOST)
-    world.crowd = Crowd(scene.descriptors, 0)
-    world.crowd.open, world.crowd.strangers = held, dict.fromkeys(strangers, 0)
+    world.crowd = ConnectionLimit(scene.descriptors, 0)
+    world.crowd.open_count, world.crowd.evictable = held, dict.fromkeys(strangers, 0)
     world.sides = [Side(world, k) for k in range(len(sides))]
     world.heard = []
     for s, kept in zip(world.sides, sides, strict=True):
@@ -539,7 +539,7 @@
 
 
 def descriptors(world: World) -> bool:
-    return world.crowd.open <= world.scene.descriptors and world.crowd.open == sum(
+    return world.crowd.open_count <= world.scene.descriptors and world.crowd.open_count == sum(
         side.other != AWAY and not side.told_lost for side in world.sides
     )
 
--- a/meadowworks/modelcheck/models/wires.py
+++ b/meadowworks/modelcheck/models/wires.py
@@ -27,8 +27,8 @@
 from meadowworks.proxy.upstream_attempt import Request, Tried
 from meadowworks.registry.backends import Backend
 from meadowworks.runtime import peer_client as peers
-from meadowworks.runtime.errors import NoAnswer
-from meadowworks.runtime.http_connection import Line, Stream
+from meadowworks.runtime.errors import RequestError
+from meadowworks.runtime.http_connection import BufferedStream, ClientConnection
 from meadowworks.runtime.peer_client import Peer
 
 LIVES = ("a", "b")
@@ -76,14 +76,14 @@
         self.answered = 0
         self.ran = self.never = False  # of the newest call
         self.rest = b""  # what is still to come of an answer that fell silent
-        self.stream = Stream()
+        self.stream = BufferedStream()
         self.stream.connection_made(cast(Any, self))
-        self.line = Line(self.stream, life, 80)
+        self.line = ClientConnection(self.stream, life, 80)
 
     def write(self, data: bytes) -> None:
         if not data:
             return
-        if self.stream.buffer or self.stream.ended:
+        if self.stream.buffer or self.stream.at_eof:
             self.world.wrong.add("clean lines")
         self.ran = self.never = False
         self.calls.append(self.world.ident(data))
@@ -102,7 +102,7 @@
         return None
 
     def awaited(self) -> bool:
-        return self.stream.waiter is not None and not self.stream.waiter.done()
+        return self.stream.read_waiter is not None and not self.stream.read_waiter.done()
 
     def pending(self) -> str | None:
         return self.calls[-1] if len(self.calls) > self.answered else None
@@ -156,7 +156,7 @@
         self.wires: list[Wire] = []
         self.asked: list[Asked] = []
         self.ran: dict[str, int] = {}
-        self.yard: Yard[Line] = Yard()
+        self.yard: Yard[ClientConnection] = Yard()
         self.peer = Peer("a", 80)
         self.cuts, self.extras, self.leaves = self.scene.cuts, self.scene.extras, self.scene.leaves
         self.earlier: list[asyncio.Task[Any]] = []
@@ -207,7 +207,7 @@
                 return
         raise AssertionError("a task goes on and on")
 
-    async def connect(self, host: str, port: int, wait_s: float, silent_ms: int = 0) -> Line:
+    async def connect(self, host: str, port: int, wait_s: float, silent_ms: int = 0) -> ClientConnection:
         wire = Wire(self, len(self.wires), host)
         self.wires.append(wire)
         return wire.line
@@ -271,7 +271,7 @@
             if task.cancelled():
                 return self.tell(r, 504)
             trouble = task.exception()
-            if trouble is not None and not isinstance(trouble, NoAnswer):
+            if trouble is not None and not isinstance(trouble, RequestError):
                 raise trouble
             return self.tell(r, 502) if trouble else self.tell(r, 200, task.result())
         tried = Tried(CANCELLED, None, 0) if task.cancelled() else task.result()
@@ -459,9 +459,9 @@
                         wire.never,
                         len(wire.rest),
                         len(wire.stream.buffer),
-                        wire.stream.ended,
-                        wire.line.keep,
-                        wire.line.connection.is_idle(),
+                        wire.stream.at_eof,
+                        wire.line.reusable,
+                        wire.line.http11.is_idle(),
                         unread(wire.line),
                     )
                     for wire in self.wires
@@ -470,21 +470,21 @@
             tuple([self.kept(line) for _, line in self.idle()]),
         )
 
-    def idle(self) -> list[tuple[str, Line]]:
+    def idle(self) -> list[tuple[str, ClientConnection]]:
         """Lines that are kept for a further call, and for whom."""
         backends = [(life, line) for life, stall in self.yard.stalls.items() for _, line in stall.idle]
         return backends + [("a", line) for line in self.peer.idle]
 
-    def kept(self, line: Line) -> int:
+    def kept(self, line: ClientConnection) -> int:
         return next(wire.number for wire in self.wires if wire.line is line)
 
 
 EXTRAS, NAMELESS = ((OK, 1), (OTHER, 1), (NOT_RUN, 0)), ((OK, 0), (NOT_RUN, 0))
 
 
-def unread(line: Line) -> int:
+def unread(line: ClientConnection) -> int:
     """Bytes behind an answer that the parser holds."""
-    return len(line.connection._h11_state.trailing_data[0])
+    return len(line.http11._h11_state.trailing_data[0])
 
 
 def thaw(state: tuple[Wiring, tuple[Step, ...]]) -> Wired:
--- a/meadowworks/modelcheck/seeded_faults/connection.py
+++ b/meadowworks/modelcheck/seeded_faults/connection.py
@@ -7,7 +7,7 @@
 
 LIFE, STREAMS = "meadowworks.fleet.connection_state:Life.", "meadowworks.fleet.streams:Streams."
 CROWD, ORDERS, BOX = (
-    "meadowworks.runtime.connection_limit:Crowd.",
+    "meadowworks.runtime.connection_limit:ConnectionLimit.",
     "meadowworks.fleet.table_updates:Orders.",
     "meadowworks.fleet.mailbox:",
 )
@@ -133,17 +133,17 @@
     Fault(
         "one too many is taken in",
         "connection",
-        CROWD + "full",
-        "self.open >= self.most",
-        "self.open > self.most",
+        CROWD + "is_full",
+        "self.open_count >= self.max_connections",
+        "self.open_count > self.max_connections",
         ("descriptors",),
         starts=(4,),
     ),
     Fault(
         "descriptors are not given back",
         "connection",
-        CROWD + "gone",
-        "self.open -= 1",
+        CROWD + "on_close",
+        "self.open_count -= 1",
         "pass",
         ("descriptors",),
         starts=(4,),
--- a/meadowworks/modelcheck/seeded_faults/upstream.py
+++ b/meadowworks/modelcheck/seeded_faults/upstream.py
@@ -5,15 +5,15 @@
 from meadowworks.modelcheck.fault import Fault
 
 CLIENTS, BREAKS, KEPT, NAMELESS, BETWEEN = tuple(range(9)), (9,), (10,), (12,), (14,)  # worlds of the model
-LINE = "meadowworks.runtime.http_connection:Line."
+LINE = "meadowworks.runtime.http_connection:ClientConnection."
 JOURNEY, ANSWERS = "meadowworks.forwarding.attempts:Journey.", "meadowworks.forwarding.response_check:"
 UPSTREAM_FAULTS = tuple(
     Fault(name, "carriage", at, was, now, breaks, starts=starts)
     for name, at, was, now, breaks, starts in (
         (
             "bytes behind an answer stay on its line",
-            LINE + "ask",
-            "if self.connection.surplus or self.stream.buffer:",
+            LINE + "request",
+            "if self.http11.has_surplus_data or self.stream.buffer:",
             "if False:",
             ("clean lines",),
             KEPT,
@@ -21,7 +21,7 @@
         (
             "a line is used on which bytes have come while it rested",
             LINE + "usable",
-            " and not self.connection.has_expired()",
+            " and not self.http11.has_expired()",
             "",
             ("clean lines",),
             KEPT,
@@ -36,7 +36,7 @@
         ),
         (
             "an answer without a length ends with its connection",
-            LINE + "ask",
+            LINE + "request",
             'if not whole or not framed and method != b"HEAD":',
             "if False:",
             ("wrong caller",),
@@ -44,9 +44,9 @@
         ),
         (
             "a line that breaks is proof",
-            LINE + "ask",
-            'raise NoAnswer(f"broken off: {trouble}", True)',
-            'raise NoAnswer(f"broken off: {trouble}", False)',
+            LINE + "request",
+            'raise RequestError(f"broken off: {trouble}", True)',
+            'raise RequestError(f"broken off: {trouble}", False)',
             ("ran twice",),
             BREAKS,
         ),
@@ -93,7 +93,7 @@
         (
             "a reply to another question is taken",
             "meadowworks.runtime.peer_client:Peer.call",
-            "if reply.get(QUESTION) != question:",
+            "if reply.header(CALL_ID_HEADER) != question:",
             "if False:",
             ("wrong caller",),
             BETWEEN,
--- a/meadowworks/proxy/server.py
+++ b/meadowworks/proxy/server.py
@@ -13,7 +13,7 @@
 import xxhash
 
 from meadowworks.attempts.retry_policy import ANSWERED, CANCELLED, UNRUN, come_back_ns
-from meadowworks.config.route_table import Route, Timetable, loading
+from meadowworks.config.route_table import Route, RouteTable, load_route_table_steps
 from meadowworks.forwarding.attempts import PACE_NS, Forward, Journey, Refuse, Send, Step, policy, way
 from meadowworks.forwarding.connection_pool import Yard
 from meadowworks.forwarding.latency_estimate import delays, reach, suffices
@@ -31,11 +31,11 @@
 from meadowworks.registry.backends import Backend, Lives
 from meadowworks.registry.heartbeats import DRAINING
 from meadowworks.runtime import logging as logs
-from meadowworks.runtime.cooperative import Steps, aside, inflating
-from meadowworks.runtime.errors import BadSettings, BrokenInvariant, NoAnswer
-from meadowworks.runtime.http_connection import Line, Reply
-from meadowworks.runtime.http_server import Cut, Door, answer, whole_body
-from meadowworks.runtime.node_settings import Boot, load
+from meadowworks.runtime.cooperative import Steps, decompress_steps, run_cooperatively
+from meadowworks.runtime.errors import InvariantViolation, RequestError, SettingsError
+from meadowworks.runtime.http_connection import ClientConnection, Response
+from meadowworks.runtime.http_server import BodyError, HttpServer, read_body, send_response
+from meadowworks.runtime.node_settings import NodeSettings, load_settings
 from meadowworks.runtime.peer_client import Peer
 from meadowworks.runtime.process import Tasks, now_ns, run
 
@@ -52,24 +52,24 @@
 SETTLE_NS = 3 * SECOND  # that one who is sure is waited for, and then until every service has a backend
 HELD = 0.25  # part of a route's target that a request may be held without an offer to a backend
 STALE_NS = 300 * MS  # in which one who is sure may be found again
-log = logs.part("junction")
+log = logs.get_logger("junction")
 
 
 class Junction:
-    def __init__(self, boot: Boot) -> None:
+    def __init__(self, boot: NodeSettings) -> None:
         self.boot = boot
         self.life = f"{boot.node}.{uuid4().hex[:8]}"
-        card = Card(boot.node, boot.ip, boot.inner, boot.zone, False, self.life, int(time.time()))
+        card = Card(boot.node, boot.ip, boot.peer_port, boot.zone, False, self.life, int(time.time()))
         self.members = Members(card, random.getrandbits(32))
         self.news = News(self.life)
         self.lives = Lives(lambda name: self.news.quiet(now_ns(), name), now_ns)
         self.news.listeners += [self.lives.told, self.figures]
         self.upstream = Upstream(boot.zone)
         self.peers: dict[tuple[str, int], Peer] = {}
-        self.table: Timetable | None = None
+        self.table: RouteTable | None = None
         self.services: dict[str, Service] = {}
         self.budgets: dict[str, Budget] = {}
-        self.yard: Yard[Line] = Yard()
+        self.yard: Yard[ClientConnection] = Yard()
         self.sums, self.own = Sums(), Sums()
         self.picture = Picture()
         self.born_ns = now_ns()
@@ -81,9 +81,9 @@
         self.prices: dict[str, dict[str, int]] = {}  # by route: what its operator pays for
         self.summed: dict[str, int] = {}  # counts when they were last logged
         self.tasks = Tasks()
-        self.room = Room(int(boot.mem_mb * 1e6 * BODIES))
-        self.door = Door(self.app, most=int(boot.max_fds * CLIENTS))
-        self.polls, self.inner = Door(self.readyz), Door(self.asked, life=self.life)
+        self.room = Room(int(boot.memory_mb * 1e6 * BODIES))
+        self.door = HttpServer(self.app, max_connections=int(boot.max_fds * CLIENTS))
+        self.polls, self.inner = HttpServer(self.readyz), HttpServer(self.asked, incarnation=self.life)
 
     # -- what is known
 
@@ -111,16 +111,19 @@
         for name, service in self.services.items():
             service.heard(now, place, by_service.get(name, {}), asked.get(name, 0), max(1, covers_ms) * MS)
 
-    def take_table(self, table: Timetable) -> None:
+    def take_table(self, table: RouteTable) -> None:
         """A version comes into force, whole: what begins from now on goes by it. Never an older one."""
         if self.table is not None and table.version <= self.table.version:
             return
         self.table = table
         limits = self.door.state.limits
-        limits.header_bytes, limits.header_s = table.header_bytes, table.header_ms / 1000
-        limits.idle_s = table.idle_ms / 1000
-        for name in table.services:
-            target_ns = int(table.targets.get(name, 1000.0) * MS) or SECOND
+        limits.max_header_bytes, limits.header_timeout_s = (
+            table.max_header_bytes,
+            table.header_timeout_ms / 1000,
+        )
+        limits.idle_timeout_s = table.idle_timeout_ms / 1000
+        for name in table.max_connections:
+            target_ns = int(table.latency_targets_ms.get(name, 1000.0) * MS) or SECOND
             if name in self.services:
                 self.services[name].aims(target_ns)
             else:
@@ -148,7 +151,7 @@
         now = now_ns()
         if self.leaving or self.table is None or not self.listed_ns:
             return False
-        served = all(self.services[name].lines for name in self.table.targets)
+        served = all(self.services[name].lines for name in self.table.latency_targets_ms)
         return served or now - self.listed_ns > SETTLE_NS
 
     def settle(self, now: int) -> None:
@@ -167,7 +170,7 @@
         while True:
             try:
                 await self.pull()
-            except BrokenInvariant:
+            except InvariantViolation:
                 raise
             except Exception:
                 log.exception("a pull failed")
@@ -177,7 +180,7 @@
     async def pull(self) -> None:
         """One question to one signalbox, and what its reply tells."""
         now = now_ns()
-        seeds = self.members.lonely(self.boot.seeds, self.boot.inner)
+        seeds = self.members.lonely(self.boot.seeds, self.boot.peer_port)
         at = self.upstream.choose(now, self.members.voters(), seeds)
         if at is None:
             await asyncio.sleep(0.2)
@@ -195,8 +198,8 @@
         asked_ns = now_ns()
         try:
             news = post.read_news(await self.peer(*at).call(b"/pull", pull.pack(), self.wait_s))
-            table = await aside(self.unpacked(news.table[1])) if news.table else None
-        except (NoAnswer, *post.SHAPE) as trouble:
+            table = await run_cooperatively(self.unpacked(news.table[1])) if news.table else None
+        except (RequestError, *post.SHAPE) as trouble:
             log.info("no news from {}: {}", at[0], trouble)
             self.sums.add(sums.pack())
             self.upstream.failed(now_ns(), at[0])
@@ -227,9 +230,9 @@
         self.pause_s = min(PAUSE_MOST_S, self.pause_s * 1.5)
         return self.pause_s
 
-    def unpacked(self, packed: bytes) -> Steps[Timetable]:
-        body = yield from inflating(packed, TABLE_MOST)
-        return (yield from loading(body))
+    def unpacked(self, packed: bytes) -> Steps[RouteTable]:
+        body = yield from decompress_steps(packed, TABLE_MOST)
+        return (yield from load_route_table_steps(body))
 
     # -- from time to time
 
@@ -249,8 +252,8 @@
 
     def summary(self) -> None:
         """Counters, if there is anything to tell since the last time."""
-        if self.counts != self.summed or self.door.at_work():
-            log.info("answers {}, {} at work", self.counts, self.door.at_work())
+        if self.counts != self.summed or self.door.pending_count():
+            log.info("answers {}, {} at work", self.counts, self.door.pending_count())
             self.summed = dict(self.counts)
         windows = {name: budget.window(now_ns()) for name, budget in self.budgets.items()}
         if any(map(any, windows.values())):
@@ -280,37 +283,41 @@
             elif name == b"x-deadline-ms":
                 deadline = value
         within_s = min(BODY_S, milliseconds(deadline, BODY_S * 1000) / 1000)
-        body = await whole_body(receive, table.body_bytes, self.room, within_s)
-        if isinstance(body, Cut):
-            self.count(f"bodies {body.name.lower()}")
-            if body is Cut.FULL:
+        body = await read_body(receive, table.max_body_bytes, self.room, within_s)
+        if isinstance(body, BodyError):
+            self.count(f"bodies {body.counter}")
+            if body is BodyError.OUT_OF_MEMORY:
                 return await self.refused(send, Refuse(503, SECOND))
-            status = 413 if body is Cut.LARGE else 408
-            return await answer(send, status, json.dumps({"err": f"the body is {body.value}"}).encode())
+            status = 413 if body is BodyError.TOO_LARGE else 408
+            return await send_response(
+                send, status, json.dumps({"err": f"the body is {body.value}"}).encode()
+            )
         target: bytes = scope["target"]
-        route = table.find(host, target.partition(b"?")[0].decode("latin-1"))
+        route = table.find_route(host, target.partition(b"?")[0].decode("latin-1"))
         if route is None and not self.picture.fresh(now_ns()):
             # Guards against a table of before a cut or a freeze, which may lack a route that exists.
             return await self.refused(send, Refuse(503, STALE_NS))
         if route is None:
-            return await answer(send, 404, b'{"err":"there is no such route"}')
+            return await send_response(send, 404, b'{"err":"there is no such route"}')
         limit_ns = came + int(min(route.deadline_ms, milliseconds(deadline, route.deadline_ms)) * MS)
         request = Request(scope["method"].encode(), target, on_headers(scope["headers"]), body, ident)
         chance = xxhash.xxh32_intdigest(ident) / 2**32 if ident else self.random.random()
-        caller = scope.get("caller")
-        if caller is not None and caller.lost:
+        caller = scope.get("connection")
+        if caller is not None and caller.disconnected:
             return self.count("clients gone")
         share = Share(self.room)
         try:
             if not share.take(len(body)):
                 return await self.refused(send, Refuse(503, SECOND))
-            found = await self.travel(route, route.service(chance), request, limit_ns, share, caller)
-            if caller is not None and caller.lost:
+            found = await self.travel(route, route.pick_service(chance), request, limit_ns, share, caller)
+            if caller is not None and caller.disconnected:
                 return self.count("clients gone")
             if isinstance(found, Refuse):
                 return await self.refused(send, found)
             self.count(str(found.status))
-            await answer(send, found.status, found.body, back_headers(found), table.idle_ms / 1000)
+            await send_response(
+                send, found.status, found.body, back_headers(found), table.idle_timeout_ms / 1000
+            )
         except TimeoutError:  # guards against one that takes nothing of its answer, which is held for it
             self.price(route, "broken off midway")
             if caller is not None:
@@ -320,7 +327,7 @@
 
     async def travel(
         self, route: Route, name: str, request: Request, limit_ns: int, share: Share, caller: Any = None
-    ) -> Reply | Refuse:
+    ) -> Response | Refuse:
         """The final answer of a request, whose bytes are taken out of the share. `caller` is the connection
         that it came on."""
         now = now_ns()
@@ -337,12 +344,14 @@
             return Refuse(503, come_back_ns(PACE_NS, service.level, self.random.random()))
         jammed, target_ns = service.retry == 0, route.target_ms * MS
         journey = Journey(
-            way(route.safe, limit_ns - now, int(target_ns)), policy(route.safe, route.tries, jammed), limit_ns
+            way(route.safe, limit_ns - now, int(target_ns)),
+            policy(route.safe, route.max_attempts, jammed),
+            limit_ns,
         )
         again = lambda: budget.take(now_ns())  # noqa: E731
         offered = False  # to a backend, over a connection that was up
         tasks: dict[asyncio.Task[Tried], int] = {}
-        replies: dict[int, Reply | None] = {}
+        replies: dict[int, Response | None] = {}
         lines: dict[int, float] = {}
         waits: dict[int, float] = {}
 
@@ -355,7 +364,7 @@
         step: Step = journey.start(now, *self.seen(service, target_ns, now)[:2], self.random.random())
         try:
             if caller is not None:
-                caller.at_loss = left
+                caller.on_disconnect = left
             while True:
                 if isinstance(step, Forward):
                     reply = replies[step.number]
@@ -396,7 +405,7 @@
                         break
         finally:
             if caller is not None:
-                caller.at_loss = None
+                caller.on_disconnect = None
             # Guards against tries that nobody waits for, at backends that never answer.
             for task in tasks:
                 self.tasks.bound(task, (limit_ns - now_ns()) / 1e9, share.give)
@@ -464,18 +473,18 @@
         headers = [(b"content-type", b"application/json")]
         if refuse.back_ns:
             headers.append((b"retry-after", f"{refuse.back_ns / 1e9:.3f}".encode()))
-        await answer(send, refuse.status, b'{"err":"no backend answered"}', headers)
+        await send_response(send, refuse.status, b'{"err":"no backend answered"}', headers)
 
     # -- other doors
 
     async def readyz(self, scope: Any, receive: Any, send: Any) -> None:
-        await answer(send, 200 if self.is_ready() else 503)
+        await send_response(send, 200 if self.is_ready() else 503)
 
     async def asked(self, scope: Any, receive: Any, send: Any) -> None:
-        await whole_body(receive, 65536)
+        await read_body(receive, 65536)
         if scope["path"] != "/status":
-            return await answer(send, 404)
-        await answer(send, 200, json.dumps(self.status()).encode())
+            return await send_response(send, 404)
+        await send_response(send, 200, json.dumps(self.status()).encode())
 
     def status(self) -> dict[str, Any]:
         return {
@@ -498,15 +507,15 @@
     def again(self) -> None:
         """Reads the settings again: the seeds may be others now."""
         try:
-            self.boot = load()
-        except BadSettings as trouble:
+            self.boot = load_settings()
+        except SettingsError as trouble:
             log.warning("settings not taken, the old ones stand: {}", trouble)
 
     async def serve(self, told: asyncio.Future[None]) -> None:
         asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, self.again)
-        await self.inner.open(self.boot.ip, self.boot.inner)
-        await self.polls.open(*self.boot.bind["readyz"])
-        await self.door.open(*self.boot.bind["http"])
+        await self.inner.listen(self.boot.ip, self.boot.peer_port)
+        await self.polls.listen(*self.boot.bind["readyz"])
+        await self.door.listen(*self.boot.bind["http"])
         log.info("{} serves", self.boot.node)
         self.tasks.start(self.pulls())
         self.tasks.start(self.tasks.every(1.0, self.second))
@@ -523,13 +532,13 @@
         loop = asyncio.get_running_loop()
         start = loop.time()
         self.leaving = True
-        log.info("told to end: {} at work, answers {}", self.door.at_work(), self.counts)
-        self.door.leave()
+        log.info("told to end: {} at work, answers {}", self.door.pending_count(), self.counts)
+        self.door.drain()
         await asyncio.sleep(min(POLLS_S, self.boot.bounds.grace_s / 2))
-        self.door.shut()
-        while self.door.at_work() and loop.time() - start < self.boot.bounds.grace_s - 0.3:
+        self.door.shutdown()
+        while self.door.pending_count() and loop.time() - start < self.boot.bounds.grace_s - 0.3:
             await asyncio.sleep(0.02)
-        self.door.end()
+        self.door.close()
         await asyncio.sleep(0.02)
 
 
@@ -545,7 +554,7 @@
         return otherwise
 
 
-async def serve(boot: Boot, told: asyncio.Future[None]) -> None:
+async def serve(boot: NodeSettings, told: asyncio.Future[None]) -> None:
     await Junction(boot).serve(told)
 
 
--- a/meadowworks/proxy/upstream_attempt.py
+++ b/meadowworks/proxy/upstream_attempt.py
@@ -10,8 +10,8 @@
 from meadowworks.forwarding.connection_pool import Yard
 from meadowworks.forwarding.response_check import judge
 from meadowworks.registry.backends import Backend
-from meadowworks.runtime.errors import NoAnswer
-from meadowworks.runtime.http_connection import Headers, Line, Reply, connect
+from meadowworks.runtime.errors import RequestError
+from meadowworks.runtime.http_connection import ClientConnection, Headers, Response, connect
 from meadowworks.runtime.process import now_ns
 
 MS = 1_000_000
@@ -52,7 +52,7 @@
     life answers at the address. `load`: calls running and waiting there, as its answer tells."""
 
     state: int
-    reply: Reply | None
+    reply: Response | None
     spent_ns: int
     over: bool = False
     load: tuple[int, int] | None = None
@@ -70,15 +70,15 @@
     return [(n, v) for n, v in headers if n not in HOP and n not in OURS and n not in named]
 
 
-def back_headers(reply: Reply) -> Headers:
+def back_headers(reply: Response) -> Headers:
     """What goes back to the client, of a backend's headers."""
     named = {p.strip().lower() for n, v in reply.headers if n.lower() == b"connection" for p in v.split(b",")}
     return [(n, v) for n, v in reply.headers if n.lower() not in HOP and n.lower() not in named]
 
 
-def kept_s(reply: Reply) -> int | None:
+def kept_s(reply: Response) -> int | None:
     """The whole seconds that `Keep-Alive` tells, if it does."""
-    for part in (reply.get(b"keep-alive") or b"").split(b","):
+    for part in (reply.header(b"keep-alive") or b"").split(b","):
         name, _, value = part.strip().partition(b"=")
         if name.lower() == b"timeout" and value.strip().isdigit():
             return int(value)
@@ -86,7 +86,7 @@
 
 
 async def attempt(
-    yard: Yard[Line],
+    yard: Yard[ClientConnection],
     backend: Backend,
     request: Request,
     limit_ns: int,
@@ -95,7 +95,7 @@
     """Never raises but for a cancel; the line is kept or ended. `take` finds room for its answer."""
     start = now_ns()
     yard.begin(backend.ident)
-    line: Line | None = None
+    line: ClientConnection | None = None
     try:
         # Guards against a late answer to another request, which nothing tells from one that has no id.
         line = yard.take(start, backend.ident) if request.ident is not None else None
@@ -111,12 +111,12 @@
         ]
         if request.body or request.method in BODIED:
             headers.append((b"content-length", str(len(request.body)).encode()))
-        reply = await line.ask(request.method, request.target, headers, request.body, ANSWER_MOST, take)
+        reply = await line.request(request.method, request.target, headers, request.body, ANSWER_MOST, take)
         now = now_ns()
         load = load_of(reply)
         if load is not None:
             yard.told(now, backend.ident, *load)
-        found = judge(request.ident, backend.ident.encode(), reply.status, reply.get, first)
+        found = judge(request.ident, backend.ident.encode(), reply.status, reply.header, first)
         if found.keep:
             yard.keep(now, backend.ident, line, kept_s(reply))
         else:
@@ -124,12 +124,12 @@
         if not found.sound:
             return Tried(found.state, None, now - start)
         return Tried(found.state, reply, now - start, found.over, load if found.keep else None)
-    except NoAnswer as trouble:
+    except RequestError as trouble:
         if line is not None:
             line.close()
-        if not trouble.ran:
+        if not trouble.may_have_run:
             yard.unreached(now_ns(), backend.ident)
-        return Tried(DROPPED if trouble.ran else UNRUN, None, now_ns() - start)
+        return Tried(DROPPED if trouble.may_have_run else UNRUN, None, now_ns() - start)
     except asyncio.CancelledError:
         if line is not None:
             line.close()
@@ -138,9 +138,9 @@
         yard.end(backend.ident)
 
 
-def load_of(reply: Reply) -> tuple[int, int] | None:
+def load_of(reply: Response) -> tuple[int, int] | None:
     """Calls running and waiting, as `X-Backend-Load` tells them."""
-    parts = (reply.get(b"x-backend-load") or b"").split(b",")
+    parts = (reply.header(b"x-backend-load") or b"").split(b",")
     if len(parts) == 3 and all(part.strip().isdigit() for part in parts):
         return int(parts[0]), int(parts[1])
     return None
--- a/meadowworks/runtime/connection_limit.py
+++ b/meadowworks/runtime/connection_limit.py
@@ -9,40 +9,40 @@
 W = TypeVar("W")
 
 
-class Crowd(Generic[W]):
+class ConnectionLimit(Generic[W]):
     """`most` connections at a time; a stranger is left alone for `grace_ns`, so that what it sent has had
     time to arrive. A peer with a name is never sent away for another."""
 
-    def __init__(self, most: int, grace_ns: int) -> None:
-        self.most, self.grace_ns = max(1, most), grace_ns
-        self.open = 0
-        self.strangers: dict[W, int] = {}  # since when, oldest first
+    def __init__(self, max_connections: int, grace_ns: int) -> None:
+        self.max_connections, self.grace_ns = max(1, max_connections), grace_ns
+        self.open_count = 0
+        self.evictable: dict[W, int] = {}  # since when, oldest first
 
-    def come(self, now: int, who: W) -> None:
-        self.open += 1
-        self.strangers[who] = now
+    def on_open(self, now_ns: int, connection: W) -> None:
+        self.open_count += 1
+        self.evictable[connection] = now_ns
 
-    def named(self, who: W) -> None:
+    def protect(self, connection: W) -> None:
         """It has a name, or is on its way out."""
-        self.strangers.pop(who, None)
+        self.evictable.pop(connection, None)
 
-    def idle(self, now: int, who: W) -> None:
+    def on_idle(self, now_ns: int, connection: W) -> None:
         """It may be sent away again."""
-        self.strangers[who] = now
+        self.evictable[connection] = now_ns
 
-    def gone(self, who: W) -> None:
-        self.open -= 1
-        self.strangers.pop(who, None)
+    def on_close(self, connection: W) -> None:
+        self.open_count -= 1
+        self.evictable.pop(connection, None)
 
-    def full(self) -> bool:
-        return self.open >= self.most
+    def is_full(self) -> bool:
+        return self.open_count >= self.max_connections
 
-    def gives_way(self, now: int) -> tuple[W | None, int]:
+    def next_eviction(self, now_ns: int) -> tuple[W | None, int]:
         """Who is to go so that the next can come in, or how long to wait for that (0: till somebody goes)."""
-        if not self.full() or not self.strangers:
+        if not self.is_full() or not self.evictable:
             return None, 0
-        oldest, since = next(iter(self.strangers.items()))
-        left = since + self.grace_ns - now
+        oldest, since = next(iter(self.evictable.items()))
+        left = since + self.grace_ns - now_ns
         return (None, left) if left > 0 else (oldest, 0)
 
 
--- a/meadowworks/runtime/cooperative.py
+++ b/meadowworks/runtime/cooperative.py
@@ -13,26 +13,26 @@
 from contextlib import nullcontext
 from typing import TypeVar
 
-SLICE_S = 0.002  # after so long the loop has its turn
-BLOCK = 1 << 16  # bytes that are compressed in one step
+TIME_SLICE_S = 0.002  # after so long the loop has its turn
+BLOCK_BYTES = 1 << 16  # bytes that are compressed in one step
 T = TypeVar("T")
 Steps = Generator[None, None, T]
 
 
-async def aside(steps: Steps[T], one: asyncio.Lock | None = None) -> T:
+async def run_cooperatively(steps: Steps[T], lock: asyncio.Lock | None = None) -> T:
     """The outcome of all steps. What is done within a slice never waits, but for the lock `one` if it is
     given: of works that need much memory one at a time."""
-    async with one or nullcontext():
-        done, value = slice_of(steps)
+    async with lock or nullcontext():
+        done, value = run_slice(steps)
         while not done:
             await asyncio.sleep(0)
-            done, value = slice_of(steps)
+            done, value = run_slice(steps)
     return value  # type: ignore[return-value]
 
 
-def slice_of(steps: Steps[T]) -> tuple[bool, T | None]:
+def run_slice(steps: Steps[T]) -> tuple[bool, T | None]:
     """Whether these steps are done, and their outcome then."""
-    end = time.monotonic() + SLICE_S
+    end = time.monotonic() + TIME_SLICE_S
     try:
         while time.monotonic() < end:
             next(steps)
@@ -41,30 +41,30 @@
     return False, None
 
 
-def deflating(raw: bytes, level: int = 6) -> Steps[bytes]:
+def compress_steps(data: bytes, level: int = 6) -> Steps[bytes]:
     """What `zlib.decompress` makes `raw` of."""
-    if len(raw) <= BLOCK:
-        return zlib.compress(raw, level)
+    if len(data) <= BLOCK_BYTES:
+        return zlib.compress(data, level)
     deflate, parts = zlib.compressobj(level), []
-    for at in range(0, len(raw), BLOCK):
-        parts.append(deflate.compress(raw[at : at + BLOCK]))
+    for at in range(0, len(data), BLOCK_BYTES):
+        parts.append(deflate.compress(data[at : at + BLOCK_BYTES]))
         yield
     parts.append(deflate.flush())
     return b"".join(parts)
 
 
-def inflating(packed: bytes, most: int) -> Steps[bytes]:
+def decompress_steps(compressed: bytes, max_bytes: int) -> Steps[bytes]:
     """Raises ValueError for what is cut short, is none, or holds more than `most` bytes."""
     inflate, parts, size = zlib.decompressobj(), [], 0
-    left = packed
+    left = compressed
     while not inflate.eof:
         try:
-            parts.append(inflate.decompress(left, BLOCK))
+            parts.append(inflate.decompress(left, BLOCK_BYTES))
         except zlib.error as trouble:
             raise ValueError(str(trouble)) from None
         left = inflate.unconsumed_tail
         size += len(parts[-1])
-        if size > most:
+        if size > max_bytes:
             raise ValueError("more than may be")
         if not left and not parts[-1] and not inflate.eof:
             raise ValueError("cut short")
--- a/meadowworks/runtime/errors.py
+++ b/meadowworks/runtime/errors.py
@@ -3,23 +3,23 @@
 from __future__ import annotations
 
 
-class MeadowError(Exception):
+class MeadowworksError(Exception):
     """Everything that the gateway raises by itself."""
 
 
-class BadSettings(MeadowError):
+class SettingsError(MeadowworksError):
     """The settings file is missing, unreadable or makes no sense; one plain sentence. Ends with status 2."""
 
 
-class BrokenInvariant(MeadowError):
+class InvariantViolation(MeadowworksError):
     """What must always hold does not: the process stops rather than go on with a state that is wrong."""
 
 
-class NoAnswer(MeadowError):
+class RequestError(MeadowworksError):
     """A call to a peer or a backend had no whole, sound answer.
 
     `ran` tells what is known: False only if it is certain that the request never left."""
 
-    def __init__(self, why: str, ran: bool) -> None:
-        super().__init__(why)
-        self.ran = ran
+    def __init__(self, message: str, may_have_run: bool) -> None:
+        super().__init__(message)
+        self.may_have_run = may_have_run
--- a/meadowworks/runtime/lazy_imports.py
+++ b/meadowworks/runtime/lazy_imports.py
@@ -12,29 +12,29 @@
 from types import ModuleType
 from typing import Any
 
-from meadowworks.runtime.errors import BrokenInvariant
+from meadowworks.runtime.errors import InvariantViolation
 
 # httpcore imports trio where it finds it: half of a start.
-ABSENT = ("trio",)
+BLOCKED_MODULES = ("trio",)
 # By module: the names that another library takes from it at its own import.
-UNUSED = {
+STUBBED_MODULES = {
     "uvicorn.main": ("Server", "main", "run"),  # uvicorn's command line, and click for it
     "certifi": (),  # certificates: httpcore's calls go without TLS here
     "logging.config": (),  # uvicorn's own set-up of logs, which it is told to leave
 }
-PATTERNS = "marshmallow.validate"  # a pattern of mail addresses takes longer than all else in it
+LAZY_PATTERN_MODULE = "marshmallow.validate"  # a pattern of mail addresses takes longer than all else in it
 
 
-class Unused(ModuleType):
+class StubModule(ModuleType):
     """Stands for a module that is left out."""
 
     def __getattr__(self, name: str) -> Any:
         if name.startswith("__"):
             raise AttributeError(name)
-        raise BrokenInvariant(f"{self.__name__}.{name} is left out of the programs")
+        raise InvariantViolation(f"{self.__name__}.{name} is left out of the programs")
 
 
-class Later:
+class LazyPattern:
     """A pattern that is compiled when it is first used."""
 
     def __init__(self, pattern: str, flags: int) -> None:
@@ -44,19 +44,19 @@
         return getattr(re.compile(self.pattern, self.flags), name)
 
 
-def start() -> None:
-    for name in ABSENT:
+def install() -> None:
+    for name in BLOCKED_MODULES:
         sys.modules.setdefault(name, None)  # type: ignore[arg-type]
-    for name, taken in UNUSED.items():
+    for name, taken in STUBBED_MODULES.items():
         if name not in sys.modules:
-            sys.modules[name] = module = Unused(name)
+            sys.modules[name] = module = StubModule(name)
             for one in taken:
                 setattr(module, one, None)
-    patterns()
-    sinks()
+    import_marshmallow_validators()
+    import_loguru()
 
 
-def sinks() -> None:
+def import_loguru() -> None:
     """Imports loguru without a sink of its own (`logs.start` adds ours), and without a search for the folders
     of libraries at each sink: it is for colours in a traceback."""
     os.environ.setdefault("LOGURU_AUTOINIT", "False")
@@ -65,18 +65,18 @@
     ExceptionFormatter._get_lib_dirs = staticmethod(list)  # type: ignore[method-assign]
 
 
-def patterns() -> None:
+def import_marshmallow_validators() -> None:
     """Imports marshmallow with its own patterns to be compiled later."""
-    if PATTERNS in sys.modules:
+    if LAZY_PATTERN_MODULE in sys.modules:
         return
     compiled = re.compile
 
     def later(pattern: Any, flags: Any = 0) -> Any:
         asked = sys._getframe(1).f_globals.get("__name__")
-        return Later(pattern, flags) if asked == PATTERNS else compiled(pattern, flags)
+        return LazyPattern(pattern, flags) if asked == LAZY_PATTERN_MODULE else compiled(pattern, flags)
 
     re.compile = later
     try:
-        __import__(PATTERNS)
+        __import__(LAZY_PATTERN_MODULE)
     finally:
         re.compile = compiled
--- a/meadowworks/runtime/logging.py
+++ b/meadowworks/runtime/logging.py
@@ -10,14 +10,16 @@
 if TYPE_CHECKING:
     from loguru import Logger
 
-MOST_ALIKE = 20  # lines of one call site a minute: guards against a flood by what comes from outside
+MAX_LINES_PER_MINUTE = (
+    20  # lines of one call site a minute: guards against a flood by what comes from outside
+)
 
 
-def part(prefix: str) -> Logger:
-    return logger.bind(part=prefix)
+def get_logger(component: str) -> Logger:
+    return logger.bind(part=component)
 
 
-def start() -> None:
+def configure() -> None:
     seen: dict[tuple[str | None, int], tuple[int, int]] = {}
 
     def calm(record: dict) -> bool:  # type: ignore[type-arg]
@@ -26,7 +28,7 @@
         when, count = seen.get(at, (minute, 0))
         count = count + 1 if when == minute else 1
         seen[at] = (minute, count)
-        return count <= MOST_ALIKE
+        return count <= MAX_LINES_PER_MINUTE
 
     logger.remove()
     logger.configure(extra={"part": "main"})
--- a/meadowworks/runtime/node_settings.py
+++ b/meadowworks/runtime/node_settings.py
@@ -14,17 +14,17 @@
 
 from marshmallow import EXCLUDE, Schema, ValidationError, fields, validate
 
-from meadowworks.runtime.errors import BadSettings
+from meadowworks.runtime.errors import SettingsError
 
-VARIABLE = "MEADOWWORKS_NODE_FILE"
+SETTINGS_FILE_VARIABLE = "MEADOWWORKS_NODE_FILE"
 
 
-class Loose(Schema):
+class LenientSchema(Schema):
     class Meta:
         unknown = EXCLUDE
 
 
-def address(text: str) -> tuple[str, int]:
+def parse_address(text: str) -> tuple[str, int]:
     """`ip:port`. Raises ValidationError."""
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
@@ -32,17 +32,17 @@
     return host, int(port)
 
 
-class Address(fields.String):
+class AddressField(fields.String):
     def _deserialize(self, value: Any, attr: str | None, data: Any, **kwargs: Any) -> Any:
-        return address(super()._deserialize(value, attr, data, **kwargs))
+        return parse_address(super()._deserialize(value, attr, data, **kwargs))
 
 
-class LimitsFields(Loose):
+class LimitsSchema(LenientSchema):
     memMb = fields.Float(load_default=300.0)
     maxFds = fields.Integer(load_default=1024)
 
 
-class SelfFields(Loose):
+class SelfSchema(LenientSchema):
     node = fields.String(required=True, validate=validate.Length(min=1))
     serves = fields.List(fields.String(), required=True)
     ip = fields.String(required=True)
@@ -50,25 +50,25 @@
     voting = fields.Boolean(required=True)
     bootstrap = fields.Boolean(required=True)
     datadir = fields.String(required=True, allow_none=True)
-    limits = fields.Nested(LimitsFields, load_default=lambda: {"memMb": 300.0, "maxFds": 1024})
+    limits = fields.Nested(LimitsSchema, load_default=lambda: {"memMb": 300.0, "maxFds": 1024})
 
 
-class NetworkFields(Loose):
-    bind = fields.Dict(keys=fields.String(), values=Address(), required=True)
+class NetworkSchema(LenientSchema):
+    bind = fields.Dict(keys=fields.String(), values=AddressField(), required=True)
     portRange = fields.List(fields.Integer(), required=True, validate=validate.Length(equal=2))
-    seeds = fields.List(Address(), required=True)
+    seeds = fields.List(AddressField(), required=True)
     zones = fields.Dict(keys=fields.String(), values=fields.String(), required=True)
 
 
-class InfraFields(Loose):
+class InfraSchema(LenientSchema):
     heartbeatMs = fields.Integer(required=True, validate=validate.Range(min=1))
 
 
-class TolerateFields(Loose):
+class TolerateSchema(LenientSchema):
     nodes = fields.Integer(load_default=0, validate=validate.Range(min=0))
 
 
-class BoundsFields(Loose):
+class BoundsSchema(LenientSchema):
     contactMs = fields.Float(load_default=3000.0)
     ackMs = fields.Float(load_default=4000.0)
     drainMs = fields.Float(load_default=2000.0)
@@ -79,20 +79,20 @@
     retrySlack = fields.Float(load_default=0.0)
 
 
-class TermsFields(Loose):
-    tolerate = fields.Nested(TolerateFields, load_default=lambda: {"nodes": 0})
-    bounds = fields.Nested(BoundsFields, load_default=lambda: BoundsFields().load({}))
+class TermsSchema(LenientSchema):
+    tolerate = fields.Nested(TolerateSchema, load_default=lambda: {"nodes": 0})
+    bounds = fields.Nested(BoundsSchema, load_default=lambda: BoundsSchema().load({}))
 
 
-class BootFields(Loose):
-    self = fields.Nested(SelfFields, required=True)
-    network = fields.Nested(NetworkFields, required=True)
-    infra = fields.Nested(InfraFields, required=True)
-    terms = fields.Nested(TermsFields, load_default=lambda: TermsFields().load({}))
+class NodeSettingsSchema(LenientSchema):
+    self = fields.Nested(SelfSchema, required=True)
+    network = fields.Nested(NetworkSchema, required=True)
+    infra = fields.Nested(InfraSchema, required=True)
+    terms = fields.Nested(TermsSchema, load_default=lambda: TermsSchema().load({}))
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
+class ServiceBounds:
     """Milliseconds and seconds as the names say."""
 
     contact_ms: float
@@ -106,72 +106,72 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Boot:
+class NodeSettings:
     """A settings file that makes sense. `inner` is the first port that controllers use among themselves;
     `tolerate` how many voting machines may be lost at once."""
 
     node: str
-    serves: tuple[str, ...]
+    roles: tuple[str, ...]
     ip: str
     zone: str
     voting: bool
     bootstrap: bool
-    datadir: str | None
+    data_dir: str | None
     max_fds: int
-    mem_mb: float
+    memory_mb: float
     bind: Mapping[str, tuple[str, int]]
-    inner: int
+    peer_port: int
     seeds: tuple[tuple[str, int], ...]
     zones: tuple[str, ...]
-    regions: Mapping[str, str]
+    region_by_zone: Mapping[str, str]
     heartbeat_ms: int
-    tolerate: int
-    bounds: Bounds
+    tolerated_failures: int
+    bounds: ServiceBounds
 
 
-def first_line(messages: Any, at: str = "") -> str:
+def first_error(messages: Any, at: str = "") -> str:
     if isinstance(messages, dict):
         key, inner = next(iter(messages.items()))
-        return first_line(inner, f"{at}.{key}" if at else str(key))
+        return first_error(inner, f"{at}.{key}" if at else str(key))
     return f"{at}: {messages[0] if isinstance(messages, list) else messages}"
 
 
-def read(text: str | bytes) -> Boot:
+def parse_settings(text: str | bytes) -> NodeSettings:
     """Raises BadSettings with one sentence that names the field."""
     try:
         nested = json.loads(text)
     except ValueError as trouble:
-        raise BadSettings(f"the settings are no JSON: {trouble}") from None
+        raise SettingsError(f"the settings are no JSON: {trouble}") from None
     if not isinstance(nested, dict):
-        raise BadSettings("the settings are no table")
+        raise SettingsError("the settings are no table")
     try:
-        found = BootFields().load(nested)
+        found = NodeSettingsSchema().load(nested)
     except ValidationError as trouble:
-        raise BadSettings(f"settings: {first_line(trouble.messages)}") from None
+        raise SettingsError(f"settings: {first_error(trouble.messages)}") from None
     me, net, bounds = found["self"], found["network"], found["terms"]["bounds"]
     if me["zone"] not in net["zones"]:
-        raise BadSettings(f"settings: self.zone: {me['zone']!r} is none of network.zones")
+        raise SettingsError(f"settings: self.zone: {me['zone']!r} is none of network.zones")
     for what, name in (("edge", "http"), ("edge", "readyz"), ("ctl", "ctl")):
         if what in me["serves"] and name not in net["bind"]:
-            raise BadSettings(f"settings: network.bind: {name} is missing, which {what} needs")
-    return Boot(
+            raise SettingsError(f"settings: network.bind: {name} is missing, which {what} needs")
+    return NodeSettings(
         node=me["node"],
-        serves=tuple(me["serves"]),
+        roles=tuple(me["serves"]),
         ip=me["ip"],
         zone=me["zone"],
         voting=me["voting"],
         bootstrap=me["bootstrap"],
-        datadir=me["datadir"],
+        data_dir=me["datadir"],
         max_fds=me["limits"]["maxFds"],
-        mem_mb=me["limits"]["memMb"],
+        memory_mb=me["limits"]["memMb"],
         bind=net["bind"],
-        inner=net["portRange"][0],
+        peer_port=net["portRange"][0],
         seeds=tuple(net["seeds"]),
         zones=tuple(net["zones"]),
-        regions=net["zones"],
+        region_by_zone=net["zones"],
         heartbeat_ms=found["infra"]["heartbeatMs"],
-        tolerate=found["terms"]["tolerate"]["nodes"],
-        bounds=Bounds(
+        tolerated_failures=found["terms"]["tolerate"]["nodes"],
+        bounds=ServiceBounds(
             bounds["contactMs"],
             bounds["ackMs"],
             bounds["drainMs"],
@@ -184,12 +184,12 @@
     )
 
 
-def load(environ: Mapping[str, str] = os.environ) -> Boot:
+def load_settings(environ: Mapping[str, str] = os.environ) -> NodeSettings:
     """Raises BadSettings."""
-    path = environ.get(VARIABLE)
+    path = environ.get(SETTINGS_FILE_VARIABLE)
     if not path:
-        raise BadSettings(f"{VARIABLE} is not set: it names the settings file")
+        raise SettingsError(f"{SETTINGS_FILE_VARIABLE} is not set: it names the settings file")
     try:
-        return read(Path(path).read_bytes())
+        return parse_settings(Path(path).read_bytes())
     except OSError as trouble:
-        raise BadSettings(f"the settings file {path} cannot be read: {trouble.strerror}") from None
+        raise SettingsError(f"the settings file {path} cannot be read: {trouble.strerror}") from None
--- a/meadowworks/runtime/peer_client.py
+++ b/meadowworks/runtime/peer_client.py
@@ -9,9 +9,9 @@
 import asyncio
 from secrets import token_hex
 
-from meadowworks.runtime.errors import NoAnswer
-from meadowworks.runtime.http_connection import Line, connect
-from meadowworks.runtime.http_server import LIFE, QUESTION
+from meadowworks.runtime.errors import RequestError
+from meadowworks.runtime.http_connection import ClientConnection, connect
+from meadowworks.runtime.http_server import CALL_ID_HEADER, INCARNATION_HEADER
 
 CONNECT_S = 0.25  # a machine without power is silent: the next one is asked
 ANSWER_MOST = 64 << 20
@@ -24,9 +24,9 @@
     def __init__(self, host: str, port: int) -> None:
         self.host, self.port = host, port
         self.life: bytes | None = None
-        self.idle: list[Line] = []
+        self.idle: list[ClientConnection] = []
 
-    def kept(self) -> Line | None:
+    def kept(self) -> ClientConnection | None:
         while self.idle:
             line = self.idle.pop()
             if line.usable():
@@ -44,21 +44,21 @@
                     line = await connect(self.host, self.port, CONNECT_S)
                 headers = [
                     (b"host", self.host.encode()),
-                    (QUESTION, question),
+                    (CALL_ID_HEADER, question),
                     (b"content-length", str(len(body)).encode()),
                 ]
-                reply = await line.ask(b"POST", path, headers, body, ANSWER_MOST)
+                reply = await line.request(b"POST", path, headers, body, ANSWER_MOST)
         except BaseException as trouble:
             # Guards against a reply that comes after its caller has gone: the next call would meet it.
             if line is not None:
                 line.close()
             if isinstance(trouble, TimeoutError):
-                raise NoAnswer(f"silence from {self.host}:{self.port}", True) from None
+                raise RequestError(f"silence from {self.host}:{self.port}", True) from None
             raise
-        if reply.get(QUESTION) != question:
+        if reply.header(CALL_ID_HEADER) != question:
             line.close()
-            raise NoAnswer(f"{self.host}:{self.port} answers another question", True)
-        life = reply.get(LIFE)
+            raise RequestError(f"{self.host}:{self.port} answers another question", True)
+        life = reply.header(INCARNATION_HEADER)
         if fresh and life != self.life:
             # Guards against lines that lead to the process which was there before.
             self.close()
@@ -68,7 +68,7 @@
         else:
             line.close()
         if reply.status != 200:
-            raise NoAnswer(f"{self.host}:{self.port} says {reply.status}", True)
+            raise RequestError(f"{self.host}:{self.port} says {reply.status}", True)
         return reply.body
 
     def close(self) -> None:
--- a/meadowworks/runtime/process.py
+++ b/meadowworks/runtime/process.py
@@ -11,10 +11,10 @@
 from typing import Any
 
 from meadowworks.runtime import logging as logs
-from meadowworks.runtime.errors import BadSettings, BrokenInvariant
-from meadowworks.runtime.node_settings import Boot, load
+from meadowworks.runtime.errors import InvariantViolation, SettingsError
+from meadowworks.runtime.node_settings import NodeSettings, load_settings
 
-log = logs.part("start")
+log = logs.get_logger("start")
 
 
 def now_ns() -> int:
@@ -49,7 +49,7 @@
         self.running.discard(task)
         if task.cancelled() or (trouble := task.exception()) is None:
             return
-        if isinstance(trouble, BrokenInvariant):
+        if isinstance(trouble, InvariantViolation):
             if not self.broken.done():
                 self.broken.set_exception(trouble)
         else:
@@ -63,18 +63,18 @@
                 found = act()
                 if isinstance(found, Awaitable):
                     await found
-            except BrokenInvariant:
+            except InvariantViolation:
                 raise
             except Exception:
                 log.exception("a turn failed")
 
 
-def run(serve: Callable[[Boot, asyncio.Future[None]], Coroutine[Any, Any, None]]) -> int:
+def run(serve: Callable[[NodeSettings, asyncio.Future[None]], Coroutine[Any, Any, None]]) -> int:
     """Runs a program until it is told to end. 0 then, 2 on settings that make no sense, 1 on a fault."""
-    logs.start()
+    logs.configure()
     try:
-        boot = load()
-    except BadSettings as trouble:
+        boot = load_settings()
+    except SettingsError as trouble:
         print(f"meadowworks: {trouble}", file=sys.stderr)
         return 2
 
--- a/meadowworks/simulation/cost.py
+++ b/meadowworks/simulation/cost.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from meadowworks.config.route_table import Route as Route_
-from meadowworks.config.route_table import Timetable
+from meadowworks.config.route_table import RouteTable
 from meadowworks.policy import Controller
 from meadowworks.policy.interface import Entry, Route, Settings
 
@@ -95,16 +95,16 @@
     and prefix, and the plain way, which looks at each."""
     prefixes = [f"/p{k}/" if k % 2 else f"/p{k}/q/" for k in range(many)]
     rows = {p: Route_(p, True, 1000, 200, 0, 2, (("s", 1.0),)) for p in prefixes}
-    table = Timetable(1, {"h": rows})
+    table = RouteTable(1, {"h": rows})
     paths = [prefixes[0] + "a/b/c", prefixes[-1] + "a/b/c"] * 500
 
     def plain(path: str) -> Route_:
         fit = (route for prefix, route in rows.items() if path.startswith(prefix))
         return max(fit, key=lambda route: len(route.name))
 
-    assert all(table.find("h", path) is plain(path) for path in paths[:2])
+    assert all(table.find_route("h", path) is plain(path) for path in paths[:2])
     took = []
-    for find in (lambda path: table.find("h", path), plain):
+    for find in (lambda path: table.find_route("h", path), plain):
         start = process_time()
         for path in paths:
             find(path)
--- a/meadowworks/simulation/forward.py
+++ b/meadowworks/simulation/forward.py
@@ -11,12 +11,18 @@
 from pathlib import Path
 from typing import Any
 
-from meadowworks.local.backend import Backend
-from meadowworks.local.commands import ROOT, ROUTES, start
-from meadowworks.local.system import BEAT_MS, ZONES, Plan, configuration, free_ports
-from meadowworks.runtime.errors import NoAnswer
-from meadowworks.runtime.http_connection import Line, connect
-from meadowworks.runtime.http_server import Door, answer
+from meadowworks.local.backend import StubBackend
+from meadowworks.local.commands import DEMO_ROUTES, PROJECT_ROOT, start_node
+from meadowworks.local.system import (
+    HEARTBEAT_INTERVAL_MS,
+    ZONES,
+    SystemLayout,
+    build_configuration,
+    free_ports,
+)
+from meadowworks.runtime.errors import RequestError
+from meadowworks.runtime.http_connection import ClientConnection, connect
+from meadowworks.runtime.http_server import HttpServer, send_response
 
 TURNS = 4
 HEADERS = [(b"host", b"local.example"), (b"x-request-id", b"q"), (b"x-deadline-ms", b"1500")]
@@ -30,48 +36,52 @@
 
 async def bare(port: int) -> None:
     async def app(scope: Any, receive: Any, send: Any) -> None:
-        await answer(send, 200, b"x" * 30, [(b"x-request-id", b"q")])
+        await send_response(send, 200, b"x" * 30, [(b"x-request-id", b"q")])
 
-    await Door(app).open("127.0.0.1", port)
+    await HttpServer(app).listen("127.0.0.1", port)
     await asyncio.Event().wait()
 
 
-async def load(line: Line, count: int) -> None:
+async def load(line: ClientConnection, count: int) -> None:
     for _ in range(count):
-        reply = await line.ask(b"GET", b"/read/x", HEADERS, b"", 65536)
+        reply = await line.request(b"GET", b"/read/x", HEADERS, b"", 65536)
         assert reply.status == 200, reply.status
 
 
-async def reached(host: str, port: int) -> Line:
+async def reached(host: str, port: int) -> ClientConnection:
     for _ in range(200):
         try:
             line = await connect(host, port, 0.5)
-            if (await line.ask(b"GET", b"/read/x", HEADERS, b"", 65536)).status == 200:
+            if (await line.request(b"GET", b"/read/x", HEADERS, b"", 65536)).status == 200:
                 return line
-        except NoAnswer:
+        except RequestError:
             pass
         await asyncio.sleep(0.05)
     raise SystemExit(f"nothing serves at {host}:{port}")
 
 
 async def measure(count: int, folder: Path) -> None:
-    plan = Plan(78, free_ports(), 3, 1)
-    parts = [start(plan, place, folder) for place in range(4)]
+    plan = SystemLayout(78, free_ports(), 3, 1)
+    parts = [start_node(plan, place, folder) for place in range(4)]
     port = free_ports().http
-    env = {**os.environ, "PYTHONPATH": str(ROOT)}
+    env = {**os.environ, "PYTHONPATH": str(PROJECT_ROOT)}
     code = f"import asyncio; from meadowworks.simulation.forward import bare; asyncio.run(bare({port}))"
     plain = subprocess.Popen([sys.executable, "-c", code], env=env)
     tasks = []
     try:
         for svc in ("lookup", "orders"):
             for zone in ZONES:
-                backend = Backend(f"{svc}-{zone}", svc, zone, plan.host(20))
-                await backend.open()
-                tasks.append(asyncio.create_task(backend.beats(plan.ctls(), BEAT_MS / 1000)))
+                backend = StubBackend(f"{svc}-{zone}", svc, zone, plan.ip_address(20))
+                await backend.start()
+                tasks.append(
+                    asyncio.create_task(
+                        backend.run_heartbeats(plan.control_addresses(), HEARTBEAT_INTERVAL_MS / 1000)
+                    )
+                )
         ctl = await reached_ctl(plan)
-        body = configuration(1, ROUTES)
+        body = build_configuration(1, DEMO_ROUTES)
         while (
-            await ctl.ask(
+            await ctl.request(
                 b"POST",
                 b"/api/Config.Replace",
                 [(b"host", b"c"), (b"content-length", str(len(body)).encode())],
@@ -80,7 +90,10 @@
             )
         ).status != 200:
             await asyncio.sleep(0.1)
-        lines = {parts[3].pid: await reached(*plan.https()[0]), plain.pid: await reached("127.0.0.1", port)}
+        lines = {
+            parts[3].pid: await reached(*plan.proxy_addresses()[0]),
+            plain.pid: await reached("127.0.0.1", port),
+        }
         taken = dict.fromkeys(lines, 0.0)
         for _ in range(TURNS):
             for pid, line in lines.items():
@@ -100,11 +113,11 @@
             part.wait()
 
 
-async def reached_ctl(plan: Plan) -> Line:
+async def reached_ctl(plan: SystemLayout) -> ClientConnection:
     for _ in range(200):
         try:
-            return await connect(*plan.ctls()[0], 0.5)
-        except NoAnswer:
+            return await connect(*plan.control_addresses()[0], 0.5)
+        except RequestError:
             await asyncio.sleep(0.05)
     raise SystemExit("no signalbox serves")
 
--- a/meadowworks/simulation/hollow.py
+++ b/meadowworks/simulation/hollow.py
@@ -18,8 +18,8 @@
 from dataclasses import dataclass, field, replace
 from typing import Any, TypeVar
 
-from meadowworks.config.route_table import Timetable
-from meadowworks.config.route_table import load as load_table
+from meadowworks.config.route_table import RouteTable
+from meadowworks.config.route_table import load_route_table as load_table
 from meadowworks.forwarding.connection_pool import Yard
 from meadowworks.gossip import messages as post
 from meadowworks.gossip.peer_sampling import Card, Members
@@ -279,7 +279,7 @@
         self.news = News(me.life)
         self.lives = Lives(lambda name: self.news.quiet(clock(), name), clock)
         self.news.listeners += [self.lives.told, self.figures]
-        self.table: Timetable | None = None
+        self.table: RouteTable | None = None
         self.services: dict[str, Service] = {}
         self.yard: Yard[Any] = Yard()
         self.sums, self.own = Sums(), Sums()
@@ -307,14 +307,14 @@
         for name, service in self.services.items():
             service.heard(now, place, by_service.get(name, {}), asked.get(name, 0), max(1, covers_ms) * MS)
 
-    def take_table(self, table: Timetable) -> None:
+    def take_table(self, table: RouteTable) -> None:
         self.table = table
         targets: dict[str, float] = {}
-        for routes in table.hosts.values():
+        for routes in table.routes_by_host.values():
             for route in routes.values():
-                for name, _ in route.split:
+                for name, _ in route.weighted_services:
                     targets[name] = max(targets.get(name, 0.0), route.target_ms)
-        for name in table.services:
+        for name in table.max_connections:
             target_ns = int(targets.get(name, 1000.0) * MS) or SECOND
             if name in self.services:
                 self.services[name].aims(target_ns)
--- a/meadowworks/simulation/pauses.py
+++ b/meadowworks/simulation/pauses.py
@@ -21,13 +21,13 @@
 from pathlib import Path
 from typing import Any
 
-from meadowworks.config.route_table import loading
-from meadowworks.config.validation import checking
+from meadowworks.config.route_table import load_route_table_steps
+from meadowworks.config.validation import validation_steps
 from meadowworks.controlplane.server import Signalbox
-from meadowworks.local.system import Plan, configuration, free_ports
+from meadowworks.local.system import SystemLayout, build_configuration, free_ports
 from meadowworks.proxy.server import Junction
-from meadowworks.runtime.cooperative import aside, deflating, inflating
-from meadowworks.runtime.node_settings import read
+from meadowworks.runtime.cooperative import compress_steps, decompress_steps, run_cooperatively
+from meadowworks.runtime.node_settings import parse_settings
 from meadowworks.simulation.forward import reached_ctl
 
 AFTER_S = 4.0  # that is looked at with nothing to do, and after an acknowledgement
@@ -37,7 +37,7 @@
     paths = {
         f"/part-{n % 97}/item-{n}/": ("unsafe" if n % 4 else "safe", f"svc{n % 3}") for n in range(routes)
     }
-    return configuration(version, paths)
+    return build_configuration(version, paths)
 
 
 class Beat:
@@ -65,11 +65,14 @@
         act(what)
 
     works: list[tuple[str, Callable[[], Awaitable[Any]]]] = [
-        ("check", lambda: aside(checking(body))),
-        ("eight checks", lambda: asyncio.gather(*(aside(checking(body), one) for _ in range(8)))),
-        ("load", lambda: aside(loading(body))),
-        ("compress", lambda: aside(deflating(body))),
-        ("decompress", lambda: aside(inflating(packed, len(body)))),
+        ("check", lambda: run_cooperatively(validation_steps(body))),
+        (
+            "eight checks",
+            lambda: asyncio.gather(*(run_cooperatively(validation_steps(body), one) for _ in range(8))),
+        ),
+        ("load", lambda: run_cooperatively(load_route_table_steps(body))),
+        ("compress", lambda: run_cooperatively(compress_steps(body))),
+        ("decompress", lambda: run_cooperatively(decompress_steps(packed, len(body)))),
         ("json.loads", lambda: in_one_go(json.loads, body)),
         ("zlib.compress", lambda: in_one_go(zlib.compress, body)),
         ("zlib.decompress", lambda: in_one_go(zlib.decompress, packed)),
@@ -97,7 +100,7 @@
 async def node(file: str) -> None:
     """One program beside a heartbeat: each line on standard input is answered by the longest pause since the
     last one, and begins anew."""
-    boot, loop, beat = read(Path(file).read_bytes()), asyncio.get_running_loop(), Beat()
+    boot, loop, beat = parse_settings(Path(file).read_bytes()), asyncio.get_running_loop(), Beat()
 
     def asked() -> None:
         if not sys.stdin.readline():
@@ -113,15 +116,15 @@
 
 
 def programs(routes: int, folder: Path) -> None:
-    plan, parts = Plan(79, free_ports()), []
+    plan, parts = SystemLayout(79, free_ports()), []
     try:
-        for place in range(plan.signalboxes + plan.junctions):
+        for place in range(plan.control_plane_nodes + plan.proxies):
             file = folder / f"{place}.json"
-            file.write_text(json.dumps(plan.settings(place, folder / f"disk-{place}")))
+            file.write_text(json.dumps(plan.node_settings(place, folder / f"disk-{place}")))
             command = [sys.executable, "-O", "-m", __spec__.name, "--node", str(file)]
             parts.append(subprocess.Popen(command, stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True))
         asyncio.run(up(plan))
-        ctl = plan.ctls()[0]
+        ctl = plan.control_addresses()[0]
         while post(*ctl, large(1, 9)) != 200:
             time.sleep(0.1)
         body = large(2, routes)
@@ -139,7 +142,7 @@
             part.wait()
 
 
-async def up(plan: Plan) -> None:
+async def up(plan: SystemLayout) -> None:
     (await reached_ctl(plan)).close()
 
 
--- a/meadowworks/simulation/scale.py
+++ b/meadowworks/simulation/scale.py
@@ -26,7 +26,7 @@
 from pathlib import Path
 from typing import Any
 
-from meadowworks.config.validation import check
+from meadowworks.config.validation import validate_configuration
 from meadowworks.gossip import messages as post
 from meadowworks.gossip.peer_sampling import STALE_NS
 from meadowworks.load_balancing.load_reports import Sums
@@ -521,7 +521,7 @@
 
         def received() -> None:
             box.meter.came(len(body))
-            box.meter.timed("check a configuration", lambda: check(body))
+            box.meter.timed("check a configuration", lambda: validate_configuration(body))
             first, second = ([0, version, 1, "disk"], [0, version, 1, "disk", body])
             letters(post.pack(first), lambda: letters(post.pack(second), agreed))
 
--- a/tests/gateway/golden_product.py
+++ b/tests/gateway/golden_product.py
@@ -15,7 +15,7 @@
 from unittest.mock import patch
 
 from meadowworks.cli import main as commands
-from meadowworks.config.route_table import load as load_configuration
+from meadowworks.config.route_table import load_route_table as load_configuration
 from meadowworks.consensus import register
 from meadowworks.consensus.replica import (
     Ask,
@@ -41,8 +41,8 @@
 from meadowworks.registry.drain_log import Fences
 from meadowworks.registry.heartbeats import PREFIX as BACKENDS_PREFIX
 from meadowworks.registry.heartbeats import Beats
-from meadowworks.runtime import node_settings as boot
-from meadowworks.runtime.http_server import Door, answer, whole_body
+from meadowworks.runtime import node_settings
+from meadowworks.runtime.http_server import HttpServer, read_body, send_response
 from meadowworks.runtime.peer_client import Peer
 from meadowworks.storage.sqlite_store import Disk
 
@@ -367,11 +367,11 @@
 
 
 def make_signalbox(settings: Any) -> Signalbox:
-    return Signalbox(boot.read(json.dumps(settings)))
+    return Signalbox(node_settings.parse_settings(json.dumps(settings)))
 
 
 def make_junction(settings: Any) -> Junction:
-    return Junction(boot.read(json.dumps(settings)))
+    return Junction(node_settings.parse_settings(json.dumps(settings)))
 
 
 async def started_signalbox(settings: Any) -> Signalbox:
@@ -462,10 +462,10 @@
     """A door between controllers that answers each call with its body: its port, and what closes it."""
 
     async def echo(scope: Any, receive: Any, send: Any) -> None:
-        await answer(send, 200, await whole_body(receive, 1 << 20), [])  # type: ignore[arg-type]
+        await send_response(send, 200, await read_body(receive, 1 << 20), [])  # type: ignore[arg-type]
 
-    door = Door(echo, life=life)
-    return await door.open("127.0.0.1", 0), door.end
+    door = HttpServer(echo, incarnation=life)
+    return await door.listen("127.0.0.1", 0), door.close
 
 
 # -- the command line
--- a/tests/gateway/helpers.py
+++ b/tests/gateway/helpers.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from meadowworks.registry.backends import Backend
-from meadowworks.runtime.http_connection import Line, Reply, connect
+from meadowworks.runtime.http_connection import ClientConnection, Response, connect
 
 SECOND = 1_000_000_000
 
@@ -27,13 +27,13 @@
     target: bytes,
     ident: str = "q",
     body: bytes = b"",
-    line: Line | None = None,
-) -> Reply:
+    line: ClientConnection | None = None,
+) -> Response:
     line = line or await connect(*at, 2.0)
     headers = [(b"host", b"local.example"), (b"x-request-id", ident.encode()), (b"x-deadline-ms", b"1500")]
     if body or method == b"POST":
         headers.append((b"content-length", str(len(body)).encode()))
-    return await line.ask(method, target, headers, body, 1 << 24)
+    return await line.request(method, target, headers, body, 1 << 24)
 
 
 Handler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
--- a/tests/gateway/test_callers.py
+++ b/tests/gateway/test_callers.py
@@ -12,9 +12,9 @@
 from meadowworks.forwarding.response_check import judge
 from meadowworks.forwarding.staleness import Picture
 from meadowworks.proxy.upstream_attempt import Request, Tried, attempt
-from meadowworks.runtime.errors import NoAnswer
-from meadowworks.runtime.http_connection import Line
-from meadowworks.runtime.http_server import Door, answer, whole_body
+from meadowworks.runtime.errors import RequestError
+from meadowworks.runtime.http_connection import ClientConnection
+from meadowworks.runtime.http_server import HttpServer, read_body, send_response
 from meadowworks.runtime.peer_client import Peer
 from meadowworks.runtime.process import now_ns
 from tests.gateway.helpers import SECOND, Raw, backend, until
@@ -75,7 +75,7 @@
 async def asks(peer: Peer, wait_s: float) -> bytes | str:
     try:
         return await peer.call(b"/pull", b"", wait_s)
-    except NoAnswer as trouble:
+    except RequestError as trouble:
         return str(trouble)
 
 
@@ -124,27 +124,27 @@
         gate = asyncio.Event()
 
         async def app(scope: Any, receive: Any, send: Any) -> None:
-            body = await whole_body(receive, 100)
+            body = await read_body(receive, 100)
             if body == b"held":
                 await gate.wait()
-            await answer(send, 200, body if isinstance(body, bytes) else b"")
+            await send_response(send, 200, body if isinstance(body, bytes) else b"")
 
-        before, after = Door(app, life="before"), Door(app, life="after")
-        port = await before.open("127.0.0.1", 0)
+        before, after = HttpServer(app, incarnation="before"), HttpServer(app, incarnation="after")
+        port = await before.listen("127.0.0.1", 0)
         peer = Peer("127.0.0.1", port)
         assert await peer.call(b"/pull", b"x", 5.0) == b"x" and peer.life == b"before"
         held = asyncio.create_task(peer.call(b"/pull", b"held", 5.0))  # on the line that was kept
-        await until(lambda: before.at_work() == 1, "it is at work")
+        await until(lambda: before.pending_count() == 1, "it is at work")
         assert before.server is not None
         before.server.close()
-        await after.open("127.0.0.1", port)
+        await after.listen("127.0.0.1", port)
         assert await peer.call(b"/pull", b"y", 5.0) == b"y" and peer.life == b"after"
         gate.set()
         assert await held == b"held"  # it is that call's, whoever says it
         assert peer.life == b"after" and len(peer.idle) == 1
         assert await peer.call(b"/pull", b"z", 5.0) == b"z" and peer.life == b"after"
         peer.close()
-        after.shut()
+        after.shutdown()
 
     asyncio.run(main())
 
@@ -204,7 +204,7 @@
 async def three(how: str) -> tuple[Server, list[Tried]]:
     made = Server(SECONDS[how][0])
     there = backend("me", await made.raw.open())
-    yard: Yard[Line] = Yard()
+    yard: Yard[ClientConnection] = Yard()
     found = [await attempt(yard, there, request(b"one"), now_ns() + SECOND)]
     second = asyncio.create_task(attempt(yard, there, request(b"two"), now_ns() + SECOND))
     if "silence" in how:
@@ -242,7 +242,7 @@
     async def main() -> None:
         made = Server([OK.replace(b"mine", b"late")])
         there = backend("me", await made.raw.open())
-        yard: Yard[Line] = Yard()
+        yard: Yard[ClientConnection] = Yard()
         for ident in (b"one", None, None):
             tried = await attempt(yard, there, request(ident), now_ns() + SECOND)
             assert tried.reply is not None and tried.reply.body == b"mine"
--- a/tests/gateway/test_carriage.py
+++ b/tests/gateway/test_carriage.py
@@ -17,7 +17,7 @@
 from meadowworks.forwarding.response_check import proof
 from meadowworks.forwarding.retry_budget import Budget
 from meadowworks.proxy.upstream_attempt import Request, Tried, attempt, on_headers
-from meadowworks.runtime.http_connection import Line
+from meadowworks.runtime.http_connection import ClientConnection
 from meadowworks.runtime.process import now_ns
 from tests.gateway.helpers import SECOND, Raw, backend
 
@@ -133,7 +133,7 @@
 
 
 def test_a_backend_too_busy_to_answer_does_not_look_idle() -> None:
-    yard: Yard[Line] = Yard()
+    yard: Yard[ClientConnection] = Yard()
     yard.begin("b")
     yard.told(0, "b", 2, 6)
     assert yard.busy(0, "b", True) == 8.0
@@ -222,7 +222,7 @@
         with socket.socket() as free:
             free.bind(("127.0.0.1", 0))
             at = free.getsockname()
-    yard: Yard[Line] = Yard()
+    yard: Yard[ClientConnection] = Yard()
     found = []
     for ident in (b"one", b"two"):
         request = Request(method, b"/x", [(b"host", b"h"), (b"x-request-id", ident)], b"", ident)
--- a/tests/gateway/test_door.py
+++ b/tests/gateway/test_door.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from meadowworks.forwarding.memory_budget import Room
-from meadowworks.runtime.http_server import Cut, Door, Limits, answer, whole_body
+from meadowworks.runtime.http_server import BodyError, HttpServer, RequestLimits, read_body, send_response
 
 OK = b"GET /a HTTP/1.1\r\nHost: h\r\n\r\n"
 CASES = {
@@ -64,20 +64,20 @@
     seen: list[bytes] = []
 
     async def app(scope: Any, receive: Any, send: Any) -> None:
-        if not isinstance(await whole_body(receive, 500), bytes):
-            return await answer(send, 413)
+        if not isinstance(await read_body(receive, 500), bytes):
+            return await send_response(send, 413)
         seen.append(scope["target"])
-        await answer(send, 200, b"x")
+        await send_response(send, 200, b"x")
 
-    door = Door(app, Limits(4000, 0.2, 0.3))
-    port = await door.open("127.0.0.1", 0)
+    door = HttpServer(app, RequestLimits(4000, 0.2, 0.3))
+    port = await door.listen("127.0.0.1", 0)
     start = asyncio.get_running_loop().time()
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(data)
     async with asyncio.timeout(5):
         said = await reader.read(-1)  # the door ends it: at once after an error, else when idle
     writer.close()
-    door.shut()
+    door.shutdown()
     statuses = [int(part[:3]) for part in said.split(b"HTTP/1.1 ")[1:]]
     return statuses, seen, asyncio.get_running_loop().time() - start
 
@@ -113,10 +113,12 @@
 def test_bodies_share_a_bounded_room_and_give_it_back() -> None:
     async def main() -> None:
         room = Room(100)
-        assert await whole_body(parts(40, 40), 500, room) == b"z" * 80 and room.held == 0
-        assert await whole_body(parts(60, 60, 60), 500, room) is Cut.FULL and room.held == 0
-        assert await whole_body(parts(20, 20, end=False), 500, room) is Cut.GONE and room.held == 0
-        assert await whole_body(parts(20, 20), 30, room) is Cut.LARGE and room.held == 0
+        assert await read_body(parts(40, 40), 500, room) == b"z" * 80 and room.held == 0
+        assert await read_body(parts(60, 60, 60), 500, room) is BodyError.OUT_OF_MEMORY and room.held == 0
+        assert (
+            await read_body(parts(20, 20, end=False), 500, room) is BodyError.DISCONNECTED and room.held == 0
+        )
+        assert await read_body(parts(20, 20), 30, room) is BodyError.TOO_LARGE and room.held == 0
         first = parts(20)
 
         async def stops() -> Any:
@@ -124,7 +126,7 @@
             return message if message["more_body"] else await never()
 
         async with asyncio.timeout(1):
-            assert await whole_body(stops, 500, room, within_s=0.01) is Cut.SLOW and room.held == 0
+            assert await read_body(stops, 500, room, timeout_s=0.01) is BodyError.TIMED_OUT and room.held == 0
 
     asyncio.run(main())
 
@@ -132,20 +134,20 @@
 def test_who_is_idle_gives_way_when_there_are_too_many_and_who_is_at_work_does_not(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("meadowworks.runtime.http_server.GRACE_NS", 0)
+    monkeypatch.setattr("meadowworks.runtime.http_server.CONNECTION_GRACE_NS", 0)
 
     async def main() -> None:
         gate = asyncio.Event()
 
         async def app(scope: Any, receive: Any, send: Any) -> None:
             await gate.wait()
-            await answer(send, 200, b"x")
+            await send_response(send, 200, b"x")
 
-        door = Door(app, Limits(4000, 5, 5), most=2)
-        port = await door.open("127.0.0.1", 0)
+        door = HttpServer(app, RequestLimits(4000, 5, 5), max_connections=2)
+        port = await door.listen("127.0.0.1", 0)
         busy = await asyncio.open_connection("127.0.0.1", port)
         busy[1].write(OK)
-        while not door.at_work():
+        while not door.pending_count():
             await asyncio.sleep(0)
         idle = [await asyncio.open_connection("127.0.0.1", port) for _ in range(3)]
         async with asyncio.timeout(5):
@@ -154,7 +156,7 @@
         gate.set()
         async with asyncio.timeout(5):
             assert (await busy[0].readline()).startswith(b"HTTP/1.1 200")
-        door.shut()
+        door.shutdown()
         for _, writer in (busy, *idle):
             writer.close()
 
--- a/tests/gateway/test_ends.py
+++ b/tests/gateway/test_ends.py
@@ -13,11 +13,11 @@
 from meadowworks.forwarding.attempts import Journey, Refuse, Send, Wait, policy, way
 from meadowworks.forwarding.connection_pool import Yard
 from meadowworks.forwarding.memory_budget import Room, Share
-from meadowworks.local.system import Plan, free_ports
+from meadowworks.local.system import SystemLayout, free_ports
 from meadowworks.proxy.upstream_attempt import Request, attempt
-from meadowworks.runtime import node_settings as boot
-from meadowworks.runtime.http_connection import Line, connect
-from meadowworks.runtime.http_server import Caller, Door, Limits, answer
+from meadowworks.runtime import node_settings
+from meadowworks.runtime.http_connection import ClientConnection, connect
+from meadowworks.runtime.http_server import HttpConnection, HttpServer, RequestLimits, send_response
 from meadowworks.runtime.process import Tasks, now_ns
 from tests.gateway.helpers import SECOND, Raw, ask, backend, until
 from tests.gateway.test_fleet import ROUTES, Fleet, fleet  # noqa: F401  # the fixture
@@ -38,25 +38,25 @@
     def __init__(self, body: bytes = b"x", pace_s: float | None = None) -> None:
         self.gate, self.began, self.slow = asyncio.Event(), 0, 0
         self.body, self.pace_s = body, pace_s
-        self.door = Door(self.app, Limits(4000, 5, 10))
+        self.door = HttpServer(self.app, RequestLimits(4000, 5, 10))
 
     async def app(self, scope: Any, receive: Any, send: Any) -> None:
         self.began += 1
-        caller = scope["caller"]
+        caller = scope["connection"]
         await self.gate.wait()
         try:
-            await answer(send, 200, self.body, None, self.pace_s)
+            await send_response(send, 200, self.body, None, self.pace_s)
         except TimeoutError:
             self.slow += 1
             caller.transport.abort()
 
     async def open(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        self.port = await self.door.open("127.0.0.1", 0)
+        self.port = await self.door.listen("127.0.0.1", 0)
         return await asyncio.open_connection("127.0.0.1", self.port, limit=1 << 24)
 
-    def caller(self) -> Caller:
+    def caller(self) -> HttpConnection:
         (found,) = self.door.server_state.connections
-        assert isinstance(found, Caller)
+        assert isinstance(found, HttpConnection)
         return found
 
 
@@ -67,10 +67,10 @@
         reader, writer = await made.open()
         writer.write(b"".join(ASK % k for k in range(before)))
         await until(lambda: made.began == 1 and len(made.caller().pipeline) == before - 1, "they are read")
-        made.door.leave()
+        made.door.drain()
         for k in range(after):
             writer.write(ASK % k)
-        await until(lambda: made.door.at_work() == 1, "at work")
+        await until(lambda: made.door.pending_count() == 1, "at work")
         read = before + after - 1
         if before == 1:  # one that waits behind another stops the reading, so that no more are taken in
             await until(lambda: len(made.caller().pipeline) == min(read, 1), "the next is read")
@@ -80,7 +80,7 @@
         assert said.count(b"HTTP/1.1 200") == made.began >= before + (before == 1) * after
         heads = said.split(b"HTTP/1.1 ")[1:]
         assert [b"connection: close" in head for head in heads] == [False] * (len(heads) - 1) + [True]
-        made.door.shut()
+        made.door.shutdown()
         writer.close()
 
     asyncio.run(main())
@@ -92,12 +92,12 @@
         made.gate.set()
         reader, writer = await made.open()
         for idle_s in (10.0, 30.0, 20.0):
-            made.door.state.limits.idle_s = idle_s
+            made.door.state.limits.idle_timeout_s = idle_s
             writer.write(ASK % 1)
             await reader.readuntil(b"\r\n\r\nx")
             end = made.caller().timeout_keep_alive_task
             assert end is not None and end.when() - asyncio.get_running_loop().time() > 0.8 * idle_s
-        made.door.shut()
+        made.door.shutdown()
         writer.close()
 
     asyncio.run(main())
@@ -111,13 +111,15 @@
         writer.write(ASK % 1)
         await until(lambda: made.began == 1 and not made.door.server_state.tasks, "it is written")
         stop(writer)
-        assert made.door.at_work() == 1
-        made.door.leave()
-        made.door.shut()
+        assert made.door.pending_count() == 1
+        made.door.drain()
+        made.door.shutdown()
         stop(writer, False)
         async with asyncio.timeout(5):
             said = await reader.read(-1)
-        assert said.endswith(made.body) and said.count(b"z") == len(made.body) and not made.door.at_work()
+        assert (
+            said.endswith(made.body) and said.count(b"z") == len(made.body) and not made.door.pending_count()
+        )
         writer.close()
 
     asyncio.run(main())
@@ -135,7 +137,7 @@
             stop(writer)
             writer.write(ASK % 2)
             await until(lambda: made.slow == 1, "it is given up")
-        made.door.shut()
+        made.door.shutdown()
         writer.close()
 
     asyncio.run(main())
@@ -153,7 +155,7 @@
             pass
 
     async def main() -> None:
-        server, yard, room = Raw(serve), Yard[Line](), Room(1500)
+        server, yard, room = Raw(serve), Yard[ClientConnection](), Room(1500)
         there = backend("me", await server.open())
         asked = Request(b"GET", b"/", [(b"host", b"h"), (b"x-request-id", b"q")], b"", b"q")
         one, two = Share(room), Share(room)
@@ -207,23 +209,23 @@
     async def whole() -> None:
         node, gate = await plan(fleet), asyncio.Event()
         for made in fleet.backends:
-            made.work = gate.wait  # type: ignore[assignment]
-        line = await connect(*fleet.plan.https()[0], 2.0)
-        call = asyncio.create_task(ask(fleet.plan.https()[0], method, target, "gone", b"", line))
-        await until(lambda: any(made.ran for made in fleet.backends), "it is at work")
+            made.handler = gate.wait  # type: ignore[assignment]
+        line = await connect(*fleet.plan.proxy_addresses()[0], 2.0)
+        call = asyncio.create_task(ask(fleet.plan.proxy_addresses()[0], method, target, "gone", b"", line))
+        await until(lambda: any(made.handled_request_ids for made in fleet.backends), "it is at work")
         line.close()
         assert isinstance((await asyncio.gather(call, return_exceptions=True))[0], Exception)
         if method == b"GET":
-            await until(lambda: not node.door.at_work(), "it is over long before its deadline", 1.0)
+            await until(lambda: not node.door.pending_count(), "it is over long before its deadline", 1.0)
             assert not any(stall.under_way or stall.idle for stall in node.yard.stalls.values())
         else:
             await until(lambda: not node.door.server_state.connections, "the connection is gone")
-            assert node.door.at_work() == 1  # it has been wanted, and may have run: it goes on
+            assert node.door.pending_count() == 1  # it has been wanted, and may have run: it goes on
             gate.set()
-            await until(lambda: not node.door.at_work(), "it is over")
+            await until(lambda: not node.door.pending_count(), "it is over")
             assert any(stall.idle for stall in node.yard.stalls.values())
         gate.set()
-        assert [ident for made in fleet.backends for ident in made.ran] == ["gone"]
+        assert [ident for made in fleet.backends for ident in made.handled_request_ids] == ["gone"]
         assert node.counts == {"clients gone": 1} and not node.room.held
 
     fleet.run(whole())
@@ -235,7 +237,7 @@
         await reader.read(-1)
 
     async def main() -> None:
-        server, yard, room, tasks = Raw(serve), Yard[Line](), Room(1500), Tasks()
+        server, yard, room, tasks = Raw(serve), Yard[ClientConnection](), Room(1500), Tasks()
         there, share = backend("me", await server.open()), Share(room)
         asked = Request(b"GET", b"/", [(b"host", b"h"), (b"x-request-id", b"q")], b"", b"q")
         task = tasks.start(attempt(yard, there, asked, now_ns() + 9 * SECOND, share.take))
@@ -253,20 +255,20 @@
     async def whole() -> None:
         node, never = await plan(fleet), asyncio.Event()
         for made in fleet.backends:
-            made.work = never.wait  # type: ignore[assignment]
+            made.handler = never.wait  # type: ignore[assignment]
         began = now_ns()
         assert (await fleet.serve(0, b"POST", b"/order/a")).status == 504  # it may have run
         assert now_ns() - began < 1.9 * SECOND  # its client waits for 1.5
         ((name, counted),) = node.prices.items()
-        names = [route.name for route in node.table.hosts["local.example"].values()]
+        names = [route.name for route in node.table.routes_by_host["local.example"].values()]
         assert counted == {"broken off": 1} and name in names
         for made in fleet.backends:
-            made.door.shut()
-            for caller in list(made.door.server_state.connections):
+            made.server.shutdown()
+            for caller in list(made.server.server_state.connections):
                 caller.transport.abort()
         began = now_ns()
         refused = await fleet.serve(0, b"POST", b"/order/b")
-        assert refused.status == 503 and refused.get(b"retry-after") and now_ns() - began < SECOND
+        assert refused.status == 503 and refused.header(b"retry-after") and now_ns() - began < SECOND
         assert node.prices == {name: {"broken off": 1}}
         never.set()
 
@@ -281,21 +283,23 @@
     async def whole() -> None:
         node, gate = await plan(fleet), asyncio.Event()
         for made in fleet.backends:
-            made.work = gate.wait  # type: ignore[assignment]
-        at = fleet.plan.https()[0]
+            made.handler = gate.wait  # type: ignore[assignment]
+        at = fleet.plan.proxy_addresses()[0]
         kept = [await connect(*at, 2.0) for _ in range(3)]
         calls = [
             asyncio.create_task(ask(at, method, target, f"w{k}", b"", kept[k]))
             for k, (method, target) in enumerate([(b"POST", b"/order/a"), (b"GET", b"/read/a")])
         ]
-        await until(lambda: sum(len(made.ran) for made in fleet.backends) == 2, "they are at work")
+        await until(
+            lambda: sum(len(made.handled_request_ids) for made in fleet.backends) == 2, "they are at work"
+        )
         await replaced(fleet, 1, 2, {"/new/": ("safe", "lookup")})
         await until(lambda: node.table.version == 2, "the next version is in force")
-        settings = fleet.plan.settings(3, tmp_path / "disk-3", True)
+        settings = fleet.plan.node_settings(3, tmp_path / "disk-3", True)
         settings["network"]["seeds"] = settings["network"]["seeds"][:1]
         path = tmp_path / "settings.json"
         path.write_text(json.dumps(settings))
-        monkeypatch.setenv(boot.VARIABLE, str(path))
+        monkeypatch.setenv(node_settings.SETTINGS_FILE_VARIABLE, str(path))
         node.again()
         assert len(node.boot.seeds) == 1
         gate.set()
@@ -337,7 +341,9 @@
 
 @pytest.mark.parametrize("how", TERMS)
 def test_terms_that_are_not_known_pass(how: str, tmp_path: Path) -> None:
-    settings = Plan(90, free_ports()).settings(3, tmp_path, True)
+    settings = SystemLayout(90, free_ports()).node_settings(3, tmp_path, True)
     settings["terms"] = {**settings.get("terms", {}), **TERMS[how]}
-    found = boot.read(json.dumps(settings))
-    assert found.tolerate == TERMS[how].get("tolerate", settings["terms"].get("tolerate", {})).get("nodes", 0)
+    found = node_settings.parse_settings(json.dumps(settings))
+    assert found.tolerated_failures == TERMS[how].get("tolerate", settings["terms"].get("tolerate", {})).get(
+        "nodes", 0
+    )
--- a/tests/gateway/test_fleet.py
+++ b/tests/gateway/test_fleet.py
@@ -15,15 +15,15 @@
 from pytest_bdd import given, scenarios, then, when
 
 from meadowworks.cli import main as commands
-from meadowworks.config.route_table import load
+from meadowworks.config.route_table import load_route_table
 from meadowworks.consensus.register import Ballot, Outside, Prepare
 from meadowworks.controlplane.server import Signalbox
 from meadowworks.forwarding.staleness import FRESH_NS
-from meadowworks.local.backend import Backend
-from meadowworks.local.system import Plan, configuration, free_ports
+from meadowworks.local.backend import StubBackend
+from meadowworks.local.system import SystemLayout, build_configuration, free_ports
 from meadowworks.proxy.server import SETTLE_NS, Junction
-from meadowworks.runtime import node_settings as boot
-from meadowworks.runtime.errors import NoAnswer
+from meadowworks.runtime import node_settings
+from meadowworks.runtime.errors import RequestError
 from meadowworks.runtime.http_connection import connect
 from meadowworks.runtime.process import now_ns
 from tests.gateway.helpers import ask, until
@@ -36,11 +36,11 @@
 class Fleet:
     def __init__(self, folder: Path) -> None:
         self.runner = asyncio.Runner()
-        self.plan, self.folder = Plan(next(NETS) % 250, free_ports()), folder
+        self.plan, self.folder = SystemLayout(next(NETS) % 250, free_ports()), folder
         self.told: dict[int, asyncio.Future[None]] = {}
         self.running: dict[int, asyncio.Task[None]] = {}
         self.nodes: dict[int, Any] = {}
-        self.backends: list[Backend] = []
+        self.backends: list[StubBackend] = []
         self.serial = itertools.count(1)
 
     def run(self, what: Coroutine[Any, Any, Any]) -> Any:
@@ -51,8 +51,10 @@
         return self.runner.run(bounded())
 
     async def start(self, place: int, bootstrap: bool = True) -> None:
-        settings = self.plan.settings(place, self.folder / f"disk-{place}", bootstrap)
-        node = (Signalbox if place < self.plan.signalboxes else Junction)(boot.read(json.dumps(settings)))
+        settings = self.plan.node_settings(place, self.folder / f"disk-{place}", bootstrap)
+        node = (Signalbox if place < self.plan.control_plane_nodes else Junction)(
+            node_settings.parse_settings(json.dumps(settings))
+        )
         self.told[place] = asyncio.get_running_loop().create_future()
         self.running[place] = asyncio.create_task(node.serve(self.told[place]))
         self.nodes[place] = node
@@ -67,32 +69,35 @@
                 found.server.close()
                 for caller in list(found.server_state.connections):
                     caller.transport.abort()
-        if place < self.plan.signalboxes:
+        if place < self.plan.control_plane_nodes:
             node.office.close()
 
     async def begin(self) -> None:
-        for place in range(self.plan.signalboxes + self.plan.junctions):
+        for place in range(self.plan.control_plane_nodes + self.plan.proxies):
             await self.start(place)
         for k, (svc, zone) in enumerate(itertools.product(("lookup", "orders"), ("north", "south"))):
-            made = Backend(f"b{k}", svc, zone, self.plan.host(20 + k))
-            await made.open()
+            made = StubBackend(f"b{k}", svc, zone, self.plan.ip_address(20 + k))
+            await made.start()
             self.backends.append(made)
         await until(lambda: all(self.nodes[k].sure() for k in range(3)), "signalboxes know each other")
         for made in self.backends:
-            assert await made.beat(self.plan.ctls()[0]) == 200
+            assert await made.send_heartbeat(self.plan.control_addresses()[0]) == 200
 
     async def replace(self, place: int, version: int, routes: dict[str, tuple[str, str]]) -> int:
         reply = await ask(
-            self.plan.ctls()[place], b"POST", b"/api/Config.Replace", body=configuration(version, routes)
+            self.plan.control_addresses()[place],
+            b"POST",
+            b"/api/Config.Replace",
+            body=build_configuration(version, routes),
         )
         return reply.status
 
     async def read(self, place: int) -> Any:
-        reply = await ask(self.plan.ctls()[place], b"GET", b"/api/Config.Read")
+        reply = await ask(self.plan.control_addresses()[place], b"GET", b"/api/Config.Read")
         return json.loads(reply.body) if reply.status == 200 else reply.status
 
     async def serve(self, place: int, method: bytes, target: bytes) -> Any:
-        return await ask(self.plan.https()[place], method, target, f"q{next(self.serial)}", b"")
+        return await ask(self.plan.proxy_addresses()[place], method, target, f"q{next(self.serial)}", b"")
 
     async def ready(self) -> None:
         await until(lambda: all(self.nodes[k].is_ready() for k in (3, 4)), "junctions are ready")
@@ -121,9 +126,9 @@
     for place in (0, 1):
         for method, target in ((b"GET", b"/read/a?b=%2f"), (b"POST", b"/order/a")):
             reply = fleet.run(fleet.serve(place, method, target))
-            assert reply.status == 200 and target in reply.body and reply.get(b"x-backend-seal")
+            assert reply.status == 200 and target in reply.body and reply.header(b"x-backend-seal")
         assert fleet.run(fleet.serve(place, b"GET", b"/other/a")).status == 404
-    ran = [ident for backend in fleet.backends for ident in backend.ran]
+    ran = [ident for backend in fleet.backends for ident in backend.handled_request_ids]
     assert len(ran) == len(set(ran)) == 4
 
 
@@ -131,7 +136,7 @@
 def one_drains(fleet: Fleet) -> None:
     backend = fleet.backends[0]
     backend.state = "draining"
-    assert fleet.run(backend.beat(fleet.plan.ctls()[1])) == 200
+    assert fleet.run(backend.send_heartbeat(fleet.plan.control_addresses()[1])) == 200
 
 
 @then("no junction sends to it once that is acknowledged")
@@ -141,13 +146,16 @@
     fleet.run(
         until(lambda: all(lives.known["b0"].state == "draining" for lives in others), "drain is known", 2.0)
     )
-    before = len(backend.ran)
+    before = len(backend.handled_request_ids)
     for place in (0, 1):
         for _ in range(6):
             assert fleet.run(fleet.serve(place, b"GET", b"/read/a")).status == 200
-    backend.state, backend.calls = "up", 0  # a beat from before the drain comes late
-    fleet.run(backend.beat(fleet.plan.ctls()[1]))
-    assert all(lives.known["b0"].state == "draining" for lives in others) and len(backend.ran) == before
+    backend.state, backend.heartbeats_sent = "up", 0  # a beat from before the drain comes late
+    fleet.run(backend.send_heartbeat(fleet.plan.control_addresses()[1]))
+    assert (
+        all(lives.known["b0"].state == "draining" for lives in others)
+        and len(backend.handled_request_ids) == before
+    )
 
 
 @when("the same number with another content is sent to the third signalbox")
@@ -158,7 +166,7 @@
 @then("it is refused, and every signalbox reads back what was sent first")
 def read_back(fleet: Fleet) -> None:
     for place in range(3):
-        assert fleet.run(fleet.read(place)) == json.loads(configuration(1, ROUTES))
+        assert fleet.run(fleet.read(place)) == json.loads(build_configuration(1, ROUTES))
 
 
 @when("an older version is sent late")
@@ -170,7 +178,7 @@
 @then("it is acknowledged and changes nothing")
 def changes_nothing(fleet: Fleet) -> None:
     fleet.run(until(lambda: all(fleet.nodes[k].table.version == 5 for k in (3, 4)), "version 5 is in force"))
-    assert fleet.run(fleet.read(2)) == json.loads(configuration(5, ROUTES))
+    assert fleet.run(fleet.read(2)) == json.loads(build_configuration(5, ROUTES))
 
 
 @when("two contents under one number are sent at once, again and again", target_fixture="races")
@@ -194,7 +202,7 @@
     for version, one, two, back in races:
         assert sorted((one, two)) == [200, 409], (version, one, two)
         routes = ROUTES if one == 200 else {"/read/": ("safe", "orders")}
-        assert back == json.loads(configuration(version, routes))
+        assert back == json.loads(build_configuration(version, routes))
 
 
 @when("the first signalbox comes back with an empty disk")
@@ -216,7 +224,7 @@
 def entered(fleet: Fleet) -> None:
     epoch = fleet.nodes[0].office.replica.acceptor.epoch
     assert epoch.number > 1 and len(epoch.members) == 3
-    assert fleet.run(fleet.read(0)) == json.loads(configuration(14, ROUTES))
+    assert fleet.run(fleet.read(0)) == json.loads(build_configuration(14, ROUTES))
 
 
 @when("a junction is told to end with a request at work", target_fixture="last")
@@ -224,15 +232,22 @@
     async def whole() -> Any:
         gate = asyncio.Event()
         for backend in fleet.backends:
-            backend.work = gate.wait  # type: ignore[assignment]
-        kept, work = await connect(*fleet.plan.https()[0], 2.0), await connect(*fleet.plan.https()[0], 2.0)
-        task = asyncio.create_task(ask(fleet.plan.https()[0], b"POST", b"/order/a", "last", b"", work))
-        await until(lambda: any(b.running for b in fleet.backends), "it is at work")
+            backend.handler = gate.wait  # type: ignore[assignment]
+        kept, work = (
+            await connect(*fleet.plan.proxy_addresses()[0], 2.0),
+            await connect(*fleet.plan.proxy_addresses()[0], 2.0),
+        )
+        task = asyncio.create_task(
+            ask(fleet.plan.proxy_addresses()[0], b"POST", b"/order/a", "last", b"", work)
+        )
+        await until(lambda: any(b.requests_running for b in fleet.backends), "it is at work")
         fleet.told[3].set_result(None)
         await until(lambda: fleet.nodes[3].leaving, "it leaves")
         gate.set()
-        idle = await ask(fleet.plan.https()[0], b"POST", b"/order/b", "still", b"", kept)
-        polled = (await ask((fleet.plan.host(3), fleet.plan.ports.readyz), b"GET", b"/api/readyz")).status
+        idle = await ask(fleet.plan.proxy_addresses()[0], b"POST", b"/order/b", "still", b"", kept)
+        polled = (
+            await ask((fleet.plan.ip_address(3), fleet.plan.ports.readyz), b"GET", b"/api/readyz")
+        ).status
         await fleet.running[3]
         return await task, idle, polled
 
@@ -243,7 +258,7 @@
 def answered_whole(last: Any) -> None:
     at_work, later, polled = last
     assert (at_work.status, later.status, polled) == (200, 200, 503)
-    assert at_work.get(b"connection") == later.get(b"connection") == b"close"
+    assert at_work.header(b"connection") == later.header(b"connection") == b"close"
 
 
 @when("a junction starts anew while only one signalbox is there, cut off")
@@ -262,7 +277,7 @@
 def not_ready(fleet: Fleet) -> None:
     assert fleet.nodes[4].table is None and not fleet.nodes[4].is_ready()
     unknown = fleet.run(fleet.serve(1, b"GET", b"/new/a"))
-    assert unknown.status == 503 and float(unknown.get(b"retry-after")) < 1
+    assert unknown.status == 503 and float(unknown.header(b"retry-after")) < 1
 
 
 @then("after a while it still has no table from there, and says when to come back")
@@ -274,7 +289,7 @@
     assert node.table is None and not node.is_ready() and not node.picture.ever
     for target in (b"/read/a", b"/new/a"):
         refused = fleet.run(fleet.serve(1, b"GET", target))
-        assert refused.status == 503 and float(refused.get(b"retry-after")) < 1
+        assert refused.status == 503 and float(refused.header(b"retry-after")) < 1
 
 
 @then("while its picture is old it is ready, and tells nobody that a route is not there")
@@ -297,8 +312,8 @@
 def not_acknowledged(fleet: Fleet) -> None:
     backend = fleet.backends[1]
     backend.state = "draining"
-    assert fleet.run(backend.beat(fleet.plan.ctls()[0])) == 503
-    assert fleet.run(backend.beat(fleet.plan.ctls()[0], leave=True)) == 503
+    assert fleet.run(backend.send_heartbeat(fleet.plan.control_addresses()[0])) == 503
+    assert fleet.run(backend.send_heartbeat(fleet.plan.control_addresses()[0], leave=True)) == 503
 
 
 @when("the others are back")
@@ -316,27 +331,29 @@
 def never_back(fleet: Fleet) -> None:
     assert fleet.run(fleet.serve(1, b"GET", b"/new/a")).status == 404
     node = fleet.nodes[4]
-    node.take_table(load(configuration(7, ROUTES)))
-    node.take_table(load(configuration(6, {"/new/": ("safe", "lookup")})))
-    assert node.table.version == 7 and node.table.find("local.example", "/new/a") is None
+    node.take_table(load_route_table(build_configuration(7, ROUTES)))
+    node.take_table(load_route_table(build_configuration(6, {"/new/": ("safe", "lookup")})))
+    assert node.table.version == 7 and node.table.find_route("local.example", "/new/a") is None
 
 
 @when("a backend of the south beats at the first signalbox, which is of the north")
 def beats_abroad(fleet: Fleet) -> None:
-    assert fleet.run(fleet.backends[1].beat(fleet.plan.ctls()[0])) == 200
+    assert fleet.run(fleet.backends[1].send_heartbeat(fleet.plan.control_addresses()[0])) == 200
 
 
 @then("it is asked to call the second, until a beat fails there")
 def asked_to_call(fleet: Fleet) -> None:
-    backend, (first, second, _) = fleet.backends[1], fleet.plan.ctls()
+    backend, (first, second, _) = fleet.backends[1], fleet.plan.control_addresses()
 
     async def whole() -> None:
-        assert backend.named == second and await backend.beat(second) == 200
+        assert backend.assigned_address == second and await backend.send_heartbeat(second) == 200
         await fleet.kill(1)
-        backend.named = None
-        assert await backend.beat(second) == 0 and await backend.beat(first) == 200
+        backend.assigned_address = None
+        assert await backend.send_heartbeat(second) == 0 and await backend.send_heartbeat(first) == 200
         # Its card is fresh yet, but it has failed one that was sent there.
-        assert [c.host for c in fleet.nodes[0].members.voters()].count(second[0]) and backend.named is None
+        assert [c.host for c in fleet.nodes[0].members.voters()].count(
+            second[0]
+        ) and backend.assigned_address is None
 
     fleet.run(whole())
 
@@ -357,13 +374,13 @@
 @then("a late beat does not bring it back anywhere")
 def not_back(fleet: Fleet) -> None:
     backend = fleet.backends[0]
-    backend.state, backend.calls = "up", 0
+    backend.state, backend.heartbeats_sent = "up", 0
     nodes = [fleet.nodes[k] for k in (0, 2, 3, 4)]
 
     async def whole() -> None:
         await until(lambda: all("b0" in node.lives.known for node in nodes), "all know of it")
         for place in (0, 2):
-            assert await backend.beat(fleet.plan.ctls()[place]) == 200
+            assert await backend.send_heartbeat(fleet.plan.control_addresses()[place]) == 200
         await until(lambda: nodes[3].is_ready(), "it is ready")
 
     fleet.run(whole())
@@ -372,7 +389,7 @@
 
 @then("the words tell of nodes, backends and reasons, in columns and as one object")
 def words(fleet: Fleet, capsys: pytest.CaptureFixture[str]) -> None:
-    box, junction = (f"{fleet.plan.host(k)}:{fleet.plan.ports.inner}" for k in (0, 3))
+    box, junction = (f"{fleet.plan.ip_address(k)}:{fleet.plan.ports.peer}" for k in (0, 3))
 
     def said(*line: str) -> str:
         assert fleet.run(asyncio.to_thread(commands.main, line)) == 0
@@ -394,7 +411,7 @@
 
 @then("what makes no sense is one line and status 2")
 def no_sense(fleet: Fleet, capsys: pytest.CaptureFixture[str]) -> None:
-    box, junction = (f"{fleet.plan.host(k)}:{fleet.plan.ports.inner}" for k in (0, 3))
+    box, junction = (f"{fleet.plan.ip_address(k)}:{fleet.plan.ports.peer}" for k in (0, 3))
     for line, why in (
         (("why", "lookup", box), "tells of no services"),
         (("why", "nobody", junction), "knows no service 'nobody'"),
@@ -414,11 +431,11 @@
         for _ in range(6):  # lines to it lie in the pools
             await asyncio.gather(*(fleet.serve(k, b"GET", b"/read/a") for k in (0, 1)))
         port = old.port
-        old.door.shut()
-        for caller in list(old.door.server_state.connections):
+        old.server.shutdown()
+        for caller in list(old.server.server_state.connections):
             caller.transport.abort()
-        newcomer = Backend("new", "orders", old.zone, old.host)
-        newcomer.port = await newcomer.door.open(old.host, port)
+        newcomer = StubBackend("new", "orders", old.zone, old.host)
+        newcomer.port = await newcomer.server.listen(old.host, port)
         fleet.backends.append(newcomer)
 
     fleet.run(whole())
@@ -430,6 +447,6 @@
         for _ in range(8):
             try:
                 assert fleet.run(fleet.serve(place, b"GET", b"/read/a")).status == 200
-            except NoAnswer:
+            except RequestError:
                 raise AssertionError("a request was broken off") from None
-    assert fleet.backends[-1].ran == []
+    assert fleet.backends[-1].handled_request_ids == []
--- a/tests/gateway/test_long.py
+++ b/tests/gateway/test_long.py
@@ -14,13 +14,20 @@
 import pytest
 from marshmallow import ValidationError
 
-from meadowworks.config import incremental_json as reading_
-from meadowworks.config import validation as check_
-from meadowworks.config.incremental_json import at_once, reading
-from meadowworks.config.route_table import load, loading
-from meadowworks.config.validation import Invalid, Valid, Whole, check, checking, sentence, wrong
-from meadowworks.runtime import cooperative as aside_
-from meadowworks.runtime.cooperative import aside, deflating, inflating
+from meadowworks.config import incremental_json, validation
+from meadowworks.config.incremental_json import parse_steps, run_to_completion
+from meadowworks.config.route_table import load_route_table, load_route_table_steps
+from meadowworks.config.validation import (
+    ConfigurationSchema,
+    InvalidConfiguration,
+    ValidConfiguration,
+    first_error,
+    route_error,
+    validate_configuration,
+    validation_steps,
+)
+from meadowworks.runtime import cooperative
+from meadowworks.runtime.cooperative import compress_steps, decompress_steps, run_cooperatively
 from tests.gateway.test_state import mutants
 
 ROUTE = {"name": "a", "prefix": "/a/", "type": "safe", "deadlineMs": 900, "targetMs": 200.5, "prio": 1}
@@ -41,31 +48,31 @@
 }
 
 
-def plain(body: bytes) -> Valid | Invalid:
+def plain(body: bytes) -> ValidConfiguration | InvalidConfiguration:
     """The check as it was: the schema reads all, then what it can't see is looked for."""
     try:
         nested = json.loads(body)
     except (ValueError, RecursionError):
-        return Invalid("it cannot be read whole")
+        return InvalidConfiguration("it cannot be read whole")
     try:
-        found = Whole().load(nested)
+        found = ConfigurationSchema().load(nested)
     except ValidationError as trouble:
-        return Invalid(sentence(trouble.messages))
+        return InvalidConfiguration(first_error(trouble.messages))
     services = [s["name"] for s in found["svcs"]]
     if len(set(services)) < len(services):
-        return Invalid("a service stands there twice")
+        return InvalidConfiguration("a service stands there twice")
     seen: set[tuple[str, str]] = set()
     names: set[str] = set()
     for host in found["vhosts"]:
         for route in host["prefixes"]:
-            if why := wrong(route, set(services)):
-                return Invalid(f"route {route['name']}: {why}")
+            if why := route_error(route, set(services)):
+                return InvalidConfiguration(f"route {route['name']}: {why}")
             place = (host["host"].lower(), route["prefix"])
             if place in seen or route["name"] in names:
-                return Invalid(f"route {route['name']}: its name or its place is another's too")
+                return InvalidConfiguration(f"route {route['name']}: its name or its place is another's too")
             seen.add(place)
             names.add(route["name"])
-    return Valid(int(found["ver"], 16))
+    return ValidConfiguration(int(found["ver"], 16))
 
 
 ODD: tuple[Any, ...] = (
@@ -91,7 +98,7 @@
 def test_the_verdict_on_a_mutated_configuration_is_the_schemas_own(
     window: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(reading_, "WINDOW", window)
+    monkeypatch.setattr(incremental_json, "WINDOW_CHARS", window)
     chance, valid, whys = random.Random(window), 0, set()
     drawn = [mutant for _, mutant in mutants(CONFIG)]
     for _ in range(700):
@@ -106,15 +113,15 @@
                 break
     for mutant in drawn:
         body = json.dumps(mutant, indent=chance.choice([None, 1])).encode()
-        found = check(body)
+        found = validate_configuration(body)
         assert found == plain(body), body
-        if isinstance(found, Valid):
+        if isinstance(found, ValidConfiguration):
             valid += 1
-            assert sum(map(len, load(body).hosts.values())) == sum(
+            assert sum(map(len, load_route_table(body).routes_by_host.values())) == sum(
                 len(h["prefixes"]) for h in mutant["vhosts"]
             )
         else:
-            whys.add(found.why)
+            whys.add(found.reason)
     assert valid > 60 and len(whys) > 90
 
 
@@ -156,8 +163,12 @@
     for key in at[:-1]:
         holder = holder[key]
     holder[at[-1]] = value
-    found = check(json.dumps(mutant).encode())
-    assert found == Valid(12) if why is None else isinstance(found, Invalid) and found.why.startswith(why)
+    found = validate_configuration(json.dumps(mutant).encode())
+    assert (
+        found == ValidConfiguration(12)
+        if why is None
+        else isinstance(found, InvalidConfiguration) and found.reason.startswith(why)
+    )
 
 
 def test_a_text_read_in_steps_is_what_the_library_reads(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -170,7 +181,7 @@
     ]
     chance, broken = random.Random(5), 0
     for turn in range(4000):
-        monkeypatch.setattr(reading_, "WINDOW", chance.choice([3, 9, 40]))
+        monkeypatch.setattr(incremental_json, "WINDOW_CHARS", chance.choice([3, 9, 40]))
         text = bytearray(texts[turn % len(texts)])
         for _ in range(chance.randrange(3)):
             at = chance.randrange(len(text) or 1)
@@ -185,9 +196,9 @@
         except (ValueError, RecursionError):
             broken += 1
             with pytest.raises((ValueError, RecursionError)):
-                at_once(reading(bytes(text)))
+                run_to_completion(parse_steps(bytes(text)))
         else:
-            assert repr(at_once(reading(bytes(text)))) == repr(value)
+            assert repr(run_to_completion(parse_steps(bytes(text)))) == repr(value)
     assert 1000 < broken < 3500
 
 
@@ -196,13 +207,13 @@
 ) -> None:
     routes = [{**ROUTE, "name": f"r{n}", "prefix": f"/{n}/", "svc": "s"} for n in range(1000)]
     body = json.dumps({**CONFIG, "vhosts": [{"host": "h", "prefixes": routes}]}).encode()
-    packed = at_once(deflating(body))
-    assert zlib.decompress(packed) == body and at_once(inflating(packed, len(body))) == body
+    packed = run_to_completion(compress_steps(body))
+    assert zlib.decompress(packed) == body and run_to_completion(decompress_steps(packed, len(body))) == body
     for short in (packed[:-9], b"", packed[1:]):
         with pytest.raises(ValueError):
-            at_once(inflating(short, len(body)))
+            run_to_completion(decompress_steps(short, len(body)))
     with pytest.raises(ValueError):
-        at_once(inflating(packed, 1000))
+        run_to_completion(decompress_steps(packed, 1000))
 
     async def turns_while(work: Any) -> tuple[Any, int]:
         task, turns = asyncio.ensure_future(work), 0
@@ -214,24 +225,24 @@
     async def whole() -> None:
         ticks = itertools.count()
         monkeypatch.setattr(time, "monotonic", lambda: next(ticks) * 0.002)  # a slice is two steps
-        found, turns = await turns_while(aside(checking(body)))
-        assert found == Valid(12) and turns > 60
-        table, turns = await turns_while(aside(loading(body)))
+        found, turns = await turns_while(run_cooperatively(validation_steps(body)))
+        assert found == ValidConfiguration(12) and turns > 60
+        table, turns = await turns_while(run_cooperatively(load_route_table_steps(body)))
         assert (
-            table == load(body)
-            and len(table.hosts["h"]) == 1000
-            and table.targets == {"s": 200.5}
+            table == load_route_table(body)
+            and len(table.routes_by_host["h"]) == 1000
+            and table.latency_targets_ms == {"s": 200.5}
             and turns > 60
         )
-        found, turns = await turns_while(aside(checking(body[:-1])))
-        assert found == Invalid("it cannot be read whole")
+        found, turns = await turns_while(run_cooperatively(validation_steps(body[:-1])))
+        assert found == InvalidConfiguration("it cannot be read whole")
         one = asyncio.Lock()
-        alone = aside(checking(body), one), aside(checking(body), one)
+        alone = run_cooperatively(validation_steps(body), one), run_cooperatively(validation_steps(body), one)
         found, turns = await turns_while(asyncio.gather(*alone))
-        assert found == [Valid(12)] * 2 and turns > 70  # one after the other
-        monkeypatch.setattr(aside_, "SLICE_S", 60.0)
-        found, turns = await turns_while(aside(checking(json.dumps(CONFIG).encode())))
-        assert found == Valid(12) and turns <= 2  # what is done within a slice waits for nobody
+        assert found == [ValidConfiguration(12)] * 2 and turns > 70  # one after the other
+        monkeypatch.setattr(cooperative, "TIME_SLICE_S", 60.0)
+        found, turns = await turns_while(run_cooperatively(validation_steps(json.dumps(CONFIG).encode())))
+        assert found == ValidConfiguration(12) and turns <= 2  # what is done within a slice waits for nobody
 
     asyncio.run(whole())
-    assert check_.WHOLE.fields.keys() == {"ver", "svcs", "limits", "vhosts"}
+    assert validation.CONFIGURATION_SCHEMA.fields.keys() == {"ver", "svcs", "limits", "vhosts"}
--- a/tests/gateway/test_start.py
+++ b/tests/gateway/test_start.py
@@ -8,37 +8,37 @@
 
 import pytest
 
-from meadowworks.runtime import lazy_imports as lean
-from meadowworks.runtime.errors import BrokenInvariant
+from meadowworks.runtime import lazy_imports
+from meadowworks.runtime.errors import InvariantViolation
 
 PROGRAM = """
 import sys
-from meadowworks.runtime import lazy_imports as lean
-lean.start()
+from meadowworks.runtime import lazy_imports
+lazy_imports.install()
 import asyncio
 import meadowworks.proxy.server, meadowworks.controlplane.server
 from marshmallow import Schema, ValidationError, fields
-from meadowworks.runtime.http_server import Door, answer
+from meadowworks.runtime.http_server import HttpServer, send_response
 from meadowworks.runtime.http_connection import connect
 
 async def app(scope, receive, send):
     if scope["path"] == "/rest":
-        return await answer(send, 200, b"whole")
+        return await send_response(send, 200, b"whole")
     await asyncio.get_running_loop().create_future()
 
 async def whole():
-    door = Door(app)
-    port = await door.open("127.0.0.1", 0)
+    server = HttpServer(app)
+    port = await server.listen("127.0.0.1", 0)
     for _ in range(2):
-        line = await connect("127.0.0.1", port, 5.0)
+        connection = await connect("127.0.0.1", port, 5.0)
         for _ in range(2):
-            assert (await line.ask(b"GET", b"/rest", [(b"host", b"h")], b"", 99)).body == b"whole"
-        assert line.usable()
-        asked = asyncio.ensure_future(line.ask(b"GET", b"/silent", [(b"host", b"h")], b"", 99))
+            assert (await connection.request(b"GET", b"/rest", [(b"host", b"h")], b"", 99)).body == b"whole"
+        assert connection.usable()
+        asked = asyncio.ensure_future(connection.request(b"GET", b"/silent", [(b"host", b"h")], b"", 99))
         await asyncio.sleep(0)
         asked.cancel()  # given up while it waits: the line ends
         await asyncio.wait([asked])
-        assert asked.cancelled() and not line.usable()
+        assert asked.cancelled() and not connection.usable()
 
 asyncio.run(whole())
 for name, fine in (("a@b.example", True), ("a b", False)):
@@ -58,10 +58,10 @@
 
 
 def test_whoever_uses_what_is_left_out_is_told() -> None:
-    with pytest.raises(BrokenInvariant):
-        _ = lean.Unused("certifi").where
-    later = lean.Later(r"a+", re.IGNORECASE)
+    with pytest.raises(InvariantViolation):
+        _ = lazy_imports.StubModule("certifi").where
+    later = lazy_imports.LazyPattern(r"a+", re.IGNORECASE)
     assert later.match("AAA") and not later.match("b")
     compiled = re.compile
-    lean.patterns()
-    assert re.compile is compiled and lean.PATTERNS in sys.modules
+    lazy_imports.import_marshmallow_validators()
+    assert re.compile is compiled and lazy_imports.LAZY_PATTERN_MODULE in sys.modules
--- a/tests/gateway/test_state.py
+++ b/tests/gateway/test_state.py
@@ -13,8 +13,8 @@
 
 from meadowworks.cli.main import main
 from meadowworks.cli.operations import differences
-from meadowworks.config.route_table import load
-from meadowworks.config.validation import Invalid, Valid, check
+from meadowworks.config.route_table import load_route_table
+from meadowworks.config.validation import InvalidConfiguration, ValidConfiguration, validate_configuration
 from meadowworks.consensus import register
 from meadowworks.consensus.register import Accept, Acceptor, Ballot, Epoch, Held, Past, Prepare, Promised
 from meadowworks.consensus.replica import Replica, acceptor_for
@@ -22,12 +22,12 @@
 from meadowworks.gossip.peer_sampling import STALE_NS, Card, Members
 from meadowworks.gossip.updates import FORGET_NS, TOMBS, News, Piece, Told
 from meadowworks.load_balancing.service import Met, Service
-from meadowworks.local.system import Plan, Ports, configuration
+from meadowworks.local.system import Ports, SystemLayout, build_configuration
 from meadowworks.proxy.control_plane_selection import Upstream
 from meadowworks.registry.backends import Backend, Lives
 from meadowworks.registry.heartbeats import Bad, Beats, Taken
-from meadowworks.runtime import node_settings as boot
-from meadowworks.runtime.errors import BadSettings
+from meadowworks.runtime import node_settings
+from meadowworks.runtime.errors import SettingsError
 from meadowworks.storage.sqlite_store import Disk
 from tests.gateway.helpers import SECOND
 
@@ -224,19 +224,19 @@
     assert upstream.choose(1, [far, cards[0]], []) == ("10.0.9.9", 7000)
 
 
-CONFIG = json.loads(configuration(7, {"/a/": ("safe", "s"), "/a/b/": ("unsafe", "t")}))
+CONFIG = json.loads(build_configuration(7, {"/a/": ("safe", "s"), "/a/b/": ("unsafe", "t")}))
 
 
 def test_a_mutated_configuration_is_refused_or_loads_whole() -> None:
     refused = 0
     for where, mutant in mutants(CONFIG):
         body = json.dumps(mutant).encode()
-        found = check(body)
-        refused += isinstance(found, Invalid)
-        if isinstance(found, Valid):
-            load(body)
+        found = validate_configuration(body)
+        refused += isinstance(found, InvalidConfiguration)
+        if isinstance(found, ValidConfiguration):
+            load_route_table(body)
         if where in (("ver",), ("svcs",), ("limits",), ("vhosts",)):
-            assert isinstance(found, Invalid)
+            assert isinstance(found, InvalidConfiguration)
     assert refused > 60
 
 
@@ -258,13 +258,15 @@
     if field == "split":
         del wrong["vhosts"][0]["prefixes"][0]["svc"]
     wrong["vhosts"][0]["prefixes"][0][field] = value
-    assert isinstance(check(json.dumps(wrong).encode()), Invalid)
-    assert check(json.dumps(CONFIG).encode()) == Valid(7)
-    assert isinstance(check(json.dumps(CONFIG).encode()[:-9]), Invalid)  # cut short
+    assert isinstance(validate_configuration(json.dumps(wrong).encode()), InvalidConfiguration)
+    assert validate_configuration(json.dumps(CONFIG).encode()) == ValidConfiguration(7)
+    assert isinstance(
+        validate_configuration(json.dumps(CONFIG).encode()[:-9]), InvalidConfiguration
+    )  # cut short
 
 
 def test_the_longest_prefix_of_the_host_is_the_route() -> None:
-    table = load(json.dumps(CONFIG).encode())
+    table = load_route_table(json.dumps(CONFIG).encode())
     for path, name in (
         ("/a/x", "r0"),
         ("/a/b/x", "r1"),
@@ -273,9 +275,9 @@
         ("/b/", None),
         ("/a", None),
     ):
-        route = table.find("LOCAL.example:80", path)
+        route = table.find_route("LOCAL.example:80", path)
         assert (route.name if route else None) == name
-    assert table.find("other.example", "/a/x") is None
+    assert table.find_route("other.example", "/a/x") is None
 
 
 def test_a_disk_holds_what_it_has_saved_through_a_loss_of_power(tmp_path: Path) -> None:
@@ -340,7 +342,7 @@
     assert service.level == 1.0 and not service.late(40 * SECOND, 0) and service.late(50 * SECOND, 0)
 
 
-SETTINGS = json.loads(json.dumps(Plan(9, Ports(1, 2, 3, 4)).settings(0, Path("/d"))))
+SETTINGS = json.loads(json.dumps(SystemLayout(9, Ports(1, 2, 3, 4)).node_settings(0, Path("/d"))))
 
 
 def test_mutated_settings_are_one_plain_line_or_make_sense(
@@ -350,16 +352,16 @@
     bad = 0
     for _, mutant in mutants(SETTINGS):
         try:
-            boot.read(json.dumps(mutant))
-        except BadSettings as trouble:
+            node_settings.parse_settings(json.dumps(mutant))
+        except SettingsError as trouble:
             bad += 1
             assert "\n" not in str(trouble) and len(str(trouble)) < 300
     assert bad > 60
-    assert boot.read(json.dumps({**SETTINGS, "unknown": 1})).node == "signalbox-0"
-    with pytest.raises(BadSettings, match="MEADOWWORKS_NODE_FILE is not set"):
-        boot.load({})
-    with pytest.raises(BadSettings, match="cannot be read"):
-        boot.load({"MEADOWWORKS_NODE_FILE": str(tmp_path / "none")})
+    assert node_settings.parse_settings(json.dumps({**SETTINGS, "unknown": 1})).node == "signalbox-0"
+    with pytest.raises(SettingsError, match="MEADOWWORKS_NODE_FILE is not set"):
+        node_settings.load_settings({})
+    with pytest.raises(SettingsError, match="cannot be read"):
+        node_settings.load_settings({"MEADOWWORKS_NODE_FILE": str(tmp_path / "none")})
     file = tmp_path / "f.json"
     for text, words, status in (
         (json.dumps(SETTINGS), ["settings"], 0),
--- a/tests/gateway/test_words.py
+++ b/tests/gateway/test_words.py
@@ -11,8 +11,8 @@
 
 from meadowworks.cli import main as commands
 from meadowworks.cli import members
-from meadowworks.local.commands import ROOT, to_try
-from meadowworks.local.system import Plan, Ports
+from meadowworks.local.commands import PROJECT_ROOT, example_commands
+from meadowworks.local.system import Ports, SystemLayout
 from meadowworks.proxy.server import Junction
 
 
@@ -37,10 +37,10 @@
 
 
 def test_what_a_newcomer_is_told_to_try_is_a_command_that_exists() -> None:
-    lines = [shlex.split(line) for line in to_try(Plan(7, Ports(1, 2, 3, 4)))]
+    lines = [shlex.split(line) for line in example_commands(SystemLayout(7, Ports(1, 2, 3, 4)))]
     assert lines[0][0] == "curl" and len(lines) > 4
     for python, *rest in lines[1:]:
-        assert (ROOT / python).exists() and rest[:2] == ["-m", "meadowworks"]
+        assert (PROJECT_ROOT / python).exists() and rest[:2] == ["-m", "meadowworks"]
         assert rest[2] in commands.WORDS and commands.main([rest[2], "--help"]) == 0
 
 
@@ -103,7 +103,7 @@
     monkeypatch.setattr("meadowworks.proxy.server.log.info", lambda *words: said.append(words))
     junction = Junction.__new__(Junction)
     junction.counts, junction.summed, junction.budgets = {}, {}, {}
-    junction.door = type("Idle", (), {"at_work": lambda self: 0})()
+    junction.door = type("Idle", (), {"pending_count": lambda self: 0})()
     junction.summary()
     assert not said
     junction.counts["200"] = 1
