--- a/meadowworks/controlplane/api.py
+++ b/meadowworks/controlplane/api.py
@@ -11,7 +11,13 @@
 from meadowworks.consensus.replica import Another, Late
 from meadowworks.controlplane.config_service import Office
 from meadowworks.controlplane.drain_service import Fencing
-from meadowworks.registry.heartbeats import Bad, Beats, Full, Nearby, Taken
+from meadowworks.registry.heartbeats import (
+    CallAccepted,
+    HeartbeatRegistry,
+    InvalidCall,
+    RegistryFull,
+    ZoneRedirects,
+)
 from meadowworks.runtime import logging as logs
 from meadowworks.runtime.cooperative import run_cooperatively
 from meadowworks.runtime.process import now_ns
@@ -44,14 +50,14 @@
 
     def __init__(
         self,
-        beats: Beats,
+        beats: HeartbeatRegistry,
         fencing: Fencing,
         kept: Callable[[int], bool],
         near: Callable[[str], list[str]],
         sure: Callable[[], bool],
     ) -> None:
         self.beats, self.fencing, self.kept, self.near, self.sure = beats, fencing, kept, near, sure
-        self.nearby = Nearby()
+        self.nearby = ZoneRedirects()
         self.acked: set[str] = set()  # lives whose drain was acknowledged here
 
     async def heartbeat(self, ident: str, body: bytes) -> Answer:
@@ -60,13 +66,13 @@
         except (ValueError, RecursionError):
             return error(400, "no JSON")
         now = now_ns()
-        found = self.beats.beat(now, ident, document)
+        found = self.beats.heartbeat(now, ident, document)
         if (refused := await self.settled(found)) is not None:
             return refused
-        if isinstance(found, Taken) and found.version and ident not in self.acked:
-            self.acked = {one for one in self.acked if one in self.beats.lives} | {ident}
+        if isinstance(found, CallAccepted) and found.version and ident not in self.acked:
+            self.acked = {one for one in self.acked if one in self.beats.registrations} | {ident}
             log.info("{} drains, and it is on enough disks", ident)
-        self.nearby.came(now, ident)
+        self.nearby.on_heartbeat(now, ident)
         # Guards against one that is cut off: where it sends callers may be as cut off as it is.
         at = self.nearby.choose(now, ident, self.near(ident)) if self.sure() else None
         answer = json.dumps({"beatUrl": at}).encode() if at else b"{}"
@@ -74,18 +80,18 @@
 
     async def leave(self, ident: str, body: bytes) -> Answer:
         found = self.beats.leave(now_ns(), ident)
-        if found == Taken(0) and not self.sure():
+        if found == CallAccepted(0) and not self.sure():
             return error(503, "cut off: what others know of it is not heard here", CUT_OFF_S)
         return await self.settled(found) or Answer(200)
 
-    async def settled(self, found: Taken | Bad | Full) -> Answer | None:
+    async def settled(self, found: CallAccepted | InvalidCall | RegistryFull) -> Answer | None:
         """Why a call is not acknowledged; nothing if it may be."""
         match found:
-            case Bad(why):
+            case InvalidCall(why):
                 return error(400, why[:200])
-            case Full():
+            case RegistryFull():
                 return error(503, "too many backends call here", 1.0)
-            case Taken(version) if version and not self.kept(version):
+            case CallAccepted(version) if version and not self.kept(version):
                 self.fencing.wake()
                 if not self.sure():
                     return error(503, "cut off from a majority: call another", CUT_OFF_S)
--- a/meadowworks/controlplane/config_service.py
+++ b/meadowworks/controlplane/config_service.py
@@ -139,12 +139,12 @@
         try:
             if self.packed is None or self.packed[0] is not what.request:
                 self.packed = what.request, await squeezed(what.request)
-            body = post.pack([what.question, self.packed[1]])
+            body = post.encode([what.question, self.packed[1]])
             raw = await self.peers(host, int(port)).call(b"/letter", body, LETTER_S)
             question, who, reply = read_reply(raw)
             if question != what.question:
-                raise post.Garbled("the reply to another question")
-        except (RequestError, *post.SHAPE) as trouble:
+                raise post.MalformedMessageError("the reply to another question")
+        except (RequestError, *post.DECODE_ERRORS) as trouble:
             log.debug("a request without reply: {}", trouble)
             self.replica.failed(now_ns(), what.question)
         else:
@@ -160,7 +160,7 @@
         self.replica.asked(now_ns(), ticket, request)
         self.pump()
         who, reply = await ticket
-        return post.pack([question, who, await squeezed(reply)])
+        return post.encode([question, who, await squeezed(reply)])
 
     def ordered(self) -> tuple[int, asyncio.Future[Outcome]]:
         self.count += 1
@@ -202,7 +202,7 @@
 
 async def squeezed(what: Request | Reply) -> bytes:
     """A large body is compressed off the loop."""
-    body = post.pack(register.pack(what))
+    body = post.encode(register.pack(what))
     if len(body) <= SMALL:
         return zlib.compress(body, 6)
     return await asyncio.get_running_loop().run_in_executor(None, zlib.compress, body, 6)
@@ -210,18 +210,18 @@
 
 def opened(body: bytes) -> Any:
     try:
-        return register.unpack(post.unpack(zlib.decompress(body)))
+        return register.unpack(post.decode(zlib.decompress(body)))
     except zlib.error as trouble:
-        raise post.Garbled(f"no letter: {trouble}") from None
+        raise post.MalformedMessageError(f"no letter: {trouble}") from None
 
 
 def read_request(body: bytes) -> tuple[int, Request]:
     """Raises post.SHAPE."""
-    question, inner = post.unpack(body)
+    question, inner = post.decode(body)
     return int(question), opened(inner)
 
 
 def read_reply(body: bytes) -> tuple[int, str, Reply]:
     """The question that it answers, who says it, and what. Raises post.SHAPE."""
-    question, who, inner = post.unpack(body)
+    question, who, inner = post.decode(body)
     return int(question), str(who), opened(inner)
--- a/meadowworks/controlplane/drain_service.py
+++ b/meadowworks/controlplane/drain_service.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from meadowworks.gossip import messages as post
-from meadowworks.registry.drain_log import Fences
+from meadowworks.registry.drain_log import DrainLog
 from meadowworks.runtime import logging as logs
 from meadowworks.storage.sqlite_store import Disk
 
@@ -21,7 +21,7 @@
     """`start` starts a task. `moved` is awaited by whoever waits for a write or a receipt."""
 
     def __init__(
-        self, fences: Fences, disk: Disk, thread: Executor, start: Callable[[Any], asyncio.Task[Any]]
+        self, fences: DrainLog, disk: Disk, thread: Executor, start: Callable[[Any], asyncio.Task[Any]]
     ) -> None:
         self.fences, self.disk, self.thread, self.start = fences, disk, thread, start
         self.task: asyncio.Task[Any] | None = None
@@ -29,22 +29,22 @@
 
     def wake(self) -> None:
         """Begins to write what is owed, unless that is under way."""
-        if (self.fences.unsynced or self.fences.dropped) and (self.task is None or self.task.done()):
+        if (self.fences.unsynced or self.fences.deleted) and (self.task is None or self.task.done()):
             self.task = self.start(self.write())
 
     async def write(self) -> None:
-        while batch := self.fences.batch():
-            rows = {ident: post.pack(list(value)) for ident, value in batch.rows.items()}
+        while batch := self.fences.next_batch():
+            rows = {ident: post.encode(list(value)) for ident, value in batch.rows.items()}
             try:
                 await asyncio.get_running_loop().run_in_executor(
-                    self.thread, self.disk.keep_fences, rows, batch.gone
+                    self.thread, self.disk.keep_fences, rows, batch.deleted
                 )
             except sqlite3.Error as trouble:
                 log.warning("the disk refuses: {}", trouble)
-                self.fences.failed()
+                self.fences.on_write_failed()
                 await asyncio.sleep(AGAIN_S)
             else:
-                self.fences.written()
+                self.fences.on_written()
             self.moved()
 
     def moved(self) -> None:
@@ -71,4 +71,4 @@
 
 def read(rows: Mapping[str, bytes]) -> dict[str, Any]:
     """Rows of the disk as values. Raises post.Garbled."""
-    return {ident: post.unpack(value) for ident, value in rows.items()}
+    return {ident: post.decode(value) for ident, value in rows.items()}
--- a/meadowworks/controlplane/server.py
+++ b/meadowworks/controlplane/server.py
@@ -19,14 +19,14 @@
 from meadowworks.controlplane.drain_service import Fencing, read
 from meadowworks.forwarding.memory_budget import Room
 from meadowworks.gossip import messages as post
-from meadowworks.gossip.peer_sampling import Card, Members
-from meadowworks.gossip.updates import News, Piece, Told
+from meadowworks.gossip.peer_sampling import PartialView, PeerRecord
+from meadowworks.gossip.updates import KeyUpdate, SourceDelta, UpdateStore
 from meadowworks.load_balancing.load_reports import PREFIX as FIGURES
 from meadowworks.load_balancing.load_reports import Sums
-from meadowworks.registry.backends import Lives
-from meadowworks.registry.drain_log import Fences
-from meadowworks.registry.heartbeats import PREFIX as BACKENDS
-from meadowworks.registry.heartbeats import Beats
+from meadowworks.registry.backends import BackendDirectory
+from meadowworks.registry.drain_log import DrainLog
+from meadowworks.registry.heartbeats import BACKEND_KEY_PREFIX as BACKENDS
+from meadowworks.registry.heartbeats import HeartbeatRegistry
 from meadowworks.runtime import logging as logs
 from meadowworks.runtime.cooperative import compress_steps, decompress_steps, run_cooperatively
 from meadowworks.runtime.errors import RequestError, SettingsError
@@ -53,16 +53,18 @@
     def __init__(self, boot: NodeSettings) -> None:
         self.boot = boot
         self.life = f"{boot.node}.{uuid4().hex[:8]}"
-        card = Card(boot.node, boot.ip, boot.peer_port, boot.zone, boot.voting, self.life, int(time.time()))
-        self.members = Members(card, random.getrandbits(32))
-        self.news = News(self.life)
-        self.news.listeners.append(self.told)
-        self.lives = Lives(lambda name: self.news.quiet(now_ns(), name), now_ns)
-        self.news.listeners.append(self.lives.told)
-        self.fences = Fences(self.life)
-        self.news.listeners.append(lambda event: self.fences.told(now_ns(), event))
-        self.news.reached.append(self.fences.reached)
-        self.beats = Beats(self.news.say, boot.heartbeat_ms, self.fences.state, self.known)
+        card = PeerRecord(
+            boot.node, boot.ip, boot.peer_port, boot.zone, boot.voting, self.life, int(time.time())
+        )
+        self.members = PartialView(card, random.getrandbits(32))
+        self.news = UpdateStore(self.life)
+        self.news.update_listeners.append(self.told)
+        self.lives = BackendDirectory(lambda name: self.news.silence_ns(now_ns(), name), now_ns)
+        self.news.update_listeners.append(self.lives.on_update)
+        self.fences = DrainLog(self.life)
+        self.news.update_listeners.append(lambda event: self.fences.on_update(now_ns(), event))
+        self.news.version_listeners.append(self.fences.on_version)
+        self.beats = HeartbeatRegistry(self.news.publish, boot.heartbeat_ms, self.fences.state, self.known)
         self.peers: dict[tuple[str, int], Peer] = {}
         self.pulling: set[tuple[str, int]] = set()
         self.waiting: set[asyncio.Future[None]] = set()
@@ -91,19 +93,19 @@
 
     def known(self, ident: str) -> bool:
         """Whether anyone has spoken of a backend."""
-        return self.lives.heard_of(ident) or ident in self.fences.fences
+        return self.lives.is_known(ident) or ident in self.fences.records
 
     def held_by_enough(self, version: int) -> bool:
         """Of the epoch's members: whoever else may vote may be gone for good tomorrow."""
         members = self.office.replica.acceptor.newest().members
         hosts = {address.rpartition(":")[0] for _, address in members} - {self.boot.ip}
-        return self.fences.kept(
+        return self.fences.is_replicated(
             version, hosts, self.boot.tolerated_failures, self.office.replica.acceptor.votes()
         )
 
     def near(self, ident: str) -> list[str]:
         """Ctl addresses of signalboxes in a backend's zone, if this one is of another; ports are alike."""
-        life = self.beats.lives.get(ident)
+        life = self.beats.registrations.get(ident)
         if life is None or life.zone == self.boot.zone:
             return []
         hosts = [c.host for c in self.members.voters(now_ns()) if c.zone == life.zone]
@@ -111,7 +113,7 @@
 
     # -- what wakes a pull
 
-    def told(self, event: Told) -> None:
+    def told(self, event: KeyUpdate) -> None:
         if event.key.startswith(BACKENDS):
             self.ring()
 
@@ -133,12 +135,14 @@
         try:
             match scope["path"]:
                 case "/pull":
-                    return await send_response(send, 200, await self.pulled(post.read_pull(body)), [])
+                    return await send_response(
+                        send, 200, await self.pulled(post.decode_pull_request(body)), []
+                    )
                 case "/letter":
                     return await send_response(send, 200, await self.office.asked(body), [])
                 case "/status":
                     return await send_response(send, 200, json.dumps(self.status()).encode())
-        except post.SHAPE as trouble:
+        except post.DECODE_ERRORS as trouble:
             log.warning("a call without sense: {}", trouble)
             return await send_response(send, 400)
         except sqlite3.Error as trouble:
@@ -146,14 +150,14 @@
             return await send_response(send, 503)
         await send_response(send, 404)
 
-    async def pulled(self, pull: post.Pull) -> bytes:
+    async def pulled(self, pull: post.PullRequest) -> bytes:
         now = now_ns()
-        self.members.met(now, [pull.me, *pull.cards])
+        self.members.merge(now, [pull.sender, *pull.peers])
         self.receipt(pull)
-        if pull.figures:
-            self.sums.setdefault(pull.me.zone, Sums()).add(pull.figures)
-        end = asyncio.get_running_loop().time() + min(pull.wait_ms, HELD_BACK_MS) / 1000
-        pieces = self.news.lacks(pull.vector, pull.me.life)
+        if pull.load_report:
+            self.sums.setdefault(pull.sender.zone, Sums()).add(pull.load_report)
+        end = asyncio.get_running_loop().time() + min(pull.max_wait_ms, HELD_BACK_MS) / 1000
+        pieces = self.news.deltas_since(pull.version_vector, pull.sender.incarnation)
         while not self.urgent(pieces, pull):
             if (left := end - asyncio.get_running_loop().time()) <= 0:
                 break
@@ -161,22 +165,22 @@
             self.waiting.add(waiting)
             await asyncio.wait([waiting], timeout=left)
             self.waiting.discard(waiting)
-            if not pull.me.voting and self.held.version <= pull.table and not self.leaving:
+            if not pull.sender.is_voter and self.held.version <= pull.config_version and not self.leaving:
                 await asyncio.sleep(min(BATCH_S, max(0.0, end - asyncio.get_running_loop().time())))
-            pieces = self.news.lacks(pull.vector, pull.me.life)
+            pieces = self.news.deltas_since(pull.version_vector, pull.sender.incarnation)
         while self.lacks(pull) and self.packed[0] != self.held.version:
             await self.pack()
         sure, acceptor = self.sure(), self.office.replica.acceptor
         table = self.packed if self.lacks(pull) else None
-        cards = tuple(self.members.swap()[1:]) if pull.cards else ()
-        known = self.members.view.get(pull.me.host)
-        if known is not None and known.card.beat > pull.me.beat:
-            cards = (*cards, known.card)  # its last life's: it will raise its own above that
-        if pull.epoch is None:
-            return post.News(self.members.me, cards, tuple(pieces), sure, table).pack()
-        newer = acceptor.installed and acceptor.epoch.number > pull.epoch
-        return post.News(
-            self.members.me,
+        cards = tuple(self.members.shuffle_sample()[1:]) if pull.peers else ()
+        known = self.members.peers.get(pull.sender.host)
+        if known is not None and known.record.heartbeat > pull.sender.heartbeat:
+            cards = (*cards, known.record)  # its last life's: it will raise its own above that
+        if pull.epoch_number is None:
+            return post.PullReply(self.members.local, cards, tuple(pieces), sure, table).encode()
+        newer = acceptor.installed and acceptor.epoch.number > pull.epoch_number
+        return post.PullReply(
+            self.members.local,
             cards,
             tuple(pieces),
             sure,
@@ -184,7 +188,7 @@
             acceptor.seen(),
             acceptor.epoch if newer else None,
             acceptor.past() if table else (),
-        ).pack()
+        ).encode()
 
     async def pack(self) -> None:
         """Compresses the configuration held, once for all who lack it."""
@@ -198,24 +202,30 @@
     def held(self) -> Held:
         return self.office.replica.acceptor.held
 
-    def lacks(self, pull: post.Pull) -> bool:
+    def lacks(self, pull: post.PullRequest) -> bool:
         """Whether the asker is to be given the configuration. What is chosen is so for good, and signalboxes
         tell each other at once; to a junction nothing is handed out without a lease: it may be old."""
-        return self.held.version > pull.table and (pull.epoch is not None or self.sure())
+        return self.held.version > pull.config_version and (pull.epoch_number is not None or self.sure())
 
-    def receipt(self, pull: post.Pull) -> None:
+    def receipt(self, pull: post.PullRequest) -> None:
         """What another disk has of the own drains. A card older than what is known of its host is its last
         life's, whose receipts say nothing of the disk that is there now."""
-        known = self.members.view.get(pull.me.host)
-        if pull.kept is not None and pull.me.voting and known is not None and known.card.life == pull.me.life:
-            self.fences.receipted(pull.me.host, *pull.kept)
+        known = self.members.peers.get(pull.sender.host)
+        if (
+            pull.drain_acknowledgement is not None
+            and pull.sender.is_voter
+            and known is not None
+            and known.record.incarnation == pull.sender.incarnation
+        ):
+            self.fences.on_acknowledgement(pull.sender.host, *pull.drain_acknowledgement)
             self.fencing.moved()
 
-    def urgent(self, pieces: list[Piece], pull: post.Pull) -> bool:
+    def urgent(self, pieces: list[SourceDelta], pull: post.PullRequest) -> bool:
         return (
             self.leaving
             or self.lacks(pull)
-            or self.life not in pull.vector  # the asker has never heard of this life: it is in touch at once
+            or self.life
+            not in pull.version_vector  # the asker has never heard of this life: it is in touch at once
             or any(key.startswith(BACKENDS) for p in pieces for _, key, _ in p.changes)
         )
 
@@ -230,20 +240,20 @@
         peer, turn, source = self.peer(host, port), 0, ""
         try:
             while any(c.host == host for c in self.members.voters()) or self.is_seed(host):
-                cards = tuple(self.members.swap()[1:]) if turn % 5 == 0 else ()
-                pull = post.Pull(
-                    self.members.me,
-                    cards or (self.members.me,) if turn % 5 == 0 else (),
-                    self.news.vector(),
+                cards = tuple(self.members.shuffle_sample()[1:]) if turn % 5 == 0 else ()
+                pull = post.PullRequest(
+                    self.members.local,
+                    cards or (self.members.local,) if turn % 5 == 0 else (),
+                    self.news.remote_version_vector(),
                     self.held.version,
-                    PULL_MS if self.fences.level(source) else OWED_MS,
-                    epoch=self.office.replica.acceptor.newest().number,
-                    kept=self.fences.receipt(source),
+                    PULL_MS if self.fences.is_caught_up(source) else OWED_MS,
+                    epoch_number=self.office.replica.acceptor.newest().number,
+                    drain_acknowledgement=self.fences.acknowledgement(source),
                 )
                 asked, sure = now_ns(), self.sure()
                 try:
-                    news = post.read_news(await peer.call(b"/pull", pull.pack(), PULL_S))
-                    version, packed = news.table or (0, b"")
+                    news = post.decode_pull_reply(await peer.call(b"/pull", pull.encode(), PULL_S))
+                    version, packed = news.config or (0, b"")
                     held = Held(
                         version,
                         await run_cooperatively(decompress_steps(packed, BODY_MOST)) if version else b"",
@@ -254,21 +264,21 @@
                     continue
                 turn += 1
                 now = now_ns()
-                self.members.met(now, [news.me, *news.cards])
-                for piece in news.pieces:
-                    self.news.take(now, piece)
-                source = news.me.life
+                self.members.merge(now, [news.sender, *news.peers])
+                for piece in news.deltas:
+                    self.news.apply(now, piece)
+                source = news.sender.incarnation
                 replica, now = self.office.replica, now_ns()
                 if news.epoch is not None:
                     replica.told(now, news.epoch)
-                if news.table is not None:
-                    replica.learn(now, held, news.history)
-                if news.seen is not None:
-                    replica.met(now, asked, news.seen)
+                if news.config is not None:
+                    replica.learn(now, held, news.decided_digests)
+                if news.acceptor_state is not None:
+                    replica.met(now, asked, news.acceptor_state)
                 self.office.pump()
                 if self.sure() and not sure:
                     self.ring()  # whoever waits for a table may have it now
-                await self.fencing.until(partial(self.fences.level, source), SYNC_S)
+                await self.fencing.until(partial(self.fences.is_caught_up, source), SYNC_S)
         finally:
             self.pulling.discard((host, port))
 
@@ -278,7 +288,7 @@
     def neighbours(self) -> None:
         """Begins to pull from each signalbox that is known, and from seeds that nobody speaks for."""
         at = [(c.host, c.port) for c in self.members.voters()]
-        for address in [*at, *self.members.lonely(self.boot.seeds, self.boot.peer_port)]:
+        for address in [*at, *self.members.undiscovered_seeds(self.boot.seeds, self.boot.peer_port)]:
             if address not in self.pulling and address[0] != self.boot.ip:
                 self.pulling.add(address)
                 self.tasks.start(self.pull(*address))
@@ -287,7 +297,7 @@
 
     async def second(self) -> None:
         self.turn()
-        kept = {ident: post.pack(value) for ident, value in self.beats.kept().items()}
+        kept = {ident: post.encode(value) for ident, value in self.beats.durable_values().items()}
         if kept.keys() != self.kept.keys():
             await asyncio.get_running_loop().run_in_executor(
                 self.office.thread, self.office.disk.keep_lives, kept
@@ -296,29 +306,29 @@
 
     def turn(self) -> None:
         now = now_ns()
-        self.members.pulse()
+        self.members.advance_heartbeat()
         self.members.expire(now)
-        self.news.expire(now)
+        self.news.expire_sources(now)
         self.beats.tick(now)
-        self.lives.tick()
-        self.fences.tick(now, self.lives.fenced, self.news.sources)
+        self.lives.refresh_all()
+        self.fences.tick(now, self.lives.is_draining_or_gone, self.news.sources)
         self.fencing.wake()
-        self.lives.changed.clear()
+        self.lives.changed_ids.clear()
         self.pulse += 1
         if self.pulse % SUMMARY_TURNS == 0:
             log.info(
                 "sure {}, {} members, {} lives call here, {} known",
                 self.sure(),
-                len(self.members.view),
-                len(self.beats.lives),
-                len(self.lives.known),
+                len(self.members.peers),
+                len(self.beats.registrations),
+                len(self.lives.instances),
             )
-        self.news.say("pulse", self.pulse)
+        self.news.publish("pulse", self.pulse)
         covers_ms = (now - self.summed_ns) // 1_000_000
         self.summed_ns = now
         for zone, sums in self.sums.items():
             if sums or self.news.sources[self.life].entries.get(FIGURES + zone, (0, None))[1]:
-                self.news.say(FIGURES + zone, [covers_ms, *sums.pack()] if sums else None)
+                self.news.publish(FIGURES + zone, [covers_ms, *sums.pack()] if sums else None)
         self.sums = {zone: Sums() for zone in self.sums}
 
     def status(self) -> dict[str, Any]:
@@ -326,10 +336,10 @@
             "node": self.boot.node,
             **self.office.replica.status(now_ns()),
             "members": [
-                [k.card.name, k.card.host, k.card.zone, k.card.voting, k.card.beat]
-                for k in self.members.view.values()
+                [k.record.name, k.record.host, k.record.zone, k.record.is_voter, k.record.heartbeat]
+                for k in self.members.peers.values()
             ],
-            "sources": self.news.own_vector(),
+            "sources": self.news.version_vector(),
             "backends": self.lives.summary(),
         }
 
--- a/meadowworks/gossip/peer_sampling.py
+++ b/meadowworks/gossip/peer_sampling.py
@@ -12,13 +12,13 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-VIEW_MOST, SWAP = 16, 6  # cards kept, and swapped at a time
-STALE_NS = 20_000_000_000  # a card whose count has not risen for so long is dropped
-FRESH_NS = 4_000_000_000  # one that has risen within this is taken to be there
+MAX_VIEW_SIZE, SHUFFLE_SIZE = 16, 6  # cards kept, and swapped at a time
+PEER_EXPIRY_NS = 20_000_000_000  # a card whose count has not risen for so long is dropped
+PEER_ALIVE_NS = 4_000_000_000  # one that has risen within this is taken to be there
 
 
 @dataclass(frozen=True, slots=True)
-class Card:
+class PeerRecord:
     """A controller as it says of itself; its address tells it from others. `life` is its process's, under
     which it is a source of news. `beat` is raised by its owner alone, and begins above its last life's."""
 
@@ -26,78 +26,80 @@
     host: str
     port: int
     zone: str
-    voting: bool
-    life: str
-    beat: int
+    is_voter: bool
+    incarnation: str
+    heartbeat: int
 
     def pack(self) -> list[Any]:
-        return [self.name, self.host, self.port, self.zone, self.voting, self.life, self.beat]
+        return [self.name, self.host, self.port, self.zone, self.is_voter, self.incarnation, self.heartbeat]
 
     @staticmethod
-    def unpack(raw: Any) -> Card:
+    def unpack(raw: Any) -> PeerRecord:
         """Raises ValueError or TypeError for what is no card."""
         name, host, port, zone, voting, life, beat = raw
-        return Card(str(name), str(host), int(port), str(zone), bool(voting), str(life), int(beat))
+        return PeerRecord(str(name), str(host), int(port), str(zone), bool(voting), str(life), int(beat))
 
 
 @dataclass(slots=True)
-class Known:
-    card: Card
-    risen_ns: int
+class PeerEntry:
+    record: PeerRecord
+    last_heartbeat_ns: int
 
 
 @dataclass(slots=True)
-class Members:
+class PartialView:
     """The partial view of one controller. `me` has no place in it."""
 
-    me: Card
-    seed: int
-    view: dict[str, Known] = field(default_factory=dict)  # by host
-    count: int = 0
+    local: PeerRecord
+    random_seed: int
+    peers: dict[str, PeerEntry] = field(default_factory=dict)  # by host
+    draws: int = 0
 
-    def chance(self) -> float:
-        self.count += 1
-        return zlib.crc32(f"{self.seed}:{self.count}".encode()) / 2**32
+    def random_fraction(self) -> float:
+        self.draws += 1
+        return zlib.crc32(f"{self.random_seed}:{self.draws}".encode()) / 2**32
 
-    def pulse(self) -> None:
-        self.me = replace(self.me, beat=self.me.beat + 1)
+    def advance_heartbeat(self) -> None:
+        self.local = replace(self.local, heartbeat=self.local.heartbeat + 1)
 
-    def met(self, now: int, cards: Iterable[Card]) -> None:
+    def merge(self, now_ns: int, records: Iterable[PeerRecord]) -> None:
         """Takes cards in: a newer one of a controller replaces the older."""
-        for card in cards:
-            if card.host == self.me.host and card.port == self.me.port:
+        for card in records:
+            if card.host == self.local.host and card.port == self.local.port:
                 # Guards against a clock that was set back before this life began: a card of the last one
                 # would stand for this controller until its count is passed.
-                if card.life != self.me.life and card.beat >= self.me.beat:
-                    self.me = replace(self.me, beat=card.beat + 1)
+                if card.incarnation != self.local.incarnation and card.heartbeat >= self.local.heartbeat:
+                    self.local = replace(self.local, heartbeat=card.heartbeat + 1)
                 continue
-            old = self.view.get(card.host)
-            if old is None or card.beat > old.card.beat:
-                self.view[card.host] = Known(card, now)
-        self.expire(now)
-
-    def expire(self, now: int) -> None:
-        for host in [h for h, k in self.view.items() if now - k.risen_ns > STALE_NS]:
-            del self.view[host]
-        while len(self.view) > VIEW_MOST:  # voters are few and stay; of the rest the stalest goes
-            rest = [h for h, k in self.view.items() if not k.card.voting] or list(self.view)
-            del self.view[min(rest, key=lambda h: self.view[h].risen_ns)]
-
-    def swap(self) -> list[Card]:
+            old = self.peers.get(card.host)
+            if old is None or card.heartbeat > old.record.heartbeat:
+                self.peers[card.host] = PeerEntry(card, now_ns)
+        self.expire(now_ns)
+
+    def expire(self, now_ns: int) -> None:
+        for host in [h for h, k in self.peers.items() if now_ns - k.last_heartbeat_ns > PEER_EXPIRY_NS]:
+            del self.peers[host]
+        while len(self.peers) > MAX_VIEW_SIZE:  # voters are few and stay; of the rest the stalest goes
+            rest = [h for h, k in self.peers.items() if not k.record.is_voter] or list(self.peers)
+            del self.peers[min(rest, key=lambda h: self.peers[h].last_heartbeat_ns)]
+
+    def shuffle_sample(self) -> list[PeerRecord]:
         """What a neighbour is told: itself and some others, drawn anew each time."""
-        cards = sorted((k.card for k in self.view.values()), key=lambda c: c.host)
-        drawn = sorted(((self.chance(), c) for c in cards), key=lambda pair: pair[0])[: SWAP - 1]
-        return [self.me, *(card for _, card in drawn)]
+        cards = sorted((k.record for k in self.peers.values()), key=lambda c: c.host)
+        drawn = sorted(((self.random_fraction(), c) for c in cards), key=lambda pair: pair[0])[
+            : SHUFFLE_SIZE - 1
+        ]
+        return [self.local, *(card for _, card in drawn)]
 
-    def voters(self, now: int | None = None) -> list[Card]:
+    def voters(self, now_ns: int | None = None) -> list[PeerRecord]:
         """Others that vote; with a time, those that were heard of just before it."""
         return [
-            k.card
-            for _, k in sorted(self.view.items())
-            if k.card.voting and (now is None or now - k.risen_ns <= FRESH_NS)
+            k.record
+            for _, k in sorted(self.peers.items())
+            if k.record.is_voter and (now_ns is None or now_ns - k.last_heartbeat_ns <= PEER_ALIVE_NS)
         ]
 
-    def lonely(self, seeds: Sequence[tuple[str, int]], inner: int) -> list[tuple[str, int]]:
+    def undiscovered_seeds(self, seeds: Sequence[tuple[str, int]], inner_port: int) -> list[tuple[str, int]]:
         """Inner addresses of seeds that no card in the view speaks for."""
-        known = {*self.view, self.me.host}
-        return [(host, inner) for host, _ in seeds if host not in known]
+        known = {*self.peers, self.local.host}
+        return [(host, inner_port) for host, _ in seeds if host not in known]
--- a/meadowworks/load_balancing/service.py
+++ b/meadowworks/load_balancing/service.py
@@ -14,7 +14,7 @@
 from meadowworks.fleet.names import Names
 from meadowworks.policy import Controller
 from meadowworks.policy.interface import Entry, Route, Settings
-from meadowworks.registry.backends import Backend
+from meadowworks.registry.backends import BackendInstance
 from meadowworks.registry.heartbeats import DRAINING, UP
 
 SECOND = 1_000_000_000
@@ -140,25 +140,25 @@
         while self.marked:
             self.controller.applied(now, self.marked.pop(0))
 
-    def listed(self, now: int, backends: Iterable[Backend]) -> None:
+    def listed(self, now: int, backends: Iterable[BackendInstance]) -> None:
         """The lives of this service as they are now; only what has changed is handed on."""
         entries, named = [], set()
         for b in backends:
-            named.add(b.ident)
-            if self.states.get(b.ident) == b.state or b.zone not in self.zones:
+            named.add(b.instance_id)
+            if self.states.get(b.instance_id) == b.state or b.zone not in self.zones:
                 continue
-            if b.warm_ns and self.cold_ns == COLD_NS:
+            if b.warm_at_ns and self.cold_ns == COLD_NS:
                 # The backends tell how long they are slow: that takes the place of the usual time.
-                self.cold_ns = b.warm_ns - b.since_ns
+                self.cold_ns = b.warm_at_ns - b.first_seen_ns
                 self.controller.set = replace(self.controller.set, cold_ns=self.cold_ns)
-            self.states[b.ident] = b.state
+            self.states[b.instance_id] = b.state
             state = {UP: "ready", DRAINING: "draining"}.get(b.state, "gone")
             entries.append(
                 Entry(
-                    self.places.index(b.ident),
+                    self.places.index(b.instance_id),
                     self.zones[b.zone],
                     state,
-                    b.since_ns if b.warm_ns else 0,
+                    b.first_seen_ns if b.warm_at_ns else 0,
                     b.capacity,
                 )
             )
--- a/meadowworks/modelcheck/models/forwarding.py
+++ b/meadowworks/modelcheck/models/forwarding.py
@@ -18,10 +18,10 @@
 from meadowworks.forwarding.connection_pool import Yard
 from meadowworks.forwarding.response_check import PROMISES, judge
 from meadowworks.forwarding.retry_budget import Budget
-from meadowworks.gossip.updates import Told
+from meadowworks.gossip.updates import KeyUpdate
 from meadowworks.modelcheck.model import Model, Property, Step
 from meadowworks.modelcheck.models import wires
-from meadowworks.registry.backends import Lives
+from meadowworks.registry.backends import BackendDirectory
 
 LIVES, ADDRESSES, OTHER = ("a", "b"), ("x:1", "y:1"), "c"  # `c` is another service's, at an address of before
 SERVICE, FOREIGN = "s", "t"
@@ -84,7 +84,7 @@
     def __post_init__(self) -> None:
         self.now = 0
         self.yard: Yard[Line] = Yard()
-        self.lives = Lives(self.silent, self.clock)
+        self.lives = BackendDirectory(self.silent, self.clock)
         self.at = dict(zip(ADDRESSES, LIVES, strict=True))  # who lives where; nobody: absent
         self.asked: list[Asked] = []
         self.flights: list[Flight] = []
@@ -110,7 +110,7 @@
         return self.now
 
     def say(self, life: str, address: str, state: str, service: str = SERVICE) -> None:
-        self.lives.told(Told("box", f"b/{life}", [service, address, "home", 2.0, state, 1, 0, 0]))
+        self.lives.on_update(KeyUpdate("box", f"b/{life}", [service, address, "home", 2.0, state, 1, 0, 0]))
 
     def open(self, life: str) -> Line:
         self.opened += 1
@@ -122,7 +122,9 @@
         lines = {
             place: 1.0
             for place, life in enumerate(LIVES)
-            if (known := self.lives.known.get(life)) and known.takes and not self.yard.avoided(self.now, life)
+            if (known := self.lives.instances.get(life))
+            and known.accepts_requests
+            and not self.yard.avoided(self.now, life)
         }
         return lines, {place: 100.0 * MS for place in lines}
 
@@ -257,7 +259,7 @@
             f.never = True
         self.close(f)
         if verdict.over:
-            self.lives.ended(f.want)
+            self.lives.mark_superseded(f.want)
         self.answers = {**self.answers, (f.request, f.number): (status or 503, ident)}
         self.ended(f.request, f.number, verdict.state, (status or 503) if verdict.sound else 0)
 
@@ -296,12 +298,12 @@
 
     def freeze(self) -> bytes:
         did, self.did = self.did, []
-        silent, now = self.lives.silent_ns, self.lives.now
-        self.lives.silent_ns = self.lives.now = None  # type: ignore[assignment]
+        silent, now = self.lives.source_silence_ns, self.lives.clock
+        self.lives.source_silence_ns = self.lives.clock = None  # type: ignore[assignment]
         try:
             return pickle.dumps(self, pickle.HIGHEST_PROTOCOL)
         finally:
-            self.did, self.lives.silent_ns, self.lives.now = did, silent, now
+            self.did, self.lives.source_silence_ns, self.lives.clock = did, silent, now
 
     def key(self) -> Any:
         return (
@@ -312,7 +314,7 @@
             self.drained,
             self.wrong,
             tuple(sorted(self.at.items())),
-            tuple(sorted(self.lives.over)),
+            tuple(sorted(self.lives.superseded)),
             tuple(
                 [
                     (
@@ -361,7 +363,7 @@
     if not isinstance(state, bytes):
         return wires.thaw(state)
     world: World = pickle.loads(state)
-    world.lives.silent_ns, world.lives.now = world.silent, world.clock
+    world.lives.source_silence_ns, world.lives.clock = world.silent, world.clock
     return world
 
 
--- a/meadowworks/modelcheck/models/gossip.py
+++ b/meadowworks/modelcheck/models/gossip.py
@@ -15,17 +15,24 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from meadowworks.gossip.peer_sampling import Card, Members
-from meadowworks.gossip.updates import News, Piece, Told
+from meadowworks.gossip.peer_sampling import PartialView, PeerRecord
+from meadowworks.gossip.updates import KeyUpdate, SourceDelta, UpdateStore
 from meadowworks.modelcheck.model import Model, Property, Step
-from meadowworks.registry.backends import QUIET, Lives
-from meadowworks.registry.drain_log import Fences
-from meadowworks.registry.heartbeats import DRAINING, GONE, PREFIX, RANK, UP, Beats
+from meadowworks.registry.backends import SUSPECT, BackendDirectory
+from meadowworks.registry.drain_log import DrainLog
+from meadowworks.registry.heartbeats import (
+    BACKEND_KEY_PREFIX,
+    DRAINING,
+    GONE,
+    STATE_RANK,
+    UP,
+    HeartbeatRegistry,
+)
 
 BOXES, JUNCTION = (0, 1), 2
 X, Y = "x", "y"  # the backend that goes, and the one that is forgotten
 BEAT_MS = 1000
-ORDER = {UP: 0, QUIET: 0, DRAINING: 1, GONE: 2}
+ORDER = {UP: 0, SUSPECT: 0, DRAINING: 1, GONE: 2}
 
 
 @dataclass(frozen=True, slots=True)
@@ -51,26 +58,26 @@
         self.host, self.life = host, life
         voting = host != JUNCTION
         self.me = f"{host}.{life}"
-        self.news = News(self.me, 0)
-        self.lives = Lives(still, still)
-        self.fences = Fences(self.me)
-        self.news.listeners += [self.lives.told, self.heard]
-        self.news.reached.append(self.fences.reached)
-        self.beats = Beats(self.news.say, BEAT_MS, self.fences.state, self.known)
+        self.news = UpdateStore(self.me, 0)
+        self.lives = BackendDirectory(still, still)
+        self.fences = DrainLog(self.me)
+        self.news.update_listeners += [self.lives.on_update, self.heard]
+        self.news.version_listeners.append(self.fences.on_version)
+        self.beats = HeartbeatRegistry(self.news.publish, BEAT_MS, self.fences.state, self.known)
         self.asked: dict[int, str] = {}  # by host: the life that answered last
-        self.members = Members(Card(self.me, f"h{host}", 1, "z", voting, self.me, 100 * life), 1)
+        self.members = PartialView(PeerRecord(self.me, f"h{host}", 1, "z", voting, self.me, 100 * life), 1)
 
-    def heard(self, event: Told) -> None:
-        self.fences.told(0, event)
+    def heard(self, event: KeyUpdate) -> None:
+        self.fences.on_update(0, event)
 
     def known(self, ident: str) -> bool:
-        return self.lives.heard_of(ident) or ident in self.fences.fences
+        return self.lives.is_known(ident) or ident in self.fences.records
 
     def rank(self) -> int:
         """How far it takes the backend to be gone; -1 if it has not heard of it. One of which no address is
         known yet has a state all the same."""
-        known = self.lives.known.get(X)
-        state = known.state if known else self.lives.state(X) if X in self.lives.said else ""
+        known = self.lives.instances.get(X)
+        state = known.state if known else self.lives.merged_state(X) if X in self.lives.reports else ""
         return ORDER.get(state, -1)
 
 
@@ -90,9 +97,9 @@
         self.owed: tuple[int, int] | None = None  # the box that heard a drain or leave, and its news' version
         self.acked: frozenset[int] = frozenset()  # boxes that must know of it since it was acknowledged
         self.cut = False
-        self.answer: tuple[int, tuple[Piece, ...], Card] | None = None  # on its way to a holder
+        self.answer: tuple[int, tuple[SourceDelta, ...], PeerRecord] | None = None  # on its way to a holder
         for name in (X, Y) if scene.forgets else (X,):
-            self.nodes[0].beats.beat(0, name, self.beat(UP, 1))
+            self.nodes[0].beats.heartbeat(0, name, self.beat(UP, 1))
         self.keep(0)
         for node in (1, JUNCTION):
             self.pull(node, 0)
@@ -103,7 +110,7 @@
         return {"addr": "h:1", "details": details, "status": status}
 
     def keep(self, box: int) -> None:
-        self.saved[box] = dict(self.nodes[box].beats.kept())
+        self.saved[box] = dict(self.nodes[box].beats.durable_values())
 
     # -- steps
 
@@ -116,11 +123,11 @@
                 found.append(("leave", box))
             if left.late:
                 found.append(("late", box))
-            if left.silences and X in self.nodes[box].beats.lives:
+            if left.silences and X in self.nodes[box].beats.registrations:
                 found.append(("silence", box))
             if left.restarts:
                 found.append(("restart", box))
-        if left.forgets and Y in self.nodes[0].beats.lives:
+        if left.forgets and Y in self.nodes[0].beats.registrations:
             found.append(("forget",))
         if left.pulls:
             for asker, holder in ((0, 1), (1, 0), (JUNCTION, 0), (JUNCTION, 1)):
@@ -138,7 +145,7 @@
 
     def known(self, box: int, version: int) -> bool:
         """As `signalbox.resources.Backends` asks it."""
-        return self.nodes[box].fences.kept(version, [f"h{1 - box}"], 1, True)
+        return self.nodes[box].fences.is_replicated(version, [f"h{1 - box}"], 1, True)
 
     def spend(self, what: str) -> None:
         self.left = replace(self.left, **{what: getattr(self.left, what) - 1})
@@ -148,9 +155,9 @@
         before = [(n.me, n.rank(), self.cards(n)) for n in self.nodes]
         getattr(self, "do_" + kind)(*what)
         for box in BOXES:
-            if batch := self.nodes[box].fences.batch():
+            if batch := self.nodes[box].fences.next_batch():
                 self.disks[box] = {**self.disks[box], **batch.rows}
-                self.nodes[box].fences.written()
+                self.nodes[box].fences.on_written()
         self.did = []
         for node, (me, rank, cards) in zip(self.nodes, before, strict=True):
             if node.me == me:
@@ -159,12 +166,12 @@
                 self.did += [("card", beat, now.get(host, -1)) for host, beat in cards.items()]
 
     def cards(self, node: Node) -> dict[str, int]:
-        return {host: known.card.beat for host, known in node.members.view.items()}
+        return {host: known.record.heartbeat for host, known in node.members.peers.items()}
 
     def do_drain(self, box: int) -> None:
         self.spend("drains")
         self.calls, self.state = self.calls + 1, DRAINING
-        taken = self.nodes[box].beats.beat(0, X, self.beat(DRAINING, self.calls))
+        taken = self.nodes[box].beats.heartbeat(0, X, self.beat(DRAINING, self.calls))
         self.owed = box, getattr(taken, "version", 0)
 
     def do_leave(self, box: int) -> None:
@@ -177,12 +184,12 @@
     def do_late(self, box: int) -> None:
         """A beat from before comes now."""
         self.spend("late")
-        self.nodes[box].beats.beat(0, X, self.beat(UP, 1))
+        self.nodes[box].beats.heartbeat(0, X, self.beat(UP, 1))
 
     def do_silence(self, box: int) -> None:
         self.spend("silences")
         beats = self.nodes[box].beats
-        beats.lives[X].heard_ns -= beats.quiet_ns + 1
+        beats.registrations[X].last_heartbeat_ns -= beats.suspect_after_ns + 1
         beats.tick(0)
 
     def do_restart(self, box: int) -> None:
@@ -196,23 +203,23 @@
 
     def do_forget(self) -> None:
         self.spend("forgets")
-        del self.nodes[0].beats.lives[Y]
-        self.nodes[0].news.say(PREFIX + Y, None)
+        del self.nodes[0].beats.registrations[Y]
+        self.nodes[0].news.publish(BACKEND_KEY_PREFIX + Y, None)
 
-    def pieces(self, asker: int, holder: int) -> tuple[tuple[Piece, ...], Card]:
+    def pieces(self, asker: int, holder: int) -> tuple[tuple[SourceDelta, ...], PeerRecord]:
         one, other = self.nodes[asker], self.nodes[holder]
-        other.members.met(0, [one.members.me])
+        other.members.merge(0, [one.members.local])
         if asker != JUNCTION and holder in one.asked:
-            other.fences.receipted(f"h{asker}", *one.fences.receipt(one.asked[holder]))
-        return tuple(other.news.lacks(one.news.vector(), one.me)), other.members.me
+            other.fences.on_acknowledgement(f"h{asker}", *one.fences.acknowledgement(one.asked[holder]))
+        return tuple(other.news.deltas_since(one.news.remote_version_vector(), one.me)), other.members.local
 
-    def take(self, asker: int, pieces: tuple[Piece, ...], card: Card) -> None:
+    def take(self, asker: int, pieces: tuple[SourceDelta, ...], card: PeerRecord) -> None:
         node = self.nodes[asker]
-        node.members.met(0, [card])
-        node.asked[int(card.host[1:])] = card.life
+        node.members.merge(0, [card])
+        node.asked[int(card.host[1:])] = card.incarnation
         for piece in pieces:
-            node.news.take(0, Piece.unpack(piece.pack()))
-        if node.beats.strangers:
+            node.news.apply(0, SourceDelta.unpack(piece.pack()))
+        if node.beats.unknown_departures:
             node.beats.tick(0)
 
     def pull(self, asker: int, holder: int) -> None:
@@ -221,7 +228,7 @@
     def do_pull(self, asker: int, holder: int) -> None:
         self.spend("pulls")
         for node in self.nodes:
-            node.members.pulse()
+            node.members.advance_heartbeat()
         self.pull(asker, holder)
 
     def do_ask(self, asker: int, holder: int) -> None:
@@ -276,15 +283,20 @@
             node.me,
             tuple(
                 [
-                    (name, s.top, s.floor, repr(sorted(s.entries.items())))
+                    (name, s.latest_version, s.compacted_version, repr(sorted(s.entries.items())))
                     for name, s in sorted(node.news.sources.items())
                 ]
             ),
-            repr(sorted(node.fences.fences.items())),
-            repr((sorted(node.fences.synced.items()), sorted(node.fences.receipts.items()))),
-            repr((sorted(node.asked.items()), sorted(node.beats.strangers))),
-            repr(sorted((k, v.state) for k, v in node.lives.known.items())),
-            repr(sorted(node.beats.lives.items())),
+            repr(sorted(node.fences.records.items())),
+            repr(
+                (
+                    sorted(node.fences.durable_versions.items()),
+                    sorted(node.fences.acknowledged_versions.items()),
+                )
+            ),
+            repr((sorted(node.asked.items()), sorted(node.beats.unknown_departures))),
+            repr(sorted((k, v.state) for k, v in node.lives.instances.items())),
+            repr(sorted(node.beats.registrations.items())),
             tuple(sorted(self.cards(node).items())),
         )
 
@@ -313,7 +325,7 @@
         for source in world.nodes:
             mine = source.news.sources[source.me]
             its = holder.news.sources.get(source.me)
-            if its is not None and its.top == mine.top and said(its) != said(mine):
+            if its is not None and its.latest_version == mine.latest_version and said(its) != said(mine):
                 return False
     return True
 
@@ -326,7 +338,7 @@
     """Two that hold the same versions fold the same list."""
     folds: dict[str, set[int]] = {}
     for node in world.nodes:
-        vector = {name: top for name, top in node.news.own_vector().items() if top}
+        vector = {name: top for name, top in node.news.version_vector().items() if top}
         folds.setdefault(repr(sorted(vector.items())), set()).add(node.rank())
     return all(len(ranks) == 1 for ranks in folds.values())
 
@@ -334,8 +346,12 @@
 def quiet_by_all(world: World) -> bool:
     """Quiet only where nobody who knows the life says otherwise."""
     for node in world.nodes:
-        if (known := node.lives.known.get(X)) and known.state == QUIET:
-            told = [s.entries[PREFIX + X][1] for s in node.news.sources.values() if PREFIX + X in s.entries]
+        if (known := node.lives.instances.get(X)) and known.state == SUSPECT:
+            told = [
+                s.entries[BACKEND_KEY_PREFIX + X][1]
+                for s in node.news.sources.values()
+                if BACKEND_KEY_PREFIX + X in s.entries
+            ]
             if not all(value[7] for value in told if value is not None):
                 return False
     return True
@@ -343,16 +359,18 @@
 
 def none_buried(world: World) -> bool:
     """Gone is only who left; silence and a signalbox's end are no leave."""
-    return world.state == GONE or all(node.rank() < RANK[GONE] for node in world.nodes)
+    return world.state == GONE or all(node.rank() < STATE_RANK[GONE] for node in world.nodes)
 
 
 def rank_of_beats(world: World) -> bool:
     """A signalbox knows of a life that called it the furthest that it was told. One that left where nothing
     was known of it has no address there yet."""
     return all(
-        world.nodes[box].beats.lives[X].state in RANK and world.nodes[box].rank() >= RANK[life.state]
+        world.nodes[box].beats.registrations[X].state in STATE_RANK
+        and world.nodes[box].rank() >= STATE_RANK[life.state]
         for box in BOXES
-        if (life := world.nodes[box].beats.lives.get(X)) is not None and X in world.nodes[box].lives.known
+        if (life := world.nodes[box].beats.registrations.get(X)) is not None
+        and X in world.nodes[box].lives.instances
     )
 
 
--- a/meadowworks/modelcheck/models/registry.py
+++ b/meadowworks/modelcheck/models/registry.py
@@ -12,11 +12,11 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from meadowworks.gossip.updates import News, Piece, Told
+from meadowworks.gossip.updates import KeyUpdate, SourceDelta, UpdateStore
 from meadowworks.modelcheck.model import Model, Property, Step
-from meadowworks.registry.backends import Lives
-from meadowworks.registry.drain_log import Fences
-from meadowworks.registry.heartbeats import DRAINING, RANK, UP, Beats, Taken
+from meadowworks.registry.backends import BackendDirectory
+from meadowworks.registry.drain_log import DrainLog
+from meadowworks.registry.heartbeats import DRAINING, STATE_RANK, UP, CallAccepted, HeartbeatRegistry
 
 LIVES = ("i", "j")
 DETAILS = {"svc": "s", "zone": "z", "capacity": 2, "ver": "v"}
@@ -38,15 +38,15 @@
 class Box:
     def __init__(self, host: int, life: int) -> None:
         self.host, self.life = host, life
-        self.news = News(f"{host}.{life}")
-        self.lives, self.fences = Lives(still, still), Fences(self.news.me)
-        self.news.listeners += [self.lives.told, self.heard]
-        self.news.reached.append(self.fences.reached)
-        self.beats = Beats(self.news.say, 1000, self.fences.state, self.lives.heard_of)
+        self.news = UpdateStore(f"{host}.{life}")
+        self.lives, self.fences = BackendDirectory(still, still), DrainLog(self.news.source_id)
+        self.news.update_listeners += [self.lives.on_update, self.heard]
+        self.news.version_listeners.append(self.fences.on_version)
+        self.beats = HeartbeatRegistry(self.news.publish, 1000, self.fences.state, self.lives.is_known)
         self.asked = ""  # the process of the other that answered last
 
-    def heard(self, event: Told) -> None:
-        self.fences.told(0, event)
+    def heard(self, event: KeyUpdate) -> None:
+        self.fences.on_update(0, event)
 
 
 def still(*_: Any) -> int:
@@ -65,9 +65,9 @@
         self.disks: list[dict[str, Any]] = [{}, {}]
         self.owed: dict[str, int] = {}  # drains of the first box's present life: the version of each
         self.acked: frozenset[str] = frozenset()
-        self.reply: tuple[int, str, tuple[Piece, ...]] | None = None  # to whom, of which process
+        self.reply: tuple[int, str, tuple[SourceDelta, ...]] | None = None  # to whom, of which process
         for ident in LIVES[: scene.drains]:
-            self.boxes[0].beats.beat(0, ident, call(UP, 1))
+            self.boxes[0].beats.heartbeat(0, ident, call(UP, 1))
         self.do_pull(1)
         self.do_pull(0)
         self.left = scene
@@ -79,7 +79,7 @@
         if left.words:
             found.append(("word",))
         for host, box in enumerate(self.boxes):
-            if box.fences.writing is not None:
+            if box.fences.write_in_flight is not None:
                 found.append(("written", host))
                 if left.refusals:
                     found.append(("refused", host))
@@ -93,7 +93,7 @@
                 found.append(("loss", host))
         if self.reply is not None:
             found += [("come",), ("lost",)]
-        kept = self.boxes[0].fences.kept
+        kept = self.boxes[0].fences.is_replicated
         found += [("ack", i) for i, v in sorted(self.owed.items()) if kept(v, ["h1"], 1, True)]
         return found
 
@@ -106,24 +106,28 @@
 
     def do_drain(self, ident: str) -> None:
         self.spend("drains")
-        found = self.boxes[0].beats.beat(0, ident, call(DRAINING, 2))
-        assert isinstance(found, Taken)
+        found = self.boxes[0].beats.heartbeat(0, ident, call(DRAINING, 2))
+        assert isinstance(found, CallAccepted)
         self.owed[ident] = found.version
 
     def do_word(self) -> None:
         self.spend("words")
-        self.boxes[0].news.say("pulse", self.left.words)
+        self.boxes[0].news.publish("pulse", self.left.words)
 
-    def ask(self, host: int) -> tuple[int, str, tuple[Piece, ...]]:
+    def ask(self, host: int) -> tuple[int, str, tuple[SourceDelta, ...]]:
         one, other = self.boxes[host], self.boxes[1 - host]
-        other.fences.receipted(f"h{host}", *one.fences.receipt(one.asked))
-        return host, other.news.me, tuple(other.news.lacks(one.news.vector(), one.news.me))
+        other.fences.on_acknowledgement(f"h{host}", *one.fences.acknowledgement(one.asked))
+        return (
+            host,
+            other.news.source_id,
+            tuple(other.news.deltas_since(one.news.remote_version_vector(), one.news.source_id)),
+        )
 
-    def take(self, host: int, source: str, pieces: tuple[Piece, ...]) -> None:
+    def take(self, host: int, source: str, pieces: tuple[SourceDelta, ...]) -> None:
         box = self.boxes[host]
         box.asked = source
         for piece in pieces:
-            box.news.take(0, piece)
+            box.news.apply(0, piece)
 
     def do_pull(self, host: int) -> None:
         self.spend("pulls")
@@ -142,17 +146,17 @@
         self.reply = None
 
     def do_write(self, host: int) -> None:
-        self.boxes[host].fences.batch()
+        self.boxes[host].fences.next_batch()
 
     def do_written(self, host: int) -> None:
         fences = self.boxes[host].fences
-        assert fences.writing is not None
-        self.disks[host] = {**self.disks[host], **fences.writing.rows}
-        fences.written()
+        assert fences.write_in_flight is not None
+        self.disks[host] = {**self.disks[host], **fences.write_in_flight.rows}
+        fences.on_written()
 
     def do_refused(self, host: int) -> None:
         self.spend("refusals")
-        self.boxes[host].fences.failed()
+        self.boxes[host].fences.on_write_failed()
 
     def do_loss(self, host: int) -> None:
         """All that is not on its disk is gone; a write under way was for nothing. A backend beats on."""
@@ -162,7 +166,7 @@
         hints = {ident: [*value[:4], UP, *value[5:]] for ident, value in self.disks[host].items()}
         box.beats.restore(0, hints)  # as they were when they first called
         for ident in LIVES if host == 0 else ():
-            box.beats.beat(0, ident, call(UP, 1))  # late, from before
+            box.beats.heartbeat(0, ident, call(UP, 1))  # late, from before
             self.owed.pop(ident, None)
         if self.reply is not None and self.reply[0] == host:
             self.reply = None
@@ -183,15 +187,19 @@
         f = box.fences
         return repr(
             (
-                box.news.me,
+                box.news.source_id,
                 box.asked,
-                sorted((name, s.top, sorted(s.entries.items())) for name, s in box.news.sources.items()),
-                sorted(f.fences.items()),
+                sorted(
+                    (name, s.latest_version, sorted(s.entries.items()))
+                    for name, s in box.news.sources.items()
+                ),
+                sorted(f.records.items()),
                 sorted(f.unsynced),
-                sorted(f.pending.items()),
-                sorted(f.synced.items()),
-                f.writing and (sorted(f.writing.rows.items()), sorted(f.writing.upto.items())),
-                sorted(f.receipts.items()),
+                sorted(f.pending_versions.items()),
+                sorted(f.durable_versions.items()),
+                f.write_in_flight
+                and (sorted(f.write_in_flight.rows.items()), sorted(f.write_in_flight.versions.items())),
+                sorted(f.acknowledged_versions.items()),
             )
         )
 
@@ -206,11 +214,11 @@
 
 
 def known_by_both(world: World) -> bool:
-    return all(RANK.get(b.lives.state(i), 0) for i in world.acked for b in world.boxes)
+    return all(STATE_RANK.get(b.lives.merged_state(i), 0) for i in world.acked for b in world.boxes)
 
 
 def said_again(world: World) -> bool:
-    return all(RANK.get(b.lives.state(i), 0) for b in world.boxes for i in world.disks[b.host])
+    return all(STATE_RANK.get(b.lives.merged_state(i), 0) for b in world.boxes for i in world.disks[b.host])
 
 
 PROPERTIES = (
--- a/meadowworks/modelcheck/models/wires.py
+++ b/meadowworks/modelcheck/models/wires.py
@@ -25,7 +25,7 @@
 from meadowworks.modelcheck.model import Step
 from meadowworks.proxy import upstream_attempt as forward
 from meadowworks.proxy.upstream_attempt import Request, Tried
-from meadowworks.registry.backends import Backend
+from meadowworks.registry.backends import BackendInstance
 from meadowworks.runtime import peer_client as peers
 from meadowworks.runtime.errors import RequestError
 from meadowworks.runtime.http_connection import BufferedStream, ClientConnection
@@ -238,7 +238,7 @@
         named = self.scene.named
         names = [(b"host", b"h"), (b"x-request-id" if named else b"x-of", ident.encode())]
         asked = Request(b"POST", b"/", names, b"", ident.encode() if named else None)
-        there = Backend(LIVES[place], "s", LIVES[place], 80, "home", 2, "up", 0, 0)
+        there = BackendInstance(LIVES[place], "s", LIVES[place], 80, "home", 2, "up", 0, 0)
         return forward.attempt(self.yard, there, asked, limit_ns)
 
     def ask(self) -> None:
--- a/meadowworks/modelcheck/seeded_faults/forwarding.py
+++ b/meadowworks/modelcheck/seeded_faults/forwarding.py
@@ -90,9 +90,9 @@
             ),
             (
                 "what drains is in the tables",
-                "meadowworks.registry.backends:Lives.state",
-                "return GONE if rank == RANK[GONE] else DRAINING",
-                "return GONE if rank == RANK[GONE] else UP",
+                "meadowworks.registry.backends:BackendDirectory.merged_state",
+                "return GONE if rank == STATE_RANK[GONE] else DRAINING",
+                "return GONE if rank == STATE_RANK[GONE] else UP",
                 ("drains kept",),
             ),
             (
--- a/meadowworks/modelcheck/seeded_faults/registry.py
+++ b/meadowworks/modelcheck/seeded_faults/registry.py
@@ -4,51 +4,51 @@
 
 from meadowworks.modelcheck.fault import Fault
 
-FENCES = "meadowworks.registry.drain_log:Fences."
+FENCES = "meadowworks.registry.drain_log:DrainLog."
 REGISTRY_FAULTS = (
     *(
         Fault(name, "roster", at, was, now, breaks)
         for name, at, was, now, breaks in (
             (
                 "the own disk is not waited for",
-                FENCES + "kept",
-                "if self.synced.get(self.me, -1) < version:",
+                FENCES + "is_replicated",
+                "if self.durable_versions.get(self.source_id, -1) < version:",
                 "if False:",
                 ("on both disks", "known by both"),
             ),
             (
                 "a receipt goes before the write",
-                FENCES + "settle",
-                "if not self.unsynced and self.writing is None:",
+                FENCES + "promote_pending_versions",
+                "if not self.unsynced and self.write_in_flight is None:",
                 "if True:",
                 ("on both disks", "known by both"),
             ),
             (
                 "a write's receipt goes as it begins",
-                FENCES + "settle",
-                "if not self.unsynced and self.writing is None:",
+                FENCES + "promote_pending_versions",
+                "if not self.unsynced and self.write_in_flight is None:",
                 "if not self.unsynced:",
                 ("on both disks", "known by both"),
             ),
             (
                 "a receipt to an earlier life counts",
-                FENCES + "receipted",
-                "if source != self.me:",
+                FENCES + "on_acknowledgement",
+                "if source != self.source_id:",
                 "if False:",
                 ("on both disks", "known by both"),
             ),
             (
                 "a write that the disk refused is forgotten",
-                FENCES + "failed",
-                "self.unsynced |= lost.rows.keys() & self.fences.keys()",
+                FENCES + "on_write_failed",
+                "self.unsynced |= lost.rows.keys() & self.records.keys()",
                 "pass",
                 ("on both disks", "known by both"),
             ),
             (
                 "what is on disk is not said after a loss of power",
                 FENCES + "restore",
-                "Fence(tuple(value), now)",
-                'Fence((*value[:4], "up", *value[5:]), now)',
+                "DrainRecord(tuple(value), now_ns)",
+                'DrainRecord((*value[:4], "up", *value[5:]), now_ns)',
                 ("known by both", "said again"),
             ),
         )
--- a/meadowworks/proxy/control_plane_selection.py
+++ b/meadowworks/proxy/control_plane_selection.py
@@ -4,7 +4,7 @@
 
 import xxhash
 
-from meadowworks.gossip.peer_sampling import Card
+from meadowworks.gossip.peer_sampling import PeerRecord
 
 AVOID_NS = 1_500_000_000  # that one which gave no answer, or is not sure, is passed over
 
@@ -16,7 +16,9 @@
         self.zone = zone
         self.avoid_ns: dict[str, int] = {}
 
-    def choose(self, now: int, cards: list[Card], seeds: list[tuple[str, int]]) -> tuple[str, int] | None:
+    def choose(
+        self, now: int, cards: list[PeerRecord], seeds: list[tuple[str, int]]
+    ) -> tuple[str, int] | None:
         """An address to pull from; nothing if none is known. `seeds` are those that no card speaks for."""
         rows = [(c.zone != self.zone, self.rank(c.host), c.host, c.port) for c in cards]
         rows += [(True, self.rank(host), host, port) for host, port in seeds]
--- a/meadowworks/proxy/server.py
+++ b/meadowworks/proxy/server.py
@@ -21,14 +21,14 @@
 from meadowworks.forwarding.retry_budget import Budget
 from meadowworks.forwarding.staleness import Picture
 from meadowworks.gossip import messages as post
-from meadowworks.gossip.peer_sampling import Card, Members
-from meadowworks.gossip.updates import News, Told
+from meadowworks.gossip.peer_sampling import PartialView, PeerRecord
+from meadowworks.gossip.updates import KeyUpdate, UpdateStore
 from meadowworks.load_balancing.load_reports import PREFIX as FIGURES
 from meadowworks.load_balancing.load_reports import Sums
 from meadowworks.load_balancing.service import Met, Service
 from meadowworks.proxy.control_plane_selection import Upstream
 from meadowworks.proxy.upstream_attempt import Request, Tried, attempt, back_headers, on_headers
-from meadowworks.registry.backends import Backend, Lives
+from meadowworks.registry.backends import BackendDirectory, BackendInstance
 from meadowworks.registry.heartbeats import DRAINING
 from meadowworks.runtime import logging as logs
 from meadowworks.runtime.cooperative import Steps, decompress_steps, run_cooperatively
@@ -59,11 +59,11 @@
     def __init__(self, boot: NodeSettings) -> None:
         self.boot = boot
         self.life = f"{boot.node}.{uuid4().hex[:8]}"
-        card = Card(boot.node, boot.ip, boot.peer_port, boot.zone, False, self.life, int(time.time()))
-        self.members = Members(card, random.getrandbits(32))
-        self.news = News(self.life)
-        self.lives = Lives(lambda name: self.news.quiet(now_ns(), name), now_ns)
-        self.news.listeners += [self.lives.told, self.figures]
+        card = PeerRecord(boot.node, boot.ip, boot.peer_port, boot.zone, False, self.life, int(time.time()))
+        self.members = PartialView(card, random.getrandbits(32))
+        self.news = UpdateStore(self.life)
+        self.lives = BackendDirectory(lambda name: self.news.silence_ns(now_ns(), name), now_ns)
+        self.news.update_listeners += [self.lives.on_update, self.figures]
         self.upstream = Upstream(boot.zone)
         self.peers: dict[tuple[str, int], Peer] = {}
         self.table: RouteTable | None = None
@@ -87,7 +87,7 @@
 
     # -- what is known
 
-    def figures(self, event: Told) -> None:
+    def figures(self, event: KeyUpdate) -> None:
         """The figures of a zone, as a signalbox has added them up."""
         zone = event.key.removeprefix(FIGURES)
         if not event.key.startswith(FIGURES) or event.value is None or zone not in self.boot.zones:
@@ -102,10 +102,10 @@
         now, place = now_ns(), self.boot.zones.index(zone)
         by_service: dict[str, dict[str, Met]] = {}
         for ident, tries, bad, spent, told, running, waiting in met:
-            if known := self.lives.known.get(ident):
+            if known := self.lives.instances.get(ident):
                 mean = int(spent * MS / max(1, tries - bad))
                 waits = waiting / told if told else -1.0
-                by_service.setdefault(known.svc, {})[ident] = Met(tries, bad, mean, waits)
+                by_service.setdefault(known.service, {})[ident] = Met(tries, bad, mean, waits)
                 if told:
                     self.yard.figures(now, ident, (running + waiting) / told)
         for name, service in self.services.items():
@@ -131,21 +131,21 @@
                     name, self.boot.zones, self.boot.zone, target_ns, self.random.getrandbits(32), now_ns()
                 )
         log.info("version {:08x} is in force", table.version)
-        self.lives.changed |= set(self.lives.known)
+        self.lives.changed_ids |= set(self.lives.instances)
         self.relist()
 
     def relist(self) -> None:
         """Hands lives that have changed to their services' controllers."""
-        if not self.lives.changed:
+        if not self.lives.changed_ids:
             return
-        for ident in self.lives.changed:
-            if (known := self.lives.known.get(ident)) and known.state == DRAINING:
+        for ident in self.lives.changed_ids:
+            if (known := self.lives.instances.get(ident)) and known.state == DRAINING:
                 log.info("{} drains", ident)
-        self.lives.changed.clear()
-        listing, now = self.lives.listing(), now_ns()
+        self.lives.changed_ids.clear()
+        listing, now = self.lives.instances_by_service(), now_ns()
         for name, service in self.services.items():
             service.listed(now, listing.get(name, []))
-        self.yard.sweep(now, set(self.lives.known))
+        self.yard.sweep(now, set(self.lives.instances))
 
     def is_ready(self) -> bool:
         now = now_ns()
@@ -180,26 +180,26 @@
     async def pull(self) -> None:
         """One question to one signalbox, and what its reply tells."""
         now = now_ns()
-        seeds = self.members.lonely(self.boot.seeds, self.boot.peer_port)
+        seeds = self.members.undiscovered_seeds(self.boot.seeds, self.boot.peer_port)
         at = self.upstream.choose(now, self.members.voters(), seeds)
         if at is None:
             await asyncio.sleep(0.2)
             return
-        cards = (self.members.me,) if self.turn % 5 == 0 else ()
+        cards = (self.members.local,) if self.turn % 5 == 0 else ()
         sums, self.sums = self.sums, Sums()
-        pull = post.Pull(
-            self.members.me,
+        pull = post.PullRequest(
+            self.members.local,
             cards,
-            self.news.vector(),
+            self.news.remote_version_vector(),
             self.table.version if self.table else 0,
             self.hold_ms,
             sums.pack() if sums else None,
         )
         asked_ns = now_ns()
         try:
-            news = post.read_news(await self.peer(*at).call(b"/pull", pull.pack(), self.wait_s))
-            table = await run_cooperatively(self.unpacked(news.table[1])) if news.table else None
-        except (RequestError, *post.SHAPE) as trouble:
+            news = post.decode_pull_reply(await self.peer(*at).call(b"/pull", pull.encode(), self.wait_s))
+            table = await run_cooperatively(self.unpacked(news.config[1])) if news.config else None
+        except (RequestError, *post.DECODE_ERRORS) as trouble:
             log.info("no news from {}: {}", at[0], trouble)
             self.sums.add(sums.pack())
             self.upstream.failed(now_ns(), at[0])
@@ -208,13 +208,13 @@
             await asyncio.sleep(0.1 if self.table else self.pause())
             return
         self.turn, self.wait_s, now = self.turn + 1, PULL_S, now_ns()
-        self.members.met(now, [news.me, *news.cards])
-        for piece in news.pieces:
-            self.news.take(now, piece)
+        self.members.merge(now, [news.sender, *news.peers])
+        for piece in news.deltas:
+            self.news.apply(now, piece)
         if table is not None:
             self.take_table(table)
         self.relist()
-        if not news.sure:
+        if not news.has_lease:
             # Guards against one that is cut off from the others and goes on telling what is old.
             self.upstream.failed(now, at[0])
             self.hold_ms = 0 if self.hold_ms or self.table is None else PULL_MS
@@ -222,7 +222,7 @@
             await asyncio.sleep(0.05 if self.table else self.pause())
         else:
             self.hold_ms = PULL_MS
-        self.picture.told(asked_ns, news.sure)
+        self.picture.told(asked_ns, news.has_lease)
         self.settle(now)
 
     def pause(self) -> float:
@@ -238,17 +238,17 @@
 
     def second(self) -> None:
         now = now_ns()
-        self.members.pulse()
+        self.members.advance_heartbeat()
         self.members.expire(now)
-        self.news.expire(now)
-        self.lives.tick()
+        self.news.expire_sources(now)
+        self.lives.refresh_all()
         self.relist()
         self.settle(now)
         own, self.own = self.own, Sums()
         mine = self.boot.zones.index(self.boot.zone)
         if any(service.late(now, mine) for service in self.services.values()):
             self.heard(self.boot.zone, 1000, own.pack()[0], own.asked)
-        self.yard.sweep(now, set(self.lives.known))
+        self.yard.sweep(now, set(self.lives.instances))
 
     def summary(self) -> None:
         """Counters, if there is anything to tell since the last time."""
@@ -379,7 +379,7 @@
                         self.price(route, f"{step.status} without an offer")
                     return step
                 if isinstance(step, Send):
-                    backend = self.lives.known[service.places.names[step.place]]
+                    backend = self.lives.instances[service.places.names[step.place]]
                     tasks[self.tasks.start(self.attempt(backend, request, limit_ns, share))] = step.number
                 until = journey.wait(now_ns()).until_ns
                 done, _ = await asyncio.wait(
@@ -410,23 +410,23 @@
             for task in tasks:
                 self.tasks.bound(task, (limit_ns - now_ns()) / 1e9, share.give)
 
-    async def attempt(self, backend: Backend, request: Request, limit_ns: int, share: Share) -> Tried:
-        busy = self.yard.busy(now_ns(), backend.ident, backend.zone == self.boot.zone)
+    async def attempt(self, backend: BackendInstance, request: Request, limit_ns: int, share: Share) -> Tried:
+        busy = self.yard.busy(now_ns(), backend.instance_id, backend.zone == self.boot.zone)
         if backend.zone != self.boot.zone:
             self.count("tries abroad")
         tried = await attempt(self.yard, backend, request, limit_ns, share.take)
         good = tried.state == ANSWERED
         for sums in (self.sums, self.own):
-            sums.tried(backend.ident, good, tried.spent_ns / MS)
+            sums.tried(backend.instance_id, good, tried.spent_ns / MS)
             if tried.load is not None:
-                sums.loaded(backend.ident, *tried.load)
+                sums.loaded(backend.instance_id, *tried.load)
         if good and tried.reply is not None:
-            if service := self.services.get(backend.svc):
+            if service := self.services.get(backend.service):
                 service.answered(len(tried.reply.body))
-            self.yard.answered(backend.ident, tried.spent_ns, busy, backend.capacity)
+            self.yard.answered(backend.instance_id, tried.spent_ns, busy, backend.capacity)
         if tried.over:
-            log.info("{} is over: another answers at its address", backend.ident)
-            self.lives.ended(backend.ident)
+            log.info("{} is over: another answers at its address", backend.instance_id)
+            self.lives.mark_superseded(backend.instance_id)
             self.relist()
         return tried
 
@@ -445,8 +445,8 @@
                 return own, delays(own, busy, needs), True
             for place, weight in lines.items():
                 ident = names[place]
-                known = self.lives.known.get(ident)
-                if known is None or not known.takes:
+                known = self.lives.instances.get(ident)
+                if known is None or not known.accepts_requests:
                     continue  # the table is a moment behind the list
                 home = known.zone == self.boot.zone
                 if lines is service.lines:
--- a/meadowworks/proxy/upstream_attempt.py
+++ b/meadowworks/proxy/upstream_attempt.py
@@ -9,7 +9,7 @@
 from meadowworks.attempts.retry_policy import DROPPED, UNRUN
 from meadowworks.forwarding.connection_pool import Yard
 from meadowworks.forwarding.response_check import judge
-from meadowworks.registry.backends import Backend
+from meadowworks.registry.backends import BackendInstance
 from meadowworks.runtime.errors import RequestError
 from meadowworks.runtime.http_connection import ClientConnection, Headers, Response, connect
 from meadowworks.runtime.process import now_ns
@@ -87,18 +87,18 @@
 
 async def attempt(
     yard: Yard[ClientConnection],
-    backend: Backend,
+    backend: BackendInstance,
     request: Request,
     limit_ns: int,
     take: Callable[[int], bool] | None = None,
 ) -> Tried:
     """Never raises but for a cancel; the line is kept or ended. `take` finds room for its answer."""
     start = now_ns()
-    yard.begin(backend.ident)
+    yard.begin(backend.instance_id)
     line: ClientConnection | None = None
     try:
         # Guards against a late answer to another request, which nothing tells from one that has no id.
-        line = yard.take(start, backend.ident) if request.ident is not None else None
+        line = yard.take(start, backend.instance_id) if request.ident is not None else None
         first = line is None
         if line is None:
             wait_s = min(CONNECT_S, max(0.001, (limit_ns - start) / 1e9))
@@ -107,7 +107,7 @@
         headers = [
             *request.headers,
             (b"x-deadline-ms", str(max(1, left)).encode()),
-            (b"x-want-backend", backend.ident.encode()),
+            (b"x-want-backend", backend.instance_id.encode()),
         ]
         if request.body or request.method in BODIED:
             headers.append((b"content-length", str(len(request.body)).encode()))
@@ -115,10 +115,10 @@
         now = now_ns()
         load = load_of(reply)
         if load is not None:
-            yard.told(now, backend.ident, *load)
-        found = judge(request.ident, backend.ident.encode(), reply.status, reply.header, first)
+            yard.told(now, backend.instance_id, *load)
+        found = judge(request.ident, backend.instance_id.encode(), reply.status, reply.header, first)
         if found.keep:
-            yard.keep(now, backend.ident, line, kept_s(reply))
+            yard.keep(now, backend.instance_id, line, kept_s(reply))
         else:
             line.close()
         if not found.sound:
@@ -128,14 +128,14 @@
         if line is not None:
             line.close()
         if not trouble.may_have_run:
-            yard.unreached(now_ns(), backend.ident)
+            yard.unreached(now_ns(), backend.instance_id)
         return Tried(DROPPED if trouble.may_have_run else UNRUN, None, now_ns() - start)
     except asyncio.CancelledError:
         if line is not None:
             line.close()
         raise
     finally:
-        yard.end(backend.ident)
+        yard.end(backend.instance_id)
 
 
 def load_of(reply: Response) -> tuple[int, int] | None:
--- a/meadowworks/registry/backends.py
+++ b/meadowworks/registry/backends.py
@@ -10,140 +10,141 @@
 from dataclasses import dataclass
 from typing import Any
 
-from meadowworks.gossip.updates import Told
-from meadowworks.registry.heartbeats import DRAINING, GONE, PREFIX, RANK, UP
+from meadowworks.gossip.updates import KeyUpdate
+from meadowworks.registry.heartbeats import BACKEND_KEY_PREFIX, DRAINING, GONE, STATE_RANK, UP
 
-DEAD_NS = 8_000_000_000  # a source that has said nothing for so long vouches for nobody
-QUIET = "quiet"
+SOURCE_TIMEOUT_NS = 8_000_000_000  # a source that has said nothing for so long vouches for nobody
+SUSPECT = "quiet"
 
 
 @dataclass(slots=True)
-class Said:
-    svc: str
-    addr: str
+class BackendReport:
+    service: str
+    address: str
     zone: str
     capacity: float
     state: str
-    calls: int
-    quiet: bool
+    sequence: int
+    suspect: bool
 
 
 @dataclass(slots=True)
-class Backend:
+class BackendInstance:
     """A life as all sources together tell it. `warm_ns`: when it is no longer slow from its start, by the
     reader's clock; 0 if it was warm when it was first heard of."""
 
-    ident: str
-    svc: str
+    instance_id: str
+    service: str
     host: str
     port: int
     zone: str
     capacity: float
     state: str  # up, draining, gone or quiet
-    since_ns: int  # when it was first heard of here
-    warm_ns: int
+    first_seen_ns: int  # when it was first heard of here
+    warm_at_ns: int
 
     @property
-    def takes(self) -> bool:
+    def accepts_requests(self) -> bool:
         """Whether a request may go there. One that is quiet may be there all the same."""
         return self.state not in (DRAINING, GONE)
 
 
-class Lives:
+class BackendDirectory:
     """`alive` tells for how long a source has been silent. `changed` holds the ids whose fold has changed
     since it was last cleared."""
 
-    def __init__(self, silent_ns: Callable[[str], int], now: Callable[[], int]) -> None:
-        self.silent_ns, self.now = silent_ns, now
-        self.said: dict[str, dict[str, Said]] = {}
-        self.known: dict[str, Backend] = {}
-        self.over: set[str] = set()  # lives that were seen to have ended: their address is another's
-        self.changed: set[str] = set()
+    def __init__(self, source_silence_ns: Callable[[str], int], clock: Callable[[], int]) -> None:
+        self.source_silence_ns, self.clock = source_silence_ns, clock
+        self.reports: dict[str, dict[str, BackendReport]] = {}
+        self.instances: dict[str, BackendInstance] = {}
+        self.superseded: set[str] = set()  # lives that were seen to have ended: their address is another's
+        self.changed_ids: set[str] = set()
         self.sources: set[str] = set()
 
-    def told(self, event: Told) -> None:
+    def on_update(self, event: KeyUpdate) -> None:
         """Folds one event in; what is malformed changes nothing."""
-        if not event.key.startswith(PREFIX):
+        if not event.key.startswith(BACKEND_KEY_PREFIX):
             return
-        ident = event.key.removeprefix(PREFIX)
-        sources = self.said.setdefault(ident, {})
+        ident = event.key.removeprefix(BACKEND_KEY_PREFIX)
+        sources = self.reports.setdefault(ident, {})
         if event.value is None:
             sources.pop(event.source, None)
             if not sources:
-                del self.said[ident]
+                del self.reports[ident]
         else:
             try:
                 svc, addr, zone, capacity, state, calls, warm_ms, quiet = event.value
-                said = Said(
+                said = BackendReport(
                     str(svc), str(addr), str(zone), float(capacity), str(state), int(calls), bool(quiet)
                 )
-                if state not in RANK:
+                if state not in STATE_RANK:
                     return
             except (TypeError, ValueError):
                 return
             sources[event.source] = said
             self.sources.add(event.source)
-            if ident not in self.known and addr:
-                host, _, port = said.addr.rpartition(":")
-                now = self.now()
+            if ident not in self.instances and addr:
+                host, _, port = said.address.rpartition(":")
+                now = self.clock()
                 warm = now + int(float(warm_ms) * 1e6) if warm_ms else 0
-                self.known[ident] = Backend(
-                    ident, said.svc, host, int(port), said.zone, said.capacity, "", now, warm
+                self.instances[ident] = BackendInstance(
+                    ident, said.service, host, int(port), said.zone, said.capacity, "", now, warm
                 )
-        self.fold(ident)
+        self.refresh(ident)
 
-    def fold(self, ident: str) -> None:
-        known = self.known.get(ident)
+    def refresh(self, instance_id: str) -> None:
+        known = self.instances.get(instance_id)
         if known is None:
             return
-        state = self.state(ident)
+        state = self.merged_state(instance_id)
         if state == known.state:
             return
         known.state = state
-        self.changed.add(ident)
-        if ident not in self.said:
-            del self.known[ident]
-            self.over.discard(ident)
-
-    def state(self, ident: str) -> str:
-        sources = self.said.get(ident)
-        if not sources or ident in self.over:
+        self.changed_ids.add(instance_id)
+        if instance_id not in self.reports:
+            del self.instances[instance_id]
+            self.superseded.discard(instance_id)
+
+    def merged_state(self, instance_id: str) -> str:
+        sources = self.reports.get(instance_id)
+        if not sources or instance_id in self.superseded:
             return GONE
-        rank = max(RANK[s.state] for s in sources.values())
+        rank = max(STATE_RANK[s.state] for s in sources.values())
         if rank:
-            return GONE if rank == RANK[GONE] else DRAINING
-        alive = {name: s for name, s in sources.items() if self.silent_ns(name) < DEAD_NS}
-        if not alive and not any(self.silent_ns(name) < DEAD_NS for name in self.sources):
+            return GONE if rank == STATE_RANK[GONE] else DRAINING
+        alive = {name: s for name, s in sources.items() if self.source_silence_ns(name) < SOURCE_TIMEOUT_NS}
+        if not alive and not any(self.source_silence_ns(name) < SOURCE_TIMEOUT_NS for name in self.sources):
             return UP  # nobody is heard at all: that says nothing of the backends
-        return QUIET if all(s.quiet for s in alive.values()) else UP
+        return SUSPECT if all(s.suspect for s in alive.values()) else UP
 
-    def heard_of(self, ident: str) -> bool:
+    def is_known(self, instance_id: str) -> bool:
         """Whether any source speaks of it."""
-        return ident in self.said
+        return instance_id in self.reports
 
-    def fenced(self, ident: str) -> bool:
+    def is_draining_or_gone(self, instance_id: str) -> bool:
         """Whether any source says that it is draining or gone."""
-        return any(RANK[s.state] for s in self.said.get(ident, {}).values())
+        return any(STATE_RANK[s.state] for s in self.reports.get(instance_id, {}).values())
 
-    def ended(self, ident: str) -> None:
+    def mark_superseded(self, instance_id: str) -> None:
         """Another backend answered at its address."""
-        self.over.add(ident)
-        self.fold(ident)
+        self.superseded.add(instance_id)
+        self.refresh(instance_id)
 
-    def tick(self) -> None:
+    def refresh_all(self) -> None:
         """Sources fall silent without an event."""
-        for ident in list(self.known):
-            self.fold(ident)
+        for ident in list(self.instances):
+            self.refresh(ident)
 
-    def listing(self) -> dict[str, list[Backend]]:
+    def instances_by_service(self) -> dict[str, list[BackendInstance]]:
         """Lives by service, those that are gone left out."""
-        found: dict[str, list[Backend]] = {}
-        for backend in self.known.values():
+        found: dict[str, list[BackendInstance]] = {}
+        for backend in self.instances.values():
             if backend.state != GONE:
-                found.setdefault(backend.svc, []).append(backend)
+                found.setdefault(backend.service, []).append(backend)
         return found
 
     def summary(self) -> dict[str, Any]:
         return {
-            ident: [b.svc, f"{b.host}:{b.port}", b.zone, b.state] for ident, b in sorted(self.known.items())
+            ident: [b.service, f"{b.host}:{b.port}", b.zone, b.state]
+            for ident, b in sorted(self.instances.items())
         }
--- a/meadowworks/simulation/hollow.py
+++ b/meadowworks/simulation/hollow.py
@@ -22,14 +22,14 @@
 from meadowworks.config.route_table import load_route_table as load_table
 from meadowworks.forwarding.connection_pool import Yard
 from meadowworks.gossip import messages as post
-from meadowworks.gossip.peer_sampling import Card, Members
-from meadowworks.gossip.updates import News, Piece, Told
+from meadowworks.gossip.peer_sampling import PartialView, PeerRecord
+from meadowworks.gossip.updates import KeyUpdate, SourceDelta, UpdateStore
 from meadowworks.load_balancing.load_reports import PREFIX as FIGURES
 from meadowworks.load_balancing.load_reports import Sums
 from meadowworks.load_balancing.service import Met, Service
-from meadowworks.registry.backends import Lives
-from meadowworks.registry.heartbeats import PREFIX as BACKENDS
-from meadowworks.registry.heartbeats import Beats
+from meadowworks.registry.backends import BackendDirectory
+from meadowworks.registry.heartbeats import BACKEND_KEY_PREFIX as BACKENDS
+from meadowworks.registry.heartbeats import HeartbeatRegistry
 
 MS, SECOND = 1_000_000, 1_000_000_000
 PORT = 7540
@@ -73,17 +73,17 @@
         self.in_bytes = self.out_bytes = self.ins = self.outs = 0
 
 
-def card(name: str, host: str, zone: str, voting: bool, life: int = 0) -> Card:
-    return Card(name, host, PORT, zone, voting, f"{name}.{life:08x}", 1_764_000_000 + life)
+def card(name: str, host: str, zone: str, voting: bool, life: int = 0) -> PeerRecord:
+    return PeerRecord(name, host, PORT, zone, voting, f"{name}.{life:08x}", 1_764_000_000 + life)
 
 
 @dataclass(slots=True, eq=False)
 class Waiting:
     """A pull that is held back. `until_ns`: when it is answered in any case."""
 
-    pull: post.Pull
+    pull: post.PullRequest
     until_ns: int
-    give: Callable[[bytes, post.News], None]
+    give: Callable[[bytes, post.PullReply], None]
     done: bool = False
 
 
@@ -93,14 +93,14 @@
     PULL_MS, BATCH_NS = 1000, 150 * MS
 
     def __init__(
-        self, me: Card, beat_ms: int, clock: Clock, later: Callable[[int, Callable[[], None]], None]
+        self, me: PeerRecord, beat_ms: int, clock: Clock, later: Callable[[int, Callable[[], None]], None]
     ) -> None:
         self.now, self.later, self.meter = clock, later, Meter()
-        self.members = Members(me, 7)
-        self.news = News(me.life)
-        self.lives = Lives(lambda name: self.news.quiet(clock(), name), clock)
-        self.news.listeners += [self.told, self.lives.told]
-        self.beats = Beats(self.news.say, beat_ms)
+        self.members = PartialView(me, 7)
+        self.news = UpdateStore(me.incarnation)
+        self.lives = BackendDirectory(lambda name: self.news.silence_ns(clock(), name), clock)
+        self.news.update_listeners += [self.told, self.lives.on_update]
+        self.beats = HeartbeatRegistry(self.news.publish, beat_ms)
         self.held: tuple[int, bytes] = (0, b"")
         self.deflated: tuple[int, bytes] = (0, b"")
         self.waiting: dict[int, Waiting] = {}
@@ -112,14 +112,14 @@
 
     # -- what wakes a pull
 
-    def told(self, event: Told) -> None:
+    def told(self, event: KeyUpdate) -> None:
         if event.key.startswith(BACKENDS):
             self.ring()
 
     def ring(self) -> None:
         for key, one in list(self.waiting.items()):
             del self.waiting[key]
-            batched = not one.pull.me.voting and self.held[0] <= one.pull.table
+            batched = not one.pull.sender.is_voter and self.held[0] <= one.pull.config_version
             wait = min(self.BATCH_NS, max(0, one.until_ns - self.now())) if batched else 0
             self.later(wait, lambda one=one: self.look(one))  # type: ignore[misc]
 
@@ -130,22 +130,22 @@
 
     # -- the inner door
 
-    def pulled(self, body: bytes, give: Callable[[bytes, post.News], None]) -> None:
+    def pulled(self, body: bytes, give: Callable[[bytes, post.PullReply], None]) -> None:
         """A pull has come; `give` gets the answer, packed and whole."""
         self.meter.came(len(body))
-        pull = self.meter.timed("read a pull", lambda: post.read_pull(body))
+        pull = self.meter.timed("read a pull", lambda: post.decode_pull_request(body))
 
         def note() -> None:
-            self.members.met(self.now(), [pull.me, *pull.cards])
-            if pull.me.voting:
-                self.held_by[pull.me.host] = pull.vector.get(self.news.me, -1)
+            self.members.merge(self.now(), [pull.sender, *pull.peers])
+            if pull.sender.is_voter:
+                self.held_by[pull.sender.host] = pull.version_vector.get(self.news.source_id, -1)
                 self.kept()
-            if pull.figures:
-                self.sums.setdefault(pull.me.zone, Sums()).add(pull.figures)
+            if pull.load_report:
+                self.sums.setdefault(pull.sender.zone, Sums()).add(pull.load_report)
 
         self.meter.timed("note a pull", note)
-        one = Waiting(pull, self.now() + min(pull.wait_ms, self.PULL_MS) * MS, give)
-        self.later(min(pull.wait_ms, self.PULL_MS) * MS, lambda: self.due(one))
+        one = Waiting(pull, self.now() + min(pull.max_wait_ms, self.PULL_MS) * MS, give)
+        self.later(min(pull.max_wait_ms, self.PULL_MS) * MS, lambda: self.due(one))
         self.look(one)
 
     def due(self, one: Waiting) -> None:
@@ -155,17 +155,20 @@
     def look(self, one: Waiting) -> None:
         if one.done:
             return
-        pieces = self.meter.timed("what it lacks", lambda: self.news.lacks(one.pull.vector, one.pull.me.life))
+        pieces = self.meter.timed(
+            "what it lacks",
+            lambda: self.news.deltas_since(one.pull.version_vector, one.pull.sender.incarnation),
+        )
         if self.now() < one.until_ns and not self.urgent(pieces, one.pull):
             self.waiting[id(one)] = one
             return
         one.done = True
         self.meter.timed("answer a pull", lambda: self.answer(one, pieces))
 
-    def urgent(self, pieces: Iterable[Piece], pull: post.Pull) -> bool:
+    def urgent(self, pieces: Iterable[SourceDelta], pull: post.PullRequest) -> bool:
         return (
-            self.held[0] > pull.table
-            or not pull.vector
+            self.held[0] > pull.config_version
+            or not pull.version_vector
             or any(key.startswith(BACKENDS) for p in pieces for _, key, _ in p.changes)
         )
 
@@ -175,15 +178,15 @@
             self.deflated = self.held[0], zlib.compress(self.held[1], 6)
         return self.deflated
 
-    def answer(self, one: Waiting, pieces: list[Piece]) -> None:
+    def answer(self, one: Waiting, pieces: list[SourceDelta]) -> None:
         pull = one.pull
-        table = self.handed() if self.held[0] > pull.table else None
-        cards = tuple(self.members.swap()[1:]) if pull.cards else ()
-        known = self.members.view.get(pull.me.host)
-        if known is not None and known.card.beat > pull.me.beat:
-            cards = (*cards, known.card)
-        news = post.News(self.members.me, cards, tuple(pieces), True, table)
-        body = news.pack()
+        table = self.handed() if self.held[0] > pull.config_version else None
+        cards = tuple(self.members.shuffle_sample()[1:]) if pull.peers else ()
+        known = self.members.peers.get(pull.sender.host)
+        if known is not None and known.record.heartbeat > pull.sender.heartbeat:
+            cards = (*cards, known.record)
+        news = post.PullReply(self.members.local, cards, tuple(pieces), True, table)
+        body = news.encode()
         self.meter.left(len(body))
         one.give(body, news)
 
@@ -191,7 +194,7 @@
 
     def beat(self, ident: str, body: bytes, acked: Callable[[], None]) -> None:
         def act() -> int:
-            found = self.beats.beat(self.now(), ident, json.loads(body))
+            found = self.beats.heartbeat(self.now(), ident, json.loads(body))
             return getattr(found, "version", 0)
 
         self.called(body, self.meter.timed("a beat", act), acked)
@@ -219,8 +222,10 @@
 
     def ask(self, cards: bool) -> bytes:
         def act() -> bytes:
-            told = tuple(self.members.swap()[1:]) or (self.members.me,) if cards else ()
-            return post.Pull(self.members.me, told, self.news.vector(), self.held[0], self.PULL_MS).pack()
+            told = tuple(self.members.shuffle_sample()[1:]) or (self.members.local,) if cards else ()
+            return post.PullRequest(
+                self.members.local, told, self.news.remote_version_vector(), self.held[0], self.PULL_MS
+            ).encode()
 
         body = self.meter.timed("ask others", act)
         self.meter.left(len(body))
@@ -228,15 +233,15 @@
 
     def take(self, body: bytes) -> None:
         self.meter.came(len(body))
-        news = self.meter.timed("read news", lambda: post.read_news(body))
+        news = self.meter.timed("read news", lambda: post.decode_pull_reply(body))
 
         def act() -> None:
             now = self.now()
-            self.members.met(now, [news.me, *news.cards])
-            for piece in news.pieces:
-                self.news.take(now, piece)
-            if news.table is not None:
-                self.learn(news.table[0], zlib.decompress(news.table[1]))
+            self.members.merge(now, [news.sender, *news.peers])
+            for piece in news.deltas:
+                self.news.apply(now, piece)
+            if news.config is not None:
+                self.learn(news.config[0], zlib.decompress(news.config[1]))
 
         self.meter.timed("take news", act)
 
@@ -249,36 +254,36 @@
 
     def turn_lives(self) -> None:
         now = self.now()
-        self.members.pulse()
+        self.members.advance_heartbeat()
         self.members.expire(now)
-        self.news.expire(now)
+        self.news.expire_sources(now)
         self.beats.tick(now)
-        self.lives.tick()
-        self.lives.changed.clear()
+        self.lives.refresh_all()
+        self.lives.changed_ids.clear()
 
     def turn_figures(self) -> None:
         now = self.now()
         self.pulse += 1
-        self.news.say("pulse", self.pulse)
+        self.news.publish("pulse", self.pulse)
         covers_ms = (now - self.summed_ns) // MS
         self.summed_ns = now
         for zone, sums in self.sums.items():
-            if sums or self.news.sources[self.news.me].entries.get(FIGURES + zone, (0, None))[1]:
-                self.news.say(FIGURES + zone, [covers_ms, *sums.pack()] if sums else None)
+            if sums or self.news.sources[self.news.source_id].entries.get(FIGURES + zone, (0, None))[1]:
+                self.news.publish(FIGURES + zone, [covers_ms, *sums.pack()] if sums else None)
         self.sums = {zone: Sums() for zone in self.sums}
 
     def packed(self) -> dict[str, bytes]:
-        return {ident: post.pack(value) for ident, value in self.beats.kept().items()}
+        return {ident: post.encode(value) for ident, value in self.beats.durable_values().items()}
 
 
 class Junction:
-    def __init__(self, me: Card, zones: list[str], clock: Clock) -> None:
+    def __init__(self, me: PeerRecord, zones: list[str], clock: Clock) -> None:
         self.now, self.meter, self.zones, self.zone = clock, Meter(), zones, me.zone
         self.random = random.Random(me.host)
-        self.members = Members(me, 7)
-        self.news = News(me.life)
-        self.lives = Lives(lambda name: self.news.quiet(clock(), name), clock)
-        self.news.listeners += [self.lives.told, self.figures]
+        self.members = PartialView(me, 7)
+        self.news = UpdateStore(me.incarnation)
+        self.lives = BackendDirectory(lambda name: self.news.silence_ns(clock(), name), clock)
+        self.news.update_listeners += [self.lives.on_update, self.figures]
         self.table: RouteTable | None = None
         self.services: dict[str, Service] = {}
         self.yard: Yard[Any] = Yard()
@@ -288,7 +293,7 @@
 
     # -- what is known
 
-    def figures(self, event: Told) -> None:
+    def figures(self, event: KeyUpdate) -> None:
         zone = event.key.removeprefix(FIGURES)
         if event.key.startswith(FIGURES) and event.value is not None and zone in self.zones:
             covers_ms, met, asked = event.value
@@ -298,10 +303,10 @@
         now, place = self.now(), self.zones.index(zone)
         by_service: dict[str, dict[str, Met]] = {}
         for ident, tries, bad, spent, told, running, waiting in met:
-            if known := self.lives.known.get(ident):
+            if known := self.lives.instances.get(ident):
                 mean = int(spent * MS / max(1, tries - bad))
                 waits = waiting / told if told else -1.0
-                by_service.setdefault(known.svc, {})[ident] = Met(tries, bad, mean, waits)
+                by_service.setdefault(known.service, {})[ident] = Met(tries, bad, mean, waits)
                 if told:
                     self.yard.figures(now, ident, (running + waiting) / told)
         for name, service in self.services.items():
@@ -321,27 +326,29 @@
             else:
                 seed = self.random.getrandbits(32)
                 self.services[name] = Service(name, self.zones, self.zone, target_ns, seed, self.now())
-        self.lives.changed |= set(self.lives.known)
+        self.lives.changed_ids |= set(self.lives.instances)
         self.relist()
 
     def relist(self) -> None:
-        if not self.lives.changed:
+        if not self.lives.changed_ids:
             return
-        self.lives.changed.clear()
-        listing, now = self.lives.listing(), self.now()
+        self.lives.changed_ids.clear()
+        listing, now = self.lives.instances_by_service(), self.now()
         for name, service in self.services.items():
             service.listed(now, listing.get(name, []))
-        self.yard.sweep(now, set(self.lives.known))
+        self.yard.sweep(now, set(self.lives.instances))
 
     # -- pulls
 
     def ask(self) -> bytes:
         def act() -> bytes:
-            cards = (self.members.me,) if self.turns % 5 == 0 else ()
+            cards = (self.members.local,) if self.turns % 5 == 0 else ()
             sums, self.sums = self.sums, Sums()
             version = self.table.version if self.table else 0
             figures = sums.pack() if sums else None
-            return post.Pull(self.members.me, cards, self.news.vector(), version, 1000, figures).pack()
+            return post.PullRequest(
+                self.members.local, cards, self.news.remote_version_vector(), version, 1000, figures
+            ).encode()
 
         body = self.meter.timed("ask", act)
         self.meter.left(len(body))
@@ -349,17 +356,17 @@
 
     def take(self, body: bytes) -> None:
         self.meter.came(len(body))
-        news = self.meter.timed("read news", lambda: post.read_news(body))
-        packed = news.table[1] if news.table else b""
+        news = self.meter.timed("read news", lambda: post.decode_pull_reply(body))
+        packed = news.config[1] if news.config else b""
         load = lambda: load_table(zlib.decompress(packed))  # noqa: E731
         table = self.meter.timed("load a table", load) if packed else None
 
         def act() -> None:
             now = self.now()
             self.turns += 1
-            self.members.met(now, [news.me, *news.cards])
-            for piece in news.pieces:
-                self.news.take(now, piece)
+            self.members.merge(now, [news.sender, *news.peers])
+            for piece in news.deltas:
+                self.news.apply(now, piece)
 
         self.meter.timed("take news", act)
         if table is not None:
@@ -373,10 +380,10 @@
     def second(self) -> None:
         def act() -> None:
             now = self.now()
-            self.members.pulse()
+            self.members.advance_heartbeat()
             self.members.expire(now)
-            self.news.expire(now)
-            self.lives.tick()
+            self.news.expire_sources(now)
+            self.lives.refresh_all()
 
         def late() -> None:
             now, mine = self.now(), self.zones.index(self.zone)
@@ -387,7 +394,7 @@
         self.meter.timed("each second: lives", act)
         self.meter.timed("hand on lives", self.relist)
         self.meter.timed("each second: own figures", late)
-        self.meter.timed("each second: lines", lambda: self.yard.sweep(self.now(), set(self.lives.known)))
+        self.meter.timed("each second: lines", lambda: self.yard.sweep(self.now(), set(self.lives.instances)))
 
     def quarter(self) -> None:
         now = self.now()
@@ -403,23 +410,23 @@
     """A junction as its signalbox sees it, at a small part of the cost: what it says is made by the product's
     codec, what it is told it keeps as a vector alone. `charge` gives the processor time of a whole one."""
 
-    def __init__(self, me: Card, figures: Callable[[], Any]) -> None:
+    def __init__(self, me: PeerRecord, figures: Callable[[], Any]) -> None:
         self.me, self.figures = me, figures
         self.vector: dict[str, int] = {}
         self.version = self.turns = 0
         self.meter = Meter()
 
     def ask(self, beat: int) -> bytes:
-        self.me = replace(self.me, beat=beat)
+        self.me = replace(self.me, heartbeat=beat)
         cards = (self.me,) if self.turns % 5 == 0 else ()
-        body = post.Pull(self.me, cards, self.vector, self.version, 1000, self.figures()).pack()
+        body = post.PullRequest(self.me, cards, self.vector, self.version, 1000, self.figures()).encode()
         self.meter.left(len(body))
         return body
 
-    def take(self, body: bytes, news: post.News) -> None:
+    def take(self, body: bytes, news: post.PullReply) -> None:
         self.meter.came(len(body))
         self.turns += 1
-        for piece in news.pieces:
-            self.vector[piece.source] = piece.top
-        if news.table is not None:
-            self.version = news.table[0]
+        for piece in news.deltas:
+            self.vector[piece.source] = piece.latest_version
+        if news.config is not None:
+            self.version = news.config[0]
--- a/meadowworks/simulation/scale.py
+++ b/meadowworks/simulation/scale.py
@@ -28,7 +28,7 @@
 
 from meadowworks.config.validation import validate_configuration
 from meadowworks.gossip import messages as post
-from meadowworks.gossip.peer_sampling import STALE_NS
+from meadowworks.gossip.peer_sampling import PEER_EXPIRY_NS
 from meadowworks.load_balancing.load_reports import Sums
 from meadowworks.proxy.control_plane_selection import Upstream
 from meadowworks.simulation.hollow import MS, SECOND, Caller, Junction, Meter, Signalbox, card
@@ -199,9 +199,9 @@
             )
             box.meter, box.others = node.meter, asked.boxes // 2
             self.boxes.append((node, box))
-        cards = [box.members.me for _, box in self.boxes]
+        cards = [box.members.local for _, box in self.boxes]
         for _, box in self.boxes:
-            box.members.met(self.now, cards)
+            box.members.merge(self.now, cards)
         self.moved: dict[str, tuple[Node, Signalbox]] = {}
         self.lives: dict[str, tuple[str, str, str]] = {}  # by id: service, address, zone
         self.calls: Counter[str] = Counter()
@@ -214,16 +214,18 @@
             self.backend(k)
         for ident in self.lives:
             _, box = self.box_of(ident)
-            box.beats.beat(self.now, ident, json.loads(self.beat_body(ident)))
+            box.beats.heartbeat(self.now, ident, json.loads(self.beat_body(ident)))
         for _, box in self.boxes:
             box.turn_figures()
         for _, box in self.boxes:
             for _, other in self.boxes:
                 if box is not other:
-                    for piece in other.news.lacks(box.news.vector(), box.news.me):
-                        box.news.take(self.now, piece)
-        self.cards = {node.name: box.members.me for node, box in self.boxes}
-        self.by_host = {box.members.me.host: (node, box) for node, box in self.boxes}
+                    for piece in other.news.deltas_since(
+                        box.news.remote_version_vector(), box.news.source_id
+                    ):
+                        box.news.apply(self.now, piece)
+        self.cards = {node.name: box.members.local for node, box in self.boxes}
+        self.by_host = {box.members.local.host: (node, box) for node, box in self.boxes}
         many = max(0, asked.controllers - asked.boxes)
         chosen = {k * many // max(1, asked.whole) for k in range(min(asked.whole, many))}
         for k in range(many):
@@ -242,14 +244,14 @@
             caller = Caller(me, lambda: self.figures(zone))
             caller.meter = node.meter
             _, box = self.upstream(zone)
-            caller.vector, caller.version = box.news.own_vector(), box.held[0]
+            caller.vector, caller.version = box.news.version_vector(), box.held[0]
             self.callers.append((node, caller))
 
     def first(self, made: Junction) -> bytes:
         """All that is known, taken at once. The bytes of it."""
         _, box = self.upstream(made.zone)
-        pieces = tuple(box.news.lacks({}, made.news.me))
-        body = post.News(box.members.me, (), pieces, True, box.handed()).pack()
+        pieces = tuple(box.news.deltas_since({}, made.news.source_id))
+        body = post.PullReply(box.members.local, (), pieces, True, box.handed()).encode()
         made.take(body)
         return body
 
@@ -262,9 +264,9 @@
         return ident
 
     def upstream(self, zone: str) -> tuple[Node, Signalbox]:
-        cards = [box.members.me for _, box in self.boxes]
+        cards = [box.members.local for _, box in self.boxes]
         host = Upstream(zone).choose(self.now, cards, [])
-        return next((n, b) for n, b in self.boxes if host and b.members.me.host == host[0])
+        return next((n, b) for n, b in self.boxes if host and b.members.local.host == host[0])
 
     def box_of(self, ident: str) -> tuple[Node, Signalbox]:
         """Where a backend beats: in its zone if a signalbox is there, else anywhere, until a beat fails."""
@@ -344,7 +346,7 @@
         node: Node,
         pair: tuple[Node, Signalbox],
         body: bytes,
-        took: Callable[[bytes, post.News], None],
+        took: Callable[[bytes, post.PullReply], None],
         failed: Callable[[], None],
         wait_ns: int,
     ) -> None:
@@ -355,10 +357,10 @@
         def up() -> bool:
             return not self.down & {node.name, other.name} and self.reach(node.zone, other.zone)
 
-        def back(body: bytes, news: post.News) -> None:
+        def back(body: bytes, news: post.PullReply) -> None:
             self.send(delay, lambda: self.give(node, lambda: came(body, news)) if up() else None)
 
-        def came(body: bytes, news: post.News) -> None:
+        def came(body: bytes, news: post.PullReply) -> None:
             if not over[0] and node.life == life:
                 over[0] = True
                 node.silent.discard(other.name)
@@ -378,12 +380,12 @@
         self.send(CONNECT_NS if other.name in node.silent else wait_ns, patience)
 
     def box_pull(self, node: Node, box: Signalbox, pair: tuple[Node, Signalbox], turn: int) -> None:
-        def took(body: bytes, news: post.News) -> None:
+        def took(body: bytes, news: post.PullReply) -> None:
             box.take(body)
             self.send(0, lambda: self.box_pull(node, box, pair, turn + 1))
 
         def failed() -> None:
-            if pair[1].members.me.host in box.members.view:
+            if pair[1].members.local.host in box.members.peers:
                 self.at(self.now + 200 * MS, lambda: self.box_pull(node, box, pair, turn))
             else:  # its card is too old; one that comes back is met again
                 self.at(self.now + SECOND, failed)
@@ -396,13 +398,13 @@
     def at_box(self, node: Node) -> tuple[Node, Signalbox]:
         """Where a junction pulls now. The cards of signalboxes that are lost go after a time."""
         assert node.upstream is not None
-        gone = self.down if self.now - self.lost_ns > STALE_NS else set()
+        gone = self.down if self.now - self.lost_ns > PEER_EXPIRY_NS else set()
         found = node.upstream.choose(self.now, [c for name, c in self.cards.items() if name not in gone], [])
         return self.by_host[found[0] if found else ""]
 
     def failed(self, node: Node, pair: tuple[Node, Signalbox]) -> None:
         assert node.upstream is not None
-        node.upstream.failed(self.now, pair[1].members.me.host)
+        node.upstream.failed(self.now, pair[1].members.local.host)
 
     def fed(self, node: Node) -> None:
         if node.name in self.unfed:
@@ -413,9 +415,9 @@
             return
         pair = self.at_box(node)
 
-        def took(body: bytes, news: post.News) -> None:
+        def took(body: bytes, news: post.PullReply) -> None:
             made.take(body)
-            table = news.table is not None
+            table = news.config is not None
             spent, size = self.charge.get(table, (0.0, 0.0))
             self.charge[table] = spent + made.meter.turn_ns, size + len(body)
             version = made.table.version if made.table else 0
@@ -445,15 +447,15 @@
     def caller_pull(self, node: Node, caller: Caller) -> None:
         pair = self.at_box(node)
 
-        def took(body: bytes, news: post.News) -> None:
+        def took(body: bytes, news: post.PullReply) -> None:
             caller.take(body, news)
-            spent, size = self.charge.get(news.table is not None, (0.0, 0.0))
+            spent, size = self.charge.get(news.config is not None, (0.0, 0.0))
             wait = int(spent / size * len(body)) if size and self.asked.cpu else 0
 
             def after() -> None:
                 self.fed(node)
-                if news.table is not None:
-                    self.forced(node, news.table[0])
+                if news.config is not None:
+                    self.forced(node, news.config[0])
                 self.caller_pull(node, caller)
 
             self.send(wait, after)
@@ -523,7 +525,7 @@
             box.meter.came(len(body))
             box.meter.timed("check a configuration", lambda: validate_configuration(body))
             first, second = ([0, version, 1, "disk"], [0, version, 1, "disk", body])
-            letters(post.pack(first), lambda: letters(post.pack(second), agreed))
+            letters(post.encode(first), lambda: letters(post.encode(second), agreed))
 
         def letters(plain: bytes, then: Callable[[], None]) -> None:
             packed = box.meter.timed("letters", lambda: zlib.compress(plain, 6))
@@ -537,7 +539,7 @@
 
             def arrived(far: Node, far_box: Signalbox) -> None:
                 far_box.meter.came(len(packed))
-                far_box.meter.timed("letters", lambda: post.unpack(zlib.decompress(packed)))
+                far_box.meter.timed("letters", lambda: post.decode(zlib.decompress(packed)))
                 far_box.meter.left(40)
                 self.send(SYNC_NS + self.delay(node.zone, far.zone), lambda: self.give(node, reply))
 
@@ -594,7 +596,7 @@
         if place < len(self.whole):
             node, made = self.whole[place]
             node.life += 1
-            me = card(node.name, made.members.me.host, node.zone, False, node.life)
+            me = card(node.name, made.members.local.host, node.zone, False, node.life)
             fresh = Junction(me, self.zones, lambda: self.now)
             fresh.meter = node.meter
             self.whole[place] = node, fresh
@@ -651,7 +653,7 @@
         """Which of the whole junctions know of all that was lost; seen every twentieth of a second."""
         for node, made in self.whole:
             if self.lost and node.name not in self.down and node.name not in self.seen:
-                known = (made.lives.known.get(ident) for ident in self.lost)
+                known = (made.lives.instances.get(ident) for ident in self.lost)
                 if all(one is None or one.state != "up" for one in known):
                     self.seen[node.name] = (self.now - self.lost_ns) / SECOND
         self.at(self.now + SECOND // 20, self.look)
@@ -739,7 +741,7 @@
             "connections": sum(most.values()) / len(self.boxes),
             "connections_most": max(most.values()),
             "disk_lives_bytes": sum(len(i) + len(v) for one in packed for i, v in one.items()) / len(packed),
-            "vector_bytes": len(post.pack(self.boxes[0][1].news.vector())),
+            "vector_bytes": len(post.encode(self.boxes[0][1].news.remote_version_vector())),
             "sources": len(self.boxes[0][1].news.sources),
         }
 
@@ -802,13 +804,15 @@
             return made
 
         def box() -> Signalbox:
-            me = card("core-new", at.members.me.host, zone, True, 1)
+            me = card("core-new", at.members.local.host, zone, True, 1)
             made = Signalbox(me, BEAT_MS, lambda: self.now, lambda wait, act: None)
-            whole = post.News(at.members.me, (), tuple(at.news.lacks({}, me.life)), True, at.handed()).pack()
+            whole = post.PullReply(
+                at.members.local, (), tuple(at.news.deltas_since({}, me.incarnation)), True, at.handed()
+            ).encode()
             made.take(whole)
-            for ident in list(at.beats.lives):
+            for ident in list(at.beats.registrations):
                 if ident in self.lives:
-                    made.beats.beat(self.now, ident, json.loads(self.beat_body(ident)))
+                    made.beats.heartbeat(self.now, ident, json.loads(self.beat_body(ident)))
             for name, sums in at.sums.items():
                 made.sums.setdefault(name, Sums()).add(sums.pack())
             return made
--- a/tests/gateway/golden_product.py
+++ b/tests/gateway/golden_product.py
@@ -32,21 +32,21 @@
 from meadowworks.controlplane.server import Signalbox
 from meadowworks.fleet import messages
 from meadowworks.gossip import messages as post
-from meadowworks.gossip.peer_sampling import Card
-from meadowworks.gossip.updates import Piece, Told
+from meadowworks.gossip.peer_sampling import PeerRecord
+from meadowworks.gossip.updates import KeyUpdate, SourceDelta
 from meadowworks.load_balancing.load_reports import PREFIX as FIGURES_PREFIX
 from meadowworks.load_balancing.load_reports import Sums
 from meadowworks.proxy.server import Junction
-from meadowworks.registry.backends import Lives
-from meadowworks.registry.drain_log import Fences
-from meadowworks.registry.heartbeats import PREFIX as BACKENDS_PREFIX
-from meadowworks.registry.heartbeats import Beats
+from meadowworks.registry.backends import BackendDirectory
+from meadowworks.registry.drain_log import DrainLog
+from meadowworks.registry.heartbeats import BACKEND_KEY_PREFIX as BACKENDS_PREFIX
+from meadowworks.registry.heartbeats import HeartbeatRegistry
 from meadowworks.runtime import node_settings
 from meadowworks.runtime.http_server import HttpServer, read_body, send_response
 from meadowworks.runtime.peer_client import Peer
 from meadowworks.storage.sqlite_store import Disk
 
-__all__ = ["BACKENDS_PREFIX", "FIGURES_PREFIX", "Card", "Piece", "load_configuration"]
+__all__ = ["BACKENDS_PREFIX", "FIGURES_PREFIX", "PeerRecord", "SourceDelta", "load_configuration"]
 
 # -- typed values of the agreement on versions and members
 
@@ -100,10 +100,28 @@
     Installed: ("epoch",),
     Outside: ("epoch",),
     Whole: ("held", "history"),
-    Card: ("name", "host", "port", "zone", "voting", "life", "beat"),
-    Piece: ("source", "whole", "top", "changes"),
-    post.Pull: ("me", "cards", "vector", "table", "wait_ms", "figures", "epoch", "kept"),
-    post.News: ("me", "cards", "pieces", "sure", "table", "seen", "epoch", "history"),
+    PeerRecord: ("name", "host", "port", "zone", "is_voter", "incarnation", "heartbeat"),
+    SourceDelta: ("source", "is_snapshot", "latest_version", "changes"),
+    post.PullRequest: (
+        "sender",
+        "peers",
+        "version_vector",
+        "config_version",
+        "max_wait_ms",
+        "load_report",
+        "epoch_number",
+        "drain_acknowledgement",
+    ),
+    post.PullReply: (
+        "sender",
+        "peers",
+        "deltas",
+        "has_lease",
+        "config",
+        "acceptor_state",
+        "epoch",
+        "decided_digests",
+    ),
 }
 LETTER_KINDS = frozenset(register.READERS)
 content_digest = register.digest
@@ -112,26 +130,26 @@
 
 # -- messages between controllers
 
-Pull = post.Pull
-News = post.News
-Unreadable = post.SHAPE  # what the readers of messages raise
+Pull = post.PullRequest
+News = post.PullReply
+Unreadable = post.DECODE_ERRORS  # what the readers of messages raise
 
 
 def pack(value: Any) -> bytes:
-    return post.pack(value)
+    return post.encode(value)
 
 
 def unpack(body: bytes) -> Any:
-    return post.unpack(body)
+    return post.decode(body)
 
 
 def encode_letter(letter: Any) -> bytes:
     """A request or reply of the agreement, as it lies compressed in the body of a call."""
-    return post.pack(register.pack(letter))
+    return post.encode(register.pack(letter))
 
 
 def decode_letter(body: bytes) -> Any:
-    return register.unpack(post.unpack(body))
+    return register.unpack(post.decode(body))
 
 
 def compressed_letter(letter: Any) -> bytes:
@@ -147,31 +165,31 @@
 
 
 def encode_pull(pull: Any) -> bytes:
-    return pull.pack()  # type: ignore[no-any-return]
+    return pull.encode()  # type: ignore[no-any-return]
 
 
 def encode_news(news: Any) -> bytes:
-    return news.pack()  # type: ignore[no-any-return]
+    return news.encode()  # type: ignore[no-any-return]
 
 
-decode_pull = post.read_pull
-decode_news = post.read_news
+decode_pull = post.decode_pull_request
+decode_news = post.decode_pull_reply
 
 
 def encode_card(card: Any) -> bytes:
-    return post.pack(card.pack())
+    return post.encode(card.pack())
 
 
 def decode_card(body: bytes) -> Any:
-    return Card.unpack(post.unpack(body))
+    return PeerRecord.unpack(post.decode(body))
 
 
 def encode_piece(piece: Any) -> bytes:
-    return post.pack(piece.pack())
+    return post.encode(piece.pack())
 
 
 def decode_piece(body: bytes) -> Any:
-    return Piece.unpack(post.unpack(body))
+    return SourceDelta.unpack(post.decode(body))
 
 
 # -- figures and lives, as values within pulls and news
@@ -188,12 +206,12 @@
         sums.loaded(ident, running, waiting)
     for service in calls:
         sums.came(service)
-    return post.pack(sums.pack())
+    return post.encode(sums.pack())
 
 
 def decode_figures(body: bytes) -> tuple[dict[str, list[float]], dict[str, int]]:
     sums = Sums()
-    sums.add(post.unpack(body))
+    sums.add(post.decode(body))
     return sums.met, sums.asked
 
 
@@ -206,24 +224,24 @@
         said[key] = value
         return len(said)
 
-    beats = Beats(say, 1000)
+    beats = HeartbeatRegistry(say, 1000)
     for now, step in enumerate(steps, 1):
         if step == "leave":
             beats.leave(now, "b")
         elif step == "silence":
             beats.tick(now + 5_000_000_000)
         else:
-            beats.beat(now, "b", step)
+            beats.heartbeat(now, "b", step)
     return said
 
 
 def known_backend(key: str, value: Any) -> tuple[Any, ...]:
     """A backend as a reader of the news knows it."""
-    lives = Lives(lambda source: 0, lambda: 0)
-    lives.told(Told("source", key, value))
-    (found,) = lives.known.values()
+    lives = BackendDirectory(lambda source: 0, lambda: 0)
+    lives.on_update(KeyUpdate("source", key, value))
+    (found,) = lives.instances.values()
     place = (found.host, found.port, found.zone)
-    return (found.ident, found.svc, *place, found.capacity, found.state, found.warm_ns)
+    return (found.instance_id, found.service, *place, found.capacity, found.state, found.warm_at_ns)
 
 
 # -- lines between the controller of routing tables and its proxies
@@ -299,17 +317,17 @@
 
     def keep(self, lives: Mapping[str, Any], fences: Mapping[str, Any]) -> None:
         """Through the machines that hand rows to the disk."""
-        beats = Beats(lambda key, value: 1, 1000)
+        beats = HeartbeatRegistry(lambda key, value: 1, 1000)
         beats.restore(0, dict(lives))
-        self.disk.keep_lives({ident: post.pack(value) for ident, value in beats.kept().items()})
-        held = Fences("source")
+        self.disk.keep_lives({ident: post.encode(value) for ident, value in beats.durable_values().items()})
+        held = DrainLog("source")
         for ident, value in fences.items():
-            held.told(0, Told("other", BACKENDS_PREFIX + ident, value))
-        batch = held.batch()
+            held.on_update(0, KeyUpdate("other", BACKENDS_PREFIX + ident, value))
+        batch = held.next_batch()
         assert batch is not None or not fences
         if batch is not None:
-            rows = {ident: post.pack(list(value)) for ident, value in batch.rows.items()}
-            self.disk.keep_fences(rows, batch.gone)
+            rows = {ident: post.encode(list(value)) for ident, value in batch.rows.items()}
+            self.disk.keep_fences(rows, batch.deleted)
 
     def start(self, address: str) -> Any:
         """The machine of a signalbox that starts from this disk, its first write made. Its acceptor."""
@@ -422,7 +440,7 @@
 def turn(box: Signalbox, figures: Mapping[str, bytes]) -> dict[str, Any]:
     """What a signalbox says in its turn of a second, given what junctions of zones have told."""
     for zone, body in figures.items():
-        box.sums.setdefault(zone, Sums()).add(post.unpack(body))
+        box.sums.setdefault(zone, Sums()).add(post.decode(body))
     box.turn()
     entries = box.news.sources[box.life].entries
     return {key: value for key, (_, value) in entries.items()}
@@ -432,15 +450,15 @@
     """Configuration and news, as if a signalbox had told them."""
     junction.take_table(load_configuration(configuration))
     for key, value in said.items():
-        junction.news.tell(Told("source", key, value))
+        junction.news.notify_update(KeyUpdate("source", key, value))
     junction.relist()
 
 
 def signalbox_learns(box: Signalbox, cards: list[Any], configuration: bytes, said: Mapping[str, Any]) -> None:
-    box.members.met(0, cards)
+    box.members.merge(0, cards)
     box.office.replica.learn(0, Held(7, configuration))
     for key, value in said.items():
-        box.news.tell(Told("source", key, value))
+        box.news.notify_update(KeyUpdate("source", key, value))
 
 
 def inner_door(program: Any) -> Any:
--- a/tests/gateway/helpers.py
+++ b/tests/gateway/helpers.py
@@ -6,7 +6,7 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from meadowworks.registry.backends import Backend
+from meadowworks.registry.backends import BackendInstance
 from meadowworks.runtime.http_connection import ClientConnection, Response, connect
 
 SECOND = 1_000_000_000
@@ -55,5 +55,5 @@
         self.server.close()
 
 
-def backend(ident: str, at: tuple[str, int], **rest: Any) -> Backend:
-    return Backend(ident, rest.get("svc", "s"), *at, rest.get("zone", "north"), 2, "up", 0, 0)
+def backend(ident: str, at: tuple[str, int], **rest: Any) -> BackendInstance:
+    return BackendInstance(ident, rest.get("svc", "s"), *at, rest.get("zone", "north"), 2, "up", 0, 0)
--- a/tests/gateway/test_agreement.py
+++ b/tests/gateway/test_agreement.py
@@ -270,20 +270,20 @@
 
 @pytest.mark.parametrize("message", MESSAGES)
 def test_requests_and_replies_travel_unchanged_and_mutants_are_refused_or_harmless(message: Any) -> None:
-    raw = post.unpack(post.pack(register.pack(message)))
+    raw = post.decode(post.encode(register.pack(message)))
     assert register.unpack(raw) == message
     refused = total = 0
     for _, mutant in mutants(raw):
         total += 1
         try:
             found = register.unpack(mutant)
-        except post.SHAPE:
+        except post.DECODE_ERRORS:
             refused += 1
         else:
             assert type(found).__name__ == mutant[0]
-            register.unpack(post.unpack(post.pack(register.pack(found))))
+            register.unpack(post.decode(post.encode(register.pack(found))))
     assert refused > total / 2
-    with pytest.raises(post.SHAPE):
+    with pytest.raises(post.DECODE_ERRORS):
         register.unpack(raw[:-1])
 
 
--- a/tests/gateway/test_golden.py
+++ b/tests/gateway/test_golden.py
@@ -92,28 +92,30 @@
     "whole, nothing held": product.Whole(NOTHING, ()),
 }
 
-BOX_CARD = product.Card("signalbox-0", "10.0.0.1", 7000, "north", True, "signalbox-0.0a1b2c3d", 1780000000)
-JUNCTION_CARD = product.Card("größe", "10.0.1.1", 7000, "süd", False, "größe.00000000", 0)
+BOX_CARD = product.PeerRecord(
+    "signalbox-0", "10.0.0.1", 7000, "north", True, "signalbox-0.0a1b2c3d", 1780000000
+)
+JUNCTION_CARD = product.PeerRecord("größe", "10.0.1.1", 7000, "süd", False, "größe.00000000", 0)
 CARDS: dict[str, Any] = {
     "signalbox": BOX_CARD,
     "junction": JUNCTION_CARD,
-    "nothing said": product.Card("", "", 0, "", False, "", 0),
+    "nothing said": product.PeerRecord("", "", 0, "", False, "", 0),
 }
 
 UP = ["lookup", "10.0.0.9:8080", "north", 2.0, "up", 4, 1500, 0]
 DRAINING = ["lookup", "10.0.0.9:8080", "north", 2.0, "draining", 5, 0, 0]
 ZONE_FIGURES = [1000, [["b1", 3, 1, 250, 2, 4, 1]], [["lookup", 3]]]
 PIECES: dict[str, Any] = {
-    "snapshot": product.Piece(
+    "snapshot": product.SourceDelta(
         "signalbox-0.0a1b2c3d",
         True,
         9,
         ((3, "b/größe", UP), (7, "pulse", 41), (9, "f/north", ZONE_FIGURES)),
     ),
-    "changes, one taken back": product.Piece(
+    "changes, one taken back": product.SourceDelta(
         "signalbox-1.ffffffff", False, 1 << 20, ((5, "b/b1", DRAINING), (1 << 20, "b/b2", None))
     ),
-    "snapshot of nothing": product.Piece("größe.00000000", True, 0, ()),
+    "snapshot of nothing": product.SourceDelta("größe.00000000", True, 0, ()),
 }
 
 FIGURES = [[["b1", 3, 1, 250, 2, 4, 1]], [["lookup", 3], ["größe", 1]]]
@@ -392,7 +394,7 @@
             ("no such inner call", "/other", b""),
         ):
             found[f"signalbox: {name}"] = told(await call(inner, path, body), box)
-        product.signalbox_learns(box, [BOX_CARD, JUNCTION_CARD, product.Card(
+        product.signalbox_learns(box, [BOX_CARD, JUNCTION_CARD, product.PeerRecord(
             "signalbox-1", "10.0.0.2", 7000, "south", True, "signalbox-1.ffffffff", 5)],
             CONFIGURATION, KNOWN_BACKENDS)  # fmt: skip
         found["signalbox: status"] = told(await call(inner, "/status"), box)
--- a/tests/gateway/test_state.py
+++ b/tests/gateway/test_state.py
@@ -19,13 +19,13 @@
 from meadowworks.consensus.register import Accept, Acceptor, Ballot, Epoch, Held, Past, Prepare, Promised
 from meadowworks.consensus.replica import Replica, acceptor_for
 from meadowworks.gossip import messages as post
-from meadowworks.gossip.peer_sampling import STALE_NS, Card, Members
-from meadowworks.gossip.updates import FORGET_NS, TOMBS, News, Piece, Told
+from meadowworks.gossip.peer_sampling import PEER_EXPIRY_NS, PartialView, PeerRecord
+from meadowworks.gossip.updates import MAX_TOMBSTONES, SOURCE_EXPIRY_NS, KeyUpdate, SourceDelta, UpdateStore
 from meadowworks.load_balancing.service import Met, Service
 from meadowworks.local.system import Ports, SystemLayout, build_configuration
 from meadowworks.proxy.control_plane_selection import Upstream
-from meadowworks.registry.backends import Backend, Lives
-from meadowworks.registry.heartbeats import Bad, Beats, Taken
+from meadowworks.registry.backends import BackendDirectory, BackendInstance
+from meadowworks.registry.heartbeats import CallAccepted, HeartbeatRegistry, InvalidCall
 from meadowworks.runtime import node_settings
 from meadowworks.runtime.errors import SettingsError
 from meadowworks.storage.sqlite_store import Disk
@@ -75,14 +75,14 @@
     seen = 0
     for _, mutant in mutants(BEAT):
         said: list[Any] = []
-        beats = Beats(saying(said), 1000)
-        found = beats.beat(0, "i", mutant)
-        seen += isinstance(found, Bad)
-        assert isinstance(found, Bad) == (not said)
-        lives = Lives(lambda name: 0, lambda: 0)
+        beats = HeartbeatRegistry(saying(said), 1000)
+        found = beats.heartbeat(0, "i", mutant)
+        seen += isinstance(found, InvalidCall)
+        assert isinstance(found, InvalidCall) == (not said)
+        lives = BackendDirectory(lambda name: 0, lambda: 0)
         for value in said:
-            lives.told(Told("box", "b/i", value))
-            assert lives.known["i"].state == "up" and lives.known["i"].port == 8080
+            lives.on_update(KeyUpdate("box", "b/i", value))
+            assert lives.instances["i"].state == "up" and lives.instances["i"].port == 8080
     assert seen > 30
 
 
@@ -97,128 +97,132 @@
         (quiet, up, "up"),
         (up, quiet, "up"),
     ):
-        lives = Lives(lambda name: 0, lambda: 0)
-        lives.told(Told("one", "b/i", up))
-        lives.told(Told("one", "b/i", first))
-        lives.told(Told("two", "b/i", second))
-        assert lives.known["i"].state == state, (first, second)
-    beats, said = Beats(lambda key, value: 7, 1000), Taken(7)
-    assert beats.beat(0, "i", BEAT) == Taken(0)
+        lives = BackendDirectory(lambda name: 0, lambda: 0)
+        lives.on_update(KeyUpdate("one", "b/i", up))
+        lives.on_update(KeyUpdate("one", "b/i", first))
+        lives.on_update(KeyUpdate("two", "b/i", second))
+        assert lives.instances["i"].state == state, (first, second)
+    beats, said = HeartbeatRegistry(lambda key, value: 7, 1000), CallAccepted(7)
+    assert beats.heartbeat(0, "i", BEAT) == CallAccepted(0)
     drained = {**BEAT, "status": {"state": "draining", "calls": 5}}
-    assert beats.beat(1, "i", drained) == said
-    assert beats.beat(2, "i", BEAT) == said and beats.lives["i"].state == "draining"  # a late one
-    assert beats.leave(3, "i") == said and beats.beat(4, "i", drained) == said
-    assert beats.lives["i"].state == "gone"
+    assert beats.heartbeat(1, "i", drained) == said
+    assert (
+        beats.heartbeat(2, "i", BEAT) == said and beats.registrations["i"].state == "draining"
+    )  # a late one
+    assert beats.leave(3, "i") == said and beats.heartbeat(4, "i", drained) == said
+    assert beats.registrations["i"].state == "gone"
 
 
 def test_silence_is_told_and_a_source_that_is_gone_vouches_for_nobody() -> None:
     said: list[Any] = []
-    beats = Beats(saying(said), 1000)
-    beats.beat(0, "i", BEAT)
+    beats = HeartbeatRegistry(saying(said), 1000)
+    beats.heartbeat(0, "i", BEAT)
     beats.tick(3 * SECOND)
     assert len(said) == 1
     beats.tick(5 * SECOND)
     assert said[-1][-1] == 1
-    beats.beat(6 * SECOND, "i", {**BEAT, "status": {"state": "up", "calls": 9}})
+    beats.heartbeat(6 * SECOND, "i", {**BEAT, "status": {"state": "up", "calls": 9}})
     assert said[-1][-1] == 0
     silent = {"one": 0, "two": 0}
-    lives = Lives(lambda name: silent[name], lambda: 0)
-    lives.told(Told("one", "b/i", said[0]))
-    lives.told(Told("two", "b/j", said[0]))
+    lives = BackendDirectory(lambda name: silent[name], lambda: 0)
+    lives.on_update(KeyUpdate("one", "b/i", said[0]))
+    lives.on_update(KeyUpdate("two", "b/j", said[0]))
     silent["one"] = 9 * SECOND
-    lives.tick()
-    assert (lives.known["i"].state, lives.known["j"].state) == ("quiet", "up")
+    lives.refresh_all()
+    assert (lives.instances["i"].state, lives.instances["j"].state) == ("quiet", "up")
     silent["two"] = 9 * SECOND  # nobody at all is heard: that says nothing of the backends
-    lives.tick()
-    assert lives.known["i"].state == "up"
+    lives.refresh_all()
+    assert lives.instances["i"].state == "up"
 
 
-def news(vector_of: News, holder: News, now: int = 0) -> list[Piece]:
-    pieces = holder.lacks(vector_of.vector(), vector_of.me)
+def news(vector_of: UpdateStore, holder: UpdateStore, now: int = 0) -> list[SourceDelta]:
+    pieces = holder.deltas_since(vector_of.remote_version_vector(), vector_of.source_id)
     for piece in pieces:
-        vector_of.take(now, piece)
+        vector_of.apply(now, piece)
     return pieces
 
 
 def test_news_come_as_a_snapshot_then_as_changes_and_an_old_piece_changes_nothing() -> None:
-    source, middle, reader = News("s"), News("m"), News("r")
-    told: list[Told] = []
-    reader.listeners.append(told.append)
+    source, middle, reader = UpdateStore("s"), UpdateStore("m"), UpdateStore("r")
+    told: list[KeyUpdate] = []
+    reader.update_listeners.append(told.append)
     for k in range(5):
-        source.say(f"b/{k}", k)
+        source.publish(f"b/{k}", k)
     news(middle, source)
     [whole] = [p for p in news(reader, middle) if p.source == "s"]
-    assert whole.whole and len(whole.changes) == 5
-    source.say("b/0", "new")
+    assert whole.is_snapshot and len(whole.changes) == 5
+    source.publish("b/0", "new")
     news(middle, source)
     [change] = [p for p in news(reader, middle) if p.source == "s"]
-    assert not change.whole and len(change.changes) == 1
-    source.say("b/9", "newer than the snapshot")
+    assert not change.is_snapshot and len(change.changes) == 1
+    source.publish("b/9", "newer than the snapshot")
     news(middle, source)
     news(reader, middle)
     told.clear()
-    reader.take(0, whole)  # comes late
+    reader.apply(0, whole)  # comes late
     assert (
         not told and "b/9" in reader.sources["s"].entries and reader.sources["s"].entries["b/0"][1] == "new"
     )
-    for k in range(TOMBS + 9):
-        source.say(f"t{k}", None)
+    for k in range(MAX_TOMBSTONES + 9):
+        source.publish(f"t{k}", None)
     news(middle, source)
-    assert [p.whole for p in news(reader, middle) if p.source == "s"] == [True]  # it fell behind
-    assert reader.sources["s"].top == source.sources["s"].top and not news(reader, middle)
-    middle.say("pulse", 1)
-    news(reader, middle, FORGET_NS)
-    assert reader.expire(FORGET_NS + 1) == ["s"] and set(reader.sources) == {"r", "m"}
+    assert [p.is_snapshot for p in news(reader, middle) if p.source == "s"] == [True]  # it fell behind
+    assert reader.sources["s"].latest_version == source.sources["s"].latest_version and not news(
+        reader, middle
+    )
+    middle.publish("pulse", 1)
+    news(reader, middle, SOURCE_EXPIRY_NS)
+    assert reader.expire_sources(SOURCE_EXPIRY_NS + 1) == ["s"] and set(reader.sources) == {"r", "m"}
 
 
 def test_a_mutated_message_between_controllers_is_garbled_or_harmless() -> None:
-    me = Card("a", "10.0.0.1", 7000, "north", True, "a.1", 5)
+    me = PeerRecord("a", "10.0.0.1", 7000, "north", True, "a.1", 5)
     figures = [[["i", 1, 0, 5, 1, 1, 0]], [["s", 1]]]
-    pull = post.Pull(me, (me,), {"s": 3}, 1, 100, figures, 4, ("b.1", 7))
-    answer = post.News(me, (me,), (Piece("s", True, 3, ((3, "k", 1),)),), True, (2, b"{}"))
+    pull = post.PullRequest(me, (me,), {"s": 3}, 1, 100, figures, 4, ("b.1", 7))
+    answer = post.PullReply(me, (me,), (SourceDelta("s", True, 3, ((3, "k", 1),)),), True, (2, b"{}"))
     garbled = 0
-    for whole, read in ((pull, post.read_pull), (answer, post.read_news)):
-        raw = post.unpack(whole.pack())
-        assert read(whole.pack()) == whole
+    for whole, read in ((pull, post.decode_pull_request), (answer, post.decode_pull_reply)):
+        raw = post.decode(whole.encode())
+        assert read(whole.encode()) == whole
         for _, mutant in mutants(raw):
             try:
-                read(post.pack(mutant))
-            except post.Garbled:
+                read(post.encode(mutant))
+            except post.MalformedMessageError:
                 garbled += 1
-        with pytest.raises(post.Garbled):
-            read(whole.pack()[:-1])
+        with pytest.raises(post.MalformedMessageError):
+            read(whole.encode()[:-1])
     assert garbled > 60
 
 
 def test_a_controller_whose_clock_was_set_back_before_its_start_is_known_by_its_new_life() -> None:
     lives = (("l0", 900), ("l1", 400))
-    old, new = (Card("n0", "10.0.0.0", 7000, "z", True, life, beat) for life, beat in lives)
-    one, other = Members(new, 1), Members(Card("n1", "10.0.0.1", 7000, "z", True, "m", 1), 2)
-    other.met(1, [old])
-    other.met(2, [one.me])
-    assert other.view["10.0.0.0"].card.life == "l0"  # by its count alone it is older
-    one.met(3, other.swap())
-    other.met(4, [one.me])
-    assert other.view["10.0.0.0"].card.life == "l1"
-    one.met(5, [one.me])
-    assert one.me.beat == 901 and not set(one.view) - {"10.0.0.1"}
+    old, new = (PeerRecord("n0", "10.0.0.0", 7000, "z", True, life, beat) for life, beat in lives)
+    one, other = PartialView(new, 1), PartialView(PeerRecord("n1", "10.0.0.1", 7000, "z", True, "m", 1), 2)
+    other.merge(1, [old])
+    other.merge(2, [one.local])
+    assert other.peers["10.0.0.0"].record.incarnation == "l0"  # by its count alone it is older
+    one.merge(3, other.shuffle_sample())
+    other.merge(4, [one.local])
+    assert other.peers["10.0.0.0"].record.incarnation == "l1"
+    one.merge(5, [one.local])
+    assert one.local.heartbeat == 901 and not set(one.peers) - {"10.0.0.1"}
 
 
 def test_members_shuffle_until_all_voters_are_known_and_who_is_gone_is_forgotten() -> None:
-    cards = [Card(f"n{k}", f"10.0.0.{k}", 7000, "z", k < 5, f"l{k}", 1) for k in range(7)]
-    nodes = [Members(card, k) for k, card in enumerate(cards)]
+    cards = [PeerRecord(f"n{k}", f"10.0.0.{k}", 7000, "z", k < 5, f"l{k}", 1) for k in range(7)]
+    nodes = [PartialView(card, k) for k, card in enumerate(cards)]
     for turn in range(4):
         for k, node in enumerate(nodes):  # each speaks to the one before it alone
             other = nodes[(k + 1) % len(nodes)]
-            node.met(turn, other.swap())
-            other.met(turn, node.swap())
+            node.merge(turn, other.shuffle_sample())
+            other.merge(turn, node.shuffle_sample())
     assert all(len(node.voters()) == 5 - (k < 5) for k, node in enumerate(nodes))
-    nodes[6].met(9, [Card("n0", "10.0.0.0", 7000, "z", True, "l0", 0)])
-    assert nodes[6].view["10.0.0.0"].card.beat == 1  # an old card replaces no newer one
-    nodes[6].expire(STALE_NS + 10)
-    assert not nodes[6].view and nodes[6].lonely([("10.0.0.1", 9)], 7000) == [("10.0.0.1", 7000)]
+    nodes[6].merge(9, [PeerRecord("n0", "10.0.0.0", 7000, "z", True, "l0", 0)])
+    assert nodes[6].peers["10.0.0.0"].record.heartbeat == 1  # an old card replaces no newer one
+    nodes[6].expire(PEER_EXPIRY_NS + 10)
+    assert not nodes[6].peers and nodes[6].undiscovered_seeds([("10.0.0.1", 9)], 7000) == [("10.0.0.1", 7000)]
     upstream = Upstream("z")
-    far = Card("f", "10.0.9.9", 7000, "y", True, "f", 1)
+    far = PeerRecord("f", "10.0.9.9", 7000, "y", True, "f", 1)
     assert upstream.choose(0, [far, cards[0]], []) == ("10.0.0.0", 7000)
     upstream.failed(0, "10.0.0.0")
     assert upstream.choose(1, [far, cards[0]], []) == ("10.0.9.9", 7000)
@@ -321,10 +325,11 @@
 def test_a_services_table_is_of_its_zone_by_capacity_and_what_drains_leaves_at_once() -> None:
     service = Service("s", ["north", "south"], "north", SECOND // 2, 1, 0)
 
-    def lives(*states: str) -> list[Backend]:
+    def lives(*states: str) -> list[BackendInstance]:
         zones = ("north", "north", "south")
         return [
-            Backend(f"b{k}", "s", "h", k, zones[k], 2.0 + k, state, 0, 0) for k, state in enumerate(states)
+            BackendInstance(f"b{k}", "s", "h", k, zones[k], 2.0 + k, state, 0, 0)
+            for k, state in enumerate(states)
         ]
 
     service.listed(1, lives("up", "up", "up"))
@@ -377,17 +382,17 @@
 
 def test_backends_known_before_all_controllers_were_lost_are_known_after(tmp_path: Path) -> None:
     said: dict[str, Any] = {}
-    beats = Beats(lambda key, value: said.update({key: value}) or 1, 1000)
-    beats.beat(0, "i", BEAT)
-    beats.beat(0, "j", BEAT)
+    beats = HeartbeatRegistry(lambda key, value: said.update({key: value}) or 1, 1000)
+    beats.heartbeat(0, "i", BEAT)
+    beats.heartbeat(0, "j", BEAT)
     beats.leave(1, "j")
     disk = Disk(tmp_path / "d")
-    disk.keep_lives({ident: post.pack(value) for ident, value in beats.kept().items()})
+    disk.keep_lives({ident: post.encode(value) for ident, value in beats.durable_values().items()})
     shutil.copytree(tmp_path / "d", tmp_path / "after")
-    rows = {ident: post.unpack(value) for ident, value in Disk(tmp_path / "after").lives().items()}
+    rows = {ident: post.decode(value) for ident, value in Disk(tmp_path / "after").lives().items()}
     assert set(rows) == {"i"}
     said.clear()
-    later = Beats(lambda key, value: said.update({key: value}) or 1, 1000)
+    later = HeartbeatRegistry(lambda key, value: said.update({key: value}) or 1, 1000)
     later.restore(100 * SECOND, rows)
     assert said["b/i"][:5] == ["s", "10.0.0.9:8080", "north", 2.0, "up"]
     later.tick(105 * SECOND)  # it has not beaten since
