--- a/meadowworks/modelcheck/commands.py
+++ b/meadowworks/modelcheck/commands.py
@@ -16,8 +16,8 @@
 
 from meadowworks.cli.main import Bad
 from meadowworks.modelcheck import faults, paths, runs
-from meadowworks.modelcheck.explore import IMPLIED, explore
-from meadowworks.modelcheck.model import Broken, Model, Result
+from meadowworks.modelcheck.explore import IMPLICIT_PROPERTIES, explore
+from meadowworks.modelcheck.model import Counterexample, Model, Result
 
 
 def check(
@@ -35,213 +35,219 @@
     as_json: Annotated[bool, Arg(long="--json", help="one JSON object on standard output")] = False,
 ) -> int:
     """Explore the product's machines whole and say which property breaks, with the shortest path."""
-    bound, steps = whole(most, "--most"), whole(depth, "--depth")
+    bound, steps = parse_bound(most, "--most"), parse_bound(depth, "--depth")
     if workers < 0:
         raise Bad("--workers is 0 or more")
     workers = workers or os.cpu_count() or 1
     if play:
-        return again(play, as_json)
+        return replay_file(play, as_json)
     names = [model] if model else list(runs.MODELS)
     for name in names:
         runs.model_of(name, large)  # an unknown one is told before anything is done
     if baseline:
-        return compare(names, workers, as_json)
+        return compare_explorers(names, workers, as_json)
     out = Console(stderr=as_json, highlight=False)
-    results = [explored(name, large, workers, bound, steps) for name in names]
+    results = [run_model(name, large, workers, bound, steps) for name in names]
     for built, result in results:
-        tell(out, built, result)
+        print_result(out, built, result)
     wanted = [fault.name for fault in faults.FAULTS if fault.model in names] if seeded and not large else []
-    found = sought(wanted, workers)
-    tell_faults(out, found)
+    found = search_faults(wanted, workers)
+    print_faults(out, found)
     if keep:
-        kept(keep, results, found, large)
+        write_paths(keep, results, found, large)
     if as_json:
         print(
             json.dumps(
                 {
-                    "models": [shown(*pair, large) for pair in results],
-                    "faults": [shown_fault(one) for one in found],
+                    "models": [result_to_json(*pair, large) for pair in results],
+                    "faults": [fault_to_json(one) for one in found],
                 }
             )
         )
-    sound = all(not result.broken for _, result in results) and all(one.found for one in found)
+    sound = all(not result.counterexamples for _, result in results) and all(one.found for one in found)
     return 0 if sound else 1
 
 
-def whole(text: str, what: str) -> int:
+def parse_bound(text: str, option: str) -> int:
     """A bound, if one is given."""
     if not text:
         return 0
     if not re.fullmatch(r"[0-9]{1,12}", text) or not int(text):
-        raise Bad(f"{what} is a whole number above 0, not {text[:40]!r}")
+        raise Bad(f"{option} is a whole number above 0, not {text[:40]!r}")
     return int(text)
 
 
-def bar(what: str) -> Progress:
+def progress_bar(label: str) -> Progress:
     """Shown on a terminal and nowhere else."""
     console = Console(stderr=True)
     return Progress(
         SpinnerColumn(),
-        TextColumn(what + " {task.description}"),
+        TextColumn(label + " {task.description}"),
         console=console,
         transient=True,
         disable=not sys.stderr.isatty(),
     )
 
 
-def explored(name: str, large: bool, workers: int, bound: int, steps: int) -> tuple[Model, Result]:
-    built = runs.model_of(name, large, steps)
-    with bar(name) as progress:
+def run_model(name: str, large: bool, workers: int, max_states: int, max_depth: int) -> tuple[Model, Result]:
+    built = runs.model_of(name, large, max_depth)
+    with progress_bar(name) as progress:
         task = progress.add_task("")
         return built, explore(
             built,
             workers,
-            bound,
-            told=lambda depth, states: progress.update(
+            max_states,
+            on_level=lambda depth, states: progress.update(
                 task, description=f"{states} states, {depth - 1} steps deep"
             ),
         )
 
 
-def sought(names: list[str], workers: int) -> list[runs.Found]:
-    with bar("seeded faults") as progress:
+def search_faults(names: list[str], workers: int) -> list[runs.FaultSearch]:
+    with progress_bar("seeded faults") as progress:
         task = progress.add_task("")
         found = []
-        for one in runs.seek_all(names, workers):
+        for one in runs.find_faults(names, workers):
             found.append(one)
             progress.update(task, description=f"{len(found)} of {len(names)}")
         return found
 
 
-def tell(out: Console, built: Model, result: Result) -> None:
+def print_result(out: Console, built: Model, result: Result) -> None:
     how = "complete" if result.complete else f"left out: {result.left_out}"
-    out.print(f"[bold]{built.name}[/bold]: {built.words}")
+    out.print(f"[bold]{built.name}[/bold]: {built.description}")
     out.print(
         f"  {result.states} states, {result.transitions} transitions, {result.depth} steps deep, "
         f"{result.seconds:.1f} s, {how}"
     )
-    for name, value in (result.figures or {}).items():
+    for name, value in (result.metrics or {}).items():
         out.print(f"  {name}: {value:g}")
-    broken = {b.name: b for b in result.broken}
-    for name, words in stated(built):
+    broken = {b.name: b for b in result.counterexamples}
+    for name, words in reported_properties(built):
         out.print(f"  {'[red]BROKEN[/red]' if name in broken else 'holds'}  {name}: {words}")
         if name in broken:
-            tell_path(out, built, broken[name])
+            print_path(out, built, broken[name])
 
 
-def stated(built: Model) -> list[tuple[str, str]]:
+def reported_properties(built: Model) -> list[tuple[str, str]]:
     return (
-        [(p.name, p.words) for p in built.properties]
-        + [(p.name, p.words) for p in built.lives]
-        + [(p.name, p.words) for p in IMPLIED]
+        [(p.name, p.description) for p in built.properties]
+        + [(p.name, p.description) for p in built.liveness]
+        + [(p.name, p.description) for p in IMPLICIT_PROPERTIES]
     )
 
 
-def tell_path(out: Console, built: Model, broken: Broken) -> None:
-    out.print(f"          from start {broken.start}" + (f" ({broken.why})" if broken.why else ""))
-    for place, said in enumerate(paths.words(built, broken), 1):
+def print_path(out: Console, built: Model, broken: Counterexample) -> None:
+    out.print(f"          from start {broken.start_index}" + (f" ({broken.reason})" if broken.reason else ""))
+    for place, said in enumerate(paths.described_steps(built, broken), 1):
         out.print(f"          {place:3}. {said}", markup=False)
 
 
-def tell_faults(out: Console, found: list[runs.Found]) -> None:
+def print_faults(out: Console, found: list[runs.FaultSearch]) -> None:
     if not found:
         return
     table = Table("model", "a guard taken out", "found by", "steps", box=None)
     for one in found:
-        by = one.broken.name if one.found and one.broken else "[red]NOT FOUND[/red]"
-        table.add_row(one.fault.model, one.fault.name, by, str(length(one)) if one.found else "")
+        by = one.counterexample.name if one.found and one.counterexample else "[red]NOT FOUND[/red]"
+        table.add_row(one.fault.model, one.fault.name, by, str(path_length(one)) if one.found else "")
     out.print(table)
     out.print(f"{sum(one.found for one in found)} of {len(found)} seeded faults found")
 
 
-def length(one: runs.Found) -> int:
-    return len(one.broken.steps) + len(one.broken.cycle) if one.broken else 0
+def path_length(one: runs.FaultSearch) -> int:
+    return len(one.counterexample.steps) + len(one.counterexample.cycle) if one.counterexample else 0
 
 
-def shown(built: Model, result: Result, large: bool) -> dict[str, Any]:
-    broken = {b.name: b for b in result.broken}
+def result_to_json(built: Model, result: Result, large: bool) -> dict[str, Any]:
+    broken = {b.name: b for b in result.counterexamples}
     return {
         "name": built.name,
-        "words": built.words,
+        "words": built.description,
         "states": result.states,
         "transitions": result.transitions,
         "depth": result.depth,
         "complete": result.complete,
         "left_out": result.left_out,
         "seconds": round(result.seconds, 2),
-        "figures": result.figures or {},
+        "figures": result.metrics or {},
         "properties": [
             {
                 "name": name,
                 "words": words,
                 "holds": name not in broken,
-                "path": paths.told(built, broken[name], large) if name in broken else None,
+                "path": paths.to_json(built, broken[name], large) if name in broken else None,
             }
-            for name, words in stated(built)
+            for name, words in reported_properties(built)
         ],
     }
 
 
-def shown_fault(one: runs.Found) -> dict[str, Any]:
+def fault_to_json(one: runs.FaultSearch) -> dict[str, Any]:
     built = runs.model_of(one.fault.model, one.fault.large)
     return {
         "name": one.fault.name,
         "model": one.fault.model,
         "found": one.found,
-        "by": one.broken.name if one.broken else "",
-        "length": length(one),
+        "by": one.counterexample.name if one.counterexample else "",
+        "length": path_length(one),
         "seconds": round(one.seconds, 2),
-        "path": paths.told(built, one.broken, one.fault.large, one.fault.name) if one.broken else None,
+        "path": paths.to_json(built, one.counterexample, one.fault.large, one.fault.name)
+        if one.counterexample
+        else None,
     }
 
 
-def kept(folder: Path, results: list[tuple[Model, Result]], found: list[runs.Found], large: bool) -> None:
+def write_paths(
+    folder: Path, results: list[tuple[Model, Result]], found: list[runs.FaultSearch], large: bool
+) -> None:
     """A file for each path, under the property's or the fault's name."""
     try:
         folder.mkdir(parents=True, exist_ok=True)
         for built, result in results:
-            for broken in result.broken:
-                save(folder, f"{built.name} {broken.name}", paths.told(built, broken, large))
+            for broken in result.counterexamples:
+                write_path(folder, f"{built.name} {broken.name}", paths.to_json(built, broken, large))
         for one in found:
-            if one.broken:
+            if one.counterexample:
                 built = runs.model_of(one.fault.model, one.fault.large)
-                told = paths.told(built, one.broken, one.fault.large, one.fault.name)
-                save(folder, f"{built.name} {one.fault.name}", told)
+                told = paths.to_json(built, one.counterexample, one.fault.large, one.fault.name)
+                write_path(folder, f"{built.name} {one.fault.name}", told)
     except OSError as trouble:
         raise Bad(f"{folder} cannot be written: {trouble.strerror}") from trouble
 
 
-def save(folder: Path, name: str, told: dict[str, Any]) -> None:
+def write_path(folder: Path, name: str, told: dict[str, Any]) -> None:
     plain = re.sub(r"[^a-z0-9]+", "-", name.lower()).strip("-")
     (folder / f"{plain}.json").write_text(json.dumps(told, indent=1) + "\n", encoding="utf-8")
 
 
-def again(file: Path, as_json: bool) -> int:
+def replay_file(file: Path, as_json: bool) -> int:
     """Exits 1 where the path breaks its property again, as a check that found it would."""
-    kept_path = paths.read(file)
+    kept_path = paths.read_counterexample(file)
     try:
-        built, broken = runs.play(kept_path)
-    except runs.Unknown as trouble:
+        built, broken = runs.replay_counterexample(kept_path)
+    except runs.UnknownNameError as trouble:
         raise Bad(f"{file}: {trouble}") from trouble
     except (ValueError, LookupError, TypeError) as trouble:
         raise Bad(f"{file}: {trouble}") from trouble
-    holds = kept_path.breaks not in broken
+    holds = kept_path.violates not in broken
     if as_json:
         print(
-            json.dumps({"model": built.name, "property": kept_path.breaks, "holds": holds, "broken": broken})
+            json.dumps(
+                {"model": built.name, "property": kept_path.violates, "holds": holds, "broken": broken}
+            )
         )
     else:
         for place, step in enumerate((*kept_path.steps, *kept_path.cycle), 1):
-            print(f"{place:3}. {built.say(step)}")
-        print(f"{kept_path.breaks}: {'holds' if holds else 'BROKEN'}")
+            print(f"{place:3}. {built.describe_step(step)}")
+        print(f"{kept_path.violates}: {'holds' if holds else 'BROKEN'}")
     return 0 if holds else 1
 
 
-def compare(names: list[str], workers: int, as_json: bool) -> int:
+def compare_explorers(names: list[str], workers: int, as_json: bool) -> int:
     """The plain explorer, this one in one process and in several, in turn and on the same machine."""
     rows = []
     for name in names:
-        plain, one, several = runs.baseline(name, workers)
+        plain, one, several = runs.compare_with_baseline(name, workers)
         rows.append(
             {
                 "name": name,
--- a/meadowworks/modelcheck/fault.py
+++ b/meadowworks/modelcheck/fault.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fault:
+class SeededFault:
     """`at` is module:function or module:Class.method; `was` becomes `now`; `breaks` names the properties of
     which one must be found broken by `model`."""
 
@@ -28,25 +28,25 @@
     at: str
     was: str
     now: str
-    breaks: tuple[str, ...]
-    depth: int = 0  # of the exploration, where the model's own is not enough
-    starts: tuple[int, ...] = ()  # the model's starts that matter, by place; none: all
+    violates: tuple[str, ...]
+    max_depth: int = 0  # of the exploration, where the model's own is not enough
+    start_indices: tuple[int, ...] = ()  # the model's starts that matter, by place; none: all
     large: bool = False  # only the larger worlds have room for it
 
 
-def function(at: str) -> FunctionType:
-    module, _, name = at.partition(":")
+def target_function(target: str) -> FunctionType:
+    module, _, name = target.partition(":")
     found: Any = importlib.import_module(module)
     for part in name.split("."):
         found = inspect.getattr_static(found, part)
     if not isinstance(found, FunctionType):
-        raise ValueError(f"{at} is no function")
+        raise ValueError(f"{target} is no function")
     return found
 
 
-def changed(fault: Fault) -> CodeType:
+def faulty_code(fault: SeededFault) -> CodeType:
     """The function's code with the fault in it. Raises ValueError where the table does not fit the code."""
-    whole = function(fault.at)
+    whole = target_function(fault.at)
     text = textwrap.dedent(inspect.getsource(whole))
     if text.count(fault.was) != 1:
         raise ValueError(
@@ -63,10 +63,10 @@
 
 
 @contextmanager
-def planted(fault: Fault) -> Iterator[None]:
+def injected_fault(fault: SeededFault) -> Iterator[None]:
     """The product with the fault in it, in this process and those it forks meanwhile."""
-    whole = function(fault.at)
-    code, whole.__code__ = whole.__code__, changed(fault)
+    whole = target_function(fault.at)
+    code, whole.__code__ = whole.__code__, faulty_code(fault)
     try:
         yield
     finally:
--- a/meadowworks/modelcheck/faults.py
+++ b/meadowworks/modelcheck/faults.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from meadowworks.modelcheck.fault import Fault
+from meadowworks.modelcheck.fault import SeededFault
 from meadowworks.modelcheck.seeded_faults.attempt import ATTEMPT_FAULTS
 from meadowworks.modelcheck.seeded_faults.connection import CONNECTION_FAULTS
 from meadowworks.modelcheck.seeded_faults.consensus import CONSENSUS_FAULTS
@@ -14,7 +14,7 @@
 from meadowworks.modelcheck.seeded_faults.replica import REPLICA_FAULTS
 from meadowworks.modelcheck.seeded_faults.upstream import UPSTREAM_FAULTS
 
-FAULTS: tuple[Fault, ...] = (
+FAULTS: tuple[SeededFault, ...] = (
     *ATTEMPT_FAULTS,
     *CONNECTION_FAULTS,
     *QUOTA_FAULTS,
--- a/meadowworks/modelcheck/live.py
+++ b/meadowworks/modelcheck/live.py
@@ -20,55 +20,60 @@
 
 
 @dataclass(slots=True)
-class Edges:
+class PendingGraph:
     """Steps from state to state by fingerprint, and which states wait for what."""
 
     sources: array[int] = field(default_factory=lambda: array("Q"))
     targets: array[int] = field(default_factory=lambda: array("Q"))
     steps: array[int] = field(default_factory=lambda: array("Q"))
-    waits: dict[int, list[int]] = field(default_factory=dict)
+    pending: dict[int, list[int]] = field(default_factory=dict)
 
-    def waiting(self, mark: int, what: list[int]) -> None:
-        self.waits[mark] = what
+    def mark_pending(self, fingerprint: int, properties: list[int]) -> None:
+        self.pending[fingerprint] = properties
 
     def add(self, source: int, target: int, step: int) -> None:
-        if source in self.waits:
+        if source in self.pending:
             self.sources.append(source)
             self.targets.append(target)
             self.steps.append(step)
 
-    def join(self, other: Edges, names: Mapping[int, int]) -> None:
+    def merge(self, other: PendingGraph, step_numbers: Mapping[int, int]) -> None:
         """Takes in another's, whose steps are numbered otherwise."""
         self.sources.extend(other.sources)
         self.targets.extend(other.targets)
         if other.steps:
-            table = np.zeros(max(names) + 1, dtype=np.uint64)
-            table[list(names)] = list(names.values())
+            table = np.zeros(max(step_numbers) + 1, dtype=np.uint64)
+            table[list(step_numbers)] = list(step_numbers.values())
             self.steps.frombytes(table[np.frombuffer(other.steps, dtype=np.uint64)].tobytes())
-        self.waits.update(other.waits)
+        self.pending.update(other.pending)
 
 
-def never_answered(
-    edges: Edges, what: int, fair: Sequence[frozenset[int]], far: Callable[[int], int]
+def find_unanswered_run(
+    graph: PendingGraph,
+    property_index: int,
+    fair_sets: Sequence[frozenset[int]],
+    depth_of: Callable[[int], int],
 ) -> tuple[int, list[int]] | None:
     """A state and the steps of a cycle from it on which `what` is owed for ever; no steps where a run may
     rest there, no fair step being possible; nothing if there is none. `far` gives a state's distance from the
     start: the nearest such state is told."""
-    waiting = np.array(sorted(mark for mark, owed in edges.waits.items() if what in owed), dtype=np.uint64)
+    waiting = np.array(
+        sorted(mark for mark, owed in graph.pending.items() if property_index in owed), dtype=np.uint64
+    )
     size = len(waiting)
     if not size:
         return None
-    here, from_waiting = places(waiting, edges.sources)
-    there, to_waiting = places(waiting, edges.targets)
+    here, from_waiting = locate(waiting, graph.sources)
+    there, to_waiting = locate(waiting, graph.targets)
     there, to_waiting = there[from_waiting], to_waiting[from_waiting]
-    here, steps = here[from_waiting], np.frombuffer(edges.steps, dtype=np.uint64)[from_waiting]
-    of_set = [np.isin(steps, np.array(sorted(names), dtype=np.uint64)) for names in fair]
-    can = np.zeros((len(fair), size), dtype=bool)  # the fair sets of which a step can be taken, by state
+    here, steps = here[from_waiting], np.frombuffer(graph.steps, dtype=np.uint64)[from_waiting]
+    of_set = [np.isin(steps, np.array(sorted(names), dtype=np.uint64)) for names in fair_sets]
+    can = np.zeros((len(fair_sets), size), dtype=bool)  # the fair sets of which a step can be taken, by state
     for k, mask in enumerate(of_set):
         can[k, here[mask]] = True
 
     def nearest(candidates: Any) -> int:
-        return min((int(k) for k in candidates), key=lambda k: (far(int(waiting[k])), int(waiting[k])))
+        return min((int(k) for k in candidates), key=lambda k: (depth_of(int(waiting[k])), int(waiting[k])))
 
     if (rests := np.flatnonzero(~can.any(axis=0))).size:
         return int(waiting[nearest(rests)]), []
@@ -88,17 +93,17 @@
     start = nearest(np.flatnonzero(broken[part]))
     mine = inside & (part[here] == part[start])
     loop = zip(here[mine].tolist(), there[mine].tolist(), steps[mine].tolist(), strict=True)
-    return int(waiting[start]), cycle(list(loop), start)
+    return int(waiting[start]), shortest_cycle(list(loop), start)
 
 
-def places(waiting: Any, marks: array[int]) -> tuple[Any, Any]:
+def locate(fingerprints: Any, wanted: array[int]) -> tuple[Any, Any]:
     """Where each of the marks stands among the sorted ones, and whether it does."""
-    found = np.frombuffer(marks, dtype=np.uint64) if marks else np.zeros(0, dtype=np.uint64)
-    at = np.minimum(np.searchsorted(waiting, found), len(waiting) - 1)
-    return at, waiting[at] == found
+    found = np.frombuffer(wanted, dtype=np.uint64) if wanted else np.zeros(0, dtype=np.uint64)
+    at = np.minimum(np.searchsorted(fingerprints, found), len(fingerprints) - 1)
+    return at, fingerprints[at] == found
 
 
-def cycle(edges: Sequence[tuple[int, int, int]], start: int) -> list[int]:
+def shortest_cycle(edges: Sequence[tuple[int, int, int]], start: int) -> list[int]:
     """The steps of a shortest way from a state back to it."""
     out: dict[int, list[tuple[int, int]]] = {}
     for here, there, step in edges:
--- a/meadowworks/modelcheck/model.py
+++ b/meadowworks/modelcheck/model.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-FAULT = "no fault"  # the property that no step raises
-DEADLOCK = "no deadlock"
+NO_EXCEPTION = "no fault"  # the property that no step raises
+NO_DEADLOCK = "no deadlock"
 Step = tuple[Any, ...]  # a name and small numbers or words: goes into JSON and back
 
 
@@ -15,10 +15,10 @@
     """A small world around a machine. `do` takes one of the steps that `enabled` named; `did` is what came of
     the last step, for the properties of steps."""
 
-    did: list[tuple[Any, ...]]
+    outcomes: list[tuple[Any, ...]]
 
     def enabled(self) -> Iterable[Step]: ...
-    def do(self, step: Step) -> None: ...
+    def take_step(self, step: Step) -> None: ...
     def freeze(self) -> Any: ...  # so that thaw gives the same world again; what is kept while it waits
     def key(self) -> Hashable: ...  # numbers, words and tuples alone; equal for worlds that are alike
 
@@ -28,25 +28,25 @@
     """`on` is state (of each state), step (of each step's outcome) or end (of states without a step)."""
 
     name: str
-    words: str
+    description: str
     holds: Callable[[Any], bool]
-    on: str = "state"
+    checked_on: str = "state"
 
 
 @dataclass(frozen=True, slots=True)
-class Live:
+class LivenessProperty:
     """Something is owed while `waits` is true, and must not be owed for ever. Each of `fair` names steps of
     which one is taken at last, if from some time on one could be taken at any moment."""
 
     name: str
-    words: str
-    waits: Callable[[Any], bool]
-    fair: tuple[Callable[[Step], bool], ...]
+    description: str
+    is_pending: Callable[[Any], bool]
+    fair_steps: tuple[Callable[[Step], bool], ...]
 
 
-def taken(*start: Any) -> Callable[[Step], bool]:
+def steps_starting_with(*prefix: Any) -> Callable[[Step], bool]:
     """The steps that begin so, for `Live.fair`."""
-    return lambda step: step[: len(start)] == start
+    return lambda step: step[: len(prefix)] == prefix
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,42 +54,42 @@
     """`say` puts a step into plain words. `depth` bounds the steps where the states have no end (0: none)."""
 
     name: str
-    words: str
-    starts: Callable[[], Sequence[World]]
+    description: str
+    initial_worlds: Callable[[], Sequence[World]]
     thaw: Callable[[Any], World]
-    say: Callable[[Step], str]
+    describe_step: Callable[[Step], str]
     properties: tuple[Property, ...]
-    lives: tuple[Live, ...] = ()
-    finished: Callable[[Any], bool] = lambda world: True  # may end here; else it is a deadlock
-    depth: int = 0
-    figures: Callable[[Any], dict[str, float]] | None = None  # of each state; the greatest is reported
+    liveness: tuple[LivenessProperty, ...] = ()
+    may_terminate: Callable[[Any], bool] = lambda world: True  # may end here; else it is a deadlock
+    max_depth: int = 0
+    metrics: Callable[[Any], dict[str, float]] | None = None  # of each state; the greatest is reported
 
 
 @dataclass(frozen=True, slots=True)
-class Broken:
+class Counterexample:
     """A property that broke, with the shortest path to it: the start's place, the steps, and for what is
     never answered the steps of the cycle that goes on for ever."""
 
     name: str
-    words: str
-    start: int
+    description: str
+    start_index: int
     steps: tuple[Step, ...]
     cycle: tuple[Step, ...] = ()
-    why: str = ""
+    reason: str = ""
 
 
 @dataclass(slots=True)
 class Result:
     """What an exploration found. `left_out` says in words what it did not look at; empty where complete."""
 
-    name: str
+    model_name: str
     states: int = 0
     transitions: int = 0
     depth: int = 0
     seconds: float = 0.0
     left_out: str = ""
-    broken: tuple[Broken, ...] = ()
-    figures: dict[str, float] | None = None
+    counterexamples: tuple[Counterexample, ...] = ()
+    metrics: dict[str, float] | None = None
 
     @property
     def complete(self) -> bool:
--- a/meadowworks/modelcheck/models/attempt.py
+++ b/meadowworks/modelcheck/models/attempt.py
@@ -16,7 +16,7 @@
 
 from meadowworks.attempts.machine import Attempts, Call, Final, Table
 from meadowworks.attempts.retry_policy import ANSWERED, CANCELLED, DROPPED, SENT, UNRUN, Try, Way
-from meadowworks.modelcheck.model import Live, Model, Property, Step, taken
+from meadowworks.modelcheck.model import LivenessProperty, Model, Property, Step, steps_starting_with
 
 LIMIT, WAIT, LEAST, HOLD = 3, 1, 2, 1  # units: a call's time limit, a followed try's wait, see Way
 PACE = 10
@@ -79,7 +79,7 @@
 class World:
     def __init__(self, scene: Scene) -> None:
         self.scene = scene
-        self.did: list[tuple[Any, ...]] = []
+        self.outcomes: list[tuple[Any, ...]] = []
         self.now = 0
         self.backends = [OPEN] * scene.backends
         self.policy, self.deaths = scene.policy, scene.deaths
@@ -157,8 +157,8 @@
     def retries(self, before: Ask) -> bool:
         return before.state in (WAITING, AWAY, CUT) or before.state == TOLD and before.back
 
-    def do(self, step: Step) -> None:
-        self.did = []
+    def take_step(self, step: Step) -> None:
+        self.outcomes = []
         kind, *what = step
         getattr(self, "do_" + kind)(*what)
         self.tidy()
@@ -180,7 +180,7 @@
         machine.tables[0].level = float(let_in)
         machine.came(self.now, key, 0, key * ASKS + place, before.state in (WAITING, AWAY, CUT))
         machine.tables[0].level = 1.0
-        self.did.append(("asked", fresh, let_in, ask.state == WAITING))
+        self.outcomes.append(("asked", fresh, let_in, ask.state == WAITING))
 
     def do_leave(self, key: int, place: int) -> None:
         ask = self.asks[key][place]
@@ -266,7 +266,7 @@
         before = [self.tries[p, n] for n in call.tries if n != number]
         proof = all(t.heard == UNRUN for t in before)
         allowed = not before or self.policy > 0 and (proof or self.scene.repeatable and self.policy > 1)
-        self.did.append(
+        self.outcomes.append(
             (
                 "sent",
                 len(before),
@@ -295,7 +295,7 @@
             if call
             else 0
         )
-        self.did.append(
+        self.outcomes.append(
             (
                 "told",
                 told.kind,
@@ -404,7 +404,7 @@
 def thaw(state: Any) -> World:
     world = World.__new__(World)
     (world.scene, world.now, backends, world.policy, world.deaths, asks, loose, tries, machines) = state
-    world.did, world.backends, world.loose = [], list(backends), list(loose)
+    world.outcomes, world.backends, world.loose = [], list(backends), list(loose)
     world.asks = [[Ask(*ask) for ask in each] for each in asks]
     world.tries = {(p, number): Truth(*truth) for p, number, *truth in tries}
     world.machines = [None] * world.scene.proxies
@@ -443,7 +443,7 @@
 
 
 def each(world: World, kind: str) -> list[tuple[Any, ...]]:
-    return [event[1:] for event in world.did if event[0] == kind]
+    return [event[1:] for event in world.outcomes if event[0] == kind]
 
 
 def runs_once(world: World) -> bool:
@@ -626,11 +626,11 @@
     Property("bounded", "no more answers are kept than the bound", bounded),
 )
 LIVES = (
-    Live(
+    LivenessProperty(
         "answered at last",
         "every asking that waits at a living proxy gets a final answer, if time goes on",
         owed,
-        (taken("pass"),),
+        (steps_starting_with("pass"),),
     ),
 )
 
@@ -689,5 +689,5 @@
         say,
         PROPERTIES,
         LIVES,
-        finished=lambda world: not owed(world),
+        may_terminate=lambda world: not owed(world),
     )
--- a/meadowworks/modelcheck/models/connection.py
+++ b/meadowworks/modelcheck/models/connection.py
@@ -32,7 +32,7 @@
 )
 from meadowworks.fleet.streams import Streams
 from meadowworks.fleet.table_updates import Orders
-from meadowworks.modelcheck.model import Live, Model, Property, Step, taken
+from meadowworks.modelcheck.model import LivenessProperty, Model, Property, Step, steps_starting_with
 from meadowworks.runtime.connection_limit import ConnectionLimit
 
 BOUNDS = Bounds(unsent=1, unreadable=2, strange=1)  # messages, lines and bytes that a world has room for
@@ -76,7 +76,7 @@
         self.beats_owed = 0
 
     def write(self, data: bytes) -> None:
-        self.world.did.append(("write", self.place, self.open, bool(self.life.first), data[:6]))
+        self.world.outcomes.append(("write", self.place, self.open, bool(self.life.first), data[:6]))
         if data == BEAT_OK:
             self.beats_owed -= 1
         if self.other == DEAF:
@@ -91,7 +91,7 @@
             if "full" in says:
                 self.holds, self.full = {}, True
             elif "endpoints" in says and not self.full:
-                self.world.did.append(("change without a table", self.place))
+                self.world.outcomes.append(("change without a table", self.place))
             for pair in filter(None, says.get("endpoints", "").split(",")):
                 name, _, weight = pair.partition(":")
                 self.holds[name] = float(weight)
@@ -123,7 +123,7 @@
         return Left(first.proxy, self.box)
 
     def tell(self, item: News, report: bool) -> None:
-        self.world.did.append(("told", self.place, type(item).__name__, bool(self.life.first)))
+        self.world.outcomes.append(("told", self.place, type(item).__name__, bool(self.life.first)))
         self.world.module.put(item, report)
 
     def count(self, what: str) -> None:
@@ -141,7 +141,7 @@
 class World:
     def __init__(self, scene: Scene) -> None:
         self.scene = scene
-        self.did: list[tuple[Any, ...]] = []
+        self.outcomes: list[tuple[Any, ...]] = []
         self.now = 0
         self.module: Mailbox[News] = Mailbox(REPORTS_MOST)
         self.orders = Orders(("all",), {0: "b"})
@@ -204,8 +204,8 @@
                 found.append(("usage", k))
         return found
 
-    def do(self, step: Step) -> None:
-        self.did = []
+    def take_step(self, step: Step) -> None:
+        self.outcomes = []
         kind, *what = step
         getattr(self, "do_" + kind)(*what)
 
@@ -221,7 +221,7 @@
         self.now += 1
         oldest, _ = self.crowd.next_eviction(self.now)
         if oldest is not None:
-            self.did.append(("gave way", bool(self.sides[oldest].life.first)))
+            self.outcomes.append(("gave way", bool(self.sides[oldest].life.first)))
             self.sides[oldest].life.crowded()
 
     def do_attach(self, k: int) -> None:
@@ -240,18 +240,18 @@
         side = self.spend(k, 1)
         run, was = side.life.unreadable, side.life.over
         side.life.babbled()
-        self.did.append(("rubbish", k, run + 1, was, side.life.over, bool(side.life.first)))
+        self.outcomes.append(("rubbish", k, run + 1, was, side.life.over, bool(side.life.first)))
 
     def do_long(self, k: int) -> None:
         side = self.spend(k, 1)
         side.life.unended(BOUNDS.strange + 1, True)
-        self.did.append(("long", k, side.life.over))
+        self.outcomes.append(("long", k, side.life.over))
 
     def do_spoilt(self, k: int) -> None:
         side = self.spend(k, 2)
         was = side.life.over
         side.life.spoilt()
-        self.did.append(("spoilt", k, was, side.life.over, bool(side.life.first)))
+        self.outcomes.append(("spoilt", k, was, side.life.over, bool(side.life.first)))
 
     def do_mark(self, k: int, mark: int) -> None:
         self.spend(k, 3).life.said(Done(PROXY, mark))
@@ -294,7 +294,7 @@
         match item:
             case Joined(attach, stream):
                 k = self.place(stream)
-                self.did.append(("joined", k, self.heard[k].state))
+                self.outcomes.append(("joined", k, self.heard[k].state))
                 self.heard[k].state = 1
                 self.streams.joined(attach.proxy, stream)
                 self.bound = k
@@ -302,15 +302,15 @@
                 self.flush()
             case Left(proxy, stream):
                 k = self.place(stream)
-                self.did.append(("left", k, self.heard[k].state))
+                self.outcomes.append(("left", k, self.heard[k].state))
                 self.heard[k].state = 2
                 if self.streams.left(proxy, stream):
-                    self.did.append(("unbound", k, self.bound))
+                    self.outcomes.append(("unbound", k, self.bound))
                     self.bound = -1
             case Done(proxy, mark):
                 counted = self.streams.answered(proxy, mark)
                 sent = self.bound >= 0 and mark in self.heard[self.bound].marks
-                self.did.append(("answered", counted, sent))
+                self.outcomes.append(("answered", counted, sent))
             case _:
                 pass
 
@@ -435,7 +435,7 @@
 def thaw(state: Any) -> World:
     scene, now, key = state
     world = World.__new__(World)
-    world.scene, world.now, world.did = scene, now, []
+    world.scene, world.now, world.outcomes = scene, now, []
     (_, sides, module, streams, world.mark, world.orders_left, world.weight, world.bound, held, strangers) = (
         key
     )
@@ -496,7 +496,7 @@
 
 
 def events(world: World, kind: str) -> list[tuple[Any, ...]]:
-    return [event[1:] for event in world.did if event[0] == kind]
+    return [event[1:] for event in world.outcomes if event[0] == kind]
 
 
 def in_order(world: World) -> bool:
@@ -649,13 +649,18 @@
         "tables agree", "with nothing under way, a proxy holds just the table it is bound to", tables_agree
     ),
 )
-WORK = (taken("module"), *(taken(name, k) for name in ("late", "lost", "begin", "act") for k in range(3)))
+WORK = (
+    steps_starting_with("module"),
+    *(steps_starting_with(name, k) for name in ("late", "lost", "begin", "act") for k in range(3)),
+)
 LIVES = (
-    Live("strangers end", "who never says who it is, is let go", strangers_owe, WORK),
-    Live("replaced ones end", "a stream that was replaced is ended", replaced_lives, WORK),
-    Live("bound at last", "a peer that is there is told its table", unbound, WORK),
-    Live("signs of life", "who asks for a sign of life has one, or its connection ends", beats_wait, WORK),
-    Live("leaves at last", "a proxy whose connection is gone has left", left_out, WORK),
+    LivenessProperty("strangers end", "who never says who it is, is let go", strangers_owe, WORK),
+    LivenessProperty("replaced ones end", "a stream that was replaced is ended", replaced_lives, WORK),
+    LivenessProperty("bound at last", "a peer that is there is told its table", unbound, WORK),
+    LivenessProperty(
+        "signs of life", "who asks for a sign of life has one, or its connection ends", beats_wait, WORK
+    ),
+    LivenessProperty("leaves at last", "a proxy whose connection is gone has left", left_out, WORK),
 )
 SAYS = {
     "dial": "connection {0} is taken in",
--- a/meadowworks/modelcheck/models/consensus.py
+++ b/meadowworks/modelcheck/models/consensus.py
@@ -118,7 +118,7 @@
 
     def __init__(self, scene: Scene, known: Known) -> None:
         self.scene, self.known = scene, known
-        self.did: list[tuple[Any, ...]] = []
+        self.outcomes: list[tuple[Any, ...]] = []
         self.kept: list[Any] = [flat_acceptor(first(scene, k)) for k in range(scene.places)]
         self.made: dict[int, Acceptor] = {}
         self.numbers = [0] * scene.places  # of ballots, in memory
@@ -225,15 +225,15 @@
             self.made[k] = acceptor(self.kept[k])
         return self.made[k]
 
-    def do(self, step: Step) -> None:
+    def take_step(self, step: Step) -> None:
         kind, *what = step
-        self.did, before = [], list(self.kept)
+        self.outcomes, before = [], list(self.kept)
         getattr(self, "do_" + kind)(*what)
         for k, made in self.made.items():  # on its disk before its answer leaves
             made.changed, made.meta, made.news = set(), False, False
             self.kept[k] = flat_acceptor(made)
         self.made = {}
-        self.did += [
+        self.outcomes += [
             ("kept", was, now)
             for was, now in zip(before, self.kept, strict=True)
             if was is not now and was is not None and now is not None and was[0] == now[0]
@@ -286,7 +286,7 @@
             found = self.known[at] = answered(*at)
         self.kept[k], op, outcome, newer, took = found
         if took is not None:
-            self.did.append(took)
+            self.outcomes.append(took)
         if not heard:
             return
         if newer is not None:
@@ -333,16 +333,16 @@
                     return self.put(p, Reader(home.newest()))
             case Read(needs, version, address):
                 if want.kind == "read":
-                    self.did.append(("read", floor, needs))
+                    self.outcomes.append(("read", floor, needs))
                     self.tries[p] = 0
                 elif not op.epoch.has(home.disk):
                     there = [kept for kept in self.kept if kept and kept[6] and op.epoch.has(kept[0])]
                     count = sum(kept[5][0] >= op.epoch.number for kept in there)
-                    self.did.append(("handed", floor, count, op.epoch.majority))
+                    self.outcomes.append(("handed", floor, count, op.epoch.majority))
                     self.leaves(p, want.home)
                 elif isinstance(op, Teacher):
                     least = min(op.epoch.majority, len(op.others))
-                    self.did.append(("handed", floor, self.knowing(floor, op), least))
+                    self.outcomes.append(("handed", floor, self.knowing(floor, op), least))
                     self.leaves(p, want.home)
                 elif needs <= home.held.version:
                     me = (home.newest(), home.disk, home.held, home.past())
@@ -391,7 +391,7 @@
         other, asked = self.at(k), thaw_request(request)
         newest, votes = other.newest().number, voter(other, asked.epoch)
         if isinstance(other.answer(asked), Promised | Accepted):
-            self.did.append(("took", asked.epoch, newest, votes))
+            self.outcomes.append(("took", asked.epoch, newest, votes))
 
     def do_wipe(self, k: int) -> None:
         """What its process was at goes with it. It is told that this is not the first start."""
@@ -796,7 +796,7 @@
 
 
 def never_back(world: World) -> bool:
-    return all(forward(was, now) for kind, was, now, *_ in world.did if kind == "kept")
+    return all(forward(was, now) for kind, was, now, *_ in world.outcomes if kind == "kept")
 
 
 def forward(was: Any, now: Any) -> bool:
@@ -815,15 +815,15 @@
 
 
 def newer_deaf(world: World) -> bool:
-    return all(row[1] >= row[2] for row in world.did if row[0] == "took") and all(
+    return all(row[1] >= row[2] for row in world.outcomes if row[0] == "took") and all(
         (now[5], now[6]) == (was[5], was[6]) or not now[6] or now[5][0] >= was[11][0]
-        for kind, was, now, *_ in world.did
+        for kind, was, now, *_ in world.outcomes
         if kind == "kept"
     )
 
 
 def voters_alone(world: World) -> bool:
-    return all(row[3] for row in world.did if row[0] == "took")
+    return all(row[3] for row in world.outcomes if row[0] == "took")
 
 
 def founding(world: World) -> bool:
@@ -840,11 +840,11 @@
 
 
 def not_old(world: World) -> bool:
-    return all(needs >= floor for kind, floor, needs, *_ in world.did if kind == "read")
+    return all(needs >= floor for kind, floor, needs, *_ in world.outcomes if kind == "read")
 
 
 def handed_over(world: World) -> bool:
-    return all(row[2] >= row[3] for row in world.did if row[0] == "handed")
+    return all(row[2] >= row[3] for row in world.outcomes if row[0] == "handed")
 
 
 PROPERTIES = (
@@ -1015,14 +1015,14 @@
         partial(thaw, known),
         say,
         PROPERTIES,
-        finished=lambda world: True,
+        may_terminate=lambda world: True,
     )
 
 
 def thaw(known: Known, state: Any) -> World:
     scene, (_, kept, numbers, ops, tries, left, cut, late, chosen, tried) = state
     world = World.__new__(World)
-    world.scene, world.known, world.did, world.made = scene, known, [], {}
+    world.scene, world.known, world.outcomes, world.made = scene, known, [], {}
     world.kept, world.numbers, world.ops, world.tries = list(kept), list(numbers), list(ops), list(tries)
     world.left, world.cut, world.late = left, scene.cut if cut else NOBODY, late
     world.chosen, world.tried = chosen, tried
--- a/meadowworks/modelcheck/models/forwarding.py
+++ b/meadowworks/modelcheck/models/forwarding.py
@@ -79,7 +79,7 @@
 @dataclass
 class World:
     scene: Scene
-    did: list[tuple[Any, ...]] = field(default_factory=list)
+    outcomes: list[tuple[Any, ...]] = field(default_factory=list)
 
     def __post_init__(self) -> None:
         self.now = 0
@@ -222,8 +222,8 @@
             return (421,)
         return (200, 500, 503) if f.ran else (0,)
 
-    def do(self, step: Step) -> None:
-        self.did = [step]
+    def take_step(self, step: Step) -> None:
+        self.outcomes = [step]
         kind, *what = step
         getattr(self, "do_" + kind)(*what)
 
@@ -297,13 +297,13 @@
     # -- states
 
     def freeze(self) -> bytes:
-        did, self.did = self.did, []
+        did, self.outcomes = self.outcomes, []
         silent, now = self.lives.source_silence_ns, self.lives.clock
         self.lives.source_silence_ns = self.lives.clock = None  # type: ignore[assignment]
         try:
             return pickle.dumps(self, pickle.HIGHEST_PROTOCOL)
         finally:
-            self.did, self.lives.source_silence_ns, self.lives.clock = did, silent, now
+            self.outcomes, self.lives.source_silence_ns, self.lives.clock = did, silent, now
 
     def key(self) -> Any:
         return (
--- a/meadowworks/modelcheck/models/gossip.py
+++ b/meadowworks/modelcheck/models/gossip.py
@@ -89,7 +89,7 @@
 class World:
     def __init__(self, scene: Scene) -> None:
         self.scene, self.left = scene, scene
-        self.did: list[tuple[Any, ...]] = []
+        self.outcomes: list[tuple[Any, ...]] = []
         self.nodes = [Node(host, 1) for host in (*BOXES, JUNCTION)]
         self.calls, self.state = 1, UP
         self.saved: list[dict[str, list[Any]]] = [{}, {}]
@@ -150,7 +150,7 @@
     def spend(self, what: str) -> None:
         self.left = replace(self.left, **{what: getattr(self.left, what) - 1})
 
-    def do(self, step: Step) -> None:
+    def take_step(self, step: Step) -> None:
         kind, *what = step
         before = [(n.me, n.rank(), self.cards(n)) for n in self.nodes]
         getattr(self, "do_" + kind)(*what)
@@ -158,12 +158,12 @@
             if batch := self.nodes[box].fences.next_batch():
                 self.disks[box] = {**self.disks[box], **batch.rows}
                 self.nodes[box].fences.on_written()
-        self.did = []
+        self.outcomes = []
         for node, (me, rank, cards) in zip(self.nodes, before, strict=True):
             if node.me == me:
-                self.did.append(("rank", rank, node.rank()))
+                self.outcomes.append(("rank", rank, node.rank()))
                 now = self.cards(node)
-                self.did += [("card", beat, now.get(host, -1)) for host, beat in cards.items()]
+                self.outcomes += [("card", beat, now.get(host, -1)) for host, beat in cards.items()]
 
     def cards(self, node: Node) -> dict[str, int]:
         return {host: known.record.heartbeat for host, known in node.members.peers.items()}
@@ -258,11 +258,11 @@
     # -- states
 
     def freeze(self) -> bytes:
-        did, self.did = self.did, []
+        did, self.outcomes = self.outcomes, []
         try:
             return pickle.dumps(self, pickle.HIGHEST_PROTOCOL)
         finally:
-            self.did = did
+            self.outcomes = did
 
     def key(self) -> Any:
         return (
@@ -307,11 +307,11 @@
 
 
 def never_back(world: World) -> bool:
-    return all(after >= before for kind, before, after in world.did if kind == "rank" and before >= 1)
+    return all(after >= before for kind, before, after in world.outcomes if kind == "rank" and before >= 1)
 
 
 def cards_rise(world: World) -> bool:
-    return all(after >= before for kind, before, after in world.did if kind == "card")
+    return all(after >= before for kind, before, after in world.outcomes if kind == "card")
 
 
 def ack_kept(world: World) -> bool:
--- a/meadowworks/modelcheck/models/policy.py
+++ b/meadowworks/modelcheck/models/policy.py
@@ -67,7 +67,7 @@
     """The module's host, the channel and the proxies behind it."""
 
     def __init__(self, listed: bool = True) -> None:
-        self.did: list[tuple[Any, ...]] = []
+        self.outcomes: list[tuple[Any, ...]] = []
         self.frozen = b""
         self.now = 1000 * SECOND
         self.listed = {b: ("ready", 0) for b in range(len(ZONE_OF))}
@@ -123,7 +123,7 @@
         self.orders.bind(routes, proxy, table)
 
     def admit(self, table: int, routes: int, level: float, retry: int) -> None:
-        self.did.append(("level", level, retry))
+        self.outcomes.append(("level", level, retry))
         self.orders.admit(table, routes, level, retry)
 
     # -- the channel and the proxies
@@ -190,8 +190,8 @@
         found.append(("channel",))
         return found
 
-    def do(self, step: Step) -> None:
-        self.did, self.frozen = [], b""
+    def take_step(self, step: Step) -> None:
+        self.outcomes, self.frozen = [], b""
         self.now += BATCH  # each step is a batch of its own
         kind, *what = step
         getattr(self, "do_" + kind)(*what)
@@ -274,13 +274,13 @@
     def freeze(self) -> bytes:
         if self.frozen:
             return self.frozen
-        module, did, self.did = self.module, self.did, []
+        module, did, self.outcomes = self.module, self.outcomes, []
         module.set = None  # type: ignore[assignment]
         try:
             self.frozen = pickle.dumps(self, pickle.HIGHEST_PROTOCOL)
             return self.frozen
         finally:
-            module.set, self.did = SETTINGS, did
+            module.set, self.outcomes = SETTINGS, did
 
     def key(self) -> bytes:
         return self.freeze()
@@ -361,7 +361,7 @@
 
 
 def levels_sane(world: World) -> bool:
-    return all(0 < level <= 1 for kind, level, _ in world.did if kind == "level")
+    return all(0 < level <= 1 for kind, level, _ in world.outcomes if kind == "level")
 
 
 def important_first(world: World) -> bool:
@@ -446,7 +446,7 @@
 
 def play(world: World, *steps: Step) -> None:
     for step in steps:
-        world.do(step)
+        world.take_step(step)
 
 
 def unlisted() -> World:
@@ -501,5 +501,5 @@
         thaw,
         say,
         PROPERTIES,
-        depth=4 if large else 3,
+        max_depth=4 if large else 3,
     )
--- a/meadowworks/modelcheck/models/quota.py
+++ b/meadowworks/modelcheck/models/quota.py
@@ -13,7 +13,7 @@
 from functools import partial
 from typing import Any
 
-from meadowworks.modelcheck.model import Live, Model, Property, Step, taken
+from meadowworks.modelcheck.model import LivenessProperty, Model, Property, Step, steps_starting_with
 from meadowworks.quota.machine import Account, Budget, Grant, Holder, Report
 
 LEASE, MARGIN = 2, 1  # units
@@ -44,7 +44,7 @@
 class World:
     def __init__(self, scene: Scene) -> None:
         self.scene = scene
-        self.did: list[tuple[Any, ...]] = []
+        self.outcomes: list[tuple[Any, ...]] = []
         self.now = 0
         self.budget = Budget(scene.lease, scene.handoff)
         self.holders = [self.fresh(k) for k in range(scene.holders)]
@@ -88,8 +88,8 @@
             found.append(("pass",))
         return found
 
-    def do(self, step: Step) -> None:
-        self.did = []
+    def take_step(self, step: Step) -> None:
+        self.outcomes = []
         kind, *what = step
         getattr(self, "do_" + kind)(*what)
         self.budget.expire(self.now)  # nothing is read of it before this would be done anyway
@@ -107,7 +107,7 @@
         holder = self.holders[k]
         before = holder.under_way
         began = holder.begin(self.clock(k))
-        self.did.append(("begin", began, before, holder.share, self.clock(k) < holder.until_ns))
+        self.outcomes.append(("begin", began, before, holder.share, self.clock(k) < holder.until_ns))
 
     def do_end(self, k: int) -> None:
         self.holders[k].ended()
@@ -139,7 +139,9 @@
             holder = self.holders[message.who]
             before = holder.number
             holder.granted(message)
-            self.did.append(("granted", before, message.number, holder.number, holder.share, message.share))
+            self.outcomes.append(
+                ("granted", before, message.number, holder.number, holder.share, message.share)
+            )
 
     def do_lose(self, k: int, place: int) -> None:
         self.losses -= 1
@@ -263,7 +265,7 @@
 def within_share(world: World) -> bool:
     return all(
         not began or before < share and leased
-        for kind, *rest in world.did
+        for kind, *rest in world.outcomes
         if kind == "begin"
         for began, before, share, leased in (rest,)
     )
@@ -272,7 +274,7 @@
 def newer_only(world: World) -> bool:
     return all(
         after >= before and (number > before) == (after == number != before)
-        for kind, *rest in world.did
+        for kind, *rest in world.outcomes
         if kind == "granted"
         for before, number, after, _, _ in (rest,)
     )
@@ -305,10 +307,10 @@
 )
 
 
-def lives(holders: int) -> tuple[Live, ...]:
-    fair = [taken(name, k) for name in ("beat", "end", "deliver") for k in range(holders)]
+def lives(holders: int) -> tuple[LivenessProperty, ...]:
+    fair = [steps_starting_with(name, k) for name in ("beat", "end", "deliver") for k in range(holders)]
     return (
-        Live(
+        LivenessProperty(
             "a share at last",
             "who stays is given a share, if it goes round, all report, calls end and no lease lapses",
             starved,
@@ -359,5 +361,5 @@
         say,
         PROPERTIES,
         lives(2),
-        figures=overshoot,
+        metrics=overshoot,
     )
--- a/meadowworks/modelcheck/models/registry.py
+++ b/meadowworks/modelcheck/models/registry.py
@@ -60,7 +60,7 @@
 class World:
     def __init__(self, scene: Scene) -> None:
         self.left = scene
-        self.did: list[tuple[Any, ...]] = []
+        self.outcomes: list[tuple[Any, ...]] = []
         self.boxes = [Box(0, 1), Box(1, 1)]
         self.disks: list[dict[str, Any]] = [{}, {}]
         self.owed: dict[str, int] = {}  # drains of the first box's present life: the version of each
@@ -97,7 +97,7 @@
         found += [("ack", i) for i, v in sorted(self.owed.items()) if kept(v, ["h1"], 1, True)]
         return found
 
-    def do(self, step: Step) -> None:
+    def take_step(self, step: Step) -> None:
         kind, *what = step
         getattr(self, "do_" + kind)(*what)
 
--- a/meadowworks/modelcheck/models/replica.py
+++ b/meadowworks/modelcheck/models/replica.py
@@ -123,7 +123,7 @@
 class World:
     def __init__(self, scene: Scene) -> None:
         self.scene = scene
-        self.did: list[tuple[Any, ...]] = []
+        self.outcomes: list[tuple[Any, ...]] = []
         self.disks = [Disk() for _ in range(scene.places)]
         self.boxes: list[Replica] = []
         self.sent: list[Sent] = []
@@ -149,13 +149,13 @@
         found += [("leave", k) for k in self.leaves]
         return found
 
-    def do(self, step: Step) -> None:
+    def take_step(self, step: Step) -> None:
         kind, *what = step
-        self.did = []
+        self.outcomes = []
         before = [flat_acceptor(disk.acceptor("")) for disk in self.disks]
         getattr(self, "do_" + kind)(*what)
         for was, disk in zip(before, self.disks, strict=True):
-            self.did.append(("kept", was, flat_acceptor(disk.acceptor(""))))
+            self.outcomes.append(("kept", was, flat_acceptor(disk.acceptor(""))))
 
     def do_order(self, place: int) -> None:
         k, version, content = self.orders[place]
@@ -215,10 +215,10 @@
                     case Ask(question, address, request):
                         life = box.acceptor.life
                         meta = self.disks[k].meta
-                        self.did.append(("asked", life, meta["life"] if meta else 0))
+                        self.outcomes.append(("asked", life, meta["life"] if meta else 0))
                         self.sent.append(Sent(k, life, question, int(address), request))
                     case Tell((place, life, question), who, reply):
-                        self.did.append(("told", self.rests(k, reply)))
+                        self.outcomes.append(("told", self.rests(k, reply)))
                         if self.boxes[place].acceptor.life == life:
                             self.boxes[place].heard(NOW, question, who, reply)
                             waiting.append(place)
@@ -283,7 +283,7 @@
 
 def thaw(state: Any) -> World:
     world = World.__new__(World)
-    world.did = []
+    world.outcomes = []
     world.scene, world.disks, world.boxes, world.sent, rest = pickle.loads(state)
     world.orders, world.changes, world.leaves, world.crashes, world.acked = rest
     return world
@@ -342,7 +342,7 @@
 
 
 def told_rests(world: World) -> bool:
-    return all(row[1] for row in world.did if row[0] == "told")
+    return all(row[1] for row in world.outcomes if row[0] == "told")
 
 
 def own_rests(world: World) -> bool:
@@ -367,11 +367,11 @@
 
 
 def life_first(world: World) -> bool:
-    return all(row[2] >= row[1] for row in world.did if row[0] == "asked")
+    return all(row[2] >= row[1] for row in world.outcomes if row[0] == "asked")
 
 
 def never_back(world: World) -> bool:
-    return all(forward(row[1], row[2]) for row in world.did if row[0] == "kept")
+    return all(forward(row[1], row[2]) for row in world.outcomes if row[0] == "kept")
 
 
 def whole(world: World) -> bool:
@@ -445,5 +445,5 @@
         thaw,
         say,
         PROPERTIES,
-        finished=lambda world: True,
+        may_terminate=lambda world: True,
     )
--- a/meadowworks/modelcheck/models/wires.py
+++ b/meadowworks/modelcheck/models/wires.py
@@ -138,7 +138,7 @@
 
     def __init__(self, scene: Wiring, steps: Iterable[Step] = ()) -> None:
         self.scene = scene
-        self.did: list[tuple[Any, ...]] = []
+        self.outcomes: list[tuple[Any, ...]] = []
         self.steps = list(steps)
         self.process = 0
         self.wake()
@@ -331,9 +331,9 @@
                 found.append(("leave", r))
         return found
 
-    def do(self, step: Step) -> None:
+    def take_step(self, step: Step) -> None:
         self.wake()
-        self.did = [step]
+        self.outcomes = [step]
         self.steps.append(step)
         self.take(step)
 
--- a/meadowworks/modelcheck/seeded_faults/attempt.py
+++ b/meadowworks/modelcheck/seeded_faults/attempt.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from meadowworks.modelcheck.fault import Fault
+from meadowworks.modelcheck.fault import SeededFault
 
 AGAIN, MACHINE = "meadowworks.attempts.retry_policy:", "meadowworks.attempts.machine:Attempts."
 ATTEMPT_FAULTS = (
-    Fault(
+    SeededFault(
         "a mutating call is tried again after any failure",
         "attempt",
         AGAIN + "may_follow",
@@ -14,7 +14,7 @@
         "if not sure(tries) and policy < AFTER_ANY:",
         ("mutating once",),
     ),
-    Fault(
+    SeededFault(
         "way 1 needs no proof",
         "attempt",
         AGAIN + "may_follow",
@@ -22,7 +22,7 @@
         "way.repeatable",
         ("as ordered",),
     ),
-    Fault(
+    SeededFault(
         "one further try too many",
         "attempt",
         AGAIN + "may_follow",
@@ -30,7 +30,7 @@
         "len(tries) > FURTHER[policy] + 1",
         ("two further tries", "as ordered"),
     ),
-    Fault(
+    SeededFault(
         "further tries without end",
         "attempt",
         AGAIN + "may_follow",
@@ -38,7 +38,7 @@
         "False",
         ("two further tries",),
     ),
-    Fault(
+    SeededFault(
         "a further try with no time left",
         "attempt",
         AGAIN + "again",
@@ -46,7 +46,7 @@
         "0",
         ("in time",),
     ),
-    Fault(
+    SeededFault(
         "a further try at the same backend",
         "attempt",
         AGAIN + "again",
@@ -54,8 +54,8 @@
         "()",
         ("another backend",),
     ),
-    Fault("any proof is proof of all", "attempt", AGAIN + "sure", "all(", "any(", ("truthful",)),
-    Fault(
+    SeededFault("any proof is proof of all", "attempt", AGAIN + "sure", "all(", "any(", ("truthful",)),
+    SeededFault(
         "a drained backend's line is kept",
         "attempt",
         MACHINE + "ordered",
@@ -63,7 +63,7 @@
         "Table(self.tables[route].lines | lines, level, policy)",
         ("none to the drained",),
     ),
-    Fault(
+    SeededFault(
         "the way stays when the order changes",
         "attempt",
         MACHINE + "ordered",
@@ -71,7 +71,7 @@
         "Table(lines, level, max(policy, self.tables[route].policy))",
         ("as ordered",),
     ),
-    Fault(
+    SeededFault(
         "a client's repeat runs beside its first",
         "attempt",
         MACHINE + "came",
@@ -79,7 +79,7 @@
         "if call is not None and call.over is None and not repeat:",
         ("truthful",),
     ),
-    Fault(
+    SeededFault(
         "a repeat that is not known here runs",
         "attempt",
         MACHINE + "came",
@@ -87,7 +87,7 @@
         "False",
         ("mutating once",),
     ),
-    Fault(
+    SeededFault(
         "what may have run is forgotten when it is asked again",
         "attempt",
         MACHINE + "came",
@@ -95,7 +95,7 @@
         'call.over.kind == "answered"',
         ("mutating once",),
     ),
-    Fault(
+    SeededFault(
         "everybody is let in and some are told no",
         "attempt",
         MACHINE + "came",
@@ -103,7 +103,7 @@
         'self.host.final(key, asker, Final("throttled", False, back_ns))',
         ("told while waiting", "one final answer"),
     ),
-    Fault(
+    SeededFault(
         "throttled ones are not told",
         "attempt",
         MACHINE + "came",
@@ -111,7 +111,7 @@
         "return None",
         ("throttled at once", "answered at last"),
     ),
-    Fault(
+    SeededFault(
         "throttled ones are told to come back at once",
         "attempt",
         AGAIN + "come_back_ns",
@@ -119,7 +119,7 @@
         "int(0 *",
         ("come back",),
     ),
-    Fault(
+    SeededFault(
         "a call that may have run may be asked again",
         "attempt",
         MACHINE + "give_up",
@@ -127,7 +127,7 @@
         "False",
         ("come back", "mutating once"),
     ),
-    Fault(
+    SeededFault(
         "what may have run is told as never run",
         "attempt",
         MACHINE + "give_up",
@@ -135,7 +135,7 @@
         "ran = False and not sure(",
         ("truthful",),
     ),
-    Fault(
+    SeededFault(
         "a try that ended ends again",
         "attempt",
         MACHINE + "replied",
@@ -143,7 +143,7 @@
         "if False:",
         ("precise",),
     ),
-    Fault(
+    SeededFault(
         "proof that comes late is not kept",
         "attempt",
         MACHINE + "replied",
@@ -151,7 +151,7 @@
         "elif False:",
         ("precise",),
     ),
-    Fault(
+    SeededFault(
         "a late answer is not kept",
         "attempt",
         MACHINE + "replied",
@@ -159,7 +159,7 @@
         "pass",
         ("answers kept",),
     ),
-    Fault(
+    SeededFault(
         "a try that was given up is followed again",
         "attempt",
         MACHINE + "replied",
@@ -167,7 +167,7 @@
         "if True:",
         ("not given up early",),
     ),
-    Fault(
+    SeededFault(
         "a late try is waited for without end",
         "attempt",
         MACHINE + "tick",
@@ -175,7 +175,7 @@
         "pass",
         ("one at a time",),
     ),
-    Fault(
+    SeededFault(
         "what is given up is held until its limit",
         "attempt",
         MACHINE + "follow",
@@ -183,7 +183,7 @@
         "heapq.heappush(self.due, (call.limit_ns, key))",
         ("nothing held",),
     ),
-    Fault(
+    SeededFault(
         "who went away is still told",
         "attempt",
         MACHINE + "cancelled",
@@ -191,7 +191,7 @@
         "pass",
         ("told while waiting",),
     ),
-    Fault(
+    SeededFault(
         "a call is tried again for nobody",
         "attempt",
         MACHINE + "follow",
@@ -199,7 +199,7 @@
         "table.policy",
         ("for somebody",),
     ),
-    Fault(
+    SeededFault(
         "answers are kept without bound",
         "attempt",
         MACHINE + "end",
@@ -207,7 +207,7 @@
         "False",
         ("bounded",),
     ),
-    Fault(
+    SeededFault(
         "a call is over and its askers wait",
         "attempt",
         MACHINE + "end",
@@ -215,7 +215,7 @@
         "for asker in askers[1:]:",
         ("answered at last", "nothing held"),
     ),
-    Fault(
+    SeededFault(
         "a kept answer stays for ever as under way",
         "attempt",
         MACHINE + "end",
@@ -223,7 +223,7 @@
         "pass",
         ("nothing held", "within the limit", "answered at last", "one final answer"),
     ),
-    Fault(
+    SeededFault(
         "a client's repeat is noted twice",
         "attempt",
         MACHINE + "came",
@@ -231,7 +231,7 @@
         "call.askers.extend((asker, asker))",
         ("one final answer",),
     ),
-    Fault(
+    SeededFault(
         "what has come due waits for the next turn",
         "attempt",
         MACHINE + "tick",
--- a/meadowworks/modelcheck/seeded_faults/connection.py
+++ b/meadowworks/modelcheck/seeded_faults/connection.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from meadowworks.modelcheck.fault import Fault
-from meadowworks.modelcheck.model import FAULT
+from meadowworks.modelcheck.fault import SeededFault
+from meadowworks.modelcheck.model import NO_EXCEPTION
 
 LIFE, STREAMS = "meadowworks.fleet.connection_state:Life.", "meadowworks.fleet.streams:Streams."
 CROWD, ORDERS, BOX = (
@@ -13,247 +13,247 @@
 )
 STRANGER = "not self.over and not self.first"
 CONNECTION_FAULTS = (
-    Fault(
+    SeededFault(
         "an old stream is not ended when a newer one comes",
         "connection",
         STREAMS + "joined",
         'old.put(End("replaced by a new one"))',
         "pass",
         ("replaced ones end",),
-        starts=(3,),
+        start_indices=(3,),
     ),
-    Fault(
+    SeededFault(
         "the end of a replaced stream takes the proxy's table",
         "connection",
         STREAMS + "left",
         "self.by_proxy.get(proxy) is not stream",
         "proxy not in self.by_proxy",
         ("stays", "newest"),
-        starts=(1,),
+        start_indices=(1,),
     ),
-    Fault(
+    SeededFault(
         "marks of the stream before count",
         "connection",
         STREAMS + "joined",
         "self.marks[proxy] = deque(maxlen=MARKS_KEPT)",
         "self.marks.setdefault(proxy, deque(maxlen=MARKS_KEPT))",
         ("marks count",),
-        starts=(1,),
+        start_indices=(1,),
     ),
-    Fault(
+    SeededFault(
         "any mark counts",
         "connection",
         STREAMS + "answered",
         "if mark not in out:\n        return False",
         "if mark not in out:\n        return True",
         ("marks count",),
-        starts=(1,),
+        start_indices=(1,),
     ),
-    Fault(
+    SeededFault(
         "a stranger's reports are passed on",
         "connection",
         LIFE + "said",
         'self.refuse("has not joined")',
         "self.line.tell(item, True)",
         ("nothing from strangers",),
-        starts=(1,),
+        start_indices=(1,),
     ),
-    Fault(
+    SeededFault(
         "a spoilt line ends a peer",
         "connection",
         LIFE + "spoilt",
         STRANGER,
         "not self.over",
         ("spoilt alone",),
-        starts=(2,),
+        start_indices=(2,),
     ),
-    Fault(
+    SeededFault(
         "a stranger's spoilt line is passed over",
         "connection",
         LIFE + "spoilt",
         'self.refuse("cannot be read")',
         "pass",
         ("spoilt alone",),
-        starts=(2,),
+        start_indices=(2,),
     ),
-    Fault(
+    SeededFault(
         "rubbish never ends a peer",
         "connection",
         LIFE + "babbled",
         "self.unreadable >= self.bounds.unreadable",
         "False",
         ("rubbish ends",),
-        starts=(0,),
+        start_indices=(0,),
     ),
-    Fault(
+    SeededFault(
         "one line of rubbish ends a peer",
         "connection",
         LIFE + "babbled",
         "self.unreadable >= self.bounds.unreadable",
         "True",
         ("rubbish ends",),
-        starts=(0,),
+        start_indices=(0,),
     ),
-    Fault(
+    SeededFault(
         "a line without an end is waited for",
         "connection",
         LIFE + "unended",
         'self.end("a line too long")',
         "pass",
         ("rubbish ends",),
-        starts=(0,),
+        start_indices=(0,),
     ),
-    Fault(
+    SeededFault(
         "who asks for a sign of life may stay",
         "connection",
         LIFE + "late",
         STRANGER,
         STRANGER + " and not self.line.unsent()",
         ("strangers end",),
-        starts=(0,),
+        start_indices=(0,),
     ),
-    Fault(
+    SeededFault(
         "strangers are waited for without end",
         "connection",
         LIFE + "late",
         'self.refuse("no name in time")',
         "pass",
         ("strangers end",),
-        starts=(4,),
+        start_indices=(4,),
     ),
-    Fault(
+    SeededFault(
         "peers give way for others",
         "connection",
         LIFE + "said",
         "self.line.named()",
         "pass",
         ("peers stay",),
-        starts=(4,),
+        start_indices=(4,),
     ),
-    Fault(
+    SeededFault(
         "one too many is taken in",
         "connection",
         CROWD + "is_full",
         "self.open_count >= self.max_connections",
         "self.open_count > self.max_connections",
         ("descriptors",),
-        starts=(4,),
+        start_indices=(4,),
     ),
-    Fault(
+    SeededFault(
         "descriptors are not given back",
         "connection",
         CROWD + "on_close",
         "self.open_count -= 1",
         "pass",
         ("descriptors",),
-        starts=(4,),
+        start_indices=(4,),
     ),
-    Fault(
+    SeededFault(
         "who reads nothing is written to without end",
         "connection",
         LIFE + "write",
         "self.line.unsent() > self.bounds.unsent",
         "False",
         ("unread bounded",),
-        starts=(0,),
+        start_indices=(0,),
     ),
-    Fault(
+    SeededFault(
         "writes go on after the end",
         "connection",
         LIFE + "write",
         "if self.over:",
         "if self.gone:",
         ("nothing after the end",),
-        starts=(0,),
+        start_indices=(0,),
     ),
-    Fault(
+    SeededFault(
         "a leaving is told twice",
         "connection",
         LIFE + "finish",
         "if self.gone:",
         "if False:",
         ("in order",),
-        starts=(3,),
+        start_indices=(3,),
     ),
-    Fault(
+    SeededFault(
         "an actor that ends says nothing",
         "connection",
         LIFE + "finish",
         "self.line.tell(self.line.left(self.first), False)",
         "pass",
         ("leaves at last",),
-        starts=(3,),
+        start_indices=(3,),
     ),
-    Fault(
+    SeededFault(
         "an end is not told to the actor",
         "connection",
         LIFE + "lost",
         "self.line.put(End(self.over), False)",
         "pass",
         ("leaves at last",),
-        starts=(3,),
+        start_indices=(3,),
     ),
-    Fault(
+    SeededFault(
         "signs of life are not answered by a peer",
         "connection",
         LIFE + "take",
         "case Beat():\n            self.write(BEAT_OK)",
         "case Beat():\n            pass",
         ("signs of life",),
-        starts=(0,),
+        start_indices=(0,),
     ),
-    Fault(
+    SeededFault(
         "a change goes out before the table",
         "connection",
         ORDERS + "bind",
         "self.fresh.setdefault(proxy, set()).add(number)",
         "pass",
         ("changes fit", "bound at last", "tables agree"),
-        starts=(3,),
+        start_indices=(3,),
     ),
-    Fault(
+    SeededFault(
         "a new stream's table goes out as a change",
         "connection",
         ORDERS + "parts",
         "self.tables[number], number in fresh",
         "self.tables[number], False",
         ("changes fit",),
-        starts=(3,),
+        start_indices=(3,),
     ),
-    Fault(
+    SeededFault(
         "a joining is not told to the module",
         "connection",
         LIFE + "begin",
         "self.line.tell(self.line.joined(self.first), False)",
         "pass",
         ("bound at last",),
-        starts=(3,),
+        start_indices=(3,),
     ),
-    Fault(
+    SeededFault(
         "orders go on to the stream before",
         "connection",
         STREAMS + "joined",
         "self.by_proxy[proxy] = stream",
         "self.by_proxy.setdefault(proxy, stream)",
         ("newest",),
-        starts=(1,),
+        start_indices=(1,),
     ),
-    Fault(
+    SeededFault(
         "a mailbox does not count its reports",
         "connection",
         BOX + "Mailbox.put",
         "self.reports += report",
         "pass",
         ("mailboxes",),
-        starts=(1,),
+        start_indices=(1,),
     ),
-    Fault(
+    SeededFault(
         "reports push a mailbox over its bound",
         "connection",
         BOX + "Mailbox.put",
         "self.reports >= self.most_reports",
         "False",
-        (FAULT, "mailboxes"),
-        starts=(1,),
+        (NO_EXCEPTION, "mailboxes"),
+        start_indices=(1,),
     ),
 )
--- a/meadowworks/modelcheck/seeded_faults/consensus.py
+++ b/meadowworks/modelcheck/seeded_faults/consensus.py
@@ -2,14 +2,14 @@
 
 from __future__ import annotations
 
-from meadowworks.modelcheck.fault import Fault
-from meadowworks.modelcheck.model import FAULT
+from meadowworks.modelcheck.fault import SeededFault
+from meadowworks.modelcheck.model import NO_EXCEPTION
 
 REGISTER, REPLICA = "meadowworks.consensus.register:", "meadowworks.consensus.replica:"
 CONTENT = ("one content", "lasts")
 CONSENSUS_FAULTS = (
     *(
-        Fault(name, "timetable", at, was, now, breaks, starts=starts)
+        SeededFault(name, "timetable", at, was, now, breaks, start_indices=starts)
         for name, at, was, now, breaks, starts in (
             (
                 "a ballot below the promised one is accepted",
@@ -136,7 +136,7 @@
                 REGISTER + "Acceptor.seal",
                 "if self.epoch.number != epoch or not self.installed:",
                 "if not self.installed:",
-                ("lasts", "one content", FAULT),
+                ("lasts", "one content", NO_EXCEPTION),
                 (16,),
             ),
             (
--- a/meadowworks/modelcheck/seeded_faults/forwarding.py
+++ b/meadowworks/modelcheck/seeded_faults/forwarding.py
@@ -2,14 +2,14 @@
 
 from __future__ import annotations
 
-from meadowworks.modelcheck.fault import Fault
+from meadowworks.modelcheck.fault import SeededFault
 
 AGAIN, MACHINE = "meadowworks.attempts.retry_policy:", "meadowworks.attempts.machine:Attempts."
 CLIENTS, BREAKS, KEPT, NAMELESS, BETWEEN = tuple(range(9)), (9,), (10,), (12,), (14,)  # worlds of the model
 JOURNEY, ANSWERS = "meadowworks.forwarding.attempts:Journey.", "meadowworks.forwarding.response_check:"
 FORWARDING_FAULTS = (
     *(
-        Fault(name, "carriage", at, was, now, breaks, starts=CLIENTS)
+        SeededFault(name, "carriage", at, was, now, breaks, start_indices=CLIENTS)
         for name, at, was, now, breaks in (
             (
                 "any failure of a backend is proof",
--- a/meadowworks/modelcheck/seeded_faults/gossip.py
+++ b/meadowworks/modelcheck/seeded_faults/gossip.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-from meadowworks.modelcheck.fault import Fault
+from meadowworks.modelcheck.fault import SeededFault
 
 NEWS, BEATS = "meadowworks.gossip.updates:", "meadowworks.registry.heartbeats:HeartbeatRegistry."
 FENCES = "meadowworks.registry.drain_log:DrainLog."
 GOSSIP_FAULTS = (
     *(
-        Fault(name, "telegraph", at, was, now, breaks)
+        SeededFault(name, "telegraph", at, was, now, breaks)
         for name, at, was, now, breaks in (
             (
                 "a late beat takes a drain back",
--- a/meadowworks/modelcheck/seeded_faults/policy.py
+++ b/meadowworks/modelcheck/seeded_faults/policy.py
@@ -2,48 +2,48 @@
 
 from __future__ import annotations
 
-from meadowworks.modelcheck.fault import Fault
-from meadowworks.modelcheck.model import FAULT
+from meadowworks.modelcheck.fault import SeededFault
+from meadowworks.modelcheck.model import NO_EXCEPTION
 
 RULES = "meadowworks.policy:Controller."
 POLICY_FAULTS = (
-    Fault(
+    SeededFault(
         "what drains goes with the rest, at the usual pace",
         "module",
         RULES + "settle",
         "1 if not b.ready or self.cold",
         "1 if self.cold",
         ("drains first",),
-        starts=(1,),
+        start_indices=(1,),
     ),
-    Fault(
+    SeededFault(
         "a cold server that is to leave waits with a warm one's weight",
         "module",
         RULES + "settle",
         "(shut or w > b.weight * self.part(now, b))",
         "shut",
         ("cold ones spared",),
-        starts=(1,),
+        start_indices=(1,),
     ),
-    Fault(
+    SeededFault(
         "a restarted server's line goes with the rest",
         "module",
         RULES + "settle",
         "min(first, 1) if p in eased else first",
         "first",
         ("cold ones spared",),
-        starts=(3,),
+        start_indices=(3,),
     ),
-    Fault(
+    SeededFault(
         "a net abroad of cold servers",
         "module",
         RULES + "wanted",
         "pool.warm.items()",
         "pool.ready.items()",
         ("cold ones spared",),
-        starts=(3,),
+        start_indices=(3,),
     ),
-    Fault(
+    SeededFault(
         "a drained backend stays in the tables",
         "module",
         RULES + "listed",
@@ -51,16 +51,16 @@
         "known.ready, known.lost, known.gone_ns = True, False, 0",
         ("drains kept",),
     ),
-    Fault(
+    SeededFault(
         "what a whole list lacks stays",
         "module",
         RULES + "listed",
         "if place not in named]",
         "if False]",
         ("drains kept",),
-        starts=(1,),
+        start_indices=(1,),
     ),
-    Fault(
+    SeededFault(
         "a start under an old name is not seen",
         "module",
         RULES + "listed",
@@ -68,7 +68,7 @@
         "if False:",
         ("cold ones spared",),
     ),
-    Fault(
+    SeededFault(
         "a cold backend enters whole",
         "module",
         RULES + "part",
@@ -76,7 +76,7 @@
         "1.0",
         ("cold ones spared",),
     ),
-    Fault(
+    SeededFault(
         "the ramp runs ahead of its age",
         "module",
         RULES + "part",
@@ -84,44 +84,44 @@
         "if age >= start / 2",
         ("cold ones spared",),
     ),
-    Fault(
+    SeededFault(
         "who was not bound at once never is",
         "module",
         RULES + "tick",
         "self.bind(now, number)",
         "pass",
         ("never without a backend",),
-        starts=(5,),
+        start_indices=(5,),
     ),
-    Fault(
+    SeededFault(
         "the channel's queue is not looked at",
         "module",
         RULES + "take",
         "if lines + rest < least or lines > most and not part:",
         "if False:",
         ("queue short",),
-        depth=4,
-        starts=(4,),
+        max_depth=4,
+        start_indices=(4,),
     ),
-    Fault(
+    SeededFault(
         "messages to a proxy are not counted",
         "module",
         RULES + "take",
         "len(proxy.sent) + 1 > self.set.messages_most * (1 - keep)",
         "False",
         ("few messages",),
-        starts=(6,),
+        start_indices=(6,),
     ),
-    Fault(
+    SeededFault(
         "any failure is tried again",
         "module",
         RULES + "spend",
         "round(level / LEVEL_STEP) * LEVEL_STEP, 1",
         "round(level / LEVEL_STEP) * LEVEL_STEP, 2",
         ("no effect twice",),
-        starts=(1,),
+        start_indices=(1,),
     ),
-    Fault(
+    SeededFault(
         "the least important goes last to nothing",
         "module",
         RULES + "spend",
@@ -129,7 +129,7 @@
         "reverse=False",
         ("important first", "budget in order"),
     ),
-    Fault(
+    SeededFault(
         "the least important is let in first",
         "module",
         RULES + "spend",
@@ -137,15 +137,15 @@
         "sorted({r.importance for r in routes})",
         ("important first",),
     ),
-    Fault(
+    SeededFault(
         "lines that were taken out are not noted",
         "module",
         RULES + "settle",
         "del self.tables[table][place]",
         "pass",
-        ("tables held", FAULT),
+        ("tables held", NO_EXCEPTION),
     ),
-    Fault(
+    SeededFault(
         "levels fall to nothing",
         "module",
         RULES + "spend",
--- a/meadowworks/modelcheck/seeded_faults/quota.py
+++ b/meadowworks/modelcheck/seeded_faults/quota.py
@@ -2,47 +2,47 @@
 
 from __future__ import annotations
 
-from meadowworks.modelcheck.fault import Fault
+from meadowworks.modelcheck.fault import SeededFault
 
 BUDGET, HOLDER = "meadowworks.quota.machine:Budget.", "meadowworks.quota.machine:Holder."
 QUOTA_FAULTS = (
-    Fault(
+    SeededFault(
         "a grant counts as given back when a smaller one was sent",
         "grants",
         BUDGET + "held",
         "max(shares) if self.handoff else shares[-1]",
         "shares[-1]",
         ("under the estimate",),
-        starts=(0,),
+        start_indices=(0,),
     ),
-    Fault(
+    SeededFault(
         "what is under way is not reserved",
         "grants",
         BUDGET + "held",
         "account.under_way, max(shares)",
         "0, max(shares)",
         ("under the estimate",),
-        starts=(0,),
+        start_indices=(0,),
     ),
-    Fault(
+    SeededFault(
         "views are summed",
         "grants",
         BUDGET + "estimate",
         "median(a.view",
         "sum(a.view",
         ("granted under it", "under the estimate"),
-        starts=(0,),
+        start_indices=(0,),
     ),
-    Fault(
+    SeededFault(
         "shares are dealt without the budget",
         "grants",
         BUDGET + "heard",
         "estimate - others",
         "estimate",
         ("granted under it", "under the estimate"),
-        starts=(0,),
+        start_indices=(0,),
     ),
-    Fault(
+    SeededFault(
         "an older report counts again",
         "grants",
         BUDGET + "heard",
@@ -50,60 +50,60 @@
         "if False:",
         ("under the estimate", "newer only", "fenced"),
         large=True,
-        starts=(6,),
+        start_indices=(6,),
     ),
-    Fault(
+    SeededFault(
         "grants are forgotten before they are confirmed",
         "grants",
         BUDGET + "heard",
         "if n >= report.number",
         "if n > report.number",
         ("under the estimate", "granted under it"),
-        starts=(0,),
+        start_indices=(0,),
     ),
-    Fault(
+    SeededFault(
         "one share is never dealt",
         "grants",
         BUDGET + "heard",
         "estimate - others))",
         "estimate - others - 1))",
         ("a share at last",),
-        starts=(0,),
+        start_indices=(0,),
     ),
-    Fault(
+    SeededFault(
         "an overtaken grant is gone by",
         "grants",
         HOLDER + "granted",
         "if grant.number <= self.number:",
         "if False:",
         ("newer only",),
-        starts=(3,),
+        start_indices=(3,),
     ),
-    Fault(
+    SeededFault(
         "a holder goes over its share by one",
         "grants",
         HOLDER + "begin",
         "self.under_way >= self.share",
         "self.under_way > self.share",
         ("within the share",),
-        starts=(0,),
+        start_indices=(0,),
     ),
-    Fault(
+    SeededFault(
         "a holder that is cut off goes on",
         "grants",
         HOLDER + "fence",
         "if now < self.until_ns or not self.under_way:",
         "if True:",
         ("fenced",),
-        starts=(2,),
+        start_indices=(2,),
     ),
-    Fault(
+    SeededFault(
         "a lease runs from when its grant came",
         "grants",
         HOLDER + "granted",
         "grant.sent_ns + self.span_ns",
         "max(self.until_ns, grant.sent_ns) + self.span_ns",
         ("fenced",),
-        starts=(2,),
+        start_indices=(2,),
     ),
 )
--- a/meadowworks/modelcheck/seeded_faults/registry.py
+++ b/meadowworks/modelcheck/seeded_faults/registry.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-from meadowworks.modelcheck.fault import Fault
+from meadowworks.modelcheck.fault import SeededFault
 
 FENCES = "meadowworks.registry.drain_log:DrainLog."
 REGISTRY_FAULTS = (
     *(
-        Fault(name, "roster", at, was, now, breaks)
+        SeededFault(name, "roster", at, was, now, breaks)
         for name, at, was, now, breaks in (
             (
                 "the own disk is not waited for",
--- a/meadowworks/modelcheck/seeded_faults/replica.py
+++ b/meadowworks/modelcheck/seeded_faults/replica.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-from meadowworks.modelcheck.fault import Fault
+from meadowworks.modelcheck.fault import SeededFault
 
 REGISTER, REPLICA = "meadowworks.consensus.register:", "meadowworks.consensus.replica:"
 ACCEPTOR, BOX = REGISTER + "Acceptor.", REPLICA + "Replica."
 REPLICA_FAULTS = (
     *(
-        Fault(name, "replica", at, was, now, breaks, starts=starts)
+        SeededFault(name, "replica", at, was, now, breaks, start_indices=starts)
         for name, at, was, now, breaks, starts in (
             (
                 "a reply leaves before its write",
--- a/meadowworks/modelcheck/seeded_faults/upstream.py
+++ b/meadowworks/modelcheck/seeded_faults/upstream.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-from meadowworks.modelcheck.fault import Fault
+from meadowworks.modelcheck.fault import SeededFault
 
 CLIENTS, BREAKS, KEPT, NAMELESS, BETWEEN = tuple(range(9)), (9,), (10,), (12,), (14,)  # worlds of the model
 LINE = "meadowworks.runtime.http_connection:ClientConnection."
 JOURNEY, ANSWERS = "meadowworks.forwarding.attempts:Journey.", "meadowworks.forwarding.response_check:"
 UPSTREAM_FAULTS = tuple(
-    Fault(name, "carriage", at, was, now, breaks, starts=starts)
+    SeededFault(name, "carriage", at, was, now, breaks, start_indices=starts)
     for name, at, was, now, breaks, starts in (
         (
             "bytes behind an answer stay on its line",
--- a/meadowworks/simulation/campaign.py
+++ b/meadowworks/simulation/campaign.py
@@ -12,27 +12,27 @@
 
 from meadowworks.cli.main import Bad
 from meadowworks.simulation import drill, guards
-from meadowworks.simulation.control import Counts
+from meadowworks.simulation.control import ScenarioCounts
 
-Found = tuple[int, Counts, list[str]]
+ScenarioOutcome = tuple[int, ScenarioCounts, list[str]]
 
 
 def main(point: int, seeds: str, without: str, listed: bool, processes: int, as_json: bool) -> int:
     if listed:
         for guard in guards.GUARDS:
-            seen = "seen by no day alone" if guard.name in guards.UNSEEN else f"point {guard.point}"
+            seen = "seen by no day alone" if guard.name in guards.MASKED_GUARDS else f"point {guard.point}"
             print(f"{guard.name:20} {seen:22} {guard.text}")
         return 0
-    if point not in drill.POINTS:
-        raise Bad(f"there is no point {point}: there are {', '.join(map(str, drill.POINTS))}")
+    if point not in drill.SCENARIOS:
+        raise Bad(f"there is no point {point}: there are {', '.join(map(str, drill.SCENARIOS))}")
     if (match := re.fullmatch(r"(\d{1,9}):(\d{1,9})", seeds)) is None or int(match[1]) >= int(match[2]):
         raise Bad(f"--seeds are A:B with A below B, not {seeds[:40]!r}")
-    if without and without not in guards.NAMES:
+    if without and without not in guards.GUARDS_BY_NAME:
         raise Bad(f"there is no guard {without!r}: --guards lists them")
     if not 1 <= processes <= 16:
         raise Bad("--processes is from 1 to 16")
     days = range(int(match[1]), int(match[2]))
-    total, found, complete = run(point, days, without, processes)
+    total, found, complete = run_seeds(point, days, without, processes)
     if as_json:
         shown: dict[str, Any] = {"point": point, "seeds": seeds, **asdict(total)}
         print(json.dumps(shown | {"without": without, "complete": complete, "found": found}))
@@ -42,24 +42,26 @@
         print("\n".join(found[:20]))
     if not complete:
         return 130
-    return 1 if total.faults() else 0
+    return 1 if total.violations() else 0
 
 
-def run(point: int, days: range, without: str, processes: int) -> tuple[Counts, list[str], bool]:
+def run_seeds(
+    point: int, days: range, without: str, processes: int
+) -> tuple[ScenarioCounts, list[str], bool]:
     """The sum of the days, what was found, and whether all days were played."""
-    total, done = Counts(), 0
+    total, done = ScenarioCounts(), 0
     found: list[str] = []
-    act = partial(day, point, without)
+    act = partial(run_seed, point, without)
     try:
         if processes == 1 or len(days) == 1:
             for one in map(act, days):
                 done += 1
-                take(total, found, one)
+                add_outcome(total, found, one)
         else:
-            with multiprocessing.Pool(min(processes, len(days)), ignore) as pool:
+            with multiprocessing.Pool(min(processes, len(days)), ignore_interrupts) as pool:
                 for one in pool.imap_unordered(act, days):
                     done += 1
-                    take(total, found, one)
+                    add_outcome(total, found, one)
                     if done % 50 == 0:
                         print(f"lab control: {done} of {len(days)} days", file=sys.stderr, flush=True)
     except KeyboardInterrupt:
@@ -68,20 +70,20 @@
     return total, sorted(found), True
 
 
-def ignore() -> None:
+def ignore_interrupts() -> None:
     """A Ctrl-C is the first process's to hear."""
     import signal
 
     signal.signal(signal.SIGINT, signal.SIG_IGN)
 
 
-def take(total: Counts, found: list[str], one: Found) -> None:
+def add_outcome(total: ScenarioCounts, found: list[str], one: ScenarioOutcome) -> None:
     seed, counts, texts = one
-    total.add(counts)
+    total.merge(counts)
     found += [f"seed {seed}: {text}" for text in texts[:3]]
 
 
-def day(point: int, without: str, seed: int) -> Found:
-    with guards.taken_out(without):
-        truth = drill.play(point, seed)
-    return seed, truth.counts, truth.found
+def run_seed(point: int, without: str, seed: int) -> ScenarioOutcome:
+    with guards.without_guard(without):
+        truth = drill.run_scenario(point, seed)
+    return seed, truth.counts, truth.messages
--- a/meadowworks/simulation/commands.py
+++ b/meadowworks/simulation/commands.py
@@ -45,7 +45,7 @@
         bool, Arg(long="--profile/--no-profile", help="where each role's time goes, by function")
     ] = False,
     most_mb: Annotated[float, Arg(long=True, help="of memory in a process; beyond it a run ends")] = 4000.0,
-    axis: Annotated[str, Arg(long=True, help=f"a series along one of {', '.join(series.POINTS)}")] = "",
+    axis: Annotated[str, Arg(long=True, help=f"a series along one of {', '.join(series.AXIS_VALUES)}")] = "",
     points: Annotated[str, Arg(long=True, help="of the series, with commas between")] = "",
     runs: Annotated[int, Arg(long=True, help="of each point, with other seeds")] = 1,
     processes: Annotated[int | None, Arg(long=True, help="at once, 16 at most; else 1, control 4")] = None,
@@ -66,10 +66,10 @@
 
         return campaign.main(point, seeds, without, guards, 4 if processes is None else processes, as_json)
     if what == "report":
-        return told(files or [], page)
+        return write_report(files or [], page)
     if what != "scale":
         raise Bad(f"there is no measurement {what!r}: there are cost, control, scale and report")
-    asked = scale.Asked(
+    asked = scale.ScaleSettings(
         controllers,
         boxes,
         zones,
@@ -88,34 +88,34 @@
         profile,
         most_mb,
     )
-    sound(asked)
+    check_settings(asked)
     many = 1 if processes is None else processes
     if runs < 1 or not 1 <= many <= 16:
         raise Bad("--runs is 1 or more, --processes from 1 to 16")
     if not axis and runs == 1:
-        found = scale.measure(asked, progress)
-        kept(keep, found)
-        print(json.dumps(found) if as_json else plain(found))
+        found = scale.measure(asked, print_progress)
+        append_result(keep, found)
+        print(json.dumps(found) if as_json else format_result(found))
         return 0 if found["complete"] else 130
-    if axis and axis not in series.POINTS:
-        raise Bad(f"there is no axis {axis!r}: there are {', '.join(series.POINTS)}")
-    values = numbers(points) or series.POINTS.get(axis, (0,))
+    if axis and axis not in series.AXIS_VALUES:
+        raise Bad(f"there is no axis {axis!r}: there are {', '.join(series.AXIS_VALUES)}")
+    values = parse_numbers(points) or series.AXIS_VALUES.get(axis, (0,))
     wanted = [
         replace(one, seed=seed + run)
         for value in values
         for run in range(runs)
-        for one in [series.point(asked, axis, value) if axis else asked]
+        for one in [series.settings_at(asked, axis, value) if axis else asked]
     ]
     for one in wanted:
-        sound(one)
+        check_settings(one)
     found_all = []
     complete = True
     try:
-        for found in series.play(wanted, many, progress):
-            kept(keep, found)
+        for found in series.run_series(wanted, many, print_progress):
+            append_result(keep, found)
             found_all.append(found)
             if not as_json:
-                print(plain(found), flush=True)
+                print(format_result(found), flush=True)
     except KeyboardInterrupt:
         complete = False
     except RuntimeError as trouble:
@@ -125,46 +125,46 @@
     return 0 if complete else 130
 
 
-def sound(asked: scale.Asked) -> None:
+def check_settings(settings: scale.ScaleSettings) -> None:
     """Raises Bad for what cannot be played."""
-    if not 1 <= asked.boxes <= 16 or asked.controllers <= asked.boxes:
+    if not 1 <= settings.boxes <= 16 or settings.controllers <= settings.boxes:
         raise Bad("--boxes is from 1 to 16, and there are more --controllers than that")
-    least = min(asked.zones, asked.backends, asked.services, asked.routes, asked.whole)
-    if least < 1 or not asked.seconds > 0:
+    least = min(settings.zones, settings.backends, settings.services, settings.routes, settings.whole)
+    if least < 1 or not settings.seconds > 0:
         raise Bad("--zones, --backends, --services, --routes and --whole are 1 or more, --seconds above 0")
-    if min(asked.changes, asked.churn, asked.requests) < 0 or not math.isfinite(
-        asked.changes + asked.churn + asked.requests + asked.seconds
+    if min(settings.changes, settings.churn, settings.requests) < 0 or not math.isfinite(
+        settings.changes + settings.churn + settings.requests + settings.seconds
     ):
         raise Bad("--changes, --churn and --requests are 0 or more")
-    if not asked.most_mb > 0:
+    if not settings.most_mb > 0:
         raise Bad("--most-mb is above 0")
-    if asked.loss and asked.loss not in scale.LOSSES:
-        raise Bad(f"there is no loss {asked.loss!r}: there are {', '.join(scale.LOSSES)}")
+    if settings.loss and settings.loss not in scale.LOSSES:
+        raise Bad(f"there is no loss {settings.loss!r}: there are {', '.join(scale.LOSSES)}")
 
 
-def numbers(text: str) -> tuple[float, ...]:
+def parse_numbers(text: str) -> tuple[float, ...]:
     try:
         return tuple(float(part) for part in text.split(",")) if text else ()
     except ValueError:
         raise Bad(f"--points are numbers with commas between, not {text[:40]!r}") from None
 
 
-def progress(line: str) -> None:
-    if series.QUIET not in os.environ:
+def print_progress(line: str) -> None:
+    if series.QUIET_VARIABLE not in os.environ:
         print(f"lab scale: {line}", file=sys.stderr, flush=True)
 
 
-def kept(file: Path | None, found: dict[str, Any]) -> None:
+def append_result(file: Path | None, found: dict[str, Any]) -> None:
     if file:
         file.parent.mkdir(parents=True, exist_ok=True)
         with file.open("a") as out:
             out.write(json.dumps(found) + "\n")
 
 
-def plain(found: dict[str, Any]) -> str:
+def format_result(found: dict[str, Any]) -> str:
     asked = found["asked"]
     lines = [
-        ", ".join(f"{name} {asked[name]:g}" for name in series.TARGET if name in asked)
+        ", ".join(f"{name} {asked[name]:g}" for name in series.TARGET_SIZES if name in asked)
         + ("" if found["complete"] else f" (not to its end: {found['why']})")
     ]
     for name, role in found["roles"].items():
@@ -187,21 +187,21 @@
     return "\n".join(lines)
 
 
-def told(files: list[Path], page: Path | None) -> int:
+def write_report(files: list[Path], page: Path | None) -> int:
     if not files:
         raise Bad("report wants the files that scale has kept")
     texts, pages = [], []
     for file in files:
         try:
             results = [json.loads(line) for line in file.read_text().splitlines() if line.strip()]
-            text, plots = report.report(results)
+            text, plots = report.build_report(results)
         except (OSError, ValueError) as trouble:
             raise Bad(f"{file}: {trouble}") from None
         except (KeyError, TypeError) as trouble:
             raise Bad(f"{file}: these are no results of scale: {trouble}") from None
         texts.append(text)
         pages.append(plots)
-    text, html = "\n\n".join(texts), report.page(pages)
+    text, html = "\n\n".join(texts), report.build_page(pages)
     if page:
         page.write_text(html)
     print(text)
--- a/meadowworks/simulation/control.py
+++ b/meadowworks/simulation/control.py
@@ -30,20 +30,23 @@
     Write,
     acceptor_for,
 )
-from meadowworks.simulation.disks import Medium, PlayedDisk
-from meadowworks.simulation.network import MS, SECOND, Network, Time
+from meadowworks.simulation.disks import SimulatedDisk, SimulatedStore
+from meadowworks.simulation.network import MS, SECOND, EventScheduler, Network
 
-POLL_NS, CALL_NS = SECOND // 2, SECOND  # that a pull without news is held; that any reply is waited for
-SYNC_NS = 4 * SECOND  # after which a machine that is back counts as there
-ACK_NS = 4 * SECOND
-WITHIN_NS = 900 * MS  # that a signalbox takes for an order or a read
-PATIENCE_NS = 12 * SECOND  # that an operator tries for
-NEVER = 1 << 62
-CALM_NS = 3 * SECOND  # without a fault, after which an order's time counts
+PULL_HOLD_NS, CALL_TIMEOUT_NS = (
+    SECOND // 2,
+    SECOND,
+)  # that a pull without news is held; that any reply is waited for
+CATCH_UP_NS = 4 * SECOND  # after which a machine that is back counts as there
+ACKNOWLEDGE_WITHIN_NS = 4 * SECOND
+OPERATION_TIMEOUT_NS = 900 * MS  # that a signalbox takes for an order or a read
+OPERATOR_TIMEOUT_NS = 12 * SECOND  # that an operator tries for
+NEVER_NS = 1 << 62
+CALM_BEFORE_TIMING_NS = 3 * SECOND  # without a fault, after which an order's time counts
 
 
 @dataclass
-class Counts:
+class ScenarioCounts:
     """What the days of a run came to. The fault columns are to be 0."""
 
     days: int = 0
@@ -65,53 +68,53 @@
     most_history: int = 0  # digests of past versions
     disk_kb: int = 0  # of one machine, the most
 
-    def add(self, other: Counts) -> None:
+    def merge(self, other: ScenarioCounts) -> None:
         for field in fields(self):
             mine, theirs = getattr(self, field.name), getattr(other, field.name)
-            joined = max(mine, theirs) if field.name in MOST else mine + theirs
+            joined = max(mine, theirs) if field.name in MAXIMA else mine + theirs
             setattr(self, field.name, joined)
 
-    def faults(self) -> dict[str, int]:
-        return {n: getattr(self, n) for n in FAULTS if getattr(self, n)}
+    def violations(self) -> dict[str, int]:
+        return {n: getattr(self, n) for n in VIOLATIONS if getattr(self, n)}
 
 
-MOST = ("slowest_ack_ms", "most_slots", "most_history", "disk_kb")
-FAULTS = (
+MAXIMA = ("slowest_ack_ms", "most_slots", "most_history", "disk_kb")
+VIOLATIONS = (
     "confirmed_twice", "old_served", "served_without_majority", "refused_though_taken", "acked_then_lost",
     "no_majority_left", "never_level", "led_with_old", "drains_forgotten", "wrong_caller", "ran_twice",
 )  # fmt: skip
 
 
-class Truth:
+class InvariantChecker:
     """What really happened, from outside of all machines."""
 
-    def __init__(self, day: Day) -> None:
-        self.day, self.counts = day, Counts(days=1)
-        self.found: list[str] = []
+    def __init__(self, scenario: Scenario) -> None:
+        self.scenario, self.counts = scenario, ScenarioCounts(days=1)
+        self.messages: list[str] = []
         self.chosen: dict[int, set[bytes]] = defaultdict(set)
-        self.acked: list[tuple[int, int]] = []  # time, highest version acknowledged until then
-        self.accepts: dict[tuple[int, Any], set[str]] = defaultdict(set)
-        self.installs: dict[int, set[str]] = defaultdict(set)
+        self.acknowledged: list[tuple[int, int]] = []  # time, highest version acknowledged until then
+        self.accepted_by: dict[tuple[int, Any], set[str]] = defaultdict(set)
+        self.installed_by: dict[int, set[str]] = defaultdict(set)
         self.epochs: dict[int, Epoch] = {}
         self.epoch_of: dict[str, int] = {}  # of a disk
-        self.in_force = -1  # the newest epoch that a majority of its members has installed
-        self.sets: dict[int, tuple[tuple[str, str], ...]] = {}
+        self.epoch_in_force = -1  # the newest epoch that a majority of its members has installed
+        self.members_of_epoch: dict[int, tuple[tuple[str, str], ...]] = {}
 
-    def fault(self, column: str, what: str) -> None:
+    def report_violation(self, column: str, detail: str) -> None:
         setattr(self.counts, column, getattr(self.counts, column) + 1)
-        if len(self.found) < 20:
-            self.found.append(f"{self.day.time.now / SECOND:.3f} {column}: {what}")
-        self.day.note("!", f"{column}: {what}")
+        if len(self.messages) < 20:
+            self.messages.append(f"{self.scenario.scheduler.now / SECOND:.3f} {column}: {detail}")
+        self.scenario.log("!", f"{column}: {detail}")
 
-    def is_chosen(self, version: int, content: bytes, who: str) -> None:
+    def on_chosen(self, version: int, content: bytes, source: str) -> None:
         if version > 0 and content not in self.chosen[version]:
             self.chosen[version].add(content)
             if len(self.chosen[version]) == 2:
-                self.fault("confirmed_twice", f"{version} is {self.chosen[version]} ({who})")
+                self.report_violation("confirmed_twice", f"{version} is {self.chosen[version]} ({source})")
 
-    def written(self, box: Box, effect: Write) -> None:
+    def on_persisted(self, node: ControlPlaneNode, effect: Write) -> None:
         """What is on a disk now."""
-        rows, name = effect.rows, box.replica.acceptor.disk
+        rows, name = effect.rows, node.replica.acceptor.disk
         if rows.meta is not None:
             self.epoch_of[name] = rows.meta["epoch"][0]
         for version, slot in rows.slots.items():
@@ -120,331 +123,352 @@
             if slot.accepted.epoch != self.epoch_of[name]:
                 continue  # a copy that came with a change of members
             epoch = self.epochs.get(slot.accepted.epoch)
-            voters = self.accepts[version, slot.accepted]
+            voters = self.accepted_by[version, slot.accepted]
             if name in voters:
                 continue
             voters.add(name)
             if epoch is not None and len([v for v in voters if epoch.has(v)]) == epoch.majority:
-                self.is_chosen(version, slot.content, box.address)
+                self.on_chosen(version, slot.content, node.address)
         if rows.meta is not None and rows.meta["installed"]:
             number, members = rows.meta["epoch"]
             epoch = Epoch(number, tuple((d, a) for d, a in members))
-            if self.sets.setdefault(number, epoch.members) != epoch.members:
-                self.fault("confirmed_twice", f"epoch {number} has two sets of members")
+            if self.members_of_epoch.setdefault(number, epoch.members) != epoch.members:
+                self.report_violation("confirmed_twice", f"epoch {number} has two sets of members")
             self.epochs[number] = epoch
             if epoch.has(name) or number == 0:
-                self.installs[number].add(name)
-            if len(self.installs[number]) >= epoch.majority and number > self.in_force:
-                self.in_force = number
-                self.day.note("*", f"epoch {number} in force: {[a for _, a in epoch.members]}")
+                self.installed_by[number].add(name)
+            if len(self.installed_by[number]) >= epoch.majority and number > self.epoch_in_force:
+                self.epoch_in_force = number
+                self.scenario.log("*", f"epoch {number} in force: {[a for _, a in epoch.members]}")
 
-    def newest(self, before: int) -> int:
+    def newest_acknowledged(self, before: int) -> int:
         """The highest version that was acknowledged at or before a time."""
-        for when, version in reversed(self.acked):
+        for when, version in reversed(self.acknowledged):
             if when <= before:
                 return version
         return 0
 
-    def is_acked(self, version: int, content: bytes, box: Box) -> None:
-        held = box.replica.acceptor.held
+    def on_acknowledged(self, version: int, content: bytes, node: ControlPlaneNode) -> None:
+        held = node.replica.acceptor.held
         if held.version == version:
-            self.is_chosen(version, content, f"acknowledged by {box.address}")
+            self.on_chosen(version, content, f"acknowledged by {node.address}")
         elif held.version < version:
-            self.fault("acked_then_lost", f"{version} acknowledged at {held.version}")
-        if version > self.newest(self.day.time.now):
-            self.acked.append((self.day.time.now, version))
-            for other in self.day.boxes.values():
-                if other.up and self.day.chance.random() < 0.2:
-                    soon = self.day.chance.randrange(4 * MS)
-                    self.day.time.after(soon, partial(other.do, other.life, other.read))
-
-    def refused(self, version: int, content: bytes, box: Box) -> None:
+            self.report_violation("acked_then_lost", f"{version} acknowledged at {held.version}")
+        if version > self.newest_acknowledged(self.scenario.scheduler.now):
+            self.acknowledged.append((self.scenario.scheduler.now, version))
+            for other in self.scenario.nodes.values():
+                if other.up and self.scenario.random.random() < 0.2:
+                    soon = self.scenario.random.randrange(4 * MS)
+                    self.scenario.scheduler.call_later(
+                        soon, partial(other.deliver, other.incarnation, other.read)
+                    )
+
+    def on_conflict(self, version: int, content: bytes, node: ControlPlaneNode) -> None:
         others = {digest(c) for c in self.chosen[version]} | {
-            d for b in self.day.boxes.values() if b.replica and (d := b.replica.acceptor.history.get(version))
+            d
+            for b in self.scenario.nodes.values()
+            if b.replica and (d := b.replica.acceptor.history.get(version))
         }
         if digest(content) in others or not others:
-            self.fault("refused_though_taken", f"{version} by {box.address}; chosen: {len(others)}")
+            self.report_violation(
+                "refused_though_taken", f"{version} by {node.address}; chosen: {len(others)}"
+            )
 
-    def contacts(self, box: Box, since: int) -> tuple[int, int]:
+    def count_contacts(self, node: ControlPlaneNode, since: int) -> tuple[int, int]:
         """How many of its epoch's members a signalbox may have heard of something that left later than
         `since`, and how many it needs."""
-        acceptor = box.replica.acceptor
-        epoch, network = acceptor.newest(), self.day.network
+        acceptor = node.replica.acceptor
+        epoch, network = acceptor.newest(), self.scenario.network
         heard = sum(
-            d in (acceptor.disk, acceptor.seat) or network.contact.get((a, box.address), -1) >= since
+            d in (acceptor.disk, acceptor.seat) or network.last_contact.get((a, node.address), -1) >= since
             for d, a in epoch.members
         )
         return heard, epoch.majority
 
-    def look(self, box: Box) -> None:
+    def check_lease(self, node: ControlPlaneNode) -> None:
         """What a junction or a caller would be told now."""
-        if not box.replica.sure(box.clock()):
+        if not node.replica.sure(node.local_time()):
             return
-        now = self.day.time.now
-        held = box.replica.acceptor.held
-        if held.version < self.newest(now - LEASE_NS) and not box.blamed:
-            box.blamed = True  # once a life
-            newest = self.newest(now - LEASE_NS)
-            self.fault("old_served", f"{box.address} is sure of {held.version} < {newest}")
-        heard, need = self.contacts(box, now - LEASE_NS - 20 * MS)
-        if heard < need and not box.lonely:
-            box.lonely = True
-            self.fault("served_without_majority", f"{box.address} is sure, heard {heard} of {need}")
-
-    def is_read(self, box: Box, asked: int, held: Held) -> None:
-        if held.version < self.newest(asked):
-            self.fault("old_served", f"{box.address} reads {held.version} < {self.newest(asked)}")
+        now = self.scenario.scheduler.now
+        held = node.replica.acceptor.held
+        if held.version < self.newest_acknowledged(now - LEASE_NS) and not node.stale_reported:
+            node.stale_reported = True  # once a life
+            newest = self.newest_acknowledged(now - LEASE_NS)
+            self.report_violation("old_served", f"{node.address} is sure of {held.version} < {newest}")
+        heard, need = self.count_contacts(node, now - LEASE_NS - 20 * MS)
+        if heard < need and not node.minority_reported:
+            node.minority_reported = True
+            self.report_violation(
+                "served_without_majority", f"{node.address} is sure, heard {heard} of {need}"
+            )
+
+    def on_read(self, node: ControlPlaneNode, started_ns: int, held: Held) -> None:
+        if held.version < self.newest_acknowledged(started_ns):
+            self.report_violation(
+                "old_served", f"{node.address} reads {held.version} < {self.newest_acknowledged(started_ns)}"
+            )
         if held.version:
-            self.is_chosen(held.version, held.content, f"read at {box.address}")
-        heard, need = self.contacts(box, asked)
+            self.on_chosen(held.version, held.content, f"read at {node.address}")
+        heard, need = self.count_contacts(node, started_ns)
         if heard < need:
-            self.fault("served_without_majority", f"{box.address} reads, heard {heard} of {need}")
+            self.report_violation("served_without_majority", f"{node.address} reads, heard {heard} of {need}")
 
 
-def accepted_of(acceptor: Acceptor, request: Any) -> Ballot:
+def accepted_ballot(acceptor: Acceptor, request: Any) -> Ballot:
     """Under which ballot an acceptor has accepted what a request asks for."""
     slot = acceptor.slots.get(request.version) if isinstance(request, Accept) else None
     return slot.accepted if slot else NONE
 
 
-class Box:
+class ControlPlaneNode:
     """A machine with a signalbox: what its shell does around `Replica`."""
 
-    def __init__(self, day: Day, address: str, voting: bool = True) -> None:
-        self.day, self.address, self.voting = day, address, voting
-        self.medium = Medium(day.chance)
+    def __init__(self, scenario: Scenario, address: str, voting: bool = True) -> None:
+        self.scenario, self.address, self.voting = scenario, address, voting
+        self.disk = SimulatedDisk(scenario.random)
         self.up: bool = False
-        self.frozen = self.leaving = self.removed = self.handed = False
-        self.post = -1
-        self.slow = False  # its disk
-        self.dark = 0  # looks at which it had no lease, in a row
-        self.life: int = 0
-        self.count = 0
-        self.offset = day.chance.randrange(1, 10**6) * SECOND
+        self.frozen = self.leaving = self.removed = self.handed_over = False
+        self.voter_index = -1
+        self.slow_disk = False  # its disk
+        self.checks_without_lease = 0  # looks at which it had no lease, in a row
+        self.incarnation: int = 0
+        self.operation_count = 0
+        self.clock_offset_ns = scenario.random.randrange(1, 10**6) * SECOND
         self.replica: Any = None
-        self.disk: Any = None
-        self.inbox: list[Callable[[], None]] = []
-        self.writing: Write | None = None
-        self.timer = 0
-        self.answers: dict[int, Callable[[Any], None]] = {}
-        self.polls: list[tuple[int, int, Callable[[], None]]] = []
-        self.blamed: bool = False
-        self.lonely: bool = False
-
-    def clock(self) -> int:
-        return self.day.time.now + self.offset
+        self.store: Any = None
+        self.deferred: list[Callable[[], None]] = []
+        self.pending_write: Write | None = None
+        self.timer_ns = 0
+        self.callbacks: dict[int, Callable[[Any], None]] = {}
+        self.held_pulls: list[tuple[int, int, Callable[[], None]]] = []
+        self.stale_reported: bool = False
+        self.minority_reported: bool = False
+
+    def local_time(self) -> int:
+        return self.scenario.scheduler.now + self.clock_offset_ns
 
     def start(self, bootstrap: bool = False) -> None:
         if self.up or self.removed:
             return
         self.up, self.frozen, self.leaving = True, False, False
-        self.life += 1
-        self.blamed = self.lonely = False
-        self.disk = PlayedDisk(self.medium)
-        stored = self.disk.load()
+        self.incarnation += 1
+        self.stale_reported = self.minority_reported = False
+        self.store = SimulatedStore(self.disk)
+        stored = self.store.load()
         acceptor = acceptor_for(
-            stored.meta, disk=f"{self.day.chance.getrandbits(64):016x}", address=self.address,
-            seeds=self.day.seeds, bootstrap=bootstrap, voting=self.voting,
+            stored.meta, disk=f"{self.scenario.random.getrandbits(64):016x}", address=self.address,
+            seeds=self.scenario.seed_addresses, bootstrap=bootstrap, voting=self.voting,
             held=stored.held, history=stored.history, slots=stored.slots,
         )  # fmt: skip
-        self.replica = Replica(acceptor, self.day.tolerate, self.day.chance.random)
+        self.replica = Replica(acceptor, self.scenario.tolerated_losses, self.scenario.random.random)
         epoch, held = acceptor.epoch.number, acceptor.held.version
-        self.note(f"starts: disk {acceptor.disk[:4]} epoch {epoch} at {held}")
-        self.replica.start(self.clock())
-        self.pump()
-        self.meet()
+        self.log(f"starts: disk {acceptor.disk[:4]} epoch {epoch} at {held}")
+        self.replica.start(self.local_time())
+        self.run_effects()
+        self.pull_from_all()
 
-    def meet(self) -> None:
+    def pull_from_all(self) -> None:
         """Begins to pull from whoever it does not pull from yet."""
-        life = self.life
-        for address in list(self.day.boxes):
+        life = self.incarnation
+        for address in list(self.scenario.nodes):
             if address != self.address:
-                self.day.time.after(self.day.chance.randrange(20 * MS), partial(self.pull, life, address))
+                self.scenario.scheduler.call_later(
+                    self.scenario.random.randrange(20 * MS), partial(self.pull, life, address)
+                )
 
-    def stop(self, power: bool) -> None:
+    def stop(self, power_lost: bool) -> None:
         """Ends the process at once; with `power`, the machine."""
         if not self.up:
             return
-        if self.writing is not None:
-            self.medium.left = self.day.chance.randrange(14)
+        if self.pending_write is not None:
+            self.disk.operations_left = self.scenario.random.randrange(14)
             try:
-                self.disk.save(self.writing.rows)
+                self.store.save(self.pending_write.rows)
             except sqlite3.Error:
                 pass
             else:
-                if not power:  # a killed process may have ended its write
-                    self.day.truth.written(self, self.writing)
-        self.up, self.writing, self.timer = False, None, 0
+                if not power_lost:  # a killed process may have ended its write
+                    self.scenario.checker.on_persisted(self, self.pending_write)
+        self.up, self.pending_write, self.timer_ns = False, None, 0
         if self.leaving:
             self.removed = True  # nobody starts it again
-            if not self.handed:
-                self.day.abrupt(self)
-        self.inbox, self.answers, self.polls = [], {}, []
-        self.life += 1
-        if power:
-            self.medium.power_lost()
+            if not self.handed_over:
+                self.scenario.ended_before_hand_over(self)
+        self.deferred, self.callbacks, self.held_pulls = [], {}, []
+        self.incarnation += 1
+        if power_lost:
+            self.disk.lose_power()
         else:
-            self.medium.killed()
-        self.disk.abandon()
-        self.note("loses power" if power else "is killed")
+            self.disk.kill_process()
+        self.store.abandon()
+        self.log("loses power" if power_lost else "is killed")
 
     def wipe(self) -> None:
-        self.stop(power=True)
-        self.medium.gone()
-        self.medium = Medium(self.day.chance)
+        self.stop(power_lost=True)
+        self.disk.remove()
+        self.disk = SimulatedDisk(self.scenario.random)
 
     def freeze(self) -> None:
         self.frozen = self.up
-        self.note("freezes")
+        self.log("freezes")
 
     def thaw(self) -> None:
         if not self.frozen:
             return
         self.frozen = False
-        self.note("thaws")
-        self.day.truth.look(self)
-        inbox, self.inbox = self.inbox, []
-        self.day.chance.shuffle(inbox)
+        self.log("thaws")
+        self.scenario.checker.check_lease(self)
+        inbox, self.deferred = self.deferred, []
+        self.scenario.random.shuffle(inbox)
         for act in inbox:
             if self.up:
                 act()
-                self.pump()
+                self.run_effects()
 
-    def do(self, life: int, act: Callable[[], None]) -> None:
+    def deliver(self, incarnation: int, action: Callable[[], None]) -> None:
         """Something happens to the process of a life."""
-        if not self.up or life != self.life:
+        if not self.up or incarnation != self.incarnation:
             return
         if self.frozen:
-            if len(self.inbox) < 5000:
-                self.inbox.append(partial(self.do, life, act))
+            if len(self.deferred) < 5000:
+                self.deferred.append(partial(self.deliver, incarnation, action))
             return
-        act()
-        self.pump()
+        action()
+        self.run_effects()
 
-    def note(self, text: str) -> None:
-        self.day.note(self.address, text)
+    def log(self, text: str) -> None:
+        self.scenario.log(self.address, text)
 
     # -- effects
 
-    def pump(self) -> None:
-        time = self.day.time
+    def run_effects(self) -> None:
+        time = self.scenario.scheduler
         while effects := self.replica.take():
             for effect in effects:
                 match effect:
                     case Write():
-                        self.writing = effect
-                        chance = self.day.chance
-                        slow = self.slow or chance.random() < 0.02
+                        self.pending_write = effect
+                        chance = self.scenario.random
+                        slow = self.slow_disk or chance.random() < 0.02
                         wait = chance.uniform(20, 250) if slow else chance.uniform(1, 6)
-                        time.after(int(wait * MS), partial(self.do, self.life, partial(self.save, effect)))
+                        time.call_later(
+                            int(wait * MS),
+                            partial(self.deliver, self.incarnation, partial(self.persist, effect)),
+                        )
                     case Ask(question, address, request):
-                        self.send(question, address, request)
+                        self.send_request(question, address, request)
                     case Tell((source, life, question), who, reply):
-                        self.tell(source, life, question, who, reply)
+                        self.send_reply(source, life, question, who, reply)
                     case Answer(order, outcome):
-                        if (act := self.answers.pop(order, None)) is not None:
+                        if (act := self.callbacks.pop(order, None)) is not None:
                             act(outcome)
                     case InForce(held):
-                        self.day.truth.is_chosen(held.version, held.content, f"in force at {self.address}")
-                        self.note(f"in force: {held.version}")
+                        self.scenario.checker.on_chosen(
+                            held.version, held.content, f"in force at {self.address}"
+                        )
+                        self.log(f"in force: {held.version}")
                     case Note(text):
-                        self.note(text)
+                        self.log(text)
         acceptor = self.replica.acceptor
-        self.day.truth.look(self)
+        self.scenario.checker.check_lease(self)
         state = acceptor.held.version, acceptor.epoch.number
-        waked = [p for p in self.polls if p[0] < state[0] or p[1] < state[1]]
-        self.polls = [p for p in self.polls if p not in waked]
+        waked = [p for p in self.held_pulls if p[0] < state[0] or p[1] < state[1]]
+        self.held_pulls = [p for p in self.held_pulls if p not in waked]
         for poll in waked:
             poll[2]()
-        due = max(time.now + MS // 10, self.replica.due() - self.offset)
-        if not self.timer or due < self.timer or self.timer <= time.now:
-            self.timer = due
-            time.at(due, partial(self.turn, self.life, due))
+        due = max(time.now + MS // 10, self.replica.due() - self.clock_offset_ns)
+        if not self.timer_ns or due < self.timer_ns or self.timer_ns <= time.now:
+            self.timer_ns = due
+            time.call_at(due, partial(self.on_timer, self.incarnation, due))
 
-    def turn(self, life: int, due: int) -> None:
-        if self.up and life == self.life and self.timer == due:
-            self.do(life, self.tick)
+    def on_timer(self, incarnation: int, due_ns: int) -> None:
+        if self.up and incarnation == self.incarnation and self.timer_ns == due_ns:
+            self.deliver(incarnation, self.tick)
 
     def tick(self) -> None:
-        self.timer = 0
-        self.replica.tick(self.clock())
+        self.timer_ns = 0
+        self.replica.tick(self.local_time())
 
-    def save(self, effect: Write) -> None:
-        if self.day.chance.random() < self.day.refusals:
-            self.replica.unwritten(self.clock(), effect.mark)
+    def persist(self, effect: Write) -> None:
+        if self.scenario.random.random() < self.scenario.write_failure_rate:
+            self.replica.unwritten(self.local_time(), effect.mark)
             return
-        self.disk.save(effect.rows)
-        self.writing = None
-        self.day.truth.written(self, effect)
-        self.replica.written(self.clock(), effect.mark)
-        counts, acceptor = self.day.truth.counts, self.replica.acceptor
+        self.store.save(effect.rows)
+        self.pending_write = None
+        self.scenario.checker.on_persisted(self, effect)
+        self.replica.written(self.local_time(), effect.mark)
+        counts, acceptor = self.scenario.checker.counts, self.replica.acceptor
         counts.most_slots = max(counts.most_slots, len(acceptor.slots))
         counts.most_history = max(counts.most_history, len(acceptor.history))
-        counts.disk_kb = max(counts.disk_kb, self.medium.size() // 1024)
+        counts.disk_kb = max(counts.disk_kb, self.disk.size_bytes() // 1024)
 
-    def send(self, question: int, address: str, request: Any) -> None:
-        life, time = self.life, self.day.time
-        found = self.day.boxes.get(address)
-        fail = partial(self.do, life, lambda: self.replica.failed(self.clock(), question))
+    def send_request(self, request_id: int, address: str, request: Any) -> None:
+        life, time = self.incarnation, self.scenario.scheduler
+        found = self.scenario.nodes.get(address)
+        fail = partial(self.deliver, life, lambda: self.replica.failed(self.local_time(), request_id))
         if found is None or not found.up:
-            time.after(MS, fail)
+            time.call_later(MS, fail)
             return
         target = found
-        time.after(CALL_NS, fail)
+        time.call_later(CALL_TIMEOUT_NS, fail)
 
         def arrive() -> None:
-            ticket = (self.address, life, question)
-            target.do(target.life, partial(target.asked, ticket, request))
+            ticket = (self.address, life, request_id)
+            target.deliver(target.incarnation, partial(target.on_request, ticket, request))
 
-        self.day.network.send(self.address, address, arrive)
+        self.scenario.network.send(self.address, address, arrive)
 
-    def asked(self, ticket: Any, request: Any) -> None:
+    def on_request(self, ticket: Any, request: Any) -> None:
         acceptor = self.replica.acceptor
         over = acceptor.sealed is not None or acceptor.newest().number > request.epoch
-        before = [accepted_of(acceptor, request)]
-        self.replica.asked(self.clock(), ticket, request)
-        if over and accepted_of(acceptor, request) not in (*before, NONE):
-            self.day.truth.fault("led_with_old", f"{self.address} takes {request.version} late")
+        before = [accepted_ballot(acceptor, request)]
+        self.replica.asked(self.local_time(), ticket, request)
+        if over and accepted_ballot(acceptor, request) not in (*before, NONE):
+            self.scenario.checker.report_violation(
+                "led_with_old", f"{self.address} takes {request.version} late"
+            )
 
-    def tell(self, source: str, life: int, question: int, who: str, reply: Any) -> None:
-        asker = self.day.boxes[source]
+    def send_reply(self, source: str, incarnation: int, request_id: int, who: str, reply: Any) -> None:
+        asker = self.scenario.nodes[source]
 
         def arrive() -> None:
-            asker.do(life, lambda: asker.replica.heard(asker.clock(), question, who, reply))
+            asker.deliver(
+                incarnation, lambda: asker.replica.heard(asker.local_time(), request_id, who, reply)
+            )
 
-        self.day.network.send(self.address, source, arrive)
+        self.scenario.network.send(self.address, source, arrive)
 
     # -- pulls
 
-    def pull(self, life: int, address: str) -> None:
-        if not self.up or life != self.life:
+    def pull(self, incarnation: int, address: str) -> None:
+        if not self.up or incarnation != self.incarnation:
             return
         if self.frozen:
-            self.inbox.append(partial(self.pull, life, address))
+            self.deferred.append(partial(self.pull, incarnation, address))
             return
-        target, time, network = self.day.boxes[address], self.day.time, self.day.network
+        target, time, network = self.scenario.nodes[address], self.scenario.scheduler, self.scenario.network
         if target.removed:
             return
-        acceptor, left, open_ = self.replica.acceptor, self.clock(), [True]
+        acceptor, left, open_ = self.replica.acceptor, self.local_time(), [True]
         version, epoch = acceptor.held.version, acceptor.newest().number
 
         def again(wait: int) -> None:
             if open_:
                 open_.clear()
-                time.after(wait, partial(self.pull, life, address))
+                time.call_later(wait, partial(self.pull, incarnation, address))
 
         def reply(seen: Seen, newer: Epoch | None, held: Held | None, history: Any) -> None:
             def act() -> None:
                 if not open_:
                     return  # the call was given up
                 if newer is not None:
-                    self.replica.told(self.clock(), newer)
-                self.replica.met(self.clock(), left, seen)
+                    self.replica.told(self.local_time(), newer)
+                self.replica.met(self.local_time(), left, seen)
                 if held is not None:
-                    self.replica.learn(self.clock(), held, history)
+                    self.replica.learn(self.local_time(), held, history)
                 again(10 * MS)
 
-            self.do(life, act)
+            self.deliver(incarnation, act)
 
         def answer(there: int) -> None:
             def act() -> None:
@@ -454,11 +478,11 @@
                 sent = partial(reply, theirs.seen(), theirs.epoch if news else None, held, theirs.past())
                 network.send(address, self.address, sent)
 
-            if target.up and there == target.life:
-                target.do(there, act)
+            if target.up and there == target.incarnation:
+                target.deliver(there, act)
 
         def arrive() -> None:
-            there = target.life
+            there = target.incarnation
             if not target.up:
                 return
             theirs = target.replica.acceptor
@@ -466,147 +490,157 @@
                 answer(there)
                 return
             poll = (version, epoch, partial(answer, there))
-            target.polls.append(poll)
+            target.held_pulls.append(poll)
 
             def over() -> None:
-                if poll in target.polls:
-                    target.polls.remove(poll)
+                if poll in target.held_pulls:
+                    target.held_pulls.remove(poll)
                     answer(there)
 
-            time.after(POLL_NS, over)
+            time.call_later(PULL_HOLD_NS, over)
 
         if not target.up:
             again(300 * MS)
             return
-        time.after(CALL_NS, partial(self.do, life, partial(again, 10 * MS)))
+        time.call_later(CALL_TIMEOUT_NS, partial(self.deliver, incarnation, partial(again, 10 * MS)))
         network.send(self.address, address, arrive)
 
     # -- callers
 
-    def order(self, version: int, content: bytes, told: Callable[[Any], None]) -> None:
-        self.count += 1
-        self.answers[self.count] = told
-        self.replica.order(self.clock(), self.count, version, content, self.clock() + WITHIN_NS)
+    def submit(self, version: int, content: bytes, on_outcome: Callable[[Any], None]) -> None:
+        self.operation_count += 1
+        self.callbacks[self.operation_count] = on_outcome
+        self.replica.order(
+            self.local_time(),
+            self.operation_count,
+            version,
+            content,
+            self.local_time() + OPERATION_TIMEOUT_NS,
+        )
 
     def read(self) -> None:
-        self.count += 1
-        asked = self.day.time.now
+        self.operation_count += 1
+        asked = self.scenario.scheduler.now
 
         def told(outcome: Any) -> None:
             if isinstance(outcome, Held):
-                self.day.truth.is_read(self, asked, outcome)
+                self.scenario.checker.on_read(self, asked, outcome)
 
-        self.answers[self.count] = told
-        self.replica.read(self.clock(), self.count, self.clock() + WITHIN_NS)
+        self.callbacks[self.operation_count] = told
+        self.replica.read(self.local_time(), self.operation_count, self.local_time() + OPERATION_TIMEOUT_NS)
 
-    def leave(self, grace: int) -> None:
+    def shut_down(self, grace_ns: int) -> None:
         """Ends as a SIGTERM ends it: hands over, then is gone."""
         if not self.up or self.leaving:
             return
         self.leaving = True
-        self.note("leaves")
-        life = self.life
+        self.log("leaves")
+        life = self.incarnation
 
         def gone(outcome: Any = None) -> None:
-            if self.up and self.life == life:
-                self.note(f"has left: {outcome}")
-                self.handed = isinstance(outcome, Taken)
-                self.day.time.after(0, partial(self.finish, life))
+            if self.up and self.incarnation == life:
+                self.log(f"has left: {outcome}")
+                self.handed_over = isinstance(outcome, Taken)
+                self.scenario.scheduler.call_later(0, partial(self.finish_shutdown, life))
 
-        self.answers[LEAVE] = gone
+        self.callbacks[LEAVE] = gone
 
         def act() -> None:
-            self.replica.leave(self.clock(), self.clock() + grace - 200 * MS)
+            self.replica.leave(self.local_time(), self.local_time() + grace_ns - 200 * MS)
 
-        self.do(life, act)
-        self.day.time.after(grace, partial(self.finish, life))
+        self.deliver(life, act)
+        self.scenario.scheduler.call_later(grace_ns, partial(self.finish_shutdown, life))
 
-    def finish(self, life: int) -> None:
-        if self.up and self.life == life:
-            self.stop(power=False)
+    def finish_shutdown(self, incarnation: int) -> None:
+        if self.up and self.incarnation == incarnation:
+            self.stop(power_lost=False)
 
 
-class Order:
+class OperatorUpdate:
     """A change that an operator carries to any signalbox until it is acknowledged or refused."""
 
     def __init__(
         self,
-        day: Day,
+        scenario: Scenario,
         version: int,
         content: bytes,
-        loss: float,
-        wide: bool = False,
-        first: Box | None = None,
-        patience: int = PATIENCE_NS,
+        reply_loss: float,
+        send_twice: bool = False,
+        first_node: ControlPlaneNode | None = None,
+        timeout_ns: int = OPERATOR_TIMEOUT_NS,
     ) -> None:
-        self.day, self.version, self.content, self.loss = day, version, content, loss
-        self.born, self.patience = day.time.now, patience
-        self.done: int | None = None
-        self.last: Box | None = None  # that it was sent to
-        self.taken = self.refused = False
-        self.pause = 100 * MS
-        day.truth.counts.orders += 1
-        day.highest = max(day.highest, version)
-        for _ in range(2 if wide else 1):
-            self.attempt(first)
-
-    def confirmed(self) -> None:
+        self.scenario, self.version, self.content, self.reply_loss = scenario, version, content, reply_loss
+        self.submitted_ns, self.timeout_ns = scenario.scheduler.now, timeout_ns
+        self.acknowledged_ns: int | None = None
+        self.last_node: ControlPlaneNode | None = None  # that it was sent to
+        self.committed = self.rejected = False
+        self.backoff_ns = 100 * MS
+        scenario.checker.counts.orders += 1
+        scenario.highest_version = max(scenario.highest_version, version)
+        for _ in range(2 if send_twice else 1):
+            self.attempt(first_node)
+
+    def on_committed(self) -> None:
         """A signalbox has acknowledged it, whether or not the operator hears it."""
-        day = self.day
-        if not self.taken and not day.disturbed and day.troubled + CALM_NS < self.born:
-            took = (day.time.now - self.born) // MS
-            day.truth.counts.slowest_ack_ms = max(day.truth.counts.slowest_ack_ms, took)
-        self.taken = True
-
-    def over(self) -> bool:
-        return self.done is not None or self.refused
-
-    def attempt(self, first: Box | None = None) -> None:
-        day = self.day
-        if self.over() or day.time.now - self.born > self.patience:
+        day = self.scenario
+        if (
+            not self.committed
+            and not day.fault_active
+            and day.last_fault_ns + CALM_BEFORE_TIMING_NS < self.submitted_ns
+        ):
+            took = (day.scheduler.now - self.submitted_ns) // MS
+            day.checker.counts.slowest_ack_ms = max(day.checker.counts.slowest_ack_ms, took)
+        self.committed = True
+
+    def is_finished(self) -> bool:
+        return self.acknowledged_ns is not None or self.rejected
+
+    def attempt(self, first_node: ControlPlaneNode | None = None) -> None:
+        day = self.scenario
+        if self.is_finished() or day.scheduler.now - self.submitted_ns > self.timeout_ns:
             return
-        boxes = [b for b in day.boxes.values() if not b.removed and b.voting]
-        others = [b for b in boxes if b is not self.last] or boxes
-        self.last = box = first or day.chance.choice(others)
+        boxes = [b for b in day.nodes.values() if not b.removed and b.voting]
+        others = [b for b in boxes if b is not self.last_node] or boxes
+        self.last_node = box = first_node or day.random.choice(others)
         waiting = [True]
 
         def again() -> None:
             if waiting:
                 waiting.clear()
-                self.pause = min(2 * SECOND, self.pause * 3 // 2)
-                day.time.after(int(self.pause * day.chance.uniform(0.5, 1)), self.attempt)
+                self.backoff_ns = min(2 * SECOND, self.backoff_ns * 3 // 2)
+                day.scheduler.call_later(int(self.backoff_ns * day.random.uniform(0.5, 1)), self.attempt)
 
         def told(outcome: Any) -> None:
             match outcome:
                 case Taken():
-                    day.truth.is_acked(self.version, self.content, box)
-                    self.confirmed()
+                    day.checker.on_acknowledged(self.version, self.content, box)
+                    self.on_committed()
                 case Another():
-                    day.truth.refused(self.version, self.content, box)
-            if day.chance.random() < self.loss:
+                    day.checker.on_conflict(self.version, self.content, box)
+            if day.random.random() < self.reply_loss:
                 return
             match outcome:
-                case Taken() if self.done is None:
-                    self.done = day.time.now
-                    day.truth.counts.acked += 1
+                case Taken() if self.acknowledged_ns is None:
+                    self.acknowledged_ns = day.scheduler.now
+                    day.checker.counts.acked += 1
                 case Another():
-                    self.refused = True
-            if self.over():
+                    self.rejected = True
+            if self.is_finished():
                 waiting.clear()
             else:
                 again()
 
         if not box.up:
-            day.time.after(MS, again)
+            day.scheduler.call_later(MS, again)
             return
-        day.time.after(SECOND, again)
-        day.time.after(
-            day.chance.randrange(MS, 4 * MS),
-            partial(box.do, box.life, lambda: box.order(self.version, self.content, told)),
+        day.scheduler.call_later(SECOND, again)
+        day.scheduler.call_later(
+            day.random.randrange(MS, 4 * MS),
+            partial(box.deliver, box.incarnation, lambda: box.submit(self.version, self.content, told)),
         )
 
 
-class Day:
+class Scenario:
     """One seeded day of a point.
 
     `posts` are the places that voting machines have, and until when each counts as lost: a machine that is
@@ -614,210 +648,246 @@
     but for kills and losses of power that take no disk."""
 
     def __init__(self, seed: int, trace: Callable[[str], None] | None = None) -> None:
-        self.chance = random.Random(seed)
-        self.time = Time()
-        self.network = Network(self.time, random.Random(seed + 1))
+        self.random = random.Random(seed)
+        self.scheduler = EventScheduler()
+        self.network = Network(self.scheduler, random.Random(seed + 1))
         self.trace = trace
-        self.truth = Truth(self)
-        self.boxes: dict[str, Box] = {}
-        self.tolerate = 2 if self.chance.random() < 0.25 else 1
-        size = 2 * self.tolerate + 1
-        self.seeds = tuple(f"10.0.0.{n}" for n in range(1, 4))
-        self.named = 0
-        self.refusals = self.chance.choice([0, 0, 0.02])
-        self.highest = 0  # version sent
-        self.troubled = 0  # when the newest fault began or ended
-        self.orders: list[Order] = []
-        self.disturbed = False  # a machine or a link is in trouble
-        self.posts: list[Box] = [self.add() for _ in range(size)]
-        self.lost = [0] * size
-        for post, box in enumerate(self.posts):
-            box.post = post
-        for box in self.boxes.values():
-            self.time.at(self.chance.randrange(300 * MS), partial(box.start, True))
-        if self.chance.random() < 0.2:
-            self.time.at(self.chance.randrange(300 * MS), self.add(voting=False).start)
-        noisy = self.chance.random()
+        self.checker = InvariantChecker(self)
+        self.nodes: dict[str, ControlPlaneNode] = {}
+        self.tolerated_losses = 2 if self.random.random() < 0.25 else 1
+        size = 2 * self.tolerated_losses + 1
+        self.seed_addresses = tuple(f"10.0.0.{n}" for n in range(1, 4))
+        self.node_count = 0
+        self.write_failure_rate = self.random.choice([0, 0, 0.02])
+        self.highest_version = 0  # version sent
+        self.last_fault_ns = 0  # when the newest fault began or ended
+        self.updates: list[OperatorUpdate] = []
+        self.fault_active = False  # a machine or a link is in trouble
+        self.voters_by_index: list[ControlPlaneNode] = [self.add_node() for _ in range(size)]
+        self.lost_until_ns = [0] * size
+        for post, box in enumerate(self.voters_by_index):
+            box.voter_index = post
+        for box in self.nodes.values():
+            self.scheduler.call_at(self.random.randrange(300 * MS), partial(box.start, True))
+        if self.random.random() < 0.2:
+            self.scheduler.call_at(self.random.randrange(300 * MS), self.add_node(voting=False).start)
+        noisy = self.random.random()
         if noisy < 0.4:
-            self.network.lose, self.network.double, self.network.late = 0.01, 0.02, 0.02
+            self.network.loss_rate, self.network.duplicate_rate, self.network.late_rate = 0.01, 0.02, 0.02
 
-    def add(self, voting: bool = True) -> Box:
-        self.named += 1
-        box = Box(self, f"10.0.0.{self.named}", voting)
-        self.boxes[box.address] = box
-        for other in self.boxes.values():
+    def add_node(self, voting: bool = True) -> ControlPlaneNode:
+        self.node_count += 1
+        box = ControlPlaneNode(self, f"10.0.0.{self.node_count}", voting)
+        self.nodes[box.address] = box
+        for other in self.nodes.values():
             if other.up:
-                self.time.after(self.chance.randrange(200 * MS), partial(other.pull, other.life, box.address))
+                self.scheduler.call_later(
+                    self.random.randrange(200 * MS), partial(other.pull, other.incarnation, box.address)
+                )
         return box
 
-    def note(self, who: str, text: str) -> None:
+    def log(self, who: str, text: str) -> None:
         if self.trace is not None:
-            self.trace(f"{self.time.now / SECOND:9.4f} {who:10} {text}")
+            self.trace(f"{self.scheduler.now / SECOND:9.4f} {who:10} {text}")
 
-    def voters(self) -> list[Box]:
-        return [b for b in self.boxes.values() if b.voting and not b.removed]
+    def voters(self) -> list[ControlPlaneNode]:
+        return [b for b in self.nodes.values() if b.voting and not b.removed]
 
-    def trouble(self) -> None:
-        self.troubled = self.time.now
+    def mark_fault(self) -> None:
+        self.last_fault_ns = self.scheduler.now
 
     # -- callers
 
-    def order_now(self, loss: float = 0.05, rivals: int = 0) -> None:
+    def submit_update(self, reply_loss: float = 0.05, rivals: int = 0) -> None:
         """An operator's next change; `rivals` others send their own under the same number, some the same."""
-        version = self.highest + self.chance.choice([1, 1, 1, 2, 5])
+        version = self.highest_version + self.random.choice([1, 1, 1, 2, 5])
         contents = [f"{version}-{n}".encode() for n in range(rivals + 1)]
         for n in range(rivals + 1):
-            content = contents[n] if n == 0 or self.chance.random() < 0.8 else contents[0]
-            wait = 0 if n == 0 else self.chance.randrange(50 * MS)
-            self.time.after(wait, partial(self.send, version, content, loss))
+            content = contents[n] if n == 0 or self.random.random() < 0.8 else contents[0]
+            wait = 0 if n == 0 else self.random.randrange(50 * MS)
+            self.scheduler.call_later(wait, partial(self.send_update, version, content, reply_loss))
 
-    def send(self, version: int, content: bytes, loss: float) -> None:
-        self.orders.append(Order(self, version, content, loss, self.chance.random() < 0.3))
+    def send_update(self, version: int, content: bytes, reply_loss: float) -> None:
+        self.updates.append(OperatorUpdate(self, version, content, reply_loss, self.random.random() < 0.3))
 
-    def resend(self) -> None:
+    def resend_update(self) -> None:
         """An order whose answer came, or did not, is sent again as it was."""
-        if self.orders:
-            old = self.chance.choice(self.orders[-6:])
-            self.send(old.version, old.content, 0.2)
+        if self.updates:
+            old = self.random.choice(self.updates[-6:])
+            self.send_update(old.version, old.content, 0.2)
 
-    def read_now(self) -> None:
-        box = self.chance.choice(list(self.boxes.values()))
+    def read_somewhere(self) -> None:
+        box = self.random.choice(list(self.nodes.values()))
         if box.up:
-            box.do(box.life, box.read)
+            box.deliver(box.incarnation, box.read)
 
-    def busy(
+    def generate_load(
         self,
-        start: int,
-        end: int,
-        orders_ms: tuple[int, int],
-        act: Callable[[], None],
-        reads_ms: tuple[int, int] = (50, 400),
+        start_ns: int,
+        end_ns: int,
+        update_gap_ms: tuple[int, int],
+        update: Callable[[], None],
+        read_gap_ms: tuple[int, int] = (50, 400),
     ) -> None:
         """Orders and reads between two times."""
 
         def some(what: Callable[[], None], low: int, high: int) -> None:
-            if self.time.now < end:
+            if self.scheduler.now < end_ns:
                 what()
-                self.time.after(self.chance.randrange(low, high) * MS, partial(some, what, low, high))
+                self.scheduler.call_later(
+                    self.random.randrange(low, high) * MS, partial(some, what, low, high)
+                )
 
-        self.time.at(start, partial(some, act, *orders_ms))
-        self.time.at(start, partial(some, self.read_now, *reads_ms))
-        self.time.at(start, partial(some, self.glance, 30, 60))
+        self.scheduler.call_at(start_ns, partial(some, update, *update_gap_ms))
+        self.scheduler.call_at(start_ns, partial(some, self.read_somewhere, *read_gap_ms))
+        self.scheduler.call_at(start_ns, partial(some, self.check_leases, 30, 60))
 
-    def glance(self) -> None:
-        calm = self.calm()
-        for box in self.boxes.values():
+    def check_leases(self) -> None:
+        calm = self.is_calm()
+        for box in self.nodes.values():
             if not box.up or box.frozen:
                 continue
-            self.truth.look(box)
-            box.dark = box.dark + 1 if calm and not box.replica.sure(box.clock()) else 0
-            if box.dark == 30:
-                self.truth.fault("never_level", f"{box.address} has no lease for a second of calm")
-
-    def calm(self) -> bool:
+            self.checker.check_lease(box)
+            box.checks_without_lease = (
+                box.checks_without_lease + 1 if calm and not box.replica.sure(box.local_time()) else 0
+            )
+            if box.checks_without_lease == 30:
+                self.checker.report_violation(
+                    "never_level", f"{box.address} has no lease for a second of calm"
+                )
+
+    def is_calm(self) -> bool:
         """No fault, and none of the last seconds."""
-        now = self.time.now
+        now = self.scheduler.now
         return not (
-            self.disturbed or self.network.cuts or self.troubled + 2 * SYNC_NS > now or max(self.lost) > now
+            self.fault_active
+            or self.network.cuts
+            or self.last_fault_ns + 2 * CATCH_UP_NS > now
+            or max(self.lost_until_ns) > now
         )
 
     # -- faults
 
-    def spare(self, post: int) -> bool:
+    def may_lose(self, index: int) -> bool:
         """Whether this post may be lost now."""
-        now = self.time.now
-        return len([p for p in range(len(self.lost)) if self.lost[p] > now or p == post]) <= self.tolerate
+        now = self.scheduler.now
+        return (
+            len([p for p in range(len(self.lost_until_ns)) if self.lost_until_ns[p] > now or p == index])
+            <= self.tolerated_losses
+        )
 
-    def free(self) -> list[int]:
+    def losable_voters(self) -> list[int]:
         """Posts that may be lost now, and are not."""
-        return [p for p, until in enumerate(self.lost) if until <= self.time.now and self.spare(p)]
+        return [
+            p
+            for p, until in enumerate(self.lost_until_ns)
+            if until <= self.scheduler.now and self.may_lose(p)
+        ]
 
-    def abrupt(self, box: Box) -> None:
+    def ended_before_hand_over(self, node: ControlPlaneNode) -> None:
         """A machine that was to hand over has ended before: to the others it is lost like any, until they
         have had the time to see that."""
-        self.lost[box.post] = max(self.lost[box.post], self.time.now + SYNC_NS)
+        self.lost_until_ns[node.voter_index] = max(
+            self.lost_until_ns[node.voter_index], self.scheduler.now + CATCH_UP_NS
+        )
 
-    def there(self, post: int) -> None:
+    def voter_returned(self, index: int) -> None:
         """The machine of a post has started, or is in touch again."""
-        self.lost[post] = self.time.now + SYNC_NS
-        self.posts[post].post = post
-        self.level(self.posts[post])
-
-    def isolate(self, box: Box, how: str) -> None:
-        self.trouble()
-        self.disturbed = True
-        self.note("#", f"{box.address} is cut off: {how}")
+        self.lost_until_ns[index] = self.scheduler.now + CATCH_UP_NS
+        self.voters_by_index[index].voter_index = index
+        self.expect_catch_up(self.voters_by_index[index])
+
+    def isolate(self, node: ControlPlaneNode, how: str) -> None:
+        self.mark_fault()
+        self.fault_active = True
+        self.log("#", f"{node.address} is cut off: {how}")
         if how == "frozen":
-            box.freeze()
+            node.freeze()
             return
-        for other in list(self.boxes):
-            if other == box.address:
+        for other in list(self.nodes):
+            if other == node.address:
                 continue
             if how in ("both", "in"):
-                self.network.cut(other, box.address)
+                self.network.cut(other, node.address)
             if how in ("both", "out"):
-                self.network.cut(box.address, other)
+                self.network.cut(node.address, other)
 
     def heal(self) -> None:
-        self.trouble()
-        self.disturbed = False
-        self.note("#", "all links are whole")
-        self.network.join()
-        for box in self.boxes.values():
+        self.mark_fault()
+        self.fault_active = False
+        self.log("#", "all links are whole")
+        self.network.heal()
+        for box in self.nodes.values():
             box.thaw()
 
-    def kill(self, box: Box, power: bool) -> None:
-        self.trouble()
-        box.stop(power)
+    def kill(self, node: ControlPlaneNode, power_lost: bool) -> None:
+        self.mark_fault()
+        node.stop(power_lost)
 
-    def restart(self, box: Box) -> None:
-        self.trouble()
-        box.start()
+    def restart(self, node: ControlPlaneNode) -> None:
+        self.mark_fault()
+        node.start()
 
-    def level(self, box: Box) -> None:
+    def expect_catch_up(self, node: ControlPlaneNode) -> None:
         """A member is back in touch: in four seconds it holds what was acknowledged, and leads and serves."""
-        start, life = self.time.now, box.life
+        start, life = self.scheduler.now, node.incarnation
 
         def look(again: int) -> None:
-            if self.troubled > start or self.network.cuts or not box.up or box.life != life or box.leaving:
+            if (
+                self.last_fault_ns > start
+                or self.network.cuts
+                or not node.up
+                or node.incarnation != life
+                or node.leaving
+            ):
                 return
-            held = box.replica.acceptor.held.version
-            newest = self.truth.newest(self.time.now - SECOND)
+            held = node.replica.acceptor.held.version
+            newest = self.checker.newest_acknowledged(self.scheduler.now - SECOND)
             if held < newest:
-                self.truth.fault("never_level", f"{box.address} holds {held} < {newest}")
-            elif not box.replica.sure(box.clock()) and box.voting and self.truth.in_force > 0:
+                self.checker.report_violation("never_level", f"{node.address} holds {held} < {newest}")
+            elif not node.replica.sure(node.local_time()) and node.voting and self.checker.epoch_in_force > 0:
                 if again:  # a pull may have been lost
-                    self.time.after(300 * MS, partial(look, again - 1))
+                    self.scheduler.call_later(300 * MS, partial(look, again - 1))
                 else:
-                    self.truth.fault("never_level", f"{box.address} is not sure for {SYNC_NS // SECOND} s")
+                    self.checker.report_violation(
+                        "never_level", f"{node.address} is not sure for {CATCH_UP_NS // SECOND} s"
+                    )
 
-        self.time.after(SYNC_NS, partial(look, 3))
+        self.scheduler.call_later(CATCH_UP_NS, partial(look, 3))
 
     # -- the end of a day
 
-    def finish(self, restore: bool = True) -> Truth:
+    def finish(self, restart_lost: bool = True) -> InvariantChecker:
         """All that should be there is, for a few seconds: an order is acknowledged, nothing is lost. Without
         `restore`, the posts that are lost stay so."""
         self.heal()
         for box in self.voters():
-            if not box.up and (restore or box not in self.posts or self.lost[self.posts.index(box)] < NEVER):
+            if not box.up and (
+                restart_lost
+                or box not in self.voters_by_index
+                or self.lost_until_ns[self.voters_by_index.index(box)] < NEVER_NS
+            ):
                 self.restart(box)
-            self.level(box)
-        self.time.run(self.time.now + 5 * SECOND)
-        newest = self.truth.newest(self.time.now)
-        self.network.lose = self.network.late = 0.0
-        asked = self.time.now
-        order = Order(self, self.highest + 1, b"last", 0.0)
-        self.time.run(asked + ACK_NS)
-        if order.done is None:
-            self.truth.fault("no_majority_left", f"the last order has no answer in {ACK_NS // SECOND} s")
-        self.time.run(self.time.now + SECOND)
+            self.expect_catch_up(box)
+        self.scheduler.run_until(self.scheduler.now + 5 * SECOND)
+        newest = self.checker.newest_acknowledged(self.scheduler.now)
+        self.network.loss_rate = self.network.late_rate = 0.0
+        asked = self.scheduler.now
+        order = OperatorUpdate(self, self.highest_version + 1, b"last", 0.0)
+        self.scheduler.run_until(asked + ACKNOWLEDGE_WITHIN_NS)
+        if order.acknowledged_ns is None:
+            self.checker.report_violation(
+                "no_majority_left", f"the last order has no answer in {ACKNOWLEDGE_WITHIN_NS // SECOND} s"
+            )
+        self.scheduler.run_until(self.scheduler.now + SECOND)
         for box in self.voters():
             held = box.replica.acceptor.held if box.up else None
             if held is not None and held.version < newest:
-                self.truth.fault("acked_then_lost", f"{box.address} ends at {held.version} < {newest}")
-        for box in self.boxes.values():
+                self.checker.report_violation(
+                    "acked_then_lost", f"{box.address} ends at {held.version} < {newest}"
+                )
+        for box in self.nodes.values():
             if box.up:
-                box.stop(power=False)
-            box.medium.gone()
-        return self.truth
+                box.stop(power_lost=False)
+            box.disk.remove()
+        return self.checker
--- a/meadowworks/simulation/disks.py
+++ b/meadowworks/simulation/disks.py
@@ -18,121 +18,121 @@
 
 from meadowworks.storage.sqlite_store import Disk
 
-NAME = "played"
+VFS_NAME = "played"
 
 
-class PowerLost(Exception):
+class PowerLostError(Exception):
     """The process that writes is gone."""
 
 
-class File:
-    __slots__ = ("data", "safe", "pending", "journal")
+class SimulatedFile:
+    __slots__ = ("data", "durable", "pending", "syncs_folder")
 
     def __init__(self) -> None:
-        self.data, self.safe = bytearray(), bytearray()
+        self.data, self.durable = bytearray(), bytearray()
         self.pending: list[tuple[int, bytes | None]] = []  # offset and bytes; None: cut off there
-        self.journal = False  # its first sync makes the folder's names certain
+        self.syncs_folder = False  # its first sync makes the folder's names certain
 
     def write(self, offset: int, data: bytes | None) -> None:
-        apply(self.data, offset, data)
+        apply_write(self.data, offset, data)
         self.pending.append((offset, data))
 
     def sync(self) -> None:
         for offset, data in self.pending:
-            apply(self.safe, offset, data)
+            apply_write(self.durable, offset, data)
         self.pending = []
 
 
-def apply(to: bytearray, offset: int, data: bytes | None) -> None:
+def apply_write(content: bytearray, offset: int, data: bytes | None) -> None:
     if data is None:
-        del to[offset:]
+        del content[offset:]
         return
-    if len(to) < offset:
-        to.extend(bytes(offset - len(to)))
-    to[offset : offset + len(data)] = data
+    if len(content) < offset:
+        content.extend(bytes(offset - len(content)))
+    content[offset : offset + len(data)] = data
 
 
-class Medium:
+class SimulatedDisk:
     """What is left of a machine's disk when its process or its power is gone."""
 
-    number = 0
-
-    def __init__(self, chance: random.Random) -> None:
-        Medium.number += 1
-        self.path = f"/{Medium.number}/timetable.db"
-        self.chance = chance
-        self.names: dict[str, File] = {}
-        self.certain: dict[str, File] = {}
-        self.life = 0  # files that an earlier life opened are dead
-        self.left = -1  # operations until the process is gone; -1: it stays
-        MEDIA[self.path.rpartition("/")[0]] = self
-
-    def operation(self, life: int) -> None:
-        if life != self.life or self.left == 0:
-            raise PowerLost
-        if self.left > 0:
-            self.left -= 1
-
-    def killed(self) -> None:
+    count = 0
+
+    def __init__(self, random: random.Random) -> None:
+        SimulatedDisk.count += 1
+        self.path = f"/{SimulatedDisk.count}/timetable.db"
+        self.random = random
+        self.files: dict[str, SimulatedFile] = {}
+        self.durable_files: dict[str, SimulatedFile] = {}
+        self.generation = 0  # files that an earlier life opened are dead
+        self.operations_left = -1  # operations until the process is gone; -1: it stays
+        DISKS[self.path.rpartition("/")[0]] = self
+
+    def count_operation(self, generation: int) -> None:
+        if generation != self.generation or self.operations_left == 0:
+            raise PowerLostError
+        if self.operations_left > 0:
+            self.operations_left -= 1
+
+    def kill_process(self) -> None:
         """The process ends; what it wrote stays, synced or not."""
-        self.life, self.left = self.life + 1, -1
+        self.generation, self.operations_left = self.generation + 1, -1
 
-    def power_lost(self) -> None:
-        self.killed()
-        mood = self.chance.random()  # most of it kept, most of it lost, or each by itself
-        keep = 0.95 if mood < 0.25 else 0.05 if mood < 0.5 else self.chance.random()
+    def lose_power(self) -> None:
+        self.kill_process()
+        mood = self.random.random()  # most of it kept, most of it lost, or each by itself
+        keep = 0.95 if mood < 0.25 else 0.05 if mood < 0.5 else self.random.random()
         names = {}
-        for name in sorted(self.names.keys() | self.certain.keys()):
-            now, before = self.names.get(name), self.certain.get(name)
-            found = now if now is before or self.chance.random() < keep else before
+        for name in sorted(self.files.keys() | self.durable_files.keys()):
+            now, before = self.files.get(name), self.durable_files.get(name)
+            found = now if now is before or self.random.random() < keep else before
             if found is not None:
                 names[name] = found
         for file in names.values():
             for offset, what in file.pending:
-                fate = self.chance.random()
+                fate = self.random.random()
                 if fate < 0.15 and what:
-                    apply(file.safe, offset, what[: self.chance.randrange(len(what))])
+                    apply_write(file.durable, offset, what[: self.random.randrange(len(what))])
                 elif fate < 0.15 + 0.85 * keep:
-                    apply(file.safe, offset, what)
-            file.data, file.pending = bytearray(file.safe), []
-        self.names, self.certain = names, dict(names)
+                    apply_write(file.durable, offset, what)
+            file.data, file.pending = bytearray(file.durable), []
+        self.files, self.durable_files = names, dict(names)
 
-    def size(self) -> int:
-        return sum(len(f.data) for f in self.names.values())
+    def size_bytes(self) -> int:
+        return sum(len(f.data) for f in self.files.values())
 
-    def gone(self) -> None:
+    def remove(self) -> None:
         """No more needed."""
-        MEDIA.pop(self.path.rpartition("/")[0], None)
+        DISKS.pop(self.path.rpartition("/")[0], None)
 
 
-MEDIA: dict[str, Medium] = {}
+DISKS: dict[str, SimulatedDisk] = {}
 
 
-class Handle:
+class FileHandle:
     """An open file, with the methods that apsw calls."""
 
-    def __init__(self, medium: Medium, file: File) -> None:
-        self.medium, self.file, self.life = medium, file, medium.life
+    def __init__(self, disk: SimulatedDisk, file: SimulatedFile) -> None:
+        self.disk, self.file, self.generation = disk, file, disk.generation
 
     def xRead(self, amount: int, offset: int) -> bytes:
-        if self.life != self.medium.life:
-            raise PowerLost
+        if self.generation != self.disk.generation:
+            raise PowerLostError
         return bytes(self.file.data[offset : offset + amount])
 
     def xWrite(self, data: bytes, offset: int) -> None:
-        self.medium.operation(self.life)
+        self.disk.count_operation(self.generation)
         self.file.write(offset, bytes(data))
 
     def xTruncate(self, size: int) -> None:
-        self.medium.operation(self.life)
+        self.disk.count_operation(self.generation)
         self.file.write(size, None)
 
     def xSync(self, flags: int) -> None:
-        self.medium.operation(self.life)
+        self.disk.count_operation(self.generation)
         self.file.sync()
-        if self.file.journal:
-            self.file.journal = False
-            self.medium.certain = dict(self.medium.names)
+        if self.file.syncs_folder:
+            self.file.syncs_folder = False
+            self.disk.durable_files = dict(self.disk.files)
 
     def xFileSize(self) -> int:
         return len(self.file.data)
@@ -154,58 +154,58 @@
         return apsw.SQLITE_IOCAP_POWERSAFE_OVERWRITE
 
 
-class Played(apsw.VFS):
+class SimulatedVfs(apsw.VFS):
     def __init__(self) -> None:
-        super().__init__(NAME, base="unix")
+        super().__init__(VFS_NAME, base="unix")
 
     def xOpen(self, name: Any, flags: list[int]) -> Any:
         if name is None:
             raise apsw.CantOpenError("no temporary files")
         path = name if isinstance(name, str) else name.filename()
-        medium = MEDIA[path.rpartition("/")[0]]
-        file = medium.names.get(path)
+        medium = DISKS[path.rpartition("/")[0]]
+        file = medium.files.get(path)
         if file is None:
             if not flags[0] & apsw.SQLITE_OPEN_CREATE:
                 raise apsw.CantOpenError(path)
-            medium.operation(medium.life)
-            file = medium.names[path] = File()
-            file.journal = bool(flags[0] & (apsw.SQLITE_OPEN_MAIN_JOURNAL | apsw.SQLITE_OPEN_WAL))
+            medium.count_operation(medium.generation)
+            file = medium.files[path] = SimulatedFile()
+            file.syncs_folder = bool(flags[0] & (apsw.SQLITE_OPEN_MAIN_JOURNAL | apsw.SQLITE_OPEN_WAL))
         flags[1] = flags[0]
-        return Handle(medium, file)
+        return FileHandle(medium, file)
 
     def xDelete(self, name: str, sync: bool) -> None:
-        medium = MEDIA[name.rpartition("/")[0]]
-        medium.operation(medium.life)
-        medium.names.pop(name, None)
+        medium = DISKS[name.rpartition("/")[0]]
+        medium.count_operation(medium.generation)
+        medium.files.pop(name, None)
         if sync:
-            medium.certain = dict(medium.names)
+            medium.durable_files = dict(medium.files)
 
     def xAccess(self, name: str, flags: int) -> bool:
-        return name in MEDIA[name.rpartition("/")[0]].names
+        return name in DISKS[name.rpartition("/")[0]].files
 
     def xFullPathname(self, name: str) -> str:
         return name
 
 
-VFS = Played()
+VFS = SimulatedVfs()
 
 
-class Connection:
+class ApswConnection:
     """As much of sqlite3.Connection as `Disk` uses."""
 
     def __init__(self, path: str) -> None:
-        self.own = apsw.Connection(path, vfs=NAME)
+        self.connection = apsw.Connection(path, vfs=VFS_NAME)
 
     def execute(self, sql: str, values: Any = ()) -> Any:
         try:
-            return self.own.execute(sql, values)
-        except (apsw.Error, PowerLost) as trouble:
+            return self.connection.execute(sql, values)
+        except (apsw.Error, PowerLostError) as trouble:
             raise sqlite3.OperationalError(str(trouble)) from trouble
 
     def executemany(self, sql: str, rows: Iterable[Any]) -> Any:
         try:
-            return self.own.executemany(sql, rows)
-        except (apsw.Error, PowerLost) as trouble:
+            return self.connection.executemany(sql, rows)
+        except (apsw.Error, PowerLostError) as trouble:
             raise sqlite3.OperationalError(str(trouble)) from trouble
 
     def executescript(self, sql: str) -> Any:
@@ -213,28 +213,28 @@
 
     @property
     def in_transaction(self) -> bool:
-        return self.own.in_transaction
+        return self.connection.in_transaction
 
-    def __enter__(self) -> Connection:
+    def __enter__(self) -> ApswConnection:
         return self
 
     def __exit__(self, kind: Any, *rest: Any) -> None:
         self.execute("ROLLBACK" if kind else "COMMIT")
 
     def close(self) -> None:
-        self.own.close()
+        self.connection.close()
 
 
-class PlayedDisk(Disk):
+class SimulatedStore(Disk):
     """The product's disk over a medium."""
 
-    def __init__(self, medium: Medium) -> None:
-        self.medium = medium
-        self.open(Connection(medium.path))  # type: ignore[arg-type]
+    def __init__(self, disk: SimulatedDisk) -> None:
+        self.disk = disk
+        self.open(ApswConnection(disk.path))  # type: ignore[arg-type]
 
     def abandon(self) -> None:
         """The process is gone (`Medium.killed` or `power_lost` came before): nothing is written any more."""
-        self.medium.left = 0  # sqlite would tidy up
-        with contextlib.suppress(apsw.Error, PowerLost):
+        self.disk.operations_left = 0  # sqlite would tidy up
+        with contextlib.suppress(apsw.Error, PowerLostError):
             self.db.close()
-        self.medium.left = -1
+        self.disk.operations_left = -1
--- a/meadowworks/simulation/drill.py
+++ b/meadowworks/simulation/drill.py
@@ -5,402 +5,456 @@
 from collections.abc import Callable
 from functools import partial
 
-from meadowworks.simulation.control import NEVER, Box, Day, Order, Truth
+from meadowworks.simulation.control import (
+    NEVER_NS,
+    ControlPlaneNode,
+    InvariantChecker,
+    OperatorUpdate,
+    Scenario,
+)
 from meadowworks.simulation.network import MS, SECOND
 
 Trace = Callable[[str], None]
 
 
-def cut_off(day: Day) -> None:
+def isolate_minority(scenario: Scenario) -> None:
     """Some machines are cut off for twenty seconds, both ways, one way or frozen; orders and reads go on."""
-    chance = day.chance
-    lost = chance.sample(day.voters(), chance.randint(1, day.tolerate))
+    chance = scenario.random
+    lost = chance.sample(scenario.voters(), chance.randint(1, scenario.tolerated_losses))
 
     def cut() -> None:
         for box in lost:
-            day.isolate(box, chance.choice(["both", "in", "out", "frozen", "both"]))
+            scenario.isolate(box, chance.choice(["both", "in", "out", "frozen", "both"]))
 
     def back() -> None:
-        day.heal()
-        for box in day.voters():
-            day.level(box)
+        scenario.heal()
+        for box in scenario.voters():
+            scenario.expect_catch_up(box)
 
     start = 5 * SECOND + chance.randrange(SECOND)
     if chance.random() < 0.3:
-        return undecided(day)
-    day.busy(3 * SECOND, 33 * SECOND, (150, 1200), day.order_now)
-    day.time.at(start, cut)
+        return abandon_updates(scenario)
+    scenario.generate_load(3 * SECOND, 33 * SECOND, (150, 1200), scenario.submit_update)
+    scenario.scheduler.call_at(start, cut)
     if chance.random() < 0.3:  # a cut that comes and goes
-        day.time.at(start + 6 * SECOND, day.heal)
-        day.time.at(start + 6 * SECOND + chance.randrange(2 * SECOND), cut)
-    day.time.at(start + 20 * SECOND, back)
-    day.time.run(34 * SECOND)
+        scenario.scheduler.call_at(start + 6 * SECOND, scenario.heal)
+        scenario.scheduler.call_at(start + 6 * SECOND + chance.randrange(2 * SECOND), cut)
+    scenario.scheduler.call_at(start + 20 * SECOND, back)
+    scenario.scheduler.run_until(34 * SECOND)
 
 
-def undecided(day: Day) -> None:
+def abandon_updates(scenario: Scenario) -> None:
     """Nobody else has a wish while an order is left half-way, again and again: leases go on."""
-    chance = day.chance
-    day.busy(3 * SECOND, 33 * SECOND, (60_000, 60_001), lambda: None, (60_000, 60_001))
+    chance = scenario.random
+    scenario.generate_load(3 * SECOND, 33 * SECOND, (60_000, 60_001), lambda: None, (60_000, 60_001))
 
     def some() -> None:
-        box = chance.choice(day.voters())
-        Order(day, day.highest + 1, b"%d" % day.highest, 0.0, first=box, patience=0)
-        day.time.after(chance.randrange(5, 13) * MS, partial(day.kill, box, True))
-        day.time.after(chance.randrange(100, 400) * MS, partial(come_back, day, box))
+        box = chance.choice(scenario.voters())
+        OperatorUpdate(
+            scenario,
+            scenario.highest_version + 1,
+            b"%d" % scenario.highest_version,
+            0.0,
+            first_node=box,
+            timeout_ns=0,
+        )
+        scenario.scheduler.call_later(chance.randrange(5, 13) * MS, partial(scenario.kill, box, True))
+        scenario.scheduler.call_later(chance.randrange(100, 400) * MS, partial(restart_node, scenario, box))
 
     for at in (4, 18):
-        day.time.at(at * SECOND, some)
-    day.time.run(34 * SECOND)
+        scenario.scheduler.call_at(at * SECOND, some)
+    scenario.scheduler.run_until(34 * SECOND)
 
 
-def one_number(day: Day) -> None:
+def conflicting_updates(scenario: Scenario) -> None:
     """Several operators under one number; answers are lost, orders come again, processes end, power goes."""
-    chance = day.chance
+    chance = scenario.random
 
     def some() -> None:
         if chance.random() < 0.25:
-            return one_life_after_another(day)
-        day.order_now(chance.choice([0.1, 0.4, 0.8]), chance.choice([0, 1, 1, 2, 3]))
+            return conflicting_incarnations(scenario)
+        scenario.submit_update(chance.choice([0.1, 0.4, 0.8]), chance.choice([0, 1, 1, 2, 3]))
         if chance.random() < 0.5:
-            day.time.after(chance.randrange(20, 3000) * MS, day.resend)
+            scenario.scheduler.call_later(chance.randrange(20, 3000) * MS, scenario.resend_update)
         fate, soon = chance.random(), chance.choice([chance.randrange(3, 25), chance.randrange(5, 400)])
         if fate < 0.25:
-            day.time.after(soon * MS, partial(all_stop, day, True))
+            scenario.scheduler.call_later(soon * MS, partial(stop_all, scenario, True))
         elif fate < 0.35:
-            day.time.after(soon * MS, partial(all_stop, day, False))
+            scenario.scheduler.call_later(soon * MS, partial(stop_all, scenario, False))
         elif fate < 0.7:
-            day.time.after(chance.randrange(2, 400) * MS, partial(one_stops, day))
+            scenario.scheduler.call_later(chance.randrange(2, 400) * MS, partial(stop_one, scenario))
 
     reads = chance.choice([(50, 400), (2000, 8000)])
-    day.busy(3 * SECOND, 28 * SECOND, (300, 3000), some, reads)
-    day.time.run(30 * SECOND)
+    scenario.generate_load(3 * SECOND, 28 * SECOND, (300, 3000), some, reads)
+    scenario.scheduler.run_until(30 * SECOND)
 
 
-def one_life_after_another(day: Day) -> None:
+def conflicting_incarnations(scenario: Scenario) -> None:
     """A signalbox with a slow disk takes one order, loses power, takes another under the same number, and is
     gone for a while; some of its links are cut now and then."""
-    chance = day.chance
-    boxes = [b for b in day.voters() if b.up]
-    if len(boxes) < 2 * day.tolerate + 1:
+    chance = scenario.random
+    boxes = [b for b in scenario.voters() if b.up]
+    if len(boxes) < 2 * scenario.tolerated_losses + 1:
         return
     box, *others = chance.sample(boxes, len(boxes))
-    near, far = others[: day.tolerate], others[day.tolerate :]
-    version = day.highest + 1
-    day.highest = version
+    near, far = others[: scenario.tolerated_losses], others[scenario.tolerated_losses :]
+    version = scenario.highest_version + 1
+    scenario.highest_version = version
 
-    def cut(some: list[Box], rest: list[Box]) -> None:
-        day.trouble()
+    def cut(some: list[ControlPlaneNode], rest: list[ControlPlaneNode]) -> None:
+        scenario.mark_fault()
         for one in some:
             for other in rest:
                 if one is not other:
-                    day.network.cut(one.address, other.address)
+                    scenario.network.cut(one.address, other.address)
 
     def ends() -> None:
-        day.kill(box, True)
-        box.slow = False
-        day.network.join()
+        scenario.kill(box, True)
+        box.slow_disk = False
+        scenario.network.heal()
         if chance.random() < 0.7:
-            cut(near, list(day.boxes.values()))
-            cut(list(day.boxes.values()), near)
+            cut(near, list(scenario.nodes.values()))
+            cut(list(scenario.nodes.values()), near)
 
     def send(name: str) -> None:
-        day.orders.append(Order(day, version, f"{version}-{name}".encode(), 0.2, first=box))
+        scenario.updates.append(
+            OperatorUpdate(scenario, version, f"{version}-{name}".encode(), 0.2, first_node=box)
+        )
 
-    box.slow = True
+    box.slow_disk = True
     steps: list[tuple[int, Callable[[], None]]] = [
         (1, partial(send, "x")),
         (chance.randrange(2, 10), partial(cut, [box], far)),
         (chance.randrange(2, 20), ends),
-        (chance.randrange(50, 150), partial(come_back, day, box)),
+        (chance.randrange(50, 150), partial(restart_node, scenario, box)),
         (chance.randrange(520, 900), partial(send, "y")),
-        (chance.randrange(8, 100), partial(day.kill, box, True)),
-        (1, day.heal),
-        (chance.randrange(500, 3000), partial(come_back, day, box)),
+        (chance.randrange(8, 100), partial(scenario.kill, box, True)),
+        (1, scenario.heal),
+        (chance.randrange(500, 3000), partial(restart_node, scenario, box)),
     ]
     at = 0
     for wait, act in steps:
         at += wait * MS
-        day.time.after(at, act)
+        scenario.scheduler.call_later(at, act)
 
 
-def all_stop(day: Day, power: bool) -> None:
+def stop_all(scenario: Scenario, power_lost: bool) -> None:
     """All processes are killed, or lose power, at once or within some ms, with their disks."""
-    spread = day.chance.choice([0, 0, 30])
-    for box in list(day.boxes.values()):
+    spread = scenario.random.choice([0, 0, 30])
+    for box in list(scenario.nodes.values()):
         if not box.removed and box.up:
-            at = day.chance.randrange(spread * MS + 1)
-            day.time.after(at, partial(day.kill, box, power))
-            day.time.after(at + SECOND // 5 + day.chance.randrange(SECOND), partial(come_back, day, box))
+            at = scenario.random.randrange(spread * MS + 1)
+            scenario.scheduler.call_later(at, partial(scenario.kill, box, power_lost))
+            scenario.scheduler.call_later(
+                at + SECOND // 5 + scenario.random.randrange(SECOND), partial(restart_node, scenario, box)
+            )
 
 
-def come_back(day: Day, box: Box) -> None:
-    if box.removed or box.up:
+def restart_node(scenario: Scenario, node: ControlPlaneNode) -> None:
+    if node.removed or node.up:
         return
-    day.restart(box)
-    if box in day.posts and day.lost[day.posts.index(box)] < NEVER:
-        day.there(day.posts.index(box))
+    scenario.restart(node)
+    if (
+        node in scenario.voters_by_index
+        and scenario.lost_until_ns[scenario.voters_by_index.index(node)] < NEVER_NS
+    ):
+        scenario.voter_returned(scenario.voters_by_index.index(node))
 
 
-def one_stops(day: Day) -> None:
-    boxes = [b for b in day.voters() if b.up]
+def stop_one(scenario: Scenario) -> None:
+    boxes = [b for b in scenario.voters() if b.up]
     if boxes:
-        box = day.chance.choice(boxes)
-        day.kill(box, day.chance.random() < 0.6)
-        day.time.after(day.chance.randrange(50, 2500) * MS, partial(come_back, day, box))
+        box = scenario.random.choice(boxes)
+        scenario.kill(box, scenario.random.random() < 0.6)
+        scenario.scheduler.call_later(
+            scenario.random.randrange(50, 2500) * MS, partial(restart_node, scenario, box)
+        )
 
 
-def replaced(day: Day) -> None:
+def replace_machines(scenario: Scenario) -> None:
     """Machines are replaced, planned and suddenly, wiped, cut off and killed meanwhile; the next loss comes
     as soon as it may."""
-    chance = day.chance
-    day.busy(3 * SECOND, 42 * SECOND, (100, 900), partial(day.order_now, 0.1))
-    acts = [sudden, sudden, wiped, wiped, planned, planned, powerless, still, split, everywhere]
+    chance = scenario.random
+    scenario.generate_load(3 * SECOND, 42 * SECOND, (100, 900), partial(scenario.submit_update, 0.1))
+    acts = [
+        lose_machine,
+        lose_machine,
+        wipe_machine,
+        wipe_machine,
+        replace_gracefully,
+        replace_gracefully,
+        lose_power,
+        freeze_process,
+        split_network,
+        stop_all_and_wipe_one,
+    ]
 
     def step() -> None:
-        if day.time.now > 38 * SECOND:
+        if scenario.scheduler.now > 38 * SECOND:
             return
         act = chance.choice(acts)
-        free = day.free()
-        if act in (split, everywhere):
-            act(day, -1)
+        free = scenario.losable_voters()
+        if act in (split_network, stop_all_and_wipe_one):
+            act(scenario, -1)
         elif free:
-            act(day, chance.choice(free))
+            act(scenario, chance.choice(free))
         mood = chance.random()
-        ends = [u for u in day.lost if day.time.now < u < NEVER]
+        ends = [u for u in scenario.lost_until_ns if scenario.scheduler.now < u < NEVER_NS]
         if mood < 0.4 and ends:  # right after it counts as there again
-            day.time.at(min(ends) + chance.randrange(30 * MS), step)
+            scenario.scheduler.call_at(min(ends) + chance.randrange(30 * MS), step)
         elif mood < 0.7:
-            day.time.after(chance.randrange(3 * SECOND), step)
+            scenario.scheduler.call_later(chance.randrange(3 * SECOND), step)
         else:
-            day.time.after(chance.randrange(7 * SECOND), step)
+            scenario.scheduler.call_later(chance.randrange(7 * SECOND), step)
 
-    day.time.at(4 * SECOND, step)
-    day.time.run(44 * SECOND)
-    if chance.random() < 0.5 and day.free():
-        post = chance.choice(day.free())
-        day.lost[post] = NEVER
-        day.kill(day.posts[post], True)  # for good: the others are to go on without it
+    scenario.scheduler.call_at(4 * SECOND, step)
+    scenario.scheduler.run_until(44 * SECOND)
+    if chance.random() < 0.5 and scenario.losable_voters():
+        post = chance.choice(scenario.losable_voters())
+        scenario.lost_until_ns[post] = NEVER_NS
+        scenario.kill(scenario.voters_by_index[post], True)  # for good: the others are to go on without it
 
 
-def eve(day: Day, box: Box) -> None:
+def partial_update_before_loss(scenario: Scenario, node: ControlPlaneNode) -> None:
     """An order that reaches some only, ms before the machine that took it is gone; a rival comes after it."""
-    chance = day.chance
-    if not box.up or chance.random() < 0.2:
+    chance = scenario.random
+    if not node.up or chance.random() < 0.2:
         return
-    others = [b for b in day.voters() if b is not box and b.up]
-    version = day.highest + 1
-    day.highest = version
-    for other in others[: day.tolerate]:
-        day.network.slow[box.address, other.address] = chance.randrange(10, 300) * MS
-    day.orders.append(Order(day, version, b"%d-eve" % version, 0.1, first=box))
+    others = [b for b in scenario.voters() if b is not node and b.up]
+    version = scenario.highest_version + 1
+    scenario.highest_version = version
+    for other in others[: scenario.tolerated_losses]:
+        scenario.network.extra_delay_ns[node.address, other.address] = chance.randrange(10, 300) * MS
+    scenario.updates.append(OperatorUpdate(scenario, version, b"%d-eve" % version, 0.1, first_node=node))
     if others:
 
         def rival() -> None:
-            day.orders.append(Order(day, version, b"%d-rival" % version, 0.1, first=others[0]))
+            scenario.updates.append(
+                OperatorUpdate(scenario, version, b"%d-rival" % version, 0.1, first_node=others[0])
+            )
 
-        for other in others[day.tolerate :]:
-            day.time.after(20 * MS, partial(setattr, other, "slow", True))  # who could finish it is late
-            day.time.after(2 * SECOND, partial(setattr, other, "slow", False))
-        day.time.after(chance.choice([150, 300, chance.randrange(5, 1500)]) * MS, rival)
+        for other in others[scenario.tolerated_losses :]:
+            scenario.scheduler.call_later(
+                20 * MS, partial(setattr, other, "slow_disk", True)
+            )  # who could finish it is late
+            scenario.scheduler.call_later(2 * SECOND, partial(setattr, other, "slow_disk", False))
+        scenario.scheduler.call_later(chance.choice([150, 300, chance.randrange(5, 1500)]) * MS, rival)
 
 
-def sudden(day: Day, post: int) -> None:
+def lose_machine(scenario: Scenario, index: int) -> None:
     """A machine is gone for good, its successor starts elsewhere."""
-    day.lost[post] = NEVER
-    box = day.posts[post]
-    eve(day, box)
+    scenario.lost_until_ns[index] = NEVER_NS
+    box = scenario.voters_by_index[index]
+    partial_update_before_loss(scenario, box)
 
     def gone() -> None:
-        day.kill(box, True)
+        scenario.kill(box, True)
         box.removed = True
-        day.network.slow.clear()
+        scenario.network.extra_delay_ns.clear()
 
-    day.time.after(day.chance.randrange(4, 60) * MS, gone)
-    day.time.after(day.chance.randrange(100, 3000) * MS, partial(successor, day, post))
+    scenario.scheduler.call_later(scenario.random.randrange(4, 60) * MS, gone)
+    scenario.scheduler.call_later(
+        scenario.random.randrange(100, 3000) * MS, partial(start_successor, scenario, index)
+    )
 
 
-def successor(day: Day, post: int) -> None:
-    day.posts[post] = day.add()
-    day.restart(day.posts[post])
-    day.there(post)
+def start_successor(scenario: Scenario, index: int) -> None:
+    scenario.voters_by_index[index] = scenario.add_node()
+    scenario.restart(scenario.voters_by_index[index])
+    scenario.voter_returned(index)
 
 
-def wiped(day: Day, post: int) -> None:
+def wipe_machine(scenario: Scenario, index: int) -> None:
     """A machine comes back at its address with an empty disk."""
-    day.lost[post] = NEVER
-    box = day.posts[post]
-    eve(day, box)
+    scenario.lost_until_ns[index] = NEVER_NS
+    box = scenario.voters_by_index[index]
+    partial_update_before_loss(scenario, box)
 
     def gone() -> None:
-        day.kill(box, day.chance.random() < 0.5)
-        day.network.slow.clear()
+        scenario.kill(box, scenario.random.random() < 0.5)
+        scenario.network.extra_delay_ns.clear()
 
     def back() -> None:
         box.wipe()
-        day.restart(box)
-        day.there(post)
+        scenario.restart(box)
+        scenario.voter_returned(index)
 
-    day.time.after(day.chance.randrange(4, 60) * MS, gone)
-    day.time.after(day.chance.choice([70, 70, day.chance.randrange(70, 3000)]) * MS, back)
+    scenario.scheduler.call_later(scenario.random.randrange(4, 60) * MS, gone)
+    scenario.scheduler.call_later(
+        scenario.random.choice([70, 70, scenario.random.randrange(70, 3000)]) * MS, back
+    )
 
 
-def planned(day: Day, post: int) -> None:
+def replace_gracefully(scenario: Scenario, index: int) -> None:
     """A successor starts, and its predecessor leaves, in either order; some leavers are killed half-way."""
-    chance, old = day.chance, day.posts[post]
-    day.lost[post] = NEVER
+    chance, old = scenario.random, scenario.voters_by_index[index]
+    scenario.lost_until_ns[index] = NEVER_NS
 
     def go() -> None:
-        day.trouble()
+        scenario.mark_fault()
         if not old.up:
-            day.time.after(SECOND // 2, go)  # it is told to end once it is back
+            scenario.scheduler.call_later(SECOND // 2, go)  # it is told to end once it is back
             return
-        old.leave(6 * SECOND)
+        old.shut_down(6 * SECOND)
         if chance.random() < 0.3:
-            day.time.after(chance.randrange(5, 600) * MS, half_way)
+            scenario.scheduler.call_later(chance.randrange(5, 600) * MS, half_way)
 
     def half_way() -> None:
-        away = len([until for until in day.lost if until > day.time.now])
-        if day.posts[post] is old or away < day.tolerate:  # it and its successor are two
-            day.kill(old, chance.random() < 0.5)
+        away = len([until for until in scenario.lost_until_ns if until > scenario.scheduler.now])
+        if (
+            scenario.voters_by_index[index] is old or away < scenario.tolerated_losses
+        ):  # it and its successor are two
+            scenario.kill(old, chance.random() < 0.5)
 
     if chance.random() < 0.5:
-        successor(day, post)
-        day.time.after(chance.randrange(300, 5000) * MS, go)
+        start_successor(scenario, index)
+        scenario.scheduler.call_later(chance.randrange(300, 5000) * MS, go)
     else:
         go()
-        day.time.after(chance.randrange(300, 5000) * MS, partial(successor, day, post))
+        scenario.scheduler.call_later(
+            chance.randrange(300, 5000) * MS, partial(start_successor, scenario, index)
+        )
 
 
-def powerless(day: Day, post: int) -> None:
+def lose_power(scenario: Scenario, index: int) -> None:
     """A machine loses power and comes back with its disk."""
-    day.lost[post] = NEVER
-    day.kill(day.posts[post], True)
+    scenario.lost_until_ns[index] = NEVER_NS
+    scenario.kill(scenario.voters_by_index[index], True)
 
     def back() -> None:
-        day.restart(day.posts[post])
-        day.there(post)
+        scenario.restart(scenario.voters_by_index[index])
+        scenario.voter_returned(index)
 
-    day.time.after(day.chance.randrange(50, 6000) * MS, back)
+    scenario.scheduler.call_later(scenario.random.randrange(50, 6000) * MS, back)
 
 
-def still(day: Day, post: int) -> None:
+def freeze_process(scenario: Scenario, index: int) -> None:
     """A machine is frozen for some seconds."""
-    box = day.posts[post]
-    day.lost[post] = NEVER
-    day.isolate(box, "frozen")
+    box = scenario.voters_by_index[index]
+    scenario.lost_until_ns[index] = NEVER_NS
+    scenario.isolate(box, "frozen")
 
     def back() -> None:
-        day.trouble()
+        scenario.mark_fault()
         box.thaw()
-        day.disturbed = any(b.frozen for b in day.boxes.values())
-        day.there(post)
+        scenario.fault_active = any(b.frozen for b in scenario.nodes.values())
+        scenario.voter_returned(index)
 
-    day.time.after(day.chance.randrange(100, 9000) * MS, back)
+    scenario.scheduler.call_later(scenario.random.randrange(100, 9000) * MS, back)
 
 
-def split(day: Day, post: int) -> None:
+def split_network(scenario: Scenario, index: int) -> None:
     """Machines are cut into two halves for some seconds: more than may be lost, but nothing wrong is said."""
-    boxes = [b.address for b in day.voters()]
-    day.chance.shuffle(boxes)
-    near = day.chance.randint(1, len(boxes) - 1)
-    oneway = day.chance.random() < 0.3
-    day.trouble()
-    day.disturbed = True
-    day.note("#", f"cut: {boxes[:near]} from {boxes[near:]}{' one way' if oneway else ''}")
+    boxes = [b.address for b in scenario.voters()]
+    scenario.random.shuffle(boxes)
+    near = scenario.random.randint(1, len(boxes) - 1)
+    oneway = scenario.random.random() < 0.3
+    scenario.mark_fault()
+    scenario.fault_active = True
+    scenario.log("#", f"cut: {boxes[:near]} from {boxes[near:]}{' one way' if oneway else ''}")
     for one in boxes[:near]:
         for other in boxes[near:]:
-            day.network.cut(one, other)
+            scenario.network.cut(one, other)
             if not oneway:
-                day.network.cut(other, one)
+                scenario.network.cut(other, one)
 
     def back() -> None:
-        day.trouble()
-        day.network.join()
-        day.disturbed = False
-        for p, until in enumerate(day.lost):
-            if until < NEVER:
-                day.there(p)
+        scenario.mark_fault()
+        scenario.network.heal()
+        scenario.fault_active = False
+        for p, until in enumerate(scenario.lost_until_ns):
+            if until < NEVER_NS:
+                scenario.voter_returned(p)
 
-    wait = day.chance.randrange(200, 6000) * MS
-    for p, until in enumerate(day.lost):
-        day.lost[p] = max(until, day.time.now + wait + MS)
-    day.time.after(wait, back)
+    wait = scenario.random.randrange(200, 6000) * MS
+    for p, until in enumerate(scenario.lost_until_ns):
+        scenario.lost_until_ns[p] = max(until, scenario.scheduler.now + wait + MS)
+    scenario.scheduler.call_later(wait, back)
 
 
-def everywhere(day: Day, post: int) -> None:
+def stop_all_and_wipe_one(scenario: Scenario, index: int) -> None:
     """All processes are killed or lose power at once, disks stay; of as many as may be lost they may go."""
-    gone = [p for p in day.free() if day.posts[p].up]
-    all_stop(day, day.chance.random() < 0.6)
-    if gone and day.chance.random() < 0.5:
-        post = day.chance.choice(gone)
-        box = day.posts[post]
-        day.lost[post] = NEVER
+    gone = [p for p in scenario.losable_voters() if scenario.voters_by_index[p].up]
+    stop_all(scenario, scenario.random.random() < 0.6)
+    if gone and scenario.random.random() < 0.5:
+        index = scenario.random.choice(gone)
+        box = scenario.voters_by_index[index]
+        scenario.lost_until_ns[index] = NEVER_NS
 
         def back() -> None:
             if not box.up:
                 box.wipe()
-                day.restart(box)
-            day.there(post)
+                scenario.restart(box)
+            scenario.voter_returned(index)
 
-        day.kill(box, True)
+        scenario.kill(box, True)
         box.wipe()
-        day.time.after(day.chance.randrange(100, 3000) * MS, back)
+        scenario.scheduler.call_later(scenario.random.randrange(100, 3000) * MS, back)
 
 
-def hundreds(day: Day) -> None:
+def many_updates_while_away(scenario: Scenario) -> None:
     """Hundreds of changes while a member is away; then all are killed at once; then it is back."""
-    chance = day.chance
+    chance = scenario.random
     most = 1000 if chance.random() < 0.05 else chance.randrange(150, 400)
     gap = chance.randrange(15, 60) * MS
-    post = chance.randrange(len(day.posts))
-    box, how = day.posts[post], chance.choice(["frozen", "wiped", "down", "both", "out", "in"])
+    post = chance.randrange(len(scenario.voters_by_index))
+    box, how = scenario.voters_by_index[post], chance.choice(["frozen", "wiped", "down", "both", "out", "in"])
     end = 4 * SECOND + most * gap
 
     def change() -> None:
-        if day.time.now > end + 3 * SECOND or len(day.orders) >= most:
+        if scenario.scheduler.now > end + 3 * SECOND or len(scenario.updates) >= most:
             return
-        version = day.highest + chance.choice([1, 1, 2])
-        day.orders.append(Order(day, version, b"%d " % version + bytes(chance.randrange(50, 3000)), 0.02))
-        day.time.after(gap, change)
+        version = scenario.highest_version + chance.choice([1, 1, 2])
+        scenario.updates.append(
+            OperatorUpdate(scenario, version, b"%d " % version + bytes(chance.randrange(50, 3000)), 0.02)
+        )
+        scenario.scheduler.call_later(gap, change)
 
-    day.time.at(3 * SECOND, change)
-    day.busy(3 * SECOND, end + 12 * SECOND, (400, 2000), day.resend)
+    scenario.scheduler.call_at(3 * SECOND, change)
+    scenario.generate_load(3 * SECOND, end + 12 * SECOND, (400, 2000), scenario.resend_update)
 
     def away() -> None:
-        day.lost[post] = NEVER
+        scenario.lost_until_ns[post] = NEVER_NS
         if how in ("wiped", "down"):
-            day.kill(box, chance.random() < 0.5)
+            scenario.kill(box, chance.random() < 0.5)
         else:
-            day.isolate(box, how)
+            scenario.isolate(box, how)
 
     def back() -> None:
-        day.heal()
+        scenario.heal()
         if how == "wiped":
             box.wipe()
         if not box.up:
-            day.restart(box)
-        day.there(post)
+            scenario.restart(box)
+        scenario.voter_returned(post)
 
     start, until = 3 * SECOND + chance.randrange(SECOND), end - chance.randrange(end // 2)
-    day.time.at(start, away)
+    scenario.scheduler.call_at(start, away)
     if chance.random() < 0.5:
 
         def stop() -> None:
-            all_stop(day, chance.random() < 0.5)
+            stop_all(scenario, chance.random() < 0.5)
 
-        day.time.at(max(start, until - chance.randrange(3 * SECOND)) + 1, stop)
+        scenario.scheduler.call_at(max(start, until - chance.randrange(3 * SECOND)) + 1, stop)
     there = max(start, until) + 2 * SECOND
-    day.time.at(there, back)
+    scenario.scheduler.call_at(there, back)
     if chance.random() < 0.3:
-        day.time.at(there + chance.randrange(100, 5000) * MS, partial(all_stop, day, True))
-    day.time.run(end + 12 * SECOND)
+        scenario.scheduler.call_at(
+            there + chance.randrange(100, 5000) * MS, partial(stop_all, scenario, True)
+        )
+    scenario.scheduler.run_until(end + 12 * SECOND)
 
 
-POINTS: dict[int, Callable[[Day], None]] = {1: cut_off, 2: one_number, 3: replaced, 4: hundreds}
+SCENARIOS: dict[int, Callable[[Scenario], None]] = {
+    1: isolate_minority,
+    2: conflicting_updates,
+    3: replace_machines,
+    4: many_updates_while_away,
+}
 
 
-def play(point: int, seed: int, trace: Trace | None = None) -> Truth:
+def run_scenario(point: int, seed: int, trace: Trace | None = None) -> InvariantChecker:
     """One day of a point. Raises what the machines raise."""
-    day = Day(seed * 8 + point, trace)
-    POINTS[point](day)
-    return day.finish(restore=point != 3)
+    day = Scenario(seed * 8 + point, trace)
+    SCENARIOS[point](day)
+    return day.finish(restart_lost=point != 3)
