--- a/meadowworks/controlplane/server.py
+++ b/meadowworks/controlplane/server.py
@@ -17,12 +17,12 @@
 from meadowworks.controlplane.api import Backends, Config, routes
 from meadowworks.controlplane.config_service import Office
 from meadowworks.controlplane.drain_service import Fencing, read
-from meadowworks.forwarding.memory_budget import Room
+from meadowworks.forwarding.memory_budget import MemoryBudget
 from meadowworks.gossip import messages as post
 from meadowworks.gossip.peer_sampling import PartialView, PeerRecord
 from meadowworks.gossip.updates import KeyUpdate, SourceDelta, UpdateStore
-from meadowworks.load_balancing.load_reports import PREFIX as FIGURES
-from meadowworks.load_balancing.load_reports import Sums
+from meadowworks.load_balancing.load_reports import LOAD_REPORT_PREFIX as FIGURES
+from meadowworks.load_balancing.load_reports import LoadReport
 from meadowworks.registry.backends import BackendDirectory
 from meadowworks.registry.drain_log import DrainLog
 from meadowworks.registry.heartbeats import BACKEND_KEY_PREFIX as BACKENDS
@@ -68,7 +68,7 @@
         self.peers: dict[tuple[str, int], Peer] = {}
         self.pulling: set[tuple[str, int]] = set()
         self.waiting: set[asyncio.Future[None]] = set()
-        self.sums: dict[str, Sums] = {}
+        self.sums: dict[str, LoadReport] = {}
         self.summed_ns = now_ns()
         self.pulse = 0
         self.leaving = False
@@ -83,7 +83,7 @@
         self.backends = Backends(self.beats, self.fencing, self.held_by_enough, self.near, self.sure)
         self.routes = routes(self.backends, Config(self.office))
         self.inner_door = HttpServer(self.inner, RequestLimits(65536, 3.0, 30.0), incarnation=self.life)
-        self.room = Room(int(boot.memory_mb * 1e6 * BODIES))
+        self.room = MemoryBudget(int(boot.memory_mb * 1e6 * BODIES))
         self.packed: tuple[int, bytes] = (0, b"")  # the version held and its configuration, compressed
         self.packing: tuple[int, asyncio.Task[bytes]] | None = None
         self.ctl_door = HttpServer(self.ctl, RequestLimits(65536, 3.0, 30.0))
@@ -155,7 +155,7 @@
         self.members.merge(now, [pull.sender, *pull.peers])
         self.receipt(pull)
         if pull.load_report:
-            self.sums.setdefault(pull.sender.zone, Sums()).add(pull.load_report)
+            self.sums.setdefault(pull.sender.zone, LoadReport()).merge(pull.load_report)
         end = asyncio.get_running_loop().time() + min(pull.max_wait_ms, HELD_BACK_MS) / 1000
         pieces = self.news.deltas_since(pull.version_vector, pull.sender.incarnation)
         while not self.urgent(pieces, pull):
@@ -329,7 +329,7 @@
         for zone, sums in self.sums.items():
             if sums or self.news.sources[self.life].entries.get(FIGURES + zone, (0, None))[1]:
                 self.news.publish(FIGURES + zone, [covers_ms, *sums.pack()] if sums else None)
-        self.sums = {zone: Sums() for zone in self.sums}
+        self.sums = {zone: LoadReport() for zone in self.sums}
 
     def status(self) -> dict[str, Any]:
         return {
--- a/meadowworks/forwarding/attempts.py
+++ b/meadowworks/forwarding/attempts.py
@@ -26,23 +26,23 @@
     sure,
     wait_ns,
 )
-from meadowworks.forwarding.response_check import PROMISES
+from meadowworks.forwarding.response_check import NOT_RUN_STATUSES
 
 MS = 1_000_000
-EARLY = 0.5  # part of the usual wait after which a try has another beside it, where a slot is free
-PACE_NS = 60 * MS  # in which room may be found again: what a time to come back is reckoned with
-LEAST_NS = 20 * MS  # with less time left no further try begins
-SPENT = Stop("no further try is within the service's budget")
-GONE = Stop("its client has gone")
+HEDGE_WAIT_SHARE = 0.5  # part of the usual wait after which a try has another beside it, where a slot is free
+RETRY_AFTER_BASE_NS = 60 * MS  # in which room may be found again: what a time to come back is reckoned with
+MIN_ATTEMPT_NS = 20 * MS  # with less time left no further try begins
+RETRY_BUDGET_EXHAUSTED = Stop("no further try is within the service's budget")
+CLIENT_GONE = Stop("its client has gone")
 
 
 @dataclass(frozen=True, slots=True)
-class Send:
+class SendAttempt:
     """One try: to a backend, waited for until `until_ns` before another may go beside it."""
 
     number: int
-    place: int
-    until_ns: int
+    endpoint: int
+    wait_until_ns: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,152 +53,158 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Forward:
+class ForwardResponse:
     """The answer of this try goes to the client as it is."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
-class Refuse:
+class RejectRequest:
     """An answer of our own. With `back_ns`: it has not run and never will, and may come back then."""
 
     status: int
-    back_ns: int = 0
+    retry_after_ns: int = 0
 
 
-Step = Send | Wait | Forward | Refuse
+Command = SendAttempt | Wait | ForwardResponse | RejectRequest
 
 
 @dataclass(slots=True)
-class Journey:
+class RequestAttempts:
     """`limit_ns` is when the client's or the operator's time is over. `policy` as `attempts` numbers it."""
 
-    way: Way
-    policy: int
-    limit_ns: int
-    tries: dict[int, Try] = field(default_factory=dict)
-    failed: dict[int, int] = field(default_factory=dict)  # tries whose answer is a backend's own failure
-    over: bool = False
-    usual_ns: int = 0  # until when the newest try is waited for where no slot is free
-    gone: bool = False  # its client has
-
-    def start(self, now: int, lines: Mapping[int, float], delays: Mapping[int, float], chance: float) -> Step:
-        if self.limit_ns - now < LEAST_NS:
-            return self.refuse(now, chance)
-        place = quickest(lines, (), delays, chance)
+    rules: Way
+    retry_policy: int
+    deadline_ns: int
+    attempts: dict[int, Try] = field(default_factory=dict)
+    backend_failures: dict[int, int] = field(
+        default_factory=dict
+    )  # tries whose answer is a backend's own failure
+    finished: bool = False
+    unhedged_until_ns: int = 0  # until when the newest try is waited for where no slot is free
+    client_gone: bool = False  # its client has
+
+    def start(
+        self, now: int, weights: Mapping[int, float], delays: Mapping[int, float], chance: float
+    ) -> Command:
+        if self.deadline_ns - now < MIN_ATTEMPT_NS:
+            return self.reject(now, chance)
+        place = quickest(weights, (), delays, chance)
         # Guards against work for nobody: with no hope of an answer in time it is refused at once.
-        if place is None or delays.get(place, 0.0) > self.limit_ns - now:
-            return self.refuse(now, chance)
-        return self.send(now, place, lines)
-
-    def send(self, now: int, place: int, lines: Mapping[int, float]) -> Send:
-        left = self.limit_ns - now
-        wait = wait_ns(self.way, self.policy, [*self.tries.values()], lines, left)
-        number = len(self.tries) + 1
-        self.usual_ns = now + wait
-        until = now + (int(EARLY * wait) if wait < left else wait)
-        self.tries[number] = Try(place, SENT, until)
-        return Send(number, place, until)
-
-    def ended(
+        if place is None or delays.get(place, 0.0) > self.deadline_ns - now:
+            return self.reject(now, chance)
+        return self.send_attempt(now, place, weights)
+
+    def send_attempt(self, now: int, place: int, weights: Mapping[int, float]) -> SendAttempt:
+        left = self.deadline_ns - now
+        wait = wait_ns(self.rules, self.retry_policy, [*self.attempts.values()], weights, left)
+        number = len(self.attempts) + 1
+        self.unhedged_until_ns = now + wait
+        until = now + (int(HEDGE_WAIT_SHARE * wait) if wait < left else wait)
+        self.attempts[number] = Try(place, SENT, until)
+        return SendAttempt(number, place, until)
+
+    def on_attempt_ended(
         self,
         now: int,
         number: int,
-        state: int,
+        outcome: int,
         status: int,
-        lines: Mapping[int, float],
+        weights: Mapping[int, float],
         delays: Mapping[int, float],
         chance: float,
-        budget: Callable[[], bool],
-    ) -> Step:
+        take_retry: Callable[[], bool],
+    ) -> Command:
         """A try has ended; `status` is its answer's, 0 if it has none. `budget` takes a further one out of
         the service's budget, if there is room."""
-        self.tries[number].state = state
-        if state == ANSWERED:
-            return Forward(number)
-        if state == DROPPED and status and status not in PROMISES:
-            self.failed[number] = status
-        if any(one.state in (SENT, LATE) for one in self.tries.values()):
+        self.attempts[number].state = outcome
+        if outcome == ANSWERED:
+            return ForwardResponse(number)
+        if outcome == DROPPED and status and status not in NOT_RUN_STATUSES:
+            self.backend_failures[number] = status
+        if any(one.state in (SENT, LATE) for one in self.attempts.values()):
             return self.wait(now)
-        return self.follow(now, lines, delays, chance, budget)
+        return self.retry_or_finish(now, weights, delays, chance, take_retry)
 
-    def due(
+    def on_timer(
         self,
         now: int,
-        lines: Mapping[int, float],
+        weights: Mapping[int, float],
         delays: Mapping[int, float],
         chance: float,
-        budget: Callable[[], bool],
-        free: bool = True,
-    ) -> Step:
+        take_retry: Callable[[], bool],
+        slot_free: bool = True,
+    ) -> Command:
         """A try was waited for long enough: another may go beside it, whose answer counts as well; sooner
         where a slot is `free`, so that it takes nobody's turn. At the limit all is over."""
-        if now >= self.limit_ns:
-            return self.refuse(now, chance)
-        for one in self.tries.values():
-            if one.state == SENT and one.due_ns <= now < self.usual_ns and not free:
-                one.due_ns = self.usual_ns
+        if now >= self.deadline_ns:
+            return self.reject(now, chance)
+        for one in self.attempts.values():
+            if one.state == SENT and one.due_ns <= now < self.unhedged_until_ns and not slot_free:
+                one.due_ns = self.unhedged_until_ns
             elif one.state == SENT and one.due_ns <= now:
                 one.state = LATE
-                found = self.another(now, lines, delays, chance, budget)
+                found = self.next_attempt(now, weights, delays, chance, take_retry)
                 if isinstance(found, Again):
-                    return self.send(now, found.backend, lines)
+                    return self.send_attempt(now, found.backend, weights)
         return self.wait(now)
 
-    def left(self) -> bool:
+    def on_client_gone(self) -> bool:
         """Its client has gone: nothing is sent any more. Whether what is under way may be ended: an unsafe
         request that may have run goes on, as its client has wanted it."""
-        self.gone = True
-        return self.way.repeatable
+        self.client_gone = True
+        return self.rules.repeatable
 
     def wait(self, now: int) -> Wait:
-        due = [one.due_ns for one in self.tries.values() if one.state == SENT and one.due_ns > now]
-        return Wait(min([*due, self.limit_ns]))
+        due = [one.due_ns for one in self.attempts.values() if one.state == SENT and one.due_ns > now]
+        return Wait(min([*due, self.deadline_ns]))
 
-    def another(
+    def next_attempt(
         self,
         now: int,
-        lines: Mapping[int, float],
+        weights: Mapping[int, float],
         delays: Mapping[int, float],
         chance: float,
-        budget: Callable[[], bool],
+        take_retry: Callable[[], bool],
     ) -> Again | Stop:
-        if self.gone:
-            return GONE
-        tries = [*self.tries.values()]
-        found = again(self.way, self.policy, tries, lines, self.limit_ns - now, chance, delays)
-        return found if isinstance(found, Stop) or budget() else SPENT
+        if self.client_gone:
+            return CLIENT_GONE
+        tries = [*self.attempts.values()]
+        found = again(self.rules, self.retry_policy, tries, weights, self.deadline_ns - now, chance, delays)
+        return found if isinstance(found, Stop) or take_retry() else RETRY_BUDGET_EXHAUSTED
 
-    def follow(
+    def retry_or_finish(
         self,
         now: int,
-        lines: Mapping[int, float],
+        weights: Mapping[int, float],
         delays: Mapping[int, float],
         chance: float,
-        budget: Callable[[], bool],
-    ) -> Step:
-        found = self.another(now, lines, delays, chance, budget)
+        take_retry: Callable[[], bool],
+    ) -> Command:
+        found = self.next_attempt(now, weights, delays, chance, take_retry)
         if isinstance(found, Again):
-            return self.send(now, found.backend, lines)
-        if self.failed:  # the backend's own failure is the answer
-            return Forward(next(iter(self.failed)))
-        return self.refuse(now, chance)
+            return self.send_attempt(now, found.backend, weights)
+        if self.backend_failures:  # the backend's own failure is the answer
+            return ForwardResponse(next(iter(self.backend_failures)))
+        return self.reject(now, chance)
 
-    def refuse(self, now: int, chance: float) -> Refuse:
-        self.over = True
-        if sure([*self.tries.values()]):
-            return Refuse(503, come_back_ns(PACE_NS, 1.0, chance))
-        return Refuse(504 if now >= self.limit_ns else 502)
+    def reject(self, now: int, chance: float) -> RejectRequest:
+        self.finished = True
+        if sure([*self.attempts.values()]):
+            return RejectRequest(503, come_back_ns(RETRY_AFTER_BASE_NS, 1.0, chance))
+        return RejectRequest(504 if now >= self.deadline_ns else 502)
 
 
-def way(safe: bool, limit_ns: int, wait: int) -> Way:
+def retry_rules(safe: bool, time_left_ns: int, hedge_wait_ns: int) -> Way:
     """What `attempts` reads of a route."""
-    return Way(repeatable=safe, limit_ns=limit_ns, wait_ns=wait, least_ns=LEAST_NS, hold_ns=0)
+    return Way(
+        repeatable=safe, limit_ns=time_left_ns, wait_ns=hedge_wait_ns, least_ns=MIN_ATTEMPT_NS, hold_ns=0
+    )
 
 
-def policy(safe: bool, tries: int, jammed: bool) -> int:
+def choose_retry_policy(safe: bool, max_attempts: int, overloaded: bool) -> int:
     """The way of trying again, by what the operator allows; in a jam none."""
-    if tries <= 1 or jammed:
+    if max_attempts <= 1 or overloaded:
         return 0
-    return 1 if not safe else AFTER_ANY + (tries > 2)
+    return 1 if not safe else AFTER_ANY + (max_attempts > 2)
--- a/meadowworks/forwarding/memory_budget.py
+++ b/meadowworks/forwarding/memory_budget.py
@@ -3,35 +3,35 @@
 from __future__ import annotations
 
 
-class Room:
+class MemoryBudget:
     """`most` bytes. Guards against many large bodies at once, each within its own bound."""
 
     def __init__(self, most: int) -> None:
-        self.most, self.held = most, 0
+        self.limit_bytes, self.reserved_bytes = most, 0
 
-    def take(self, size: int) -> bool:
+    def reserve(self, size: int) -> bool:
         """Whether so many bytes more may be held; they are counted if so."""
-        if self.held + size > self.most:
+        if self.reserved_bytes + size > self.limit_bytes:
             return False
-        self.held += size
+        self.reserved_bytes += size
         return True
 
-    def give(self, size: int) -> None:
-        self.held -= size
+    def release(self, size: int) -> None:
+        self.reserved_bytes -= size
 
 
-class Share:
+class MemoryReservation:
     """What one request holds of a room: given back as a whole, and again if more has been taken since."""
 
-    def __init__(self, room: Room) -> None:
-        self.room, self.held = room, 0
+    def __init__(self, room: MemoryBudget) -> None:
+        self.budget, self.reserved_bytes = room, 0
 
-    def take(self, size: int) -> bool:
-        if not self.room.take(size):
+    def reserve(self, size: int) -> bool:
+        if not self.budget.reserve(size):
             return False
-        self.held += size
+        self.reserved_bytes += size
         return True
 
-    def give(self) -> None:
-        held, self.held = self.held, 0
-        self.room.give(held)
+    def release(self) -> None:
+        held, self.reserved_bytes = self.reserved_bytes, 0
+        self.budget.release(held)
--- a/meadowworks/forwarding/retry_budget.py
+++ b/meadowworks/forwarding/retry_budget.py
@@ -8,32 +8,32 @@
 
 from collections import deque
 
-PART = 0.9  # of the ratio that is used: requests are counted by others at other moments
+REQUEST_SHARE = 0.9  # of the ratio that is used: requests are counted by others at other moments
 ALLOWANCE = 2  # further tries in a window beyond the requests' part
 
 
-class Budget:
+class RetryBudget:
     """`window_ns` is the bound's; times are monotonic."""
 
     def __init__(self, ratio: float, window_ns: int) -> None:
-        self.ratio, self.window_ns = ratio * PART, window_ns
-        self.came: deque[int] = deque()
-        self.again: deque[int] = deque()
+        self.ratio, self.window_ns = ratio * REQUEST_SHARE, window_ns
+        self.requests: deque[int] = deque()
+        self.retries: deque[int] = deque()
 
-    def request(self, now: int) -> None:
-        self.came.append(now)
+    def record_request(self, now: int) -> None:
+        self.requests.append(now)
 
-    def take(self, now: int) -> bool:
+    def take_retry(self, now: int) -> bool:
         """Whether a further try may be sent; it is counted if so."""
-        again, came = self.window(now)
+        again, came = self.window_counts(now)
         if again + 1 > self.ratio * came + ALLOWANCE:
             return False
-        self.again.append(now)
+        self.retries.append(now)
         return True
 
-    def window(self, now: int) -> tuple[int, int]:
+    def window_counts(self, now: int) -> tuple[int, int]:
         """Further tries and requests in the window that ends now."""
-        for seen in (self.came, self.again):
+        for seen in (self.requests, self.retries):
             while seen and seen[0] <= now - self.window_ns:
                 seen.popleft()
-        return len(self.again), len(self.came)
+        return len(self.retries), len(self.requests)
--- a/meadowworks/forwarding/staleness.py
+++ b/meadowworks/forwarding/staleness.py
@@ -6,25 +6,27 @@
 
 from __future__ import annotations
 
-FRESH_NS = 2_500_000_000  # two pulls that are held back for their whole time, and half a second
+MAX_AGE_NS = 2_500_000_000  # two pulls that are held back for their whole time, and half a second
 
 
-class Picture:
+class StalenessTracker:
     """Times are of one steady clock, in nanoseconds."""
 
-    def __init__(self, fresh_ns: int = FRESH_NS) -> None:
-        self.fresh_ns = fresh_ns
-        self.asked_ns: int | None = None  # when the newest question left that one who was sure has answered
+    def __init__(self, fresh_ns: int = MAX_AGE_NS) -> None:
+        self.max_age_ns = fresh_ns
+        self.confirmed_ns: int | None = (
+            None  # when the newest question left that one who was sure has answered
+        )
 
-    def told(self, asked_ns: int, sure: bool) -> None:
+    def on_reply(self, sent_ns: int, has_lease: bool) -> None:
         """A whole reply to the question that left then. `sure`: who answers holds a lease of a majority."""
-        if sure and (self.asked_ns is None or asked_ns > self.asked_ns):
-            self.asked_ns = asked_ns
+        if has_lease and (self.confirmed_ns is None or sent_ns > self.confirmed_ns):
+            self.confirmed_ns = sent_ns
 
     @property
-    def ever(self) -> bool:
-        return self.asked_ns is not None
+    def ever_confirmed(self) -> bool:
+        return self.confirmed_ns is not None
 
-    def fresh(self, now: int) -> bool:
+    def is_fresh(self, now: int) -> bool:
         """Whether what is not in it may be said not to be there."""
-        return self.asked_ns is not None and now - self.asked_ns < self.fresh_ns
+        return self.confirmed_ns is not None and now - self.confirmed_ns < self.max_age_ns
--- a/meadowworks/load_balancing/load_reports.py
+++ b/meadowworks/load_balancing/load_reports.py
@@ -9,49 +9,49 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-PREFIX = "f/"  # of the keys under which zones' figures are said
+LOAD_REPORT_PREFIX = "f/"  # of the keys under which zones' figures are said
 
 
 @dataclass(slots=True)
-class Sums:
+class LoadReport:
     """By backend: tries, failures and milliseconds of the good ones, summed, then how often it told its load,
     and the calls running and waiting there, summed; calls asked by service."""
 
-    met: dict[str, list[float]] = field(default_factory=dict)
-    asked: dict[str, int] = field(default_factory=dict)
+    backend_counts: dict[str, list[float]] = field(default_factory=dict)
+    service_requests: dict[str, int] = field(default_factory=dict)
 
-    def tried(self, ident: str, good: bool, spent_ms: float) -> None:
-        one = self.met.setdefault(ident, [0] * 6)
+    def record_attempt(self, backend_id: str, answered: bool, elapsed_ms: float) -> None:
+        one = self.backend_counts.setdefault(backend_id, [0] * 6)
         one[0] += 1
-        one[1] += not good
-        one[2] += spent_ms if good else 0.0
+        one[1] += not answered
+        one[2] += elapsed_ms if answered else 0.0
 
-    def loaded(self, ident: str, running: int, waiting: int) -> None:
-        one = self.met.setdefault(ident, [0] * 6)
+    def record_backend_load(self, backend_id: str, running: int, waiting: int) -> None:
+        one = self.backend_counts.setdefault(backend_id, [0] * 6)
         one[3] += 1
         one[4] += running
         one[5] += waiting
 
-    def came(self, service: str) -> None:
-        self.asked[service] = self.asked.get(service, 0) + 1
+    def record_request(self, service: str) -> None:
+        self.service_requests[service] = self.service_requests.get(service, 0) + 1
 
-    def add(self, raw: Any) -> None:
+    def merge(self, raw: Any) -> None:
         """What a junction told. Raises ValueError or TypeError for what is malformed."""
         met, asked = raw
         for ident, *counts in met:
             if len(counts) != 6 or not all(isinstance(c, int) for c in counts):
                 raise ValueError("no figures")
-            one = self.met.setdefault(str(ident), [0] * 6)
+            one = self.backend_counts.setdefault(str(ident), [0] * 6)
             for place, count in enumerate(counts):
                 one[place] += count
         for service, calls in asked:
-            self.asked[str(service)] = self.asked.get(str(service), 0) + int(calls)
+            self.service_requests[str(service)] = self.service_requests.get(str(service), 0) + int(calls)
 
     def pack(self) -> list[Any]:
         return [
-            [[ident, *map(round, counts)] for ident, counts in self.met.items()],
-            [[s, n] for s, n in self.asked.items()],
+            [[ident, *map(round, counts)] for ident, counts in self.backend_counts.items()],
+            [[s, n] for s, n in self.service_requests.items()],
         ]
 
     def __bool__(self) -> bool:
-        return bool(self.met or self.asked)
+        return bool(self.backend_counts or self.service_requests)
--- a/meadowworks/load_balancing/service.py
+++ b/meadowworks/load_balancing/service.py
@@ -18,24 +18,24 @@
 from meadowworks.registry.heartbeats import DRAINING, UP
 
 SECOND = 1_000_000_000
-REPORT_NS = SECOND
-COLD_NS = 30 * SECOND  # of backends that do not tell how long they are slow
-AMPLE = 1e12  # what the channel to a table in the same process bears
-SIZE_PART = 0.05  # that a new answer has in what answers are taken to measure
-LATE_NS = 3 * SECOND  # figures of the zone older than this are replaced by this junction's own
+REPORT_INTERVAL_NS = SECOND
+DEFAULT_SLOW_START_NS = 30 * SECOND  # of backends that do not tell how long they are slow
+UNLIMITED = 1e12  # what the channel to a table in the same process bears
+RESPONSE_SIZE_GAIN = 0.05  # that a new answer has in what answers are taken to measure
+REPORT_OVERDUE_NS = 3 * SECOND  # figures of the zone older than this are replaced by this junction's own
 
 
 @dataclass(frozen=True, slots=True)
-class Met:
+class BackendLoad:
     """At one backend: tries, those that failed, and the mean latency of the good ones in nanoseconds."""
 
-    tries: int
-    bad: int
+    attempts: int
+    failures: int
     latency_ns: int
-    waiting: float = -1.0  # calls waiting there in the mean; under 0: not told
+    queue_length: float = -1.0  # calls waiting there in the mean; under 0: not told
 
 
-def settings(zones: int, target_ns: int, cold_ns: int) -> Settings:
+def policy_settings(zones: int, target_ns: int, slow_start_ns: int) -> Settings:
     return Settings(
         routes=(Route(1.0, target_ns, False),),
         zones=zones,
@@ -50,17 +50,17 @@
         level_kind="share",
         base_retry=1,
         ejects=0,
-        report_ns=REPORT_NS,
+        report_ns=REPORT_INTERVAL_NS,
         fixed_weights=True,
-        channel_rate=AMPLE,
-        queue_cap=AMPLE,
+        channel_rate=UNLIMITED,
+        queue_cap=UNLIMITED,
         head=1.0,
         messages_most=0,
         messages_over_ns=SECOND,
-        delay_most_ns=REPORT_NS,
+        delay_most_ns=REPORT_INTERVAL_NS,
         cold_share=0.1,
         tip=1.0,
-        cold_ns=cold_ns,
+        cold_ns=slow_start_ns,
         slices=0,
         exclusive=False,
         lease_ns=0,
@@ -68,33 +68,35 @@
     )
 
 
-class Service:
+class ServiceBalancer:
     """The controller's host. Zones are in the order given; `mine` is the junction's own."""
 
     def __init__(
-        self, name: str, zones: Sequence[str], mine: str, target_ns: int, seed: int, now: int
+        self, name: str, zones: Sequence[str], local_zone: str, target_ns: int, seed: int, now: int
     ) -> None:
-        self.name, self.zones = name, {zone: place for place, zone in enumerate(zones)}
-        self.mine = self.zones[mine]
-        self.places = Names()
-        self.lines: dict[int, float] = {}  # the table of the own zone
-        self.abroad: dict[int, float] = {}  # lines of the other zones' tables to their own backends
-        self.level, self.retry = 1.0, 1
-        self.size = 0.0  # bytes of an answer, in the mean of late
-        self.marked: list[int] = []
-        self.cold_ns = COLD_NS
-        self.wake_ns = now
-        self.states: dict[str, str] = {}
-        self.heard_ns: dict[int, int] = {}  # by zone: when figures of it last came
-        self.notes: list[str] = []
-        self.controller = Controller(self, settings(len(zones), target_ns, COLD_NS), seed, now)
-        for place in self.zones.values():
+        self.name, self.zone_index = name, {zone: place for place, zone in enumerate(zones)}
+        self.local_zone = self.zone_index[local_zone]
+        self.endpoint_ids = Names()
+        self.weights: dict[int, float] = {}  # the table of the own zone
+        self.remote_weights: dict[int, float] = {}  # lines of the other zones' tables to their own backends
+        self.admission_ratio, self.max_retries = 1.0, 1
+        self.response_bytes = 0.0  # bytes of an answer, in the mean of late
+        self.pending_marks: list[int] = []
+        self.slow_start_ns = DEFAULT_SLOW_START_NS
+        self.next_tick_ns = now
+        self.backend_states: dict[str, str] = {}
+        self.reported_ns: dict[int, int] = {}  # by zone: when figures of it last came
+        self.log_entries: list[str] = []
+        self.controller = Controller(
+            self, policy_settings(len(zones), target_ns, DEFAULT_SLOW_START_NS), seed, now
+        )
+        for place in self.zone_index.values():
             self.controller.joined(now, place, place, 0.0)
 
     # -- the controller's host
 
     def record(self, line: str) -> None:
-        self.notes.append(line)
+        self.log_entries.append(line)
 
     def track(self, on: bool) -> None:
         pass
@@ -103,68 +105,68 @@
         pass
 
     def forget(self, backend: int) -> None:
-        if name := self.places.names.get(backend):
-            self.states.pop(name, None)
-            self.places.free(backend)
+        if name := self.endpoint_ids.names.get(backend):
+            self.backend_states.pop(name, None)
+            self.endpoint_ids.free(backend)
 
     def mark(self, number: int) -> None:
-        self.marked.append(number)
+        self.pending_marks.append(number)
 
     def wake_in(self, wait_ns: int) -> None:
-        self.wake_ns += wait_ns
+        self.next_tick_ns += wait_ns
 
     def set_line(self, table: int, backend: int, weight: float) -> None:
-        if table != self.mine:
+        if table != self.local_zone:
             known = self.controller.backends.get(backend)
             if known is None or known.zone == table:
-                put(self.abroad, backend, weight)
+                store_weight(self.remote_weights, backend, weight)
         else:
-            put(self.lines, backend, weight)
+            store_weight(self.weights, backend, weight)
 
     def bind(self, routes: int, proxy: int, table: int) -> None:
         pass
 
     def admit(self, table: int, routes: int, level: float, retry: int) -> None:
-        if table == self.mine:
-            self.level, self.retry = level, retry
+        if table == self.local_zone:
+            self.admission_ratio, self.max_retries = level, retry
 
     # -- what happens
 
-    def aims(self, target_ns: int) -> None:
+    def set_latency_target(self, target_ns: int) -> None:
         """The time within which the operator wants this service's answers, as a new configuration says."""
         old = self.controller.set
         self.controller.set = replace(old, routes=(replace(old.routes[0], slo_ns=target_ns),))
 
-    def applied(self, now: int) -> None:
+    def acknowledge_marks(self, now: int) -> None:
         """Orders within one process are carried out at once."""
-        while self.marked:
-            self.controller.applied(now, self.marked.pop(0))
+        while self.pending_marks:
+            self.controller.applied(now, self.pending_marks.pop(0))
 
-    def listed(self, now: int, backends: Iterable[BackendInstance]) -> None:
+    def update_backends(self, now: int, backends: Iterable[BackendInstance]) -> None:
         """The lives of this service as they are now; only what has changed is handed on."""
         entries, named = [], set()
         for b in backends:
             named.add(b.instance_id)
-            if self.states.get(b.instance_id) == b.state or b.zone not in self.zones:
+            if self.backend_states.get(b.instance_id) == b.state or b.zone not in self.zone_index:
                 continue
-            if b.warm_at_ns and self.cold_ns == COLD_NS:
+            if b.warm_at_ns and self.slow_start_ns == DEFAULT_SLOW_START_NS:
                 # The backends tell how long they are slow: that takes the place of the usual time.
-                self.cold_ns = b.warm_at_ns - b.first_seen_ns
-                self.controller.set = replace(self.controller.set, cold_ns=self.cold_ns)
-            self.states[b.instance_id] = b.state
+                self.slow_start_ns = b.warm_at_ns - b.first_seen_ns
+                self.controller.set = replace(self.controller.set, cold_ns=self.slow_start_ns)
+            self.backend_states[b.instance_id] = b.state
             state = {UP: "ready", DRAINING: "draining"}.get(b.state, "gone")
             entries.append(
                 Entry(
-                    self.places.index(b.instance_id),
-                    self.zones[b.zone],
+                    self.endpoint_ids.index(b.instance_id),
+                    self.zone_index[b.zone],
                     state,
                     b.first_seen_ns if b.warm_at_ns else 0,
                     b.capacity,
                 )
             )
-        for ident in [i for i, state in self.states.items() if i not in named and state != "over"]:
-            self.states[ident] = "over"
-            place = self.places.index(ident)
+        for ident in [i for i, state in self.backend_states.items() if i not in named and state != "over"]:
+            self.backend_states[ident] = "over"
+            place = self.endpoint_ids.index(ident)
             known = self.controller.backends.get(place)
             if known is not None:
                 # First draining, so that it is not held as one that the list only misses.
@@ -172,37 +174,39 @@
                 entries.append(Entry(place, known.zone, "gone", known.since_ns, known.weight))
         if entries:
             self.controller.listed(now, "changes", entries)
-            self.applied(now)
+            self.acknowledge_marks(now)
 
-    def heard(self, now: int, zone: int, met: Mapping[str, Met], asked: int, covers_ns: int) -> None:
+    def record_zone_report(
+        self, now: int, zone: int, loads: Mapping[str, BackendLoad], requests: int, covers_ns: int
+    ) -> None:
         """The figures of one zone over a stretch of time."""
-        for ident, m in met.items():
-            if (place := self.places.places.get(ident)) is not None:
+        for ident, m in loads.items():
+            if (place := self.endpoint_ids.places.get(ident)) is not None:
                 self.controller.heard(
                     now,
                     zone,
                     place,
-                    m.tries,
-                    m.bad,
+                    m.attempts,
+                    m.failures,
                     m.latency_ns,
                     covers_ns,
-                    {} if m.waiting < 0 else {"queue": m.waiting},
+                    {} if m.queue_length < 0 else {"queue": m.queue_length},
                 )
-        self.controller.asked(now, zone, 0, asked, 0, covers_ns)
-        self.heard_ns[zone] = now
+        self.controller.asked(now, zone, 0, requests, 0, covers_ns)
+        self.reported_ns[zone] = now
 
-    def answered(self, size: int) -> None:
-        self.size += SIZE_PART * (size - self.size)
+    def record_response(self, size: int) -> None:
+        self.response_bytes += RESPONSE_SIZE_GAIN * (size - self.response_bytes)
 
-    def late(self, now: int, zone: int) -> bool:
-        return now - self.heard_ns.get(zone, 0) > LATE_NS
+    def report_overdue(self, now: int, zone: int) -> bool:
+        return now - self.reported_ns.get(zone, 0) > REPORT_OVERDUE_NS
 
-    def why(self, now: int) -> dict[str, Any]:
+    def explain(self, now: int) -> dict[str, Any]:
         """What the last decisions rest on: calls a second, the parts of weights, and rungs of suspects."""
         c = self.controller
         return {
-            "level": self.level,
-            "further tries allowed": bool(self.retry),
+            "level": self.admission_ratio,
+            "further tries allowed": bool(self.max_retries),
             "asked": round(c.asking, 2),
             "proven": round(c.proven, 2),
             "zones": {
@@ -213,28 +217,36 @@
                     "waiting": round(view.crowd, 2),
                     "jammed": view.jam,
                     "calm": view.calm,
-                    "figures_s": round((now - self.heard_ns[k]) / SECOND, 1) if k in self.heard_ns else None,
+                    "figures_s": round((now - self.reported_ns[k]) / SECOND, 1)
+                    if k in self.reported_ns
+                    else None,
                 }
-                for (zone, k), view in zip(self.zones.items(), c.views, strict=True)
+                for (zone, k), view in zip(self.zone_index.items(), c.views, strict=True)
+            },
+            "table": {self.endpoint_ids.names[p]: round(w, 3) for p, w in sorted(self.weights.items())},
+            "abroad": {
+                self.endpoint_ids.names[p]: round(w, 3) for p, w in sorted(self.remote_weights.items())
             },
-            "table": {self.places.names[p]: round(w, 3) for p, w in sorted(self.lines.items())},
-            "abroad": {self.places.names[p]: round(w, 3) for p, w in sorted(self.abroad.items())},
             "held back": {
-                self.places.names[p]: {"rung": b.rung, "part": round(c.part(now, b), 3), "ready": b.ready}
+                self.endpoint_ids.names[p]: {
+                    "rung": b.rung,
+                    "part": round(c.part(now, b), 3),
+                    "ready": b.ready,
+                }
                 for p, b in c.backends.items()
-                if p in self.places.names and (b.rung or not b.ready or c.part(now, b) < 1)
+                if p in self.endpoint_ids.names and (b.rung or not b.ready or c.part(now, b) < 1)
             },
         }
 
     def tick(self, now: int) -> None:
-        if now >= self.wake_ns:
-            self.wake_ns = max(self.wake_ns, now - REPORT_NS)
+        if now >= self.next_tick_ns:
+            self.next_tick_ns = max(self.next_tick_ns, now - REPORT_INTERVAL_NS)
             self.controller.tick(now)
-            self.applied(now)
+            self.acknowledge_marks(now)
 
 
-def put(lines: dict[int, float], backend: int, weight: float) -> None:
+def store_weight(weights: dict[int, float], backend: int, weight: float) -> None:
     if weight > 0:
-        lines[backend] = weight
+        weights[backend] = weight
     else:
-        lines.pop(backend, None)
+        weights.pop(backend, None)
--- a/meadowworks/modelcheck/models/forwarding.py
+++ b/meadowworks/modelcheck/models/forwarding.py
@@ -14,10 +14,18 @@
 from typing import Any
 
 from meadowworks.attempts.retry_policy import DROPPED, UNRUN
-from meadowworks.forwarding.attempts import MS, Forward, Journey, Refuse, Send, policy, way
-from meadowworks.forwarding.connection_pool import Yard
-from meadowworks.forwarding.response_check import PROMISES, judge
-from meadowworks.forwarding.retry_budget import Budget
+from meadowworks.forwarding.attempts import (
+    MS,
+    ForwardResponse,
+    RejectRequest,
+    RequestAttempts,
+    SendAttempt,
+    choose_retry_policy,
+    retry_rules,
+)
+from meadowworks.forwarding.connection_pool import ConnectionPool
+from meadowworks.forwarding.response_check import NOT_RUN_STATUSES, check_response
+from meadowworks.forwarding.retry_budget import RetryBudget
 from meadowworks.gossip.updates import KeyUpdate
 from meadowworks.modelcheck.model import Model, Property, Step
 from meadowworks.modelcheck.models import wires
@@ -71,7 +79,7 @@
 
 @dataclass
 class Asked:
-    journey: Journey
+    journey: RequestAttempts
     told: int = 0  # the status that its client has; 0: none so far
     whose: str = ""  # of which request the answer was, for a success
 
@@ -83,12 +91,12 @@
 
     def __post_init__(self) -> None:
         self.now = 0
-        self.yard: Yard[Line] = Yard()
+        self.yard: ConnectionPool[Line] = ConnectionPool()
         self.lives = BackendDirectory(self.silent, self.clock)
         self.at = dict(zip(ADDRESSES, LIVES, strict=True))  # who lives where; nobody: absent
         self.asked: list[Asked] = []
         self.flights: list[Flight] = []
-        self.budget = Budget(0.0, 10_000 * MS)
+        self.budget = RetryBudget(0.0, 10_000 * MS)
         self.opened = 0
         self.repeats, self.surplus = self.scene.repeats, self.scene.surplus
         self.drained: tuple[str, ...] = ()  # told to the junction
@@ -96,11 +104,11 @@
         for life, address in zip(LIVES, ADDRESSES, strict=True):
             self.say(life, address, "up")
         if self.scene.kept:
-            self.yard.begin("a")
+            self.yard.attempt_started("a")
             line = self.open("a")
             line.carried = 1
-            self.yard.keep(0, "a", line, 60)
-            self.yard.end("a")
+            self.yard.release(0, "a", line, 60)
+            self.yard.attempt_ended("a")
         self.begin()
 
     def silent(self, source: str) -> int:
@@ -124,28 +132,30 @@
             for place, life in enumerate(LIVES)
             if (known := self.lives.instances.get(life))
             and known.accepts_requests
-            and not self.yard.avoided(self.now, life)
+            and not self.yard.is_avoided(self.now, life)
         }
         return lines, {place: 100.0 * MS for place in lines}
 
     def begin(self) -> None:
         safe = self.scene.safe
         limit = self.now + LIMIT_MS * MS
-        journey = Journey(
-            way(safe, LIMIT_MS * MS, TARGET_MS * MS), policy(safe, self.scene.tries, False), limit
+        journey = RequestAttempts(
+            retry_rules(safe, LIMIT_MS * MS, TARGET_MS * MS),
+            choose_retry_policy(safe, self.scene.tries, False),
+            limit,
         )
-        self.budget.request(self.now)
+        self.budget.record_request(self.now)
         self.asked.append(Asked(journey))
         self.follow(len(self.asked) - 1, journey.start(self.now, *self.seen(), 0.0))
 
     def follow(self, r: int, step: Any) -> None:
         one = self.asked[r]
         match step:
-            case Send(number, place):
+            case SendAttempt(number, place):
                 self.send(r, number, LIVES[place])
-            case Refuse(status):
+            case RejectRequest(status):
                 self.tell(r, status, "")
-            case Forward(number):
+            case ForwardResponse(number):
                 self.tell(r, *self.answers[r, number])
         if one.told:
             for flight in self.flights:
@@ -159,19 +169,19 @@
         ran = any(f.request == r and f.ran for f in self.flights)
         if status == 200 and whose != f"r{r}":
             self.wrong += ("own answer",)
-        if not self.scene.safe and status in PROMISES and ran:
+        if not self.scene.safe and status in NOT_RUN_STATUSES and ran:
             self.wrong += ("promises kept",)
 
     def send(self, r: int, number: int, life: str) -> None:
         if life in self.drained:
             self.wrong += ("drains kept",)
-        self.yard.begin(life)
-        line = self.yard.take(self.now, life)
+        self.yard.attempt_started(life)
+        line = self.yard.acquire(self.now, life)
         if line is None:
             address = ADDRESSES[LIVES.index(life)]
             if address not in self.at:  # nobody there: the connection never comes up
-                self.yard.unreached(self.now, life)
-                self.yard.end(life)
+                self.yard.mark_unreachable(self.now, life)
+                self.yard.attempt_ended(life)
                 return self.ended(r, number, UNRUN, 0)
             line = self.open(self.at[address])
         line.carried += 1
@@ -180,13 +190,13 @@
     def ended(self, r: int, number: int, state: int, status: int) -> None:
         journey = self.asked[r].journey
         lines, waits = self.seen()
-        again = lambda: self.budget.take(self.now)  # noqa: E731
-        self.follow(r, journey.ended(self.now, number, state, status, lines, waits, 0.0, again))
+        again = lambda: self.budget.take_retry(self.now)  # noqa: E731
+        self.follow(r, journey.on_attempt_ended(self.now, number, state, status, lines, waits, 0.0, again))
 
     def close(self, flight: Flight) -> None:
         """The try is over for the junction."""
         self.flights = [f if f is not flight else replace(f, heard=False) for f in self.flights]
-        self.yard.end(flight.want)
+        self.yard.attempt_ended(flight.want)
 
     # -- steps
 
@@ -208,7 +218,11 @@
             if not one.told and any(f.request == r and f.heard for f in self.flights):
                 found.append(("due", r))
         last = self.asked[-1]
-        if self.repeats and last.told and (last.told in PROMISES or self.scene.safe and last.told >= 500):
+        if (
+            self.repeats
+            and last.told
+            and (last.told in NOT_RUN_STATUSES or self.scene.safe and last.told >= 500)
+        ):
             found.append(("repeat",))
         if self.scene.drains:
             found += [("drain", life) for life in LIVES if life not in self.drained]
@@ -236,7 +250,7 @@
         if not self.scene.safe:
             if sum(g.ran for g in self.flights if g.request == f.request) > 1:
                 self.wrong += ("at most once",)
-            if one.told in PROMISES:
+            if one.told in NOT_RUN_STATUSES:
                 self.wrong += ("promises kept",)
 
     def do_answer(self, k: int, status: int, whose: str = "", other: bool = False) -> None:
@@ -250,18 +264,18 @@
         if not status:
             headers[b"x-not-run"] = b"full"
         mine, want = f"r{f.request}".encode(), f.want.encode()
-        verdict = judge(mine, want, status or 503, headers.get, line.carried == 1)
-        if verdict.keep and not other:
-            self.yard.keep(self.now, f.want, line, 60)
+        verdict = check_response(mine, want, status or 503, headers.get, line.carried == 1)
+        if verdict.reusable and not other:
+            self.yard.release(self.now, f.want, line, 60)
         else:
             line.close()
         if not other and status in (0, 421):
             f.never = True
         self.close(f)
-        if verdict.over:
+        if verdict.incarnation_ended:
             self.lives.mark_superseded(f.want)
         self.answers = {**self.answers, (f.request, f.number): (status or 503, ident)}
-        self.ended(f.request, f.number, verdict.state, (status or 503) if verdict.sound else 0)
+        self.ended(f.request, f.number, verdict.outcome, (status or 503) if verdict.is_valid else 0)
 
     def do_surplus(self, k: int, status: int, named: int) -> None:
         """An answer to an earlier request comes in this one's place; its own is still to come. A 503 stands
@@ -278,8 +292,8 @@
     def do_due(self, r: int) -> None:
         journey = self.asked[r].journey
         self.now = max(self.now, journey.wait(self.now).until_ns)
-        again = lambda: self.budget.take(self.now)  # noqa: E731
-        self.follow(r, journey.due(self.now, *self.seen(), 0.0, again, True))
+        again = lambda: self.budget.take_retry(self.now)  # noqa: E731
+        self.follow(r, journey.on_timer(self.now, *self.seen(), 0.0, again, True))
 
     def do_repeat(self) -> None:
         self.repeats -= 1
@@ -320,9 +334,9 @@
                     (
                         one.told,
                         one.whose,
-                        one.journey.usual_ns,
-                        tuple([(n, t.backend, t.state, t.due_ns) for n, t in one.journey.tries.items()]),
-                        tuple(one.journey.failed.items()),
+                        one.journey.unhedged_until_ns,
+                        tuple([(n, t.backend, t.state, t.due_ns) for n, t in one.journey.attempts.items()]),
+                        tuple(one.journey.backend_failures.items()),
                     )
                     for one in self.asked
                 ]
@@ -348,14 +362,14 @@
                 [
                     (
                         life,
-                        s.under_way,
-                        s.avoid_ns,
+                        s.in_flight,
+                        s.avoided_until_ns,
                         tuple([(u, line.number, line.life, line.open, line.carried) for u, line in s.idle]),
                     )
-                    for life, s in sorted(self.yard.stalls.items())
+                    for life, s in sorted(self.yard.endpoints.items())
                 ]
             ),
-            tuple(self.budget.again),
+            tuple(self.budget.retries),
         )
 
 
@@ -380,14 +394,14 @@
     """A line that is kept for a life leads to it."""
     return all(
         line.life == life
-        for life, stall in world.yard.stalls.items()
+        for life, stall in world.yard.endpoints.items()
         for _, line in stall.idle
         if line.usable()
     )
 
 
 def tries_bounded(world: World) -> bool:
-    return all(len(one.journey.tries) <= max(1, world.scene.tries) for one in world.asked)
+    return all(len(one.journey.attempts) <= max(1, world.scene.tries) for one in world.asked)
 
 
 def told_at_once(world: World) -> bool:
--- a/meadowworks/modelcheck/models/wires.py
+++ b/meadowworks/modelcheck/models/wires.py
@@ -19,12 +19,20 @@
 from typing import Any, cast
 
 from meadowworks.attempts.retry_policy import CANCELLED
-from meadowworks.forwarding.attempts import MS, Forward, Journey, Refuse, Send, policy, way
-from meadowworks.forwarding.connection_pool import Yard
-from meadowworks.forwarding.response_check import PROMISES
+from meadowworks.forwarding.attempts import (
+    MS,
+    ForwardResponse,
+    RejectRequest,
+    RequestAttempts,
+    SendAttempt,
+    choose_retry_policy,
+    retry_rules,
+)
+from meadowworks.forwarding.connection_pool import ConnectionPool
+from meadowworks.forwarding.response_check import NOT_RUN_STATUSES
 from meadowworks.modelcheck.model import Step
 from meadowworks.proxy import upstream_attempt as forward
-from meadowworks.proxy.upstream_attempt import Request, Tried
+from meadowworks.proxy.upstream_attempt import AttemptResult, UpstreamRequest
 from meadowworks.registry.backends import BackendInstance
 from meadowworks.runtime import peer_client as peers
 from meadowworks.runtime.errors import RequestError
@@ -114,7 +122,7 @@
 
 @dataclass
 class Asked:
-    journey: Journey
+    journey: RequestAttempts
     tasks: dict[int, asyncio.Task[Any]] = field(default_factory=dict)
     replies: dict[int, Any] = field(default_factory=dict)
     told: int = 0
@@ -156,7 +164,7 @@
         self.wires: list[Wire] = []
         self.asked: list[Asked] = []
         self.ran: dict[str, int] = {}
-        self.yard: Yard[ClientConnection] = Yard()
+        self.yard: ConnectionPool[ClientConnection] = ConnectionPool()
         self.peer = Peer("a", 80)
         self.cuts, self.extras, self.leaves = self.scene.cuts, self.scene.extras, self.scene.leaves
         self.earlier: list[asyncio.Task[Any]] = []
@@ -237,14 +245,16 @@
     def attempt(self, ident: str, place: int, limit_ns: int) -> Any:
         named = self.scene.named
         names = [(b"host", b"h"), (b"x-request-id" if named else b"x-of", ident.encode())]
-        asked = Request(b"POST", b"/", names, b"", ident.encode() if named else None)
+        asked = UpstreamRequest(b"POST", b"/", names, b"", ident.encode() if named else None)
         there = BackendInstance(LIVES[place], "s", LIVES[place], 80, "home", 2, "up", 0, 0)
-        return forward.attempt(self.yard, there, asked, limit_ns)
+        return forward.send_attempt(self.yard, there, asked, limit_ns)
 
     def ask(self) -> None:
         r, scene = len(self.asked), self.scene
         safe = scene.calls == "safe"
-        journey = Journey(way(safe, LIMIT_NS, LIMIT_NS), policy(safe, 2, False), self.now + LIMIT_NS)
+        journey = RequestAttempts(
+            retry_rules(safe, LIMIT_NS, LIMIT_NS), choose_retry_policy(safe, 2, False), self.now + LIMIT_NS
+        )
         self.asked.append(Asked(journey))
         if self.between():
             self.start(r, 1, self.peer.call(b"/pull", b"", 1e6))
@@ -257,11 +267,11 @@
     def follow(self, r: int, step: Any) -> None:
         one = self.asked[r]
         match step:
-            case Send(number, place):
-                self.start(r, number, self.attempt(f"r{r}", place, one.journey.limit_ns))
-            case Refuse(status):
+            case SendAttempt(number, place):
+                self.start(r, number, self.attempt(f"r{r}", place, one.journey.deadline_ns))
+            case RejectRequest(status):
                 self.tell(r, status)
-            case Forward(number):
+            case ForwardResponse(number):
                 reply = one.replies[number]
                 self.tell(r, reply.status, reply.body)
 
@@ -274,12 +284,14 @@
             if trouble is not None and not isinstance(trouble, RequestError):
                 raise trouble
             return self.tell(r, 502) if trouble else self.tell(r, 200, task.result())
-        tried = Tried(CANCELLED, None, 0) if task.cancelled() else task.result()
-        one.replies[number] = tried.reply
+        tried = AttemptResult(CANCELLED, None, 0) if task.cancelled() else task.result()
+        one.replies[number] = tried.response
         if not one.told:
             self.follow(
                 r,
-                one.journey.ended(self.now, number, tried.state, tried.status, LINES, {}, 0.0, lambda: True),
+                one.journey.on_attempt_ended(
+                    self.now, number, tried.outcome, tried.status, LINES, {}, 0.0, lambda: True
+                ),
             )
 
     def tell(self, r: int, status: int, body: bytes = b"") -> None:
@@ -289,7 +301,7 @@
         one.told = status
         if status == 200 and body not in [f"of {call}".encode() for call in self.calls(r)]:
             self.wrong.add("wrong caller")
-        if status in PROMISES and self.scene.calls == "unsafe" and self.ran.get(f"r{r}", 0):
+        if status in NOT_RUN_STATUSES and self.scene.calls == "unsafe" and self.ran.get(f"r{r}", 0):
             self.wrong.add("ran twice")
 
     def calls(self, r: int) -> list[str]:
@@ -352,7 +364,7 @@
         r = int(ident[1:]) if ident[1:].isdigit() else None
         if r is not None and self.scene.calls == "unsafe":
             told = self.asked[r].told
-            if self.ran[ident] > 1 or told in PROMISES:
+            if self.ran[ident] > 1 or told in NOT_RUN_STATUSES:
                 self.wrong.add("ran twice")
 
     def answer(self, wire: Wire, framed: bool = True) -> tuple[bytes, int]:
@@ -419,7 +431,7 @@
         one.left = True
         for task in one.tasks.values():
             task.cancel()
-        one.journey.left()
+        one.journey.on_client_gone()
         self.tell(r, 504)
 
     # -- states
@@ -442,7 +454,7 @@
                     (
                         one.told,
                         one.left,
-                        tuple([(n, t.backend, t.state) for n, t in one.journey.tries.items()]),
+                        tuple([(n, t.backend, t.state) for n, t in one.journey.attempts.items()]),
                         tuple(sorted(one.tasks)),
                     )
                     for one in self.asked
@@ -472,7 +484,7 @@
 
     def idle(self) -> list[tuple[str, ClientConnection]]:
         """Lines that are kept for a further call, and for whom."""
-        backends = [(life, line) for life, stall in self.yard.stalls.items() for _, line in stall.idle]
+        backends = [(life, line) for life, stall in self.yard.endpoints.items() for _, line in stall.idle]
         return backends + [("a", line) for line in self.peer.idle]
 
     def kept(self, line: ClientConnection) -> int:
--- a/meadowworks/modelcheck/seeded_faults/forwarding.py
+++ b/meadowworks/modelcheck/seeded_faults/forwarding.py
@@ -6,51 +6,54 @@
 
 AGAIN, MACHINE = "meadowworks.attempts.retry_policy:", "meadowworks.attempts.machine:Attempts."
 CLIENTS, BREAKS, KEPT, NAMELESS, BETWEEN = tuple(range(9)), (9,), (10,), (12,), (14,)  # worlds of the model
-JOURNEY, ANSWERS = "meadowworks.forwarding.attempts:Journey.", "meadowworks.forwarding.response_check:"
+JOURNEY, ANSWERS = (
+    "meadowworks.forwarding.attempts:RequestAttempts.",
+    "meadowworks.forwarding.response_check:",
+)
 FORWARDING_FAULTS = (
     *(
         SeededFault(name, "carriage", at, was, now, breaks, start_indices=CLIENTS)
         for name, at, was, now, breaks in (
             (
                 "any failure of a backend is proof",
-                ANSWERS + "proof",
+                ANSWERS + "outcome_of_status",
                 "if not_run or status == 421:",
                 "if not_run or status >= 400:",
                 ("at most once", "promises kept"),
             ),
             (
                 "another request's answer is taken",
-                ANSWERS + "judge",
-                "if spoilt(asked, status, get, first):",
+                ANSWERS + "check_response",
+                "if rejection_reason(request_id, status, header, first_on_connection):",
                 "if False:",
                 ("own answer", "at most once", "promises kept"),
             ),
             (
                 "ids of failures are not compared",
-                ANSWERS + "spoilt",
-                "(told is not None or status < 300 or not first)",
-                "(status < 300 or told is None and not first)",
+                ANSWERS + "rejection_reason",
+                "(told is not None or status < 300 or not first_on_connection)",
+                "(status < 300 or told is None and not first_on_connection)",
                 ("at most once", "promises kept"),
             ),
             (
                 "a failure that names no request is taken on a line that carried others",
-                ANSWERS + "spoilt",
-                " or not first)",
+                ANSWERS + "rejection_reason",
+                " or not first_on_connection)",
                 ")",
                 ("at most once", "promises kept"),
             ),
             (
                 "a line with a spoilt answer is kept",
-                ANSWERS + "judge",
-                "return Verdict(DROPPED, sound=False, keep=False)",
-                "return Verdict(UNRUN, sound=False, keep=False)",
+                ANSWERS + "check_response",
+                "return ResponseVerdict(DROPPED, is_valid=False, reusable=False)",
+                "return ResponseVerdict(UNRUN, is_valid=False, reusable=False)",
                 ("at most once", "promises kept"),
             ),
             (
                 "a line to another life is kept",
-                ANSWERS + "judge",
-                "!= life, keep=False)",
-                "!= life)",
+                ANSWERS + "check_response",
+                "!= backend_id, reusable=False)",
+                "!= backend_id)",
                 ("own lines",),
             ),
             (
@@ -62,30 +65,30 @@
             ),
             (
                 "what was given up is told 503",
-                JOURNEY + "refuse",
-                "if sure([*self.tries.values()]):",
+                JOURNEY + "reject",
+                "if sure([*self.attempts.values()]):",
                 "if True:",
                 ("promises kept",),
             ),
             (
                 "a backend's own 503 goes to the client",
-                JOURNEY + "ended",
-                "if state == DROPPED and status and status not in PROMISES:",
-                "if state == DROPPED and status:",
+                JOURNEY + "on_attempt_ended",
+                "if outcome == DROPPED and status and status not in NOT_RUN_STATUSES:",
+                "if outcome == DROPPED and status:",
                 ("promises kept",),
             ),
             (
                 "a reset is proof",
-                JOURNEY + "ended",
-                "self.tries[number].state = state",
-                "self.tries[number].state = state if status or state != DROPPED else 2",
+                JOURNEY + "on_attempt_ended",
+                "self.attempts[number].state = outcome",
+                "self.attempts[number].state = outcome if status or outcome != DROPPED else 2",
                 ("at most once", "promises kept"),
             ),
             (
                 "one try more than allowed",
-                "meadowworks.forwarding.attempts:policy",
-                "if tries <= 1 or jammed:",
-                "if jammed:",
+                "meadowworks.forwarding.attempts:choose_retry_policy",
+                "if max_attempts <= 1 or overloaded:",
+                "if overloaded:",
                 ("tries bounded",),
             ),
             (
@@ -97,8 +100,8 @@
             ),
             (
                 "a request whose tries are spent waits",
-                JOURNEY + "follow",
-                "return self.refuse(now, chance)",
+                JOURNEY + "retry_or_finish",
+                "return self.reject(now, chance)",
                 "return self.wait(now)",
                 ("told at once",),
             ),
--- a/meadowworks/modelcheck/seeded_faults/upstream.py
+++ b/meadowworks/modelcheck/seeded_faults/upstream.py
@@ -6,7 +6,10 @@
 
 CLIENTS, BREAKS, KEPT, NAMELESS, BETWEEN = tuple(range(9)), (9,), (10,), (12,), (14,)  # worlds of the model
 LINE = "meadowworks.runtime.http_connection:ClientConnection."
-JOURNEY, ANSWERS = "meadowworks.forwarding.attempts:Journey.", "meadowworks.forwarding.response_check:"
+JOURNEY, ANSWERS = (
+    "meadowworks.forwarding.attempts:RequestAttempts.",
+    "meadowworks.forwarding.response_check:",
+)
 UPSTREAM_FAULTS = tuple(
     SeededFault(name, "carriage", at, was, now, breaks, start_indices=starts)
     for name, at, was, now, breaks, starts in (
@@ -28,7 +31,7 @@
         ),
         (
             "a kept line is taken without a look",
-            "meadowworks.forwarding.connection_pool:Yard.take",
+            "meadowworks.forwarding.connection_pool:ConnectionPool.acquire",
             " and line.usable()",
             "",
             ("clean lines",),
@@ -52,41 +55,41 @@
         ),
         (
             "a call without an id goes on a kept line",
-            "meadowworks.proxy.upstream_attempt:attempt",
-            " if request.ident is not None else None",
+            "meadowworks.proxy.upstream_attempt:send_attempt",
+            " if request.request_id is not None else None",
             "",
             ("wrong caller",),
             NAMELESS,
         ),
         (
             "a late answer is taken for the next call's",
-            ANSWERS + "judge",
-            "if spoilt(asked, status, get, first):",
+            ANSWERS + "check_response",
+            "if rejection_reason(request_id, status, header, first_on_connection):",
             "if False:",
             ("wrong caller",),
             KEPT,
         ),
         (
             "a promise without a name is taken on a kept line",
-            ANSWERS + "spoilt",
-            " or not first)",
+            ANSWERS + "rejection_reason",
+            " or not first_on_connection)",
             ")",
             ("ran twice", "clean lines"),
             KEPT,
         ),
         (
             "a line is kept whose answer was another's",
-            "meadowworks.proxy.upstream_attempt:attempt",
-            "if found.keep:",
+            "meadowworks.proxy.upstream_attempt:send_attempt",
+            "if found.reusable:",
             "if True:",
             ("clean lines",),
             KEPT,
         ),
         (
             "a line whose answer was another's is let go as it is",
-            "meadowworks.proxy.upstream_attempt:attempt",
-            "line.close()\n        if not found.sound:",
-            "pass\n        if not found.sound:",
+            "meadowworks.proxy.upstream_attempt:send_attempt",
+            "line.close()\n        if not found.is_valid:",
+            "pass\n        if not found.is_valid:",
             ("no line left",),
             KEPT,
         ),
--- a/meadowworks/proxy/control_plane_selection.py
+++ b/meadowworks/proxy/control_plane_selection.py
@@ -6,15 +6,15 @@
 
 from meadowworks.gossip.peer_sampling import PeerRecord
 
-AVOID_NS = 1_500_000_000  # that one which gave no answer, or is not sure, is passed over
+PENALTY_NS = 1_500_000_000  # that one which gave no answer, or is not sure, is passed over
 
 
-class Upstream:
+class ControlPlaneSelector:
     """Junctions of a zone choose alike, so that their figures come together at one signalbox."""
 
     def __init__(self, zone: str) -> None:
         self.zone = zone
-        self.avoid_ns: dict[str, int] = {}
+        self.avoided_until_ns: dict[str, int] = {}
 
     def choose(
         self, now: int, cards: list[PeerRecord], seeds: list[tuple[str, int]]
@@ -24,11 +24,11 @@
         rows += [(True, self.rank(host), host, port) for host, port in seeds]
         if not rows:
             return None
-        best = min(rows, key=lambda row: (max(0, self.avoid_ns.get(row[2], 0) - now), row))
+        best = min(rows, key=lambda row: (max(0, self.avoided_until_ns.get(row[2], 0) - now), row))
         return best[2], best[3]
 
     def rank(self, host: str) -> int:
         return xxhash.xxh32_intdigest(f"{self.zone} {host}")
 
-    def failed(self, now: int, host: str) -> None:
-        self.avoid_ns[host] = now + AVOID_NS
+    def mark_failed(self, now: int, host: str) -> None:
+        self.avoided_until_ns[host] = now + PENALTY_NS
--- a/meadowworks/proxy/server.py
+++ b/meadowworks/proxy/server.py
@@ -14,20 +14,35 @@
 
 from meadowworks.attempts.retry_policy import ANSWERED, CANCELLED, UNRUN, come_back_ns
 from meadowworks.config.route_table import Route, RouteTable, load_route_table_steps
-from meadowworks.forwarding.attempts import PACE_NS, Forward, Journey, Refuse, Send, Step, policy, way
-from meadowworks.forwarding.connection_pool import Yard
-from meadowworks.forwarding.latency_estimate import delays, reach, suffices
-from meadowworks.forwarding.memory_budget import Room, Share
-from meadowworks.forwarding.retry_budget import Budget
-from meadowworks.forwarding.staleness import Picture
+from meadowworks.forwarding.attempts import (
+    RETRY_AFTER_BASE_NS,
+    Command,
+    ForwardResponse,
+    RejectRequest,
+    RequestAttempts,
+    SendAttempt,
+    choose_retry_policy,
+    retry_rules,
+)
+from meadowworks.forwarding.connection_pool import ConnectionPool
+from meadowworks.forwarding.latency_estimate import choose_endpoints, estimate_delays, local_zone_suffices
+from meadowworks.forwarding.memory_budget import MemoryBudget, MemoryReservation
+from meadowworks.forwarding.retry_budget import RetryBudget
+from meadowworks.forwarding.staleness import StalenessTracker
 from meadowworks.gossip import messages as post
 from meadowworks.gossip.peer_sampling import PartialView, PeerRecord
 from meadowworks.gossip.updates import KeyUpdate, UpdateStore
-from meadowworks.load_balancing.load_reports import PREFIX as FIGURES
-from meadowworks.load_balancing.load_reports import Sums
-from meadowworks.load_balancing.service import Met, Service
-from meadowworks.proxy.control_plane_selection import Upstream
-from meadowworks.proxy.upstream_attempt import Request, Tried, attempt, back_headers, on_headers
+from meadowworks.load_balancing.load_reports import LOAD_REPORT_PREFIX as FIGURES
+from meadowworks.load_balancing.load_reports import LoadReport
+from meadowworks.load_balancing.service import BackendLoad, ServiceBalancer
+from meadowworks.proxy.control_plane_selection import ControlPlaneSelector
+from meadowworks.proxy.upstream_attempt import (
+    AttemptResult,
+    UpstreamRequest,
+    forwarded_request_headers,
+    forwarded_response_headers,
+    send_attempt,
+)
 from meadowworks.registry.backends import BackendDirectory, BackendInstance
 from meadowworks.registry.heartbeats import DRAINING
 from meadowworks.runtime import logging as logs
@@ -40,83 +55,112 @@
 from meadowworks.runtime.process import Tasks, now_ns, run
 
 MS, SECOND = 1_000_000, 1_000_000_000
-PULL_MS, PULL_S = 1000, 1.6
-FIRST_S = 0.1  # that the first reply is waited for, and twice as long each time: who has power again is asked
-PAUSE_S, PAUSE_MOST_S = 0.02, 0.3  # between two questions while there is no table
-TABLE_MOST = 64 << 20  # bytes of a configuration
-POLLS_S = 2.3  # that connections may still come for after readyz says no: two polls a second apart
-TICK_S = 0.25  # the controllers' own turns come every half second
-BODY_S = 30.0  # that a body in parts may take, if its client names no time
-BODIES, CLIENTS = 0.4, 0.6  # parts: of memory that bodies and answers may take, of descriptors for clients
-SUMMARY_S = 10.0  # between the log's lines of counters
-SETTLE_NS = 3 * SECOND  # that one who is sure is waited for, and then until every service has a backend
-HELD = 0.25  # part of a route's target that a request may be held without an offer to a backend
-STALE_NS = 300 * MS  # in which one who is sure may be found again
+LONG_POLL_MS, PULL_TIMEOUT_S = 1000, 1.6
+FIRST_PULL_TIMEOUT_S = (
+    0.1  # that the first reply is waited for, and twice as long each time: who has power again is asked
+)
+MIN_BACKOFF_S, MAX_BACKOFF_S = 0.02, 0.3  # between two questions while there is no table
+MAX_CONFIG_BYTES = 64 << 20  # bytes of a configuration
+READINESS_DRAIN_S = 2.3  # that connections may still come for after readyz says no: two polls a second apart
+POLICY_TICK_S = 0.25  # the controllers' own turns come every half second
+BODY_TIMEOUT_S = 30.0  # that a body in parts may take, if its client names no time
+BODY_MEMORY_SHARE, CLIENT_FD_SHARE = (
+    0.4,
+    0.6,
+)  # parts: of memory that bodies and answers may take, of descriptors for clients
+COUNTER_LOG_INTERVAL_S = 10.0  # between the log's lines of counters
+STARTUP_GRACE_NS = (
+    3 * SECOND
+)  # that one who is sure is waited for, and then until every service has a backend
+UNSENT_TARGET_SHARE = (
+    0.25  # part of a route's target that a request may be held without an offer to a backend
+)
+STALE_RETRY_AFTER_NS = 300 * MS  # in which one who is sure may be found again
 log = logs.get_logger("junction")
 
 
-class Junction:
-    def __init__(self, boot: NodeSettings) -> None:
-        self.boot = boot
-        self.life = f"{boot.node}.{uuid4().hex[:8]}"
-        card = PeerRecord(boot.node, boot.ip, boot.peer_port, boot.zone, False, self.life, int(time.time()))
-        self.members = PartialView(card, random.getrandbits(32))
-        self.news = UpdateStore(self.life)
-        self.lives = BackendDirectory(lambda name: self.news.silence_ns(now_ns(), name), now_ns)
-        self.news.update_listeners += [self.lives.on_update, self.figures]
-        self.upstream = Upstream(boot.zone)
-        self.peers: dict[tuple[str, int], Peer] = {}
-        self.table: RouteTable | None = None
-        self.services: dict[str, Service] = {}
-        self.budgets: dict[str, Budget] = {}
-        self.yard: Yard[ClientConnection] = Yard()
-        self.sums, self.own = Sums(), Sums()
-        self.picture = Picture()
-        self.born_ns = now_ns()
-        self.listed_ns = 0  # when the first list was taken as one to serve by
-        self.turn, self.hold_ms, self.wait_s, self.pause_s = 0, PULL_MS, FIRST_S, PAUSE_S
-        self.ready = self.leaving = False
+class ProxyServer:
+    def __init__(self, settings: NodeSettings) -> None:
+        self.settings = settings
+        self.incarnation = f"{settings.node}.{uuid4().hex[:8]}"
+        card = PeerRecord(
+            settings.node,
+            settings.ip,
+            settings.peer_port,
+            settings.zone,
+            False,
+            self.incarnation,
+            int(time.time()),
+        )
+        self.known_peers = PartialView(card, random.getrandbits(32))
+        self.gossip = UpdateStore(self.incarnation)
+        self.lives = BackendDirectory(lambda name: self.gossip.silence_ns(now_ns(), name), now_ns)
+        self.gossip.update_listeners += [self.lives.on_update, self.on_load_report]
+        self.control_plane_selector = ControlPlaneSelector(settings.zone)
+        self.peer_clients: dict[tuple[str, int], Peer] = {}
+        self.route_table: RouteTable | None = None
+        self.services: dict[str, ServiceBalancer] = {}
+        self.retry_budgets: dict[str, RetryBudget] = {}
+        self.connection_pool: ConnectionPool[ClientConnection] = ConnectionPool()
+        self.unsent_report, self.last_second_report = LoadReport(), LoadReport()
+        self.staleness = StalenessTracker()
+        self.started_ns = now_ns()
+        self.first_listed_ns = 0  # when the first list was taken as one to serve by
+        self.pull_count, self.long_poll_ms, self.pull_timeout_s, self.backoff_s = (
+            0,
+            LONG_POLL_MS,
+            FIRST_PULL_TIMEOUT_S,
+            MIN_BACKOFF_S,
+        )
+        self.ready = self.shutting_down = False
         self.random = random.Random()
-        self.counts: dict[str, int] = {}
-        self.prices: dict[str, dict[str, int]] = {}  # by route: what its operator pays for
-        self.summed: dict[str, int] = {}  # counts when they were last logged
+        self.counters: dict[str, int] = {}
+        self.route_failures: dict[str, dict[str, int]] = {}  # by route: what its operator pays for
+        self.logged_counters: dict[str, int] = {}  # counts when they were last logged
         self.tasks = Tasks()
-        self.room = Room(int(boot.memory_mb * 1e6 * BODIES))
-        self.door = HttpServer(self.app, max_connections=int(boot.max_fds * CLIENTS))
-        self.polls, self.inner = HttpServer(self.readyz), HttpServer(self.asked, incarnation=self.life)
+        self.memory_budget = MemoryBudget(int(settings.memory_mb * 1e6 * BODY_MEMORY_SHARE))
+        self.http_server = HttpServer(
+            self.handle_request, max_connections=int(settings.max_fds * CLIENT_FD_SHARE)
+        )
+        self.readiness_server, self.internal_server = (
+            HttpServer(self.handle_readiness),
+            HttpServer(self.handle_internal, incarnation=self.incarnation),
+        )
 
     # -- what is known
 
-    def figures(self, event: KeyUpdate) -> None:
+    def on_load_report(self, event: KeyUpdate) -> None:
         """The figures of a zone, as a signalbox has added them up."""
         zone = event.key.removeprefix(FIGURES)
-        if not event.key.startswith(FIGURES) or event.value is None or zone not in self.boot.zones:
+        if not event.key.startswith(FIGURES) or event.value is None or zone not in self.settings.zones:
             return
         try:
             covers_ms, met, asked = event.value
-            self.heard(zone, int(covers_ms), met, dict(asked))
+            self.apply_load_report(zone, int(covers_ms), met, dict(asked))
         except (TypeError, ValueError) as trouble:
             log.warning("figures without sense: {}", trouble)
 
-    def heard(self, zone: str, covers_ms: int, met: Any, asked: dict[str, int]) -> None:
-        now, place = now_ns(), self.boot.zones.index(zone)
-        by_service: dict[str, dict[str, Met]] = {}
+    def apply_load_report(self, zone: str, covers_ms: int, met: Any, asked: dict[str, int]) -> None:
+        now, place = now_ns(), self.settings.zones.index(zone)
+        by_service: dict[str, dict[str, BackendLoad]] = {}
         for ident, tries, bad, spent, told, running, waiting in met:
             if known := self.lives.instances.get(ident):
                 mean = int(spent * MS / max(1, tries - bad))
                 waits = waiting / told if told else -1.0
-                by_service.setdefault(known.service, {})[ident] = Met(tries, bad, mean, waits)
+                by_service.setdefault(known.service, {})[ident] = BackendLoad(tries, bad, mean, waits)
                 if told:
-                    self.yard.figures(now, ident, (running + waiting) / told)
+                    self.connection_pool.record_zone_load(now, ident, (running + waiting) / told)
         for name, service in self.services.items():
-            service.heard(now, place, by_service.get(name, {}), asked.get(name, 0), max(1, covers_ms) * MS)
+            service.record_zone_report(
+                now, place, by_service.get(name, {}), asked.get(name, 0), max(1, covers_ms) * MS
+            )
 
-    def take_table(self, table: RouteTable) -> None:
+    def apply_route_table(self, table: RouteTable) -> None:
         """A version comes into force, whole: what begins from now on goes by it. Never an older one."""
-        if self.table is not None and table.version <= self.table.version:
+        if self.route_table is not None and table.version <= self.route_table.version:
             return
-        self.table = table
-        limits = self.door.state.limits
+        self.route_table = table
+        limits = self.http_server.state.limits
         limits.max_header_bytes, limits.header_timeout_s = (
             table.max_header_bytes,
             table.header_timeout_ms / 1000,
@@ -125,16 +169,21 @@
         for name in table.max_connections:
             target_ns = int(table.latency_targets_ms.get(name, 1000.0) * MS) or SECOND
             if name in self.services:
-                self.services[name].aims(target_ns)
+                self.services[name].set_latency_target(target_ns)
             else:
-                self.services[name] = Service(
-                    name, self.boot.zones, self.boot.zone, target_ns, self.random.getrandbits(32), now_ns()
+                self.services[name] = ServiceBalancer(
+                    name,
+                    self.settings.zones,
+                    self.settings.zone,
+                    target_ns,
+                    self.random.getrandbits(32),
+                    now_ns(),
                 )
         log.info("version {:08x} is in force", table.version)
         self.lives.changed_ids |= set(self.lives.instances)
-        self.relist()
+        self.refresh_endpoints()
 
-    def relist(self) -> None:
+    def refresh_endpoints(self) -> None:
         """Hands lives that have changed to their services' controllers."""
         if not self.lives.changed_ids:
             return
@@ -144,136 +193,140 @@
         self.lives.changed_ids.clear()
         listing, now = self.lives.instances_by_service(), now_ns()
         for name, service in self.services.items():
-            service.listed(now, listing.get(name, []))
-        self.yard.sweep(now, set(self.lives.instances))
+            service.update_backends(now, listing.get(name, []))
+        self.connection_pool.evict(now, set(self.lives.instances))
 
     def is_ready(self) -> bool:
         now = now_ns()
-        if self.leaving or self.table is None or not self.listed_ns:
+        if self.shutting_down or self.route_table is None or not self.first_listed_ns:
             return False
-        served = all(self.services[name].lines for name in self.table.latency_targets_ms)
-        return served or now - self.listed_ns > SETTLE_NS
+        served = all(self.services[name].weights for name in self.route_table.latency_targets_ms)
+        return served or now - self.first_listed_ns > STARTUP_GRACE_NS
 
-    def settle(self, now: int) -> None:
+    def mark_backends_listed(self, now: int) -> None:
         """With nobody sure to be found the list that is there is served by, not spoken from."""
-        if not self.listed_ns and (self.picture.ever or now - self.born_ns > SETTLE_NS):
-            self.listed_ns = now
+        if not self.first_listed_ns and (
+            self.staleness.ever_confirmed or now - self.started_ns > STARTUP_GRACE_NS
+        ):
+            self.first_listed_ns = now
 
     # -- pulls
 
-    def peer(self, host: str, port: int) -> Peer:
-        return self.peers.setdefault((host, port), Peer(host, port))
+    def peer_client(self, host: str, port: int) -> Peer:
+        return self.peer_clients.setdefault((host, port), Peer(host, port))
 
-    async def pulls(self) -> None:
+    async def pull_forever(self) -> None:
         """Pulls for ever. A fault in one pull does not end the next: a junction that hears nothing any more
         would go on serving by what it has."""
         while True:
             try:
-                await self.pull()
+                await self.pull_once()
             except InvariantViolation:
                 raise
             except Exception:
                 log.exception("a pull failed")
-                self.hold_ms = 0
+                self.long_poll_ms = 0
                 await asyncio.sleep(0.5)
 
-    async def pull(self) -> None:
+    async def pull_once(self) -> None:
         """One question to one signalbox, and what its reply tells."""
         now = now_ns()
-        seeds = self.members.undiscovered_seeds(self.boot.seeds, self.boot.peer_port)
-        at = self.upstream.choose(now, self.members.voters(), seeds)
+        seeds = self.known_peers.undiscovered_seeds(self.settings.seeds, self.settings.peer_port)
+        at = self.control_plane_selector.choose(now, self.known_peers.voters(), seeds)
         if at is None:
             await asyncio.sleep(0.2)
             return
-        cards = (self.members.local,) if self.turn % 5 == 0 else ()
-        sums, self.sums = self.sums, Sums()
+        cards = (self.known_peers.local,) if self.pull_count % 5 == 0 else ()
+        sums, self.unsent_report = self.unsent_report, LoadReport()
         pull = post.PullRequest(
-            self.members.local,
+            self.known_peers.local,
             cards,
-            self.news.remote_version_vector(),
-            self.table.version if self.table else 0,
-            self.hold_ms,
+            self.gossip.remote_version_vector(),
+            self.route_table.version if self.route_table else 0,
+            self.long_poll_ms,
             sums.pack() if sums else None,
         )
         asked_ns = now_ns()
         try:
-            news = post.decode_pull_reply(await self.peer(*at).call(b"/pull", pull.encode(), self.wait_s))
-            table = await run_cooperatively(self.unpacked(news.config[1])) if news.config else None
+            news = post.decode_pull_reply(
+                await self.peer_client(*at).call(b"/pull", pull.encode(), self.pull_timeout_s)
+            )
+            table = await run_cooperatively(self.decode_route_table(news.config[1])) if news.config else None
         except (RequestError, *post.DECODE_ERRORS) as trouble:
             log.info("no news from {}: {}", at[0], trouble)
-            self.sums.add(sums.pack())
-            self.upstream.failed(now_ns(), at[0])
-            self.hold_ms = 0  # the picture has grown old: the next reply is wanted at once
-            self.wait_s = min(PULL_S, self.wait_s * 2)
-            await asyncio.sleep(0.1 if self.table else self.pause())
+            self.unsent_report.merge(sums.pack())
+            self.control_plane_selector.mark_failed(now_ns(), at[0])
+            self.long_poll_ms = 0  # the picture has grown old: the next reply is wanted at once
+            self.pull_timeout_s = min(PULL_TIMEOUT_S, self.pull_timeout_s * 2)
+            await asyncio.sleep(0.1 if self.route_table else self.next_backoff_s())
             return
-        self.turn, self.wait_s, now = self.turn + 1, PULL_S, now_ns()
-        self.members.merge(now, [news.sender, *news.peers])
+        self.pull_count, self.pull_timeout_s, now = self.pull_count + 1, PULL_TIMEOUT_S, now_ns()
+        self.known_peers.merge(now, [news.sender, *news.peers])
         for piece in news.deltas:
-            self.news.apply(now, piece)
+            self.gossip.apply(now, piece)
         if table is not None:
-            self.take_table(table)
-        self.relist()
+            self.apply_route_table(table)
+        self.refresh_endpoints()
         if not news.has_lease:
             # Guards against one that is cut off from the others and goes on telling what is old.
-            self.upstream.failed(now, at[0])
-            self.hold_ms = 0 if self.hold_ms or self.table is None else PULL_MS
-            self.wait_s = PULL_S if self.table else FIRST_S
-            await asyncio.sleep(0.05 if self.table else self.pause())
+            self.control_plane_selector.mark_failed(now, at[0])
+            self.long_poll_ms = 0 if self.long_poll_ms or self.route_table is None else LONG_POLL_MS
+            self.pull_timeout_s = PULL_TIMEOUT_S if self.route_table else FIRST_PULL_TIMEOUT_S
+            await asyncio.sleep(0.05 if self.route_table else self.next_backoff_s())
         else:
-            self.hold_ms = PULL_MS
-        self.picture.told(asked_ns, news.has_lease)
-        self.settle(now)
+            self.long_poll_ms = LONG_POLL_MS
+        self.staleness.on_reply(asked_ns, news.has_lease)
+        self.mark_backends_listed(now)
 
-    def pause(self) -> float:
+    def next_backoff_s(self) -> float:
         """Seconds until a junction without a table asks again: longer each time."""
-        self.pause_s = min(PAUSE_MOST_S, self.pause_s * 1.5)
-        return self.pause_s
+        self.backoff_s = min(MAX_BACKOFF_S, self.backoff_s * 1.5)
+        return self.backoff_s
 
-    def unpacked(self, packed: bytes) -> Steps[RouteTable]:
-        body = yield from decompress_steps(packed, TABLE_MOST)
+    def decode_route_table(self, packed: bytes) -> Steps[RouteTable]:
+        body = yield from decompress_steps(packed, MAX_CONFIG_BYTES)
         return (yield from load_route_table_steps(body))
 
     # -- from time to time
 
-    def second(self) -> None:
+    def run_every_second(self) -> None:
         now = now_ns()
-        self.members.advance_heartbeat()
-        self.members.expire(now)
-        self.news.expire_sources(now)
+        self.known_peers.advance_heartbeat()
+        self.known_peers.expire(now)
+        self.gossip.expire_sources(now)
         self.lives.refresh_all()
-        self.relist()
-        self.settle(now)
-        own, self.own = self.own, Sums()
-        mine = self.boot.zones.index(self.boot.zone)
-        if any(service.late(now, mine) for service in self.services.values()):
-            self.heard(self.boot.zone, 1000, own.pack()[0], own.asked)
-        self.yard.sweep(now, set(self.lives.instances))
-
-    def summary(self) -> None:
+        self.refresh_endpoints()
+        self.mark_backends_listed(now)
+        own, self.last_second_report = self.last_second_report, LoadReport()
+        mine = self.settings.zones.index(self.settings.zone)
+        if any(service.report_overdue(now, mine) for service in self.services.values()):
+            self.apply_load_report(self.settings.zone, 1000, own.pack()[0], own.service_requests)
+        self.connection_pool.evict(now, set(self.lives.instances))
+
+    def log_counters(self) -> None:
         """Counters, if there is anything to tell since the last time."""
-        if self.counts != self.summed or self.door.pending_count():
-            log.info("answers {}, {} at work", self.counts, self.door.pending_count())
-            self.summed = dict(self.counts)
-        windows = {name: budget.window(now_ns()) for name, budget in self.budgets.items()}
+        if self.counters != self.logged_counters or self.http_server.pending_count():
+            log.info("answers {}, {} at work", self.counters, self.http_server.pending_count())
+            self.logged_counters = dict(self.counters)
+        windows = {name: budget.window_counts(now_ns()) for name, budget in self.retry_budgets.items()}
         if any(map(any, windows.values())):
             log.info("further tries of requests in the window: {}", windows)
 
-    def half(self) -> None:
+    def tick_policies(self) -> None:
         now = now_ns()
         for service in self.services.values():
             service.tick(now)
-            for note in service.notes:
+            for note in service.log_entries:
                 log.info("{}: {}", service.name, note)
-            service.notes.clear()
+            service.log_entries.clear()
 
     # -- a request
 
-    async def app(self, scope: Any, receive: Any, send: Any) -> None:
+    async def handle_request(self, scope: Any, receive: Any, send: Any) -> None:
         came = now_ns()
-        table = self.table
+        table = self.route_table
         if table is None:
-            return await self.refused(send, Refuse(503, 300 * MS))
+            return await self.send_rejection(send, RejectRequest(503, 300 * MS))
         host, ident, deadline = "", None, None
         for name, value in scope["headers"]:
             if name == b"host":
@@ -282,205 +335,231 @@
                 ident = value
             elif name == b"x-deadline-ms":
                 deadline = value
-        within_s = min(BODY_S, milliseconds(deadline, BODY_S * 1000) / 1000)
-        body = await read_body(receive, table.max_body_bytes, self.room, within_s)
+        within_s = min(BODY_TIMEOUT_S, parse_ms(deadline, BODY_TIMEOUT_S * 1000) / 1000)
+        body = await read_body(receive, table.max_body_bytes, self.memory_budget, within_s)
         if isinstance(body, BodyError):
-            self.count(f"bodies {body.counter}")
+            self.increment(f"bodies {body.counter}")
             if body is BodyError.OUT_OF_MEMORY:
-                return await self.refused(send, Refuse(503, SECOND))
+                return await self.send_rejection(send, RejectRequest(503, SECOND))
             status = 413 if body is BodyError.TOO_LARGE else 408
             return await send_response(
                 send, status, json.dumps({"err": f"the body is {body.value}"}).encode()
             )
         target: bytes = scope["target"]
         route = table.find_route(host, target.partition(b"?")[0].decode("latin-1"))
-        if route is None and not self.picture.fresh(now_ns()):
+        if route is None and not self.staleness.is_fresh(now_ns()):
             # Guards against a table of before a cut or a freeze, which may lack a route that exists.
-            return await self.refused(send, Refuse(503, STALE_NS))
+            return await self.send_rejection(send, RejectRequest(503, STALE_RETRY_AFTER_NS))
         if route is None:
             return await send_response(send, 404, b'{"err":"there is no such route"}')
-        limit_ns = came + int(min(route.deadline_ms, milliseconds(deadline, route.deadline_ms)) * MS)
-        request = Request(scope["method"].encode(), target, on_headers(scope["headers"]), body, ident)
+        limit_ns = came + int(min(route.deadline_ms, parse_ms(deadline, route.deadline_ms)) * MS)
+        request = UpstreamRequest(
+            scope["method"].encode(), target, forwarded_request_headers(scope["headers"]), body, ident
+        )
         chance = xxhash.xxh32_intdigest(ident) / 2**32 if ident else self.random.random()
         caller = scope.get("connection")
         if caller is not None and caller.disconnected:
-            return self.count("clients gone")
-        share = Share(self.room)
+            return self.increment("clients gone")
+        share = MemoryReservation(self.memory_budget)
         try:
-            if not share.take(len(body)):
-                return await self.refused(send, Refuse(503, SECOND))
-            found = await self.travel(route, route.pick_service(chance), request, limit_ns, share, caller)
+            if not share.reserve(len(body)):
+                return await self.send_rejection(send, RejectRequest(503, SECOND))
+            found = await self.forward_request(
+                route, route.pick_service(chance), request, limit_ns, share, caller
+            )
             if caller is not None and caller.disconnected:
-                return self.count("clients gone")
-            if isinstance(found, Refuse):
-                return await self.refused(send, found)
-            self.count(str(found.status))
+                return self.increment("clients gone")
+            if isinstance(found, RejectRequest):
+                return await self.send_rejection(send, found)
+            self.increment(str(found.status))
             await send_response(
-                send, found.status, found.body, back_headers(found), table.idle_timeout_ms / 1000
+                send,
+                found.status,
+                found.body,
+                forwarded_response_headers(found),
+                table.idle_timeout_ms / 1000,
             )
         except TimeoutError:  # guards against one that takes nothing of its answer, which is held for it
-            self.price(route, "broken off midway")
+            self.count_failure(route, "broken off midway")
             if caller is not None:
                 caller.transport.abort()
         finally:
-            share.give()
-
-    async def travel(
-        self, route: Route, name: str, request: Request, limit_ns: int, share: Share, caller: Any = None
-    ) -> Response | Refuse:
+            share.release()
+
+    async def forward_request(
+        self,
+        route: Route,
+        name: str,
+        request: UpstreamRequest,
+        limit_ns: int,
+        share: MemoryReservation,
+        caller: Any = None,
+    ) -> Response | RejectRequest:
         """The final answer of a request, whose bytes are taken out of the share. `caller` is the connection
         that it came on."""
         now = now_ns()
         service = self.services[name]
-        budget = self.budgets.get(name)
+        budget = self.retry_budgets.get(name)
         if budget is None:
-            bounds = self.boot.bounds
-            budget = self.budgets[name] = Budget(bounds.retry_ratio, int(bounds.retry_window_s * SECOND))
-        budget.request(now)
-        self.sums.came(name)
-        self.own.came(name)
-        if service.level < 1 and self.random.random() >= service.level:
-            self.count("let in no more")
-            return Refuse(503, come_back_ns(PACE_NS, service.level, self.random.random()))
-        jammed, target_ns = service.retry == 0, route.target_ms * MS
-        journey = Journey(
-            way(route.safe, limit_ns - now, int(target_ns)),
-            policy(route.safe, route.max_attempts, jammed),
+            bounds = self.settings.bounds
+            budget = self.retry_budgets[name] = RetryBudget(
+                bounds.retry_ratio, int(bounds.retry_window_s * SECOND)
+            )
+        budget.record_request(now)
+        self.unsent_report.record_request(name)
+        self.last_second_report.record_request(name)
+        if service.admission_ratio < 1 and self.random.random() >= service.admission_ratio:
+            self.increment("let in no more")
+            return RejectRequest(
+                503, come_back_ns(RETRY_AFTER_BASE_NS, service.admission_ratio, self.random.random())
+            )
+        jammed, target_ns = service.max_retries == 0, route.target_ms * MS
+        journey = RequestAttempts(
+            retry_rules(route.safe, limit_ns - now, int(target_ns)),
+            choose_retry_policy(route.safe, route.max_attempts, jammed),
             limit_ns,
         )
-        again = lambda: budget.take(now_ns())  # noqa: E731
+        again = lambda: budget.take_retry(now_ns())  # noqa: E731
         offered = False  # to a backend, over a connection that was up
-        tasks: dict[asyncio.Task[Tried], int] = {}
+        tasks: dict[asyncio.Task[AttemptResult], int] = {}
         replies: dict[int, Response | None] = {}
         lines: dict[int, float] = {}
         waits: dict[int, float] = {}
 
         def left() -> None:
-            if journey.left():
+            if journey.on_client_gone():
                 for task in tasks:
                     task.cancel()
-                    self.price(route, "ended, its client gone")
+                    self.count_failure(route, "ended, its client gone")
 
-        step: Step = journey.start(now, *self.seen(service, target_ns, now)[:2], self.random.random())
+        step: Command = journey.start(
+            now, *self.select_endpoints(service, target_ns, now)[:2], self.random.random()
+        )
         try:
             if caller is not None:
                 caller.on_disconnect = left
             while True:
-                if isinstance(step, Forward):
+                if isinstance(step, ForwardResponse):
                     reply = replies[step.number]
                     assert reply is not None
                     return reply
-                if isinstance(step, Refuse):
-                    if tasks and not journey.gone:
-                        self.price(route, "broken off")
-                    elif not offered and now_ns() - now > target_ns * HELD:
-                        self.price(route, "held without an offer")
+                if isinstance(step, RejectRequest):
+                    if tasks and not journey.client_gone:
+                        self.count_failure(route, "broken off")
+                    elif not offered and now_ns() - now > target_ns * UNSENT_TARGET_SHARE:
+                        self.count_failure(route, "held without an offer")
                     if step.status != 503 and not offered and not tasks:
-                        self.price(route, f"{step.status} without an offer")
+                        self.count_failure(route, f"{step.status} without an offer")
                     return step
-                if isinstance(step, Send):
-                    backend = self.lives.instances[service.places.names[step.place]]
-                    tasks[self.tasks.start(self.attempt(backend, request, limit_ns, share))] = step.number
+                if isinstance(step, SendAttempt):
+                    backend = self.lives.instances[service.endpoint_ids.names[step.endpoint]]
+                    tasks[self.tasks.start(self.run_attempt(backend, request, limit_ns, share))] = step.number
                 until = journey.wait(now_ns()).until_ns
                 done, _ = await asyncio.wait(
                     tasks, timeout=max(0.0, (until - now_ns()) / 1e9), return_when=asyncio.FIRST_COMPLETED
                 )
                 later = now_ns()
-                if answered := next((t for t in done if whole(t)), None):
+                if answered := next((t for t in done if is_answered(t)), None):
                     done = {answered}  # the client gets it: there is nothing to choose
                 else:
-                    lines, waits, free = self.seen(service, target_ns, later)
+                    lines, waits, free = self.select_endpoints(service, target_ns, later)
                 if not done:
-                    step = journey.due(later, lines, waits, self.random.random(), again, free)
+                    step = journey.on_timer(later, lines, waits, self.random.random(), again, free)
                     continue
                 for task in done:
                     number = tasks.pop(task)
-                    tried = Tried(CANCELLED, None, 0) if task.cancelled() else task.result()
-                    replies[number] = tried.reply
-                    offered = offered or tried.state != UNRUN or tried.reply is not None
-                    step = journey.ended(
-                        later, number, tried.state, tried.status, lines, waits, self.random.random(), again
+                    tried = AttemptResult(CANCELLED, None, 0) if task.cancelled() else task.result()
+                    replies[number] = tried.response
+                    offered = offered or tried.outcome != UNRUN or tried.response is not None
+                    step = journey.on_attempt_ended(
+                        later, number, tried.outcome, tried.status, lines, waits, self.random.random(), again
                     )
-                    if isinstance(step, Forward):
+                    if isinstance(step, ForwardResponse):
                         break
         finally:
             if caller is not None:
                 caller.on_disconnect = None
             # Guards against tries that nobody waits for, at backends that never answer.
             for task in tasks:
-                self.tasks.bound(task, (limit_ns - now_ns()) / 1e9, share.give)
-
-    async def attempt(self, backend: BackendInstance, request: Request, limit_ns: int, share: Share) -> Tried:
-        busy = self.yard.busy(now_ns(), backend.instance_id, backend.zone == self.boot.zone)
-        if backend.zone != self.boot.zone:
-            self.count("tries abroad")
-        tried = await attempt(self.yard, backend, request, limit_ns, share.take)
-        good = tried.state == ANSWERED
-        for sums in (self.sums, self.own):
-            sums.tried(backend.instance_id, good, tried.spent_ns / MS)
-            if tried.load is not None:
-                sums.loaded(backend.instance_id, *tried.load)
-        if good and tried.reply is not None:
+                self.tasks.bound(task, (limit_ns - now_ns()) / 1e9, share.release)
+
+    async def run_attempt(
+        self, backend: BackendInstance, request: UpstreamRequest, limit_ns: int, share: MemoryReservation
+    ) -> AttemptResult:
+        busy = self.connection_pool.estimated_load(
+            now_ns(), backend.instance_id, backend.zone == self.settings.zone
+        )
+        if backend.zone != self.settings.zone:
+            self.increment("tries abroad")
+        tried = await send_attempt(self.connection_pool, backend, request, limit_ns, share.reserve)
+        good = tried.outcome == ANSWERED
+        for sums in (self.unsent_report, self.last_second_report):
+            sums.record_attempt(backend.instance_id, good, tried.elapsed_ns / MS)
+            if tried.backend_load is not None:
+                sums.record_backend_load(backend.instance_id, *tried.backend_load)
+        if good and tried.response is not None:
             if service := self.services.get(backend.service):
-                service.answered(len(tried.reply.body))
-            self.yard.answered(backend.instance_id, tried.spent_ns, busy, backend.capacity)
-        if tried.over:
+                service.record_response(len(tried.response.body))
+            self.connection_pool.record_service_time(
+                backend.instance_id, tried.elapsed_ns, busy, backend.capacity
+            )
+        if tried.incarnation_ended:
             log.info("{} is over: another answers at its address", backend.instance_id)
             self.lives.mark_superseded(backend.instance_id)
-            self.relist()
+            self.refresh_endpoints()
         return tried
 
-    def seen(
-        self, service: Service, target_ns: float, now: int
+    def select_endpoints(
+        self, service: ServiceBalancer, target_ns: float, now: int
     ) -> tuple[dict[int, float], dict[int, float], bool]:
         """The lines that a request may take now, how long each would take, and whether a slot is free."""
-        names = service.places.names
+        names = service.endpoint_ids.names
         kept: dict[int, float] = {}
         own: dict[int, float] = {}
         abroad: dict[int, float] = {}
         busy: dict[int, float] = {}
         needs: dict[int, float] = {}
-        for lines in (service.lines, service.abroad):
-            if lines is service.abroad and suffices(own, busy, needs):
-                return own, delays(own, busy, needs), True
+        for lines in (service.weights, service.remote_weights):
+            if lines is service.remote_weights and local_zone_suffices(own, busy, needs):
+                return own, estimate_delays(own, busy, needs), True
             for place, weight in lines.items():
                 ident = names[place]
                 known = self.lives.instances.get(ident)
                 if known is None or not known.accepts_requests:
                     continue  # the table is a moment behind the list
-                home = known.zone == self.boot.zone
-                if lines is service.lines:
+                home = known.zone == self.settings.zone
+                if lines is service.weights:
                     kept[place] = weight
-                if self.yard.avoided(now, ident):
+                if self.connection_pool.is_avoided(now, ident):
                     continue
                 found = own if home else abroad
                 found[place] = max(weight, found.get(place, 0.0))
-                busy[place] = self.yard.busy(now, ident, home)
-                if (need := self.yard.stall(ident).needs) is not None:
+                busy[place] = self.connection_pool.estimated_load(now, ident, home)
+                if (need := self.connection_pool.endpoint(ident).service_time_ns) is not None:
                     needs[place] = need
-        lines, waits, free = reach(own, abroad, busy, needs, target_ns, service.size)
+        lines, waits, free = choose_endpoints(own, abroad, busy, needs, target_ns, service.response_bytes)
         return (lines, waits, free) if lines else (kept, {}, False)
 
-    def price(self, route: Route, what: str) -> None:
-        prices = self.prices.setdefault(route.name, {})
+    def count_failure(self, route: Route, what: str) -> None:
+        prices = self.route_failures.setdefault(route.name, {})
         prices[what] = prices.get(what, 0) + 1
 
-    def count(self, what: str) -> None:
-        self.counts[what] = self.counts.get(what, 0) + 1
+    def increment(self, what: str) -> None:
+        self.counters[what] = self.counters.get(what, 0) + 1
 
-    async def refused(self, send: Any, refuse: Refuse) -> None:
-        self.count(f"own {refuse.status}")
+    async def send_rejection(self, send: Any, refuse: RejectRequest) -> None:
+        self.increment(f"own {refuse.status}")
         headers = [(b"content-type", b"application/json")]
-        if refuse.back_ns:
-            headers.append((b"retry-after", f"{refuse.back_ns / 1e9:.3f}".encode()))
+        if refuse.retry_after_ns:
+            headers.append((b"retry-after", f"{refuse.retry_after_ns / 1e9:.3f}".encode()))
         await send_response(send, refuse.status, b'{"err":"no backend answered"}', headers)
 
     # -- other doors
 
-    async def readyz(self, scope: Any, receive: Any, send: Any) -> None:
+    async def handle_readiness(self, scope: Any, receive: Any, send: Any) -> None:
         await send_response(send, 200 if self.is_ready() else 503)
 
-    async def asked(self, scope: Any, receive: Any, send: Any) -> None:
+    async def handle_internal(self, scope: Any, receive: Any, send: Any) -> None:
         await read_body(receive, 65536)
         if scope["path"] != "/status":
             return await send_response(send, 404)
@@ -488,74 +567,76 @@
 
     def status(self) -> dict[str, Any]:
         return {
-            "node": self.boot.node,
+            "node": self.settings.node,
             "ready": self.is_ready(),
-            "fresh": self.picture.fresh(now_ns()),
-            "version": f"{self.table.version if self.table else 0:08x}",
-            "answers": self.counts,
-            "prices": self.prices,
+            "fresh": self.staleness.is_fresh(now_ns()),
+            "version": f"{self.route_table.version if self.route_table else 0:08x}",
+            "answers": self.counters,
+            "prices": self.route_failures,
             "services": {
                 name: {
-                    **s.why(now_ns()),
-                    "further tries": self.budgets[name].window(now_ns()) if name in self.budgets else [0, 0],
+                    **s.explain(now_ns()),
+                    "further tries": self.retry_budgets[name].window_counts(now_ns())
+                    if name in self.retry_budgets
+                    else [0, 0],
                 }
                 for name, s in self.services.items()
             },
             "backends": self.lives.summary(),
         }
 
-    def again(self) -> None:
+    def reload_settings(self) -> None:
         """Reads the settings again: the seeds may be others now."""
         try:
-            self.boot = load_settings()
+            self.settings = load_settings()
         except SettingsError as trouble:
             log.warning("settings not taken, the old ones stand: {}", trouble)
 
-    async def serve(self, told: asyncio.Future[None]) -> None:
-        asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, self.again)
-        await self.inner.listen(self.boot.ip, self.boot.peer_port)
-        await self.polls.listen(*self.boot.bind["readyz"])
-        await self.door.listen(*self.boot.bind["http"])
-        log.info("{} serves", self.boot.node)
-        self.tasks.start(self.pulls())
-        self.tasks.start(self.tasks.every(1.0, self.second))
-        self.tasks.start(self.tasks.every(TICK_S, self.half))
-        self.tasks.start(self.tasks.every(SUMMARY_S, self.summary))
-        await asyncio.wait([told, self.tasks.broken], return_when=asyncio.FIRST_COMPLETED)
+    async def serve(self, shutdown_requested: asyncio.Future[None]) -> None:
+        asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, self.reload_settings)
+        await self.internal_server.listen(self.settings.ip, self.settings.peer_port)
+        await self.readiness_server.listen(*self.settings.bind["readyz"])
+        await self.http_server.listen(*self.settings.bind["http"])
+        log.info("{} serves", self.settings.node)
+        self.tasks.start(self.pull_forever())
+        self.tasks.start(self.tasks.every(1.0, self.run_every_second))
+        self.tasks.start(self.tasks.every(POLICY_TICK_S, self.tick_policies))
+        self.tasks.start(self.tasks.every(COUNTER_LOG_INTERVAL_S, self.log_counters))
+        await asyncio.wait([shutdown_requested, self.tasks.broken], return_when=asyncio.FIRST_COMPLETED)
         if self.tasks.broken.done():
             self.tasks.broken.result()
-        await self.leave()
+        await self.shut_down()
 
-    async def leave(self) -> None:
+    async def shut_down(self) -> None:
         """Says that it is not ready, serves whom the platform still sends, then ends what is idle, and itself
         when nothing is at work any more."""
         loop = asyncio.get_running_loop()
         start = loop.time()
-        self.leaving = True
-        log.info("told to end: {} at work, answers {}", self.door.pending_count(), self.counts)
-        self.door.drain()
-        await asyncio.sleep(min(POLLS_S, self.boot.bounds.grace_s / 2))
-        self.door.shutdown()
-        while self.door.pending_count() and loop.time() - start < self.boot.bounds.grace_s - 0.3:
+        self.shutting_down = True
+        log.info("told to end: {} at work, answers {}", self.http_server.pending_count(), self.counters)
+        self.http_server.drain()
+        await asyncio.sleep(min(READINESS_DRAIN_S, self.settings.bounds.grace_s / 2))
+        self.http_server.shutdown()
+        while self.http_server.pending_count() and loop.time() - start < self.settings.bounds.grace_s - 0.3:
             await asyncio.sleep(0.02)
-        self.door.close()
+        self.http_server.close()
         await asyncio.sleep(0.02)
 
 
-def whole(task: asyncio.Task[Tried]) -> bool:
+def is_answered(task: asyncio.Task[AttemptResult]) -> bool:
     """Whether a try has ended with an answer for the client."""
-    return not task.cancelled() and task.result().state == ANSWERED
+    return not task.cancelled() and task.result().outcome == ANSWERED
 
 
-def milliseconds(text: bytes | None, otherwise: float) -> float:
+def parse_ms(text: bytes | None, otherwise: float) -> float:
     try:
         return float(text) if text is not None else otherwise
     except ValueError:
         return otherwise
 
 
-async def serve(boot: NodeSettings, told: asyncio.Future[None]) -> None:
-    await Junction(boot).serve(told)
+async def serve(settings: NodeSettings, shutdown_requested: asyncio.Future[None]) -> None:
+    await ProxyServer(settings).serve(shutdown_requested)
 
 
 def main() -> int:
--- a/meadowworks/runtime/http_server.py
+++ b/meadowworks/runtime/http_server.py
@@ -64,8 +64,8 @@
 
 
 class MemoryBudget(Protocol):
-    def take(self, size: int) -> bool: ...
-    def give(self, size: int) -> None: ...
+    def reserve(self, size: int) -> bool: ...
+    def release(self, size: int) -> None: ...
 
 
 @dataclass(slots=True)
@@ -358,14 +358,14 @@
                 if size > max_bytes:
                     return BodyError.TOO_LARGE
                 if memory is not None:
-                    if not memory.take(len(parts[-1])):
+                    if not memory.reserve(len(parts[-1])):
                         return BodyError.OUT_OF_MEMORY
                     taken += len(parts[-1])
     except TimeoutError:
         return BodyError.TIMED_OUT
     finally:
         if memory is not None:
-            memory.give(taken)
+            memory.release(taken)
     if message["type"] != "http.request":
         return BodyError.DISCONNECTED
     return b"".join(parts) if size <= max_bytes else BodyError.TOO_LARGE
--- a/meadowworks/simulation/hollow.py
+++ b/meadowworks/simulation/hollow.py
@@ -20,13 +20,13 @@
 
 from meadowworks.config.route_table import RouteTable
 from meadowworks.config.route_table import load_route_table as load_table
-from meadowworks.forwarding.connection_pool import Yard
+from meadowworks.forwarding.connection_pool import ConnectionPool
 from meadowworks.gossip import messages as post
 from meadowworks.gossip.peer_sampling import PartialView, PeerRecord
 from meadowworks.gossip.updates import KeyUpdate, SourceDelta, UpdateStore
-from meadowworks.load_balancing.load_reports import PREFIX as FIGURES
-from meadowworks.load_balancing.load_reports import Sums
-from meadowworks.load_balancing.service import Met, Service
+from meadowworks.load_balancing.load_reports import LOAD_REPORT_PREFIX as FIGURES
+from meadowworks.load_balancing.load_reports import LoadReport
+from meadowworks.load_balancing.service import BackendLoad, ServiceBalancer
 from meadowworks.registry.backends import BackendDirectory
 from meadowworks.registry.heartbeats import BACKEND_KEY_PREFIX as BACKENDS
 from meadowworks.registry.heartbeats import HeartbeatRegistry
@@ -104,7 +104,7 @@
         self.configuration: tuple[int, bytes] = (0, b"")
         self.compressed: tuple[int, bytes] = (0, b"")
         self.held_pulls: dict[int, HeldPull] = {}
-        self.load_reports: dict[str, Sums] = {}
+        self.load_reports: dict[str, LoadReport] = {}
         self.reported_ns, self.pulse, self.turns = clock(), 0, 0
         self.unacknowledged_drains: dict[
             int, Callable[[], None]
@@ -145,7 +145,7 @@
                 self.replicated_versions[pull.sender.host] = pull.version_vector.get(self.news.source_id, -1)
                 self.acknowledge_drains()
             if pull.load_report:
-                self.load_reports.setdefault(pull.sender.zone, Sums()).add(pull.load_report)
+                self.load_reports.setdefault(pull.sender.zone, LoadReport()).merge(pull.load_report)
 
         self.meter.timed("note a pull", note)
         one = HeldPull(pull, self.clock() + min(pull.max_wait_ms, self.PULL_MS) * MS, give)
@@ -278,7 +278,7 @@
         for zone, sums in self.load_reports.items():
             if sums or self.news.sources[self.news.source_id].entries.get(FIGURES + zone, (0, None))[1]:
                 self.news.publish(FIGURES + zone, [covers_ms, *sums.pack()] if sums else None)
-        self.load_reports = {zone: Sums() for zone in self.load_reports}
+        self.load_reports = {zone: LoadReport() for zone in self.load_reports}
 
     def packed_heartbeats(self) -> dict[str, bytes]:
         return {ident: post.encode(value) for ident, value in self.beats.durable_values().items()}
@@ -293,9 +293,9 @@
         self.lives = BackendDirectory(lambda name: self.news.silence_ns(clock(), name), clock)
         self.news.update_listeners += [self.lives.on_update, self.on_load_report]
         self.route_table: RouteTable | None = None
-        self.services: dict[str, Service] = {}
-        self.yard: Yard[Any] = Yard()
-        self.load_report, self.own_load_report = Sums(), Sums()
+        self.services: dict[str, ServiceBalancer] = {}
+        self.yard: ConnectionPool[Any] = ConnectionPool()
+        self.load_report, self.own_load_report = LoadReport(), LoadReport()
         self.turns = 0
         self.on_route_table: Callable[[int], None] = lambda version: None
 
@@ -309,16 +309,18 @@
 
     def apply_load_report(self, zone: str, covers_ms: int, met: Any, asked: dict[str, int]) -> None:
         now, place = self.clock(), self.zones.index(zone)
-        by_service: dict[str, dict[str, Met]] = {}
+        by_service: dict[str, dict[str, BackendLoad]] = {}
         for ident, tries, bad, spent, told, running, waiting in met:
             if known := self.lives.instances.get(ident):
                 mean = int(spent * MS / max(1, tries - bad))
                 waits = waiting / told if told else -1.0
-                by_service.setdefault(known.service, {})[ident] = Met(tries, bad, mean, waits)
+                by_service.setdefault(known.service, {})[ident] = BackendLoad(tries, bad, mean, waits)
                 if told:
-                    self.yard.figures(now, ident, (running + waiting) / told)
+                    self.yard.record_zone_load(now, ident, (running + waiting) / told)
         for name, service in self.services.items():
-            service.heard(now, place, by_service.get(name, {}), asked.get(name, 0), max(1, covers_ms) * MS)
+            service.record_zone_report(
+                now, place, by_service.get(name, {}), asked.get(name, 0), max(1, covers_ms) * MS
+            )
 
     def apply_route_table(self, table: RouteTable) -> None:
         self.route_table = table
@@ -330,10 +332,12 @@
         for name in table.max_connections:
             target_ns = int(targets.get(name, 1000.0) * MS) or SECOND
             if name in self.services:
-                self.services[name].aims(target_ns)
+                self.services[name].set_latency_target(target_ns)
             else:
                 seed = self.random.getrandbits(32)
-                self.services[name] = Service(name, self.zones, self.zone, target_ns, seed, self.clock())
+                self.services[name] = ServiceBalancer(
+                    name, self.zones, self.zone, target_ns, seed, self.clock()
+                )
         self.lives.changed_ids |= set(self.lives.instances)
         self.refresh_endpoints()
 
@@ -343,15 +347,15 @@
         self.lives.changed_ids.clear()
         listing, now = self.lives.instances_by_service(), self.clock()
         for name, service in self.services.items():
-            service.listed(now, listing.get(name, []))
-        self.yard.sweep(now, set(self.lives.instances))
+            service.update_backends(now, listing.get(name, []))
+        self.yard.evict(now, set(self.lives.instances))
 
     # -- pulls
 
     def build_pull(self) -> bytes:
         def act() -> bytes:
             cards = (self.members.local,) if self.turns % 5 == 0 else ()
-            sums, self.load_report = self.load_report, Sums()
+            sums, self.load_report = self.load_report, LoadReport()
             version = self.route_table.version if self.route_table else 0
             figures = sums.pack() if sums else None
             return post.PullRequest(
@@ -395,15 +399,15 @@
 
         def late() -> None:
             now, mine = self.clock(), self.zones.index(self.zone)
-            own, self.own_load_report = self.own_load_report, Sums()
-            if any(service.late(now, mine) for service in self.services.values()):
-                self.apply_load_report(self.zone, 1000, own.pack()[0], own.asked)
+            own, self.own_load_report = self.own_load_report, LoadReport()
+            if any(service.report_overdue(now, mine) for service in self.services.values()):
+                self.apply_load_report(self.zone, 1000, own.pack()[0], own.service_requests)
 
         self.meter.timed("each second: lives", act)
         self.meter.timed("hand on lives", self.refresh_endpoints)
         self.meter.timed("each second: own figures", late)
         self.meter.timed(
-            "each second: lines", lambda: self.yard.sweep(self.clock(), set(self.lives.instances))
+            "each second: lines", lambda: self.yard.evict(self.clock(), set(self.lives.instances))
         )
 
     def each_quarter_second(self) -> None:
@@ -413,7 +417,7 @@
     def tick_services(self, now: int) -> None:
         for service in self.services.values():
             service.tick(now)
-            service.notes.clear()
+            service.log_entries.clear()
 
 
 class ProxyStub:
--- a/meadowworks/simulation/scale.py
+++ b/meadowworks/simulation/scale.py
@@ -29,8 +29,8 @@
 from meadowworks.config.validation import validate_configuration
 from meadowworks.gossip import messages as post
 from meadowworks.gossip.peer_sampling import PEER_EXPIRY_NS
-from meadowworks.load_balancing.load_reports import Sums
-from meadowworks.proxy.control_plane_selection import Upstream
+from meadowworks.load_balancing.load_reports import LoadReport
+from meadowworks.proxy.control_plane_selection import ControlPlaneSelector
 from meadowworks.simulation.hollow import (
     MS,
     SECOND,
@@ -94,7 +94,7 @@
     work: deque[Callable[[], None]] = field(default_factory=deque)
     busy: bool = False
     incarnation: int = 0
-    upstream: Upstream | None = None  # of a junction
+    upstream: ControlPlaneSelector | None = None  # of a junction
     unreachable: set[str] = field(default_factory=set)  # gave no answer: a line must come up first
 
 
@@ -249,7 +249,7 @@
     def add_proxy(self, k: int, whole: bool) -> None:
         zone = self.zones[k % len(self.zones)]
         me = member_record(f"edge-{k}", f"10.{1 + k // 50000}.{k // 250 % 200}.{k % 250 + 1}", zone, False)
-        node = SimulatedNode(me.name, zone, ResourceMeter(), upstream=Upstream(zone))
+        node = SimulatedNode(me.name, zone, ResourceMeter(), upstream=ControlPlaneSelector(zone))
         if whole:
             made = SimulatedProxy(me, self.zones, lambda: self.now)
             made.meter = node.meter
@@ -280,7 +280,7 @@
 
     def upstream(self, zone: str) -> tuple[SimulatedNode, SimulatedControlPlane]:
         cards = [box.members.local for _, box in self.control_planes]
-        host = Upstream(zone).choose(self.now, cards, [])
+        host = ControlPlaneSelector(zone).choose(self.now, cards, [])
         return next((n, b) for n, b in self.control_planes if host and b.members.local.host == host[0])
 
     def control_plane_of(self, ident: str) -> tuple[SimulatedNode, SimulatedControlPlane]:
@@ -441,7 +441,7 @@
 
     def pull_failed(self, node: SimulatedNode, pair: tuple[SimulatedNode, SimulatedControlPlane]) -> None:
         assert node.upstream is not None
-        node.upstream.failed(self.now, pair[1].members.local.host)
+        node.upstream.mark_failed(self.now, pair[1].members.local.host)
 
     def pull_answered(self, node: SimulatedNode) -> None:
         if node.name in self.without_control_plane:
@@ -473,10 +473,12 @@
 
         def act() -> None:
             for ident, *counts in (self.draw_load_report(made.zone) or [[]])[0]:
-                made.load_report.met[ident] = list(counts)
-                made.own_load_report.met[ident] = list(counts)
+                made.load_report.backend_counts[ident] = list(counts)
+                made.own_load_report.backend_counts[ident] = list(counts)
                 svc = self.backends[ident][0]
-                made.load_report.asked[svc] = made.load_report.asked.get(svc, 0) + counts[0]
+                made.load_report.service_requests[svc] = (
+                    made.load_report.service_requests.get(svc, 0) + counts[0]
+                )
             self.send_pull(node, pair, made.build_pull(), took, failed, PULL_TIMEOUT_NS)
 
         self.enqueue(node, act)
@@ -882,7 +884,7 @@
                 if ident in self.backends:
                     made.beats.heartbeat(self.now, ident, json.loads(self.heartbeat_body(ident)))
             for name, sums in at.load_reports.items():
-                made.load_reports.setdefault(name, Sums()).add(sums.pack())
+                made.load_reports.setdefault(name, LoadReport()).merge(sums.pack())
             return made
 
         found = junction().meter
--- a/tests/gateway/golden_product.py
+++ b/tests/gateway/golden_product.py
@@ -34,9 +34,9 @@
 from meadowworks.gossip import messages as post
 from meadowworks.gossip.peer_sampling import PeerRecord
 from meadowworks.gossip.updates import KeyUpdate, SourceDelta
-from meadowworks.load_balancing.load_reports import PREFIX as FIGURES_PREFIX
-from meadowworks.load_balancing.load_reports import Sums
-from meadowworks.proxy.server import Junction
+from meadowworks.load_balancing.load_reports import LOAD_REPORT_PREFIX as FIGURES_PREFIX
+from meadowworks.load_balancing.load_reports import LoadReport
+from meadowworks.proxy.server import ProxyServer
 from meadowworks.registry.backends import BackendDirectory
 from meadowworks.registry.drain_log import DrainLog
 from meadowworks.registry.heartbeats import BACKEND_KEY_PREFIX as BACKENDS_PREFIX
@@ -199,20 +199,20 @@
     tries: list[tuple[str, bool, float]], loads: list[tuple[str, int, int]], calls: list[str]
 ) -> bytes:
     """What a junction tells that met these answers."""
-    sums = Sums()
+    sums = LoadReport()
     for ident, good, spent_ms in tries:
-        sums.tried(ident, good, spent_ms)
+        sums.record_attempt(ident, good, spent_ms)
     for ident, running, waiting in loads:
-        sums.loaded(ident, running, waiting)
+        sums.record_backend_load(ident, running, waiting)
     for service in calls:
-        sums.came(service)
+        sums.record_request(service)
     return post.encode(sums.pack())
 
 
 def decode_figures(body: bytes) -> tuple[dict[str, list[float]], dict[str, int]]:
-    sums = Sums()
-    sums.add(post.decode(body))
-    return sums.met, sums.asked
+    sums = LoadReport()
+    sums.merge(post.decode(body))
+    return sums.backend_counts, sums.service_requests
 
 
 def said_of_backend(*steps: Mapping[str, Any] | str) -> dict[str, Any]:
@@ -388,8 +388,8 @@
     return Signalbox(node_settings.parse_settings(json.dumps(settings)))
 
 
-def make_junction(settings: Any) -> Junction:
-    return Junction(node_settings.parse_settings(json.dumps(settings)))
+def make_junction(settings: Any) -> ProxyServer:
+    return ProxyServer(node_settings.parse_settings(json.dumps(settings)))
 
 
 async def started_signalbox(settings: Any) -> Signalbox:
@@ -401,7 +401,9 @@
 def identity(program: Any) -> tuple[str, str]:
     """The names of its life, and of its disk, which are drawn anew at each start."""
     own_office = getattr(program, "office", None)
-    return program.life, own_office.replica.acceptor.disk if own_office else "none"
+    return getattr(
+        program, "incarnation", None
+    ) or program.life, own_office.replica.acceptor.disk if own_office else "none"
 
 
 def stop_signalbox(box: Signalbox) -> None:
@@ -428,11 +430,11 @@
     return recorder.sent[0]
 
 
-async def sent_pull(junction: Junction) -> tuple[bytes, bytes]:
+async def sent_pull(junction: ProxyServer) -> tuple[bytes, bytes]:
     """The path and the body under which a junction pulls."""
     recorder = Recorder()
-    junction.peer = lambda host, port: recorder  # type: ignore[assignment,method-assign,return-value]
-    await junction.pull()
+    junction.peer_client = lambda host, port: recorder  # type: ignore[assignment,method-assign,return-value]
+    await junction.pull_once()
     (found,) = recorder.sent
     return found
 
@@ -440,18 +442,18 @@
 def turn(box: Signalbox, figures: Mapping[str, bytes]) -> dict[str, Any]:
     """What a signalbox says in its turn of a second, given what junctions of zones have told."""
     for zone, body in figures.items():
-        box.sums.setdefault(zone, Sums()).add(post.decode(body))
+        box.sums.setdefault(zone, LoadReport()).merge(post.decode(body))
     box.turn()
     entries = box.news.sources[box.life].entries
     return {key: value for key, (_, value) in entries.items()}
 
 
-def junction_learns(junction: Junction, configuration: bytes, said: Mapping[str, Any]) -> None:
+def junction_learns(junction: ProxyServer, configuration: bytes, said: Mapping[str, Any]) -> None:
     """Configuration and news, as if a signalbox had told them."""
-    junction.take_table(load_configuration(configuration))
+    junction.apply_route_table(load_configuration(configuration))
     for key, value in said.items():
-        junction.news.notify_update(KeyUpdate("source", key, value))
-    junction.relist()
+        junction.gossip.notify_update(KeyUpdate("source", key, value))
+    junction.refresh_endpoints()
 
 
 def signalbox_learns(box: Signalbox, cards: list[Any], configuration: bytes, said: Mapping[str, Any]) -> None:
@@ -462,7 +464,7 @@
 
 
 def inner_door(program: Any) -> Any:
-    return program.inner if isinstance(program, Signalbox) else program.asked
+    return program.inner if isinstance(program, Signalbox) else program.handle_internal
 
 
 def control_door(box: Signalbox) -> Any:
--- a/tests/gateway/test_callers.py
+++ b/tests/gateway/test_callers.py
@@ -8,10 +8,10 @@
 import pytest
 
 from meadowworks.attempts.retry_policy import ANSWERED, DROPPED, UNRUN
-from meadowworks.forwarding.connection_pool import Yard
-from meadowworks.forwarding.response_check import judge
-from meadowworks.forwarding.staleness import Picture
-from meadowworks.proxy.upstream_attempt import Request, Tried, attempt
+from meadowworks.forwarding.connection_pool import ConnectionPool
+from meadowworks.forwarding.response_check import check_response
+from meadowworks.forwarding.staleness import StalenessTracker
+from meadowworks.proxy.upstream_attempt import AttemptResult, UpstreamRequest, send_attempt
 from meadowworks.runtime.errors import RequestError
 from meadowworks.runtime.http_connection import ClientConnection
 from meadowworks.runtime.http_server import HttpServer, read_body, send_response
@@ -196,17 +196,17 @@
             self.ended += 1
 
 
-def request(ident: bytes | None) -> Request:
+def request(ident: bytes | None) -> UpstreamRequest:
     names = [(b"host", b"h")] + ([(b"x-request-id", ident)] if ident else [])
-    return Request(b"POST", b"/x", names, b"", ident)
+    return UpstreamRequest(b"POST", b"/x", names, b"", ident)
 
 
-async def three(how: str) -> tuple[Server, list[Tried]]:
+async def three(how: str) -> tuple[Server, list[AttemptResult]]:
     made = Server(SECONDS[how][0])
     there = backend("me", await made.raw.open())
-    yard: Yard[ClientConnection] = Yard()
-    found = [await attempt(yard, there, request(b"one"), now_ns() + SECOND)]
-    second = asyncio.create_task(attempt(yard, there, request(b"two"), now_ns() + SECOND))
+    yard: ConnectionPool[ClientConnection] = ConnectionPool()
+    found = [await send_attempt(yard, there, request(b"one"), now_ns() + SECOND)]
+    second = asyncio.create_task(send_attempt(yard, there, request(b"two"), now_ns() + SECOND))
     if "silence" in how:
         await until(lambda: len(made.read) == 2, "it is read")
         for _ in range(5):
@@ -214,13 +214,13 @@
         assert not second.done()  # a silence ends nothing, and sends nothing again
         second.cancel()
         assert isinstance((await asyncio.gather(second, return_exceptions=True))[0], asyncio.CancelledError)
-        found.append(Tried(DROPPED, None, 0))
+        found.append(AttemptResult(DROPPED, None, 0))
         await until(lambda: made.ended == 1, "its line is ended")
     else:
         found.append(await second)
-    found.append(await attempt(yard, there, request(b"three"), now_ns() + SECOND))
-    for stall in yard.stalls.values():
-        assert not stall.under_way
+    found.append(await send_attempt(yard, there, request(b"three"), now_ns() + SECOND))
+    for stall in yard.endpoints.values():
+        assert not stall.in_flight
         for _, line in stall.idle:
             line.close()
     made.raw.close()
@@ -231,23 +231,23 @@
 def test_a_kept_line_to_a_backend_gives_each_request_its_own_answer_or_none(how: str) -> None:
     made, (first, second, third) = asyncio.run(three(how))
     _, state, kept = SECONDS[how]
-    assert first.state == ANSWERED and second.state == state
-    assert (second.reply is not None) == (state in (ANSWERED, UNRUN))
+    assert first.outcome == ANSWERED and second.outcome == state
+    assert (second.response is not None) == (state in (ANSWERED, UNRUN))
     assert made.read[:2] == [b"one", b"two"] and made.read.count(b"two") == 1  # nothing repeats by itself
     if how != "a reset after it":  # which may be seen only when the third is on its way
-        assert made.lines == (1 if kept else 2) and third.state == (state if kept else ANSWERED)
+        assert made.lines == (1 if kept else 2) and third.outcome == (state if kept else ANSWERED)
 
 
 def test_a_request_without_an_id_goes_on_a_line_of_its_own() -> None:
     async def main() -> None:
         made = Server([OK.replace(b"mine", b"late")])
         there = backend("me", await made.raw.open())
-        yard: Yard[ClientConnection] = Yard()
+        yard: ConnectionPool[ClientConnection] = ConnectionPool()
         for ident in (b"one", None, None):
-            tried = await attempt(yard, there, request(ident), now_ns() + SECOND)
-            assert tried.reply is not None and tried.reply.body == b"mine"
+            tried = await send_attempt(yard, there, request(ident), now_ns() + SECOND)
+            assert tried.response is not None and tried.response.body == b"mine"
         assert made.lines == 3
-        yard.sweep(now_ns(), set())
+        yard.evict(now_ns(), set())
         made.raw.close()
 
     asyncio.run(main())
@@ -255,9 +255,9 @@
 
 def test_a_failure_that_names_no_request_is_proof_on_a_new_line_alone() -> None:
     headers = {b"x-not-run": b"1"}
-    assert judge(b"q", b"me", 503, headers.get, True).state == UNRUN
-    assert judge(b"q", b"me", 503, headers.get, False).state == DROPPED
-    assert judge(None, b"me", 503, headers.get, True).state == UNRUN
+    assert check_response(b"q", b"me", 503, headers.get, True).outcome == UNRUN
+    assert check_response(b"q", b"me", 503, headers.get, False).outcome == DROPPED
+    assert check_response(None, b"me", 503, headers.get, True).outcome == UNRUN
 
 
 # -- what a junction that may be cut off says
@@ -283,9 +283,9 @@
 def test_a_picture_is_as_old_as_the_question_that_was_answered(how: str) -> None:
     replies, moments = PICTURES[how]
     for moment, fresh in moments.items():
-        picture = Picture(2500 * MS)
+        picture = StalenessTracker(2500 * MS)
         for asked, came, sure in replies:
             if came is not None and came <= moment:
-                picture.told(asked * MS, sure)
-        assert picture.fresh(moment * MS) == fresh, moment
-        assert picture.ever or not fresh
+                picture.on_reply(asked * MS, sure)
+        assert picture.is_fresh(moment * MS) == fresh, moment
+        assert picture.ever_confirmed or not fresh
--- a/tests/gateway/test_carriage.py
+++ b/tests/gateway/test_carriage.py
@@ -11,12 +11,25 @@
 from pytest_bdd import given, parsers, scenarios, then, when
 
 from meadowworks.attempts.retry_policy import ANSWERED, DROPPED, UNRUN
-from meadowworks.forwarding.attempts import Forward, Journey, Refuse, Send, Wait, policy, way
-from meadowworks.forwarding.connection_pool import Yard
-from meadowworks.forwarding.latency_estimate import delays, reach, suffices
-from meadowworks.forwarding.response_check import proof
-from meadowworks.forwarding.retry_budget import Budget
-from meadowworks.proxy.upstream_attempt import Request, Tried, attempt, on_headers
+from meadowworks.forwarding.attempts import (
+    ForwardResponse,
+    RejectRequest,
+    RequestAttempts,
+    SendAttempt,
+    Wait,
+    choose_retry_policy,
+    retry_rules,
+)
+from meadowworks.forwarding.connection_pool import ConnectionPool
+from meadowworks.forwarding.latency_estimate import choose_endpoints, estimate_delays, local_zone_suffices
+from meadowworks.forwarding.response_check import outcome_of_status
+from meadowworks.forwarding.retry_budget import RetryBudget
+from meadowworks.proxy.upstream_attempt import (
+    AttemptResult,
+    UpstreamRequest,
+    forwarded_request_headers,
+    send_attempt,
+)
 from meadowworks.runtime.http_connection import ClientConnection
 from meadowworks.runtime.process import now_ns
 from tests.gateway.helpers import SECOND, Raw, backend
@@ -26,95 +39,112 @@
 ENDS = {
     "no connection": (UNRUN, 0),
     "a reset": (DROPPED, 0),
-    "503 stating not run": (proof(503, True), 503),
-    "421": (proof(421, False), 421),
-    "a bare 503": (proof(503, False), 503),
-    "a bare 429": (proof(429, False), 429),
-    "500": (proof(500, False), 500),
-    "200": (proof(200, False), 200),
+    "503 stating not run": (outcome_of_status(503, True), 503),
+    "421": (outcome_of_status(421, False), 421),
+    "a bare 503": (outcome_of_status(503, False), 503),
+    "a bare 429": (outcome_of_status(429, False), 429),
+    "500": (outcome_of_status(500, False), 500),
+    "200": (outcome_of_status(200, False), 200),
 }
 
 
 @given(parsers.parse("a {kind} request with two backends and {tries:d} tries"), target_fixture="journey")
-def a_request(kind: str, tries: int) -> Journey:
+def a_request(kind: str, tries: int) -> RequestAttempts:
     safe = kind == "safe"
-    return Journey(way(safe, 2 * SECOND, SECOND), policy(safe, tries, False), 2 * SECOND)
+    return RequestAttempts(
+        retry_rules(safe, 2 * SECOND, SECOND), choose_retry_policy(safe, tries, False), 2 * SECOND
+    )
 
 
 @when(parsers.parse("its first try ends by {end}"), target_fixture="step")
-def first_ends(journey: Journey, end: str) -> Any:
+def first_ends(journey: RequestAttempts, end: str) -> Any:
     first = journey.start(0, LINES, {}, 0.3)
-    assert isinstance(first, Send)
+    assert isinstance(first, SendAttempt)
     state, status = ENDS[end]
-    return journey.ended(1000, first.number, state, status, LINES, {}, 0.3, lambda: True)
+    return journey.on_attempt_ended(1000, first.number, state, status, LINES, {}, 0.3, lambda: True)
 
 
 @then(parsers.parse("it is {outcome}"))
-def it_is(journey: Journey, step: Any, outcome: str) -> None:
+def it_is(journey: RequestAttempts, step: Any, outcome: str) -> None:
     if outcome == "sent elsewhere":
-        assert isinstance(step, Send) and step.place != journey.tries[1].backend
+        assert isinstance(step, SendAttempt) and step.endpoint != journey.attempts[1].backend
         return
     word, status = outcome.split()
     if word == "forwarded":
-        assert isinstance(step, Forward) and step.number == 1
+        assert isinstance(step, ForwardResponse) and step.number == 1
         return
-    assert isinstance(step, Refuse) and step.status == int(status)
-    assert (step.back_ns > 0) == (step.status == 503)  # who was not run is told when to come back
+    assert isinstance(step, RejectRequest) and step.status == int(status)
+    assert (step.retry_after_ns > 0) == (step.status == 503)  # who was not run is told when to come back
 
 
 def test_a_silent_safe_try_has_another_beside_it_and_the_first_answer_counts() -> None:
-    journey = Journey(way(True, 2 * SECOND, SECOND // 2), policy(True, 2, False), 2 * SECOND)
+    journey = RequestAttempts(
+        retry_rules(True, 2 * SECOND, SECOND // 2), choose_retry_policy(True, 2, False), 2 * SECOND
+    )
     first = journey.start(0, LINES, {}, 0.1)
-    assert isinstance(first, Send)
-    assert first.until_ns == SECOND // 4
-    full = journey.due(first.until_ns, LINES, {}, 0.1, lambda: True, free=False)
+    assert isinstance(first, SendAttempt)
+    assert first.wait_until_ns == SECOND // 4
+    full = journey.on_timer(first.wait_until_ns, LINES, {}, 0.1, lambda: True, slot_free=False)
     assert full == Wait(SECOND // 2)  # it would take another's turn
-    second = journey.due(SECOND // 2, LINES, {}, 0.1, lambda: True, free=False)
-    assert isinstance(second, Send) and second.place != first.place
-    assert isinstance(journey.ended(SECOND, second.number, UNRUN, 503, LINES, {}, 0.1, lambda: True), Wait)
+    second = journey.on_timer(SECOND // 2, LINES, {}, 0.1, lambda: True, slot_free=False)
+    assert isinstance(second, SendAttempt) and second.endpoint != first.endpoint
     assert isinstance(
-        journey.ended(SECOND, first.number, ANSWERED, 200, LINES, {}, 0.1, lambda: True), Forward
+        journey.on_attempt_ended(SECOND, second.number, UNRUN, 503, LINES, {}, 0.1, lambda: True), Wait
+    )
+    assert isinstance(
+        journey.on_attempt_ended(SECOND, first.number, ANSWERED, 200, LINES, {}, 0.1, lambda: True),
+        ForwardResponse,
     )
 
 
 def test_a_silent_unsafe_try_is_waited_for_alone_and_never_promised_not_to_have_run() -> None:
-    journey = Journey(way(False, 2 * SECOND, SECOND // 2), policy(False, 2, False), 2 * SECOND)
+    journey = RequestAttempts(
+        retry_rules(False, 2 * SECOND, SECOND // 2), choose_retry_policy(False, 2, False), 2 * SECOND
+    )
     first = journey.start(0, LINES, {}, 0.1)
-    assert isinstance(first, Send) and first.until_ns == 2 * SECOND
-    step = journey.due(2 * SECOND, LINES, {}, 0.1, lambda: True)
-    assert isinstance(step, Refuse) and (step.status, step.back_ns) == (504, 0)
+    assert isinstance(first, SendAttempt) and first.wait_until_ns == 2 * SECOND
+    step = journey.on_timer(2 * SECOND, LINES, {}, 0.1, lambda: True)
+    assert isinstance(step, RejectRequest) and (step.status, step.retry_after_ns) == (504, 0)
 
 
 def test_without_room_in_the_budget_no_further_try_is_sent() -> None:
-    journey = Journey(way(True, 2 * SECOND, SECOND), policy(True, 2, False), 2 * SECOND)
+    journey = RequestAttempts(
+        retry_rules(True, 2 * SECOND, SECOND), choose_retry_policy(True, 2, False), 2 * SECOND
+    )
     journey.start(0, LINES, {}, 0.1)
-    step = journey.ended(1, 1, DROPPED, 0, LINES, {}, 0.1, lambda: False)
-    assert isinstance(step, Refuse) and step.status == 502
-    budget = Budget(0.2, 10 * SECOND)
+    step = journey.on_attempt_ended(1, 1, DROPPED, 0, LINES, {}, 0.1, lambda: False)
+    assert isinstance(step, RejectRequest) and step.status == 502
+    budget = RetryBudget(0.2, 10 * SECOND)
     for k in range(100):
-        budget.request(k)
-    taken = sum(budget.take(1000) for _ in range(100))
-    assert 10 <= taken <= 0.2 * 100 + 2 and not budget.take(1000)
-    assert budget.take(11 * SECOND)  # the window has moved on
+        budget.record_request(k)
+    taken = sum(budget.take_retry(1000) for _ in range(100))
+    assert 10 <= taken <= 0.2 * 100 + 2 and not budget.take_retry(1000)
+    assert budget.take_retry(11 * SECOND)  # the window has moved on
 
 
 def test_with_no_hope_of_an_answer_in_time_it_is_refused_at_once() -> None:
-    journey = Journey(way(False, SECOND, SECOND), policy(False, 2, False), SECOND)
+    journey = RequestAttempts(
+        retry_rules(False, SECOND, SECOND), choose_retry_policy(False, 2, False), SECOND
+    )
     step = journey.start(0, LINES, {1: 3.0 * SECOND, 2: 3.0 * SECOND}, 0.1)
-    assert isinstance(step, Refuse) and step.status == 503 and step.back_ns < SECOND
+    assert isinstance(step, RejectRequest) and step.status == 503 and step.retry_after_ns < SECOND
 
 
 def test_a_request_leaves_its_zone_only_if_nothing_at_home_is_likely_to_be_in_time() -> None:
     own, abroad, needs = {1: 2.0}, {2: 2.0}, {1: 100.0, 2: 100.0}
-    assert reach(own, abroad, {1: 1.0}, needs, 400.0)[0] == own
-    assert reach(own, abroad, {1: 3.0}, needs, 400.0)[0] == own  # a call waits there, and yet in time
+    assert choose_endpoints(own, abroad, {1: 1.0}, needs, 400.0)[0] == own
+    assert (
+        choose_endpoints(own, abroad, {1: 3.0}, needs, 400.0)[0] == own
+    )  # a call waits there, and yet in time
     for busy, first in (({1: 4.0}, 2), ({1: 4.0, 2: 4.0}, 1), ({1: 9.0, 2: 4.0}, 2)):
-        lines, waits, _ = reach(own, abroad, busy, needs, 400.0)
+        lines, waits, _ = choose_endpoints(own, abroad, busy, needs, 400.0)
         assert lines == {1: 2.0, 2: 2.0} and min(waits, key=lambda p, w=waits: w[p]) == first  # type: ignore[misc]
-    assert 2 in reach(own, abroad, {1: 4.0}, needs, 400.0, 400.0)[0]
-    assert reach(own, abroad, {1: 4.0}, needs, 400.0, 5000.0)[0] == own  # its bytes are not worth it
-    assert reach(own, abroad, {1: 1.0}, {1: 300.0}, 400.0)[0] == own  # slow, but a slot is free
-    assert reach({}, abroad, {}, needs, 400.0)[0] == abroad
+    assert 2 in choose_endpoints(own, abroad, {1: 4.0}, needs, 400.0, 400.0)[0]
+    assert (
+        choose_endpoints(own, abroad, {1: 4.0}, needs, 400.0, 5000.0)[0] == own
+    )  # its bytes are not worth it
+    assert choose_endpoints(own, abroad, {1: 1.0}, {1: 300.0}, 400.0)[0] == own  # slow, but a slot is free
+    assert choose_endpoints({}, abroad, {}, needs, 400.0)[0] == abroad
 
 
 def test_where_home_suffices_other_zones_change_nothing() -> None:
@@ -124,21 +154,25 @@
     for one, two, far, known, target in product(states, states, states, (0, 1, 2, 3), (50.0, 400.0)):
         own, abroad, busy = {1: 2.0, 2: 1.0}, {3: 2.0}, {1: one, 2: two, 3: far}
         needs = {place: 100.0 * place for place in (1, 2, 3)[:known]}
-        if not suffices(own, busy, needs):
+        if not local_zone_suffices(own, busy, needs):
             full += 1
             continue
         taken += 1
-        assert reach(own, abroad, busy, needs, target) == (own, delays(own, busy, needs), True)
+        assert choose_endpoints(own, abroad, busy, needs, target) == (
+            own,
+            estimate_delays(own, busy, needs),
+            True,
+        )
     assert taken and full
 
 
 def test_a_backend_too_busy_to_answer_does_not_look_idle() -> None:
-    yard: Yard[ClientConnection] = Yard()
-    yard.begin("b")
-    yard.told(0, "b", 2, 6)
-    assert yard.busy(0, "b", True) == 8.0
-    yard.figures(SECOND, "b", 9.0)
-    assert yard.busy(2 * SECOND, "b", True) > 5.0
+    yard: ConnectionPool[ClientConnection] = ConnectionPool()
+    yard.attempt_started("b")
+    yard.record_backend_load(0, "b", 2, 6)
+    assert yard.estimated_load(0, "b", True) == 8.0
+    yard.record_zone_load(SECOND, "b", 9.0)
+    assert yard.estimated_load(2 * SECOND, "b", True) > 5.0
 
 
 SEAL = b"X-Backend-Seal: s\r\n"
@@ -196,7 +230,7 @@
     return [whole]
 
 
-async def tries(how: str, method: bytes) -> tuple[Tried, Tried, int]:
+async def tries(how: str, method: bytes) -> tuple[AttemptResult, AttemptResult, int]:
     """Two requests, one after the other, and how many the server has read."""
     read = 0
 
@@ -222,14 +256,14 @@
         with socket.socket() as free:
             free.bind(("127.0.0.1", 0))
             at = free.getsockname()
-    yard: Yard[ClientConnection] = Yard()
+    yard: ConnectionPool[ClientConnection] = ConnectionPool()
     found = []
     for ident in (b"one", b"two"):
-        request = Request(method, b"/x", [(b"host", b"h"), (b"x-request-id", ident)], b"", ident)
-        found.append(await attempt(yard, backend("me", at), request, now_ns() + SECOND))
+        request = UpstreamRequest(method, b"/x", [(b"host", b"h"), (b"x-request-id", ident)], b"", ident)
+        found.append(await send_attempt(yard, backend("me", at), request, now_ns() + SECOND))
         for _ in range(5):
             await asyncio.sleep(0)
-    for stall in yard.stalls.values():
+    for stall in yard.endpoints.values():
         for _, line in stall.idle:
             line.close()
     server.close()
@@ -242,25 +276,25 @@
 
 
 @when(parsers.parse("a {kind} request is tried there"), target_fixture="tried")
-def is_tried(how: str, kind: str) -> tuple[Tried, Tried, int]:
+def is_tried(how: str, kind: str) -> tuple[AttemptResult, AttemptResult, int]:
     return asyncio.run(tries(how, b"GET" if kind == "safe" else b"POST"))
 
 
 @then(parsers.parse("the try is {state}"))
-def the_try_is(how: str, tried: tuple[Tried, Tried, int], state: str) -> None:
+def the_try_is(how: str, tried: tuple[AttemptResult, AttemptResult, int], state: str) -> None:
     first, _, read = tried
-    assert first.state == {"answered": ANSWERED, "dropped": DROPPED, "unrun": UNRUN}[state]
-    assert (first.reply is not None and first.reply.status == 200) == (state == "answered")
-    assert first.over == (how == "as another life")
+    assert first.outcome == {"answered": ANSWERED, "dropped": DROPPED, "unrun": UNRUN}[state]
+    assert (first.response is not None and first.response.status == 200) == (state == "answered")
+    assert first.incarnation_ended == (how == "as another life")
     assert read == (0 if how == "by not listening" else 2)  # one arrival a try: nothing repeats by itself
 
 
 @then("a second request on that connection gets its own answer or none")
-def second_is_its_own(how: str, tried: tuple[Tried, Tried, int]) -> None:
+def second_is_its_own(how: str, tried: tuple[AttemptResult, AttemptResult, int]) -> None:
     _, second, _ = tried
-    assert second.reply is None or second.reply.status != 200 or second.reply.body == b"mine two"
+    assert second.response is None or second.response.status != 200 or second.response.body == b"mine two"
     if how in ("as it should", "twice at once"):  # the surplus cost its own line, and not the next request
-        assert second.state == ANSWERED
+        assert second.outcome == ANSWERED
 
 
 @pytest.mark.parametrize(
@@ -284,4 +318,4 @@
 def test_headers_of_one_connection_do_not_go_along(
     headers: list[tuple[bytes, bytes]], kept: list[bytes]
 ) -> None:
-    assert [name for name, _ in on_headers(headers)] == kept
+    assert [name for name, _ in forwarded_request_headers(headers)] == kept
--- a/tests/gateway/test_door.py
+++ b/tests/gateway/test_door.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from meadowworks.forwarding.memory_budget import Room
+from meadowworks.forwarding.memory_budget import MemoryBudget
 from meadowworks.runtime.http_server import BodyError, HttpServer, RequestLimits, read_body, send_response
 
 OK = b"GET /a HTTP/1.1\r\nHost: h\r\n\r\n"
@@ -112,13 +112,17 @@
 
 def test_bodies_share_a_bounded_room_and_give_it_back() -> None:
     async def main() -> None:
-        room = Room(100)
-        assert await read_body(parts(40, 40), 500, room) == b"z" * 80 and room.held == 0
-        assert await read_body(parts(60, 60, 60), 500, room) is BodyError.OUT_OF_MEMORY and room.held == 0
+        room = MemoryBudget(100)
+        assert await read_body(parts(40, 40), 500, room) == b"z" * 80 and room.reserved_bytes == 0
         assert (
-            await read_body(parts(20, 20, end=False), 500, room) is BodyError.DISCONNECTED and room.held == 0
+            await read_body(parts(60, 60, 60), 500, room) is BodyError.OUT_OF_MEMORY
+            and room.reserved_bytes == 0
         )
-        assert await read_body(parts(20, 20), 30, room) is BodyError.TOO_LARGE and room.held == 0
+        assert (
+            await read_body(parts(20, 20, end=False), 500, room) is BodyError.DISCONNECTED
+            and room.reserved_bytes == 0
+        )
+        assert await read_body(parts(20, 20), 30, room) is BodyError.TOO_LARGE and room.reserved_bytes == 0
         first = parts(20)
 
         async def stops() -> Any:
@@ -126,7 +130,10 @@
             return message if message["more_body"] else await never()
 
         async with asyncio.timeout(1):
-            assert await read_body(stops, 500, room, timeout_s=0.01) is BodyError.TIMED_OUT and room.held == 0
+            assert (
+                await read_body(stops, 500, room, timeout_s=0.01) is BodyError.TIMED_OUT
+                and room.reserved_bytes == 0
+            )
 
     asyncio.run(main())
 
--- a/tests/gateway/test_ends.py
+++ b/tests/gateway/test_ends.py
@@ -10,11 +10,18 @@
 import pytest
 
 from meadowworks.attempts.retry_policy import CANCELLED, DROPPED
-from meadowworks.forwarding.attempts import Journey, Refuse, Send, Wait, policy, way
-from meadowworks.forwarding.connection_pool import Yard
-from meadowworks.forwarding.memory_budget import Room, Share
+from meadowworks.forwarding.attempts import (
+    RejectRequest,
+    RequestAttempts,
+    SendAttempt,
+    Wait,
+    choose_retry_policy,
+    retry_rules,
+)
+from meadowworks.forwarding.connection_pool import ConnectionPool
+from meadowworks.forwarding.memory_budget import MemoryBudget, MemoryReservation
 from meadowworks.local.system import SystemLayout, free_ports
-from meadowworks.proxy.upstream_attempt import Request, attempt
+from meadowworks.proxy.upstream_attempt import UpstreamRequest, send_attempt
 from meadowworks.runtime import node_settings
 from meadowworks.runtime.http_connection import ClientConnection, connect
 from meadowworks.runtime.http_server import HttpConnection, HttpServer, RequestLimits, send_response
@@ -155,21 +162,21 @@
             pass
 
     async def main() -> None:
-        server, yard, room = Raw(serve), Yard[ClientConnection](), Room(1500)
+        server, yard, room = Raw(serve), ConnectionPool[ClientConnection](), MemoryBudget(1500)
         there = backend("me", await server.open())
-        asked = Request(b"GET", b"/", [(b"host", b"h"), (b"x-request-id", b"q")], b"", b"q")
-        one, two = Share(room), Share(room)
-        first = await attempt(yard, there, asked, now_ns() + SECOND, one.take)
-        assert first.reply is not None and room.held == 1000
-        second = await attempt(yard, there, asked, now_ns() + SECOND, two.take)
-        assert second.state == DROPPED and second.reply is None and room.held == 1000
-        one.give()
-        again = await attempt(yard, there, asked, now_ns() + SECOND, two.take)
-        assert again.reply is not None
-        two.give()
-        two.give()
-        assert room.held == 0
-        yard.sweep(now_ns(), set())
+        asked = UpstreamRequest(b"GET", b"/", [(b"host", b"h"), (b"x-request-id", b"q")], b"", b"q")
+        one, two = MemoryReservation(room), MemoryReservation(room)
+        first = await send_attempt(yard, there, asked, now_ns() + SECOND, one.reserve)
+        assert first.response is not None and room.reserved_bytes == 1000
+        second = await send_attempt(yard, there, asked, now_ns() + SECOND, two.reserve)
+        assert second.outcome == DROPPED and second.response is None and room.reserved_bytes == 1000
+        one.release()
+        again = await send_attempt(yard, there, asked, now_ns() + SECOND, two.reserve)
+        assert again.response is not None
+        two.release()
+        two.release()
+        assert room.reserved_bytes == 0
+        yard.evict(now_ns(), set())
         server.close()
 
     asyncio.run(main())
@@ -177,13 +184,17 @@
 
 @pytest.mark.parametrize("safe", [True, False])
 def test_for_a_client_that_has_gone_nothing_more_is_sent(safe: bool) -> None:
-    journey = Journey(way(safe, 2 * SECOND, SECOND // 2), policy(safe, 3, False), 2 * SECOND)
+    journey = RequestAttempts(
+        retry_rules(safe, 2 * SECOND, SECOND // 2), choose_retry_policy(safe, 3, False), 2 * SECOND
+    )
     lines = {1: 1.0, 2: 1.0, 3: 1.0}
     first = journey.start(0, lines, {}, 0.1)
-    assert isinstance(first, Send) and journey.left() == safe
-    assert isinstance(journey.due(SECOND, lines, {}, 0.1, lambda: True), Wait)
-    step = journey.ended(SECOND, 1, CANCELLED if safe else DROPPED, 0, lines, {}, 0.1, lambda: True)
-    assert isinstance(step, Refuse) and step.status == 502 and len(journey.tries) == 1
+    assert isinstance(first, SendAttempt) and journey.on_client_gone() == safe
+    assert isinstance(journey.on_timer(SECOND, lines, {}, 0.1, lambda: True), Wait)
+    step = journey.on_attempt_ended(
+        SECOND, 1, CANCELLED if safe else DROPPED, 0, lines, {}, 0.1, lambda: True
+    )
+    assert isinstance(step, RejectRequest) and step.status == 502 and len(journey.attempts) == 1
 
 
 async def replaced(fleet: Fleet, place: int, version: int, routes: Any) -> None:  # noqa: F811
@@ -216,17 +227,19 @@
         line.close()
         assert isinstance((await asyncio.gather(call, return_exceptions=True))[0], Exception)
         if method == b"GET":
-            await until(lambda: not node.door.pending_count(), "it is over long before its deadline", 1.0)
-            assert not any(stall.under_way or stall.idle for stall in node.yard.stalls.values())
+            await until(
+                lambda: not node.http_server.pending_count(), "it is over long before its deadline", 1.0
+            )
+            assert not any(stall.in_flight or stall.idle for stall in node.connection_pool.endpoints.values())
         else:
-            await until(lambda: not node.door.server_state.connections, "the connection is gone")
-            assert node.door.pending_count() == 1  # it has been wanted, and may have run: it goes on
+            await until(lambda: not node.http_server.server_state.connections, "the connection is gone")
+            assert node.http_server.pending_count() == 1  # it has been wanted, and may have run: it goes on
             gate.set()
-            await until(lambda: not node.door.pending_count(), "it is over")
-            assert any(stall.idle for stall in node.yard.stalls.values())
+            await until(lambda: not node.http_server.pending_count(), "it is over")
+            assert any(stall.idle for stall in node.connection_pool.endpoints.values())
         gate.set()
         assert [ident for made in fleet.backends for ident in made.handled_request_ids] == ["gone"]
-        assert node.counts == {"clients gone": 1} and not node.room.held
+        assert node.counters == {"clients gone": 1} and not node.memory_budget.reserved_bytes
 
     fleet.run(whole())
 
@@ -237,15 +250,20 @@
         await reader.read(-1)
 
     async def main() -> None:
-        server, yard, room, tasks = Raw(serve), Yard[ClientConnection](), Room(1500), Tasks()
-        there, share = backend("me", await server.open()), Share(room)
-        asked = Request(b"GET", b"/", [(b"host", b"h"), (b"x-request-id", b"q")], b"", b"q")
-        task = tasks.start(attempt(yard, there, asked, now_ns() + 9 * SECOND, share.take))
-        await until(lambda: room.held == 10, "half of it has come")
-        tasks.bound(task, 0.01, share.give)
+        server, yard, room, tasks = (
+            Raw(serve),
+            ConnectionPool[ClientConnection](),
+            MemoryBudget(1500),
+            Tasks(),
+        )
+        there, share = backend("me", await server.open()), MemoryReservation(room)
+        asked = UpstreamRequest(b"GET", b"/", [(b"host", b"h"), (b"x-request-id", b"q")], b"", b"q")
+        task = tasks.start(send_attempt(yard, there, asked, now_ns() + 9 * SECOND, share.reserve))
+        await until(lambda: room.reserved_bytes == 10, "half of it has come")
+        tasks.bound(task, 0.01, share.release)
         await until(task.done, "it is ended", 2.0)
         await until(lambda: not tasks.running, "it is told")
-        assert task.cancelled() and not room.held and not yard.stalls["me"].under_way
+        assert task.cancelled() and not room.reserved_bytes and not yard.endpoints["me"].in_flight
         server.close()
 
     asyncio.run(main())
@@ -259,8 +277,8 @@
         began = now_ns()
         assert (await fleet.serve(0, b"POST", b"/order/a")).status == 504  # it may have run
         assert now_ns() - began < 1.9 * SECOND  # its client waits for 1.5
-        ((name, counted),) = node.prices.items()
-        names = [route.name for route in node.table.routes_by_host["local.example"].values()]
+        ((name, counted),) = node.route_failures.items()
+        names = [route.name for route in node.route_table.routes_by_host["local.example"].values()]
         assert counted == {"broken off": 1} and name in names
         for made in fleet.backends:
             made.server.shutdown()
@@ -269,7 +287,7 @@
         began = now_ns()
         refused = await fleet.serve(0, b"POST", b"/order/b")
         assert refused.status == 503 and refused.header(b"retry-after") and now_ns() - began < SECOND
-        assert node.prices == {name: {"broken off": 1}}
+        assert node.route_failures == {name: {"broken off": 1}}
         never.set()
 
     fleet.run(whole())
@@ -294,14 +312,14 @@
             lambda: sum(len(made.handled_request_ids) for made in fleet.backends) == 2, "they are at work"
         )
         await replaced(fleet, 1, 2, {"/new/": ("safe", "lookup")})
-        await until(lambda: node.table.version == 2, "the next version is in force")
+        await until(lambda: node.route_table.version == 2, "the next version is in force")
         settings = fleet.plan.node_settings(3, tmp_path / "disk-3", True)
         settings["network"]["seeds"] = settings["network"]["seeds"][:1]
         path = tmp_path / "settings.json"
         path.write_text(json.dumps(settings))
         monkeypatch.setenv(node_settings.SETTINGS_FILE_VARIABLE, str(path))
-        node.again()
-        assert len(node.boot.seeds) == 1
+        node.reload_settings()
+        assert len(node.settings.seeds) == 1
         gate.set()
         assert [reply.status for reply in await asyncio.gather(*calls)] == [200, 200]
         for line in kept:  # rested lines and used ones: none was ended
@@ -314,16 +332,16 @@
 def test_a_fault_in_one_pull_does_not_end_the_next(fleet: Fleet) -> None:  # noqa: F811
     async def whole() -> None:
         node = await plan(fleet)
-        work, failed = node.take_table, []
+        work, failed = node.apply_route_table, []
 
         def fails(table: Any) -> None:
-            node.take_table = work
+            node.apply_route_table = work
             failed.append(table.version)
             raise RuntimeError("as if something were wrong with it")
 
-        node.take_table = fails
+        node.apply_route_table = fails
         await replaced(fleet, 1, 2, ROUTES)
-        await until(lambda: node.table.version == 2, "it is in force all the same")
+        await until(lambda: node.route_table.version == 2, "it is in force all the same")
         assert failed == [2]
 
     fleet.run(whole())
--- a/tests/gateway/test_fleet.py
+++ b/tests/gateway/test_fleet.py
@@ -18,10 +18,10 @@
 from meadowworks.config.route_table import load_route_table
 from meadowworks.consensus.register import Ballot, Outside, Prepare
 from meadowworks.controlplane.server import Signalbox
-from meadowworks.forwarding.staleness import FRESH_NS
+from meadowworks.forwarding.staleness import MAX_AGE_NS
 from meadowworks.local.backend import StubBackend
 from meadowworks.local.system import SystemLayout, build_configuration, free_ports
-from meadowworks.proxy.server import SETTLE_NS, Junction
+from meadowworks.proxy.server import STARTUP_GRACE_NS, ProxyServer
 from meadowworks.runtime import node_settings
 from meadowworks.runtime.errors import RequestError
 from meadowworks.runtime.http_connection import connect
@@ -52,7 +52,7 @@
 
     async def start(self, place: int, bootstrap: bool = True) -> None:
         settings = self.plan.node_settings(place, self.folder / f"disk-{place}", bootstrap)
-        node = (Signalbox if place < self.plan.control_plane_nodes else Junction)(
+        node = (Signalbox if place < self.plan.control_plane_nodes else ProxyServer)(
             node_settings.parse_settings(json.dumps(settings))
         )
         self.told[place] = asyncio.get_running_loop().create_future()
@@ -64,7 +64,7 @@
         node = self.nodes.pop(place)
         for task in [self.running.pop(place), *node.tasks.running]:
             task.cancel()
-        for door in ("inner_door", "ctl_door", "door", "polls", "inner"):
+        for door in ("inner_door", "ctl_door", "http_server", "readiness_server", "internal_server"):
             if (found := getattr(node, door, None)) and hasattr(found, "server_state"):
                 found.server.close()
                 for caller in list(found.server_state.connections):
@@ -179,7 +179,9 @@
 
 @then("it is acknowledged and changes nothing")
 def changes_nothing(fleet: Fleet) -> None:
-    fleet.run(until(lambda: all(fleet.nodes[k].table.version == 5 for k in (3, 4)), "version 5 is in force"))
+    fleet.run(
+        until(lambda: all(fleet.nodes[k].route_table.version == 5 for k in (3, 4)), "version 5 is in force")
+    )
     assert fleet.run(fleet.read(2)) == json.loads(build_configuration(5, ROUTES))
 
 
@@ -244,7 +246,7 @@
         )
         await until(lambda: any(b.requests_running for b in fleet.backends), "it is at work")
         fleet.told[3].set_result(None)
-        await until(lambda: fleet.nodes[3].leaving, "it leaves")
+        await until(lambda: fleet.nodes[3].shutting_down, "it leaves")
         gate.set()
         idle = await ask(fleet.plan.proxy_addresses()[0], b"POST", b"/order/b", "still", b"", kept)
         polled = (
@@ -270,14 +272,14 @@
             await fleet.kill(place)
         await until(lambda: not fleet.nodes[0].sure(), "its lease has ended")
         await fleet.start(4)
-        await until(lambda: len(fleet.nodes[4].news.sources) > 1, "it has been told")
+        await until(lambda: len(fleet.nodes[4].gossip.sources) > 1, "it has been told")
 
     fleet.run(whole())
 
 
 @then("it is not ready, and tells nobody that a route is not there")
 def not_ready(fleet: Fleet) -> None:
-    assert fleet.nodes[4].table is None and not fleet.nodes[4].is_ready()
+    assert fleet.nodes[4].route_table is None and not fleet.nodes[4].is_ready()
     unknown = fleet.run(fleet.serve(1, b"GET", b"/new/a"))
     assert unknown.status == 503 and float(unknown.header(b"retry-after")) < 1
 
@@ -285,10 +287,10 @@
 @then("after a while it still has no table from there, and says when to come back")
 def no_table(fleet: Fleet) -> None:
     node = fleet.nodes[4]
-    node.born_ns -= SETTLE_NS
-    node.settle(now_ns())
-    node.listed_ns -= SETTLE_NS  # its other services' backends are not waited for longer
-    assert node.table is None and not node.is_ready() and not node.picture.ever
+    node.started_ns -= STARTUP_GRACE_NS
+    node.mark_backends_listed(now_ns())
+    node.first_listed_ns -= STARTUP_GRACE_NS  # its other services' backends are not waited for longer
+    assert node.route_table is None and not node.is_ready() and not node.staleness.ever_confirmed
     for target in (b"/read/a", b"/new/a"):
         refused = fleet.run(fleet.serve(1, b"GET", target))
         assert refused.status == 503 and float(refused.header(b"retry-after")) < 1
@@ -298,12 +300,12 @@
 def picture_old(fleet: Fleet) -> None:
     async def whole() -> None:
         node = fleet.nodes[4]
-        work, node.picture.told = node.picture.told, lambda asked, sure: None
-        node.picture.asked_ns -= FRESH_NS
+        work, node.staleness.on_reply = node.staleness.on_reply, lambda asked, sure: None
+        node.staleness.confirmed_ns -= MAX_AGE_NS
         assert node.is_ready()
         status = (await fleet.serve(1, b"GET", b"/new/a")).status
-        node.picture.told = work
-        await until(lambda: node.picture.fresh(now_ns()), "it is told again")
+        node.staleness.on_reply = work
+        await until(lambda: node.staleness.is_fresh(now_ns()), "it is told again")
         assert (await fleet.serve(1, b"GET", b"/new/a")).status == 404
         assert status == 503
 
@@ -324,7 +326,7 @@
         await fleet.start(1)
         await fleet.start(2)
         node = fleet.nodes[4]
-        await until(lambda: node.is_ready() and node.picture.fresh(now_ns()), "it is ready, and knows")
+        await until(lambda: node.is_ready() and node.staleness.is_fresh(now_ns()), "it is ready, and knows")
 
     fleet.run(whole())
 
@@ -333,9 +335,9 @@
 def never_back(fleet: Fleet) -> None:
     assert fleet.run(fleet.serve(1, b"GET", b"/new/a")).status == 404
     node = fleet.nodes[4]
-    node.take_table(load_route_table(build_configuration(7, ROUTES)))
-    node.take_table(load_route_table(build_configuration(6, {"/new/": ("safe", "lookup")})))
-    assert node.table.version == 7 and node.table.find_route("local.example", "/new/a") is None
+    node.apply_route_table(load_route_table(build_configuration(7, ROUTES)))
+    node.apply_route_table(load_route_table(build_configuration(6, {"/new/": ("safe", "lookup")})))
+    assert node.route_table.version == 7 and node.route_table.find_route("local.example", "/new/a") is None
 
 
 @when("a backend of the south beats at the first signalbox, which is of the north")
--- a/tests/gateway/test_state.py
+++ b/tests/gateway/test_state.py
@@ -21,9 +21,9 @@
 from meadowworks.gossip import messages as post
 from meadowworks.gossip.peer_sampling import PEER_EXPIRY_NS, PartialView, PeerRecord
 from meadowworks.gossip.updates import MAX_TOMBSTONES, SOURCE_EXPIRY_NS, KeyUpdate, SourceDelta, UpdateStore
-from meadowworks.load_balancing.service import Met, Service
+from meadowworks.load_balancing.service import BackendLoad, ServiceBalancer
 from meadowworks.local.system import Ports, SystemLayout, build_configuration
-from meadowworks.proxy.control_plane_selection import Upstream
+from meadowworks.proxy.control_plane_selection import ControlPlaneSelector
 from meadowworks.registry.backends import BackendDirectory, BackendInstance
 from meadowworks.registry.heartbeats import CallAccepted, HeartbeatRegistry, InvalidCall
 from meadowworks.runtime import node_settings
@@ -221,10 +221,10 @@
     assert nodes[6].peers["10.0.0.0"].record.heartbeat == 1  # an old card replaces no newer one
     nodes[6].expire(PEER_EXPIRY_NS + 10)
     assert not nodes[6].peers and nodes[6].undiscovered_seeds([("10.0.0.1", 9)], 7000) == [("10.0.0.1", 7000)]
-    upstream = Upstream("z")
+    upstream = ControlPlaneSelector("z")
     far = PeerRecord("f", "10.0.9.9", 7000, "y", True, "f", 1)
     assert upstream.choose(0, [far, cards[0]], []) == ("10.0.0.0", 7000)
-    upstream.failed(0, "10.0.0.0")
+    upstream.mark_failed(0, "10.0.0.0")
     assert upstream.choose(1, [far, cards[0]], []) == ("10.0.9.9", 7000)
 
 
@@ -323,7 +323,7 @@
 
 
 def test_a_services_table_is_of_its_zone_by_capacity_and_what_drains_leaves_at_once() -> None:
-    service = Service("s", ["north", "south"], "north", SECOND // 2, 1, 0)
+    service = ServiceBalancer("s", ["north", "south"], "north", SECOND // 2, 1, 0)
 
     def lives(*states: str) -> list[BackendInstance]:
         zones = ("north", "north", "south")
@@ -332,19 +332,27 @@
             for k, state in enumerate(states)
         ]
 
-    service.listed(1, lives("up", "up", "up"))
-    named = {service.places.names[p]: w for p, w in service.lines.items()}
-    assert named == {"b0": 2.0, "b1": 3.0} and {service.places.names[p] for p in service.abroad} == {"b2"}
-    service.listed(2, lives("draining", "up", "up"))
-    assert {service.places.names[p] for p in service.lines} == {"b1"}
-    service.listed(3, lives("draining", "draining", "up"))
-    assert {service.places.names[p] for p in service.lines} == {"b2"}  # the zone has none: all of them
+    service.update_backends(1, lives("up", "up", "up"))
+    named = {service.endpoint_ids.names[p]: w for p, w in service.weights.items()}
+    assert named == {"b0": 2.0, "b1": 3.0} and {
+        service.endpoint_ids.names[p] for p in service.remote_weights
+    } == {"b2"}
+    service.update_backends(2, lives("draining", "up", "up"))
+    assert {service.endpoint_ids.names[p] for p in service.weights} == {"b1"}
+    service.update_backends(3, lives("draining", "draining", "up"))
+    assert {service.endpoint_ids.names[p] for p in service.weights} == {
+        "b2"
+    }  # the zone has none: all of them
     for k in range(1, 40):  # demand that fits leaves the level open
         now = k * SECOND
-        service.heard(now, 0, {"b2": Met(20, 0, 20_000_000, 0.0)}, 20, SECOND)
+        service.record_zone_report(now, 0, {"b2": BackendLoad(20, 0, 20_000_000, 0.0)}, 20, SECOND)
         service.tick(now)
         service.tick(now + SECOND // 2)
-    assert service.level == 1.0 and not service.late(40 * SECOND, 0) and service.late(50 * SECOND, 0)
+    assert (
+        service.admission_ratio == 1.0
+        and not service.report_overdue(40 * SECOND, 0)
+        and service.report_overdue(50 * SECOND, 0)
+    )
 
 
 SETTINGS = json.loads(json.dumps(SystemLayout(9, Ports(1, 2, 3, 4)).node_settings(0, Path("/d"))))
--- a/tests/gateway/test_words.py
+++ b/tests/gateway/test_words.py
@@ -13,7 +13,7 @@
 from meadowworks.cli import members
 from meadowworks.local.commands import PROJECT_ROOT, example_commands
 from meadowworks.local.system import Ports, SystemLayout
-from meadowworks.proxy.server import Junction
+from meadowworks.proxy.server import ProxyServer
 
 
 @pytest.mark.parametrize(
@@ -101,12 +101,12 @@
 def test_an_idle_junction_says_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     said: list[Any] = []
     monkeypatch.setattr("meadowworks.proxy.server.log.info", lambda *words: said.append(words))
-    junction = Junction.__new__(Junction)
-    junction.counts, junction.summed, junction.budgets = {}, {}, {}
-    junction.door = type("Idle", (), {"pending_count": lambda self: 0})()
-    junction.summary()
+    junction = ProxyServer.__new__(ProxyServer)
+    junction.counters, junction.logged_counters, junction.retry_budgets = {}, {}, {}
+    junction.http_server = type("Idle", (), {"pending_count": lambda self: 0})()
+    junction.log_counters()
     assert not said
-    junction.counts["200"] = 1
-    junction.summary()
-    junction.summary()
+    junction.counters["200"] = 1
+    junction.log_counters()
+    junction.log_counters()
     assert len(said) == 1
