--- a/meadowworks/consensus/register.py
+++ b/meadowworks/consensus/register.py
@@ -21,7 +21,7 @@
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
-from meadowworks.runtime.errors import InvariantViolation
+from meadowworks.runtime.errors import InvariantError
 
 HISTORY = 256  # versions below the one held whose content's digest is remembered
 UNKNOWN = -1  # the number of no epoch
@@ -304,7 +304,7 @@
         if self.sealed is None:
             self.sealed, self.meta = after, True
         elif self.sealed != after:
-            raise InvariantViolation(f"two sets of members after epoch {epoch}")
+            raise InvariantError(f"two sets of members after epoch {epoch}")
         return Sealed(after, self.state())
 
     def install(self, after: Epoch, state: State) -> Reply:
--- a/meadowworks/proxy/server.py
+++ b/meadowworks/proxy/server.py
@@ -47,7 +47,7 @@
 from meadowworks.registry.heartbeats import DRAINING
 from meadowworks.runtime import logging as logs
 from meadowworks.runtime.cooperative import Steps, decompress_steps, run_cooperatively
-from meadowworks.runtime.errors import InvariantViolation, RequestError, SettingsError
+from meadowworks.runtime.errors import InvariantError, RequestError, SettingsError
 from meadowworks.runtime.http_connection import ClientConnection, Response
 from meadowworks.runtime.http_server import BodyError, HttpServer, read_body, send_response
 from meadowworks.runtime.node_settings import NodeSettings, load_settings
@@ -221,7 +221,7 @@
         while True:
             try:
                 await self.pull_once()
-            except InvariantViolation:
+            except InvariantError:
                 raise
             except Exception:
                 log.exception("a pull failed")
--- a/meadowworks/runtime/errors.py
+++ b/meadowworks/runtime/errors.py
@@ -11,7 +11,7 @@
     """The settings file is missing, unreadable or makes no sense; one plain sentence. Ends with status 2."""
 
 
-class InvariantViolation(MeadowworksError):
+class InvariantError(MeadowworksError):
     """What must always hold does not: the process stops rather than go on with a state that is wrong."""
 
 
--- a/meadowworks/runtime/lazy_imports.py
+++ b/meadowworks/runtime/lazy_imports.py
@@ -12,7 +12,7 @@
 from types import ModuleType
 from typing import Any
 
-from meadowworks.runtime.errors import InvariantViolation
+from meadowworks.runtime.errors import InvariantError
 
 # httpcore imports trio where it finds it: half of a start.
 BLOCKED_MODULES = ("trio",)
@@ -31,7 +31,7 @@
     def __getattr__(self, name: str) -> Any:
         if name.startswith("__"):
             raise AttributeError(name)
-        raise InvariantViolation(f"{self.__name__}.{name} is left out of the programs")
+        raise InvariantError(f"{self.__name__}.{name} is left out of the programs")
 
 
 class LazyPattern:
--- a/meadowworks/runtime/process.py
+++ b/meadowworks/runtime/process.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from meadowworks.runtime import logging as logs
-from meadowworks.runtime.errors import InvariantViolation, SettingsError
+from meadowworks.runtime.errors import InvariantError, SettingsError
 from meadowworks.runtime.node_settings import NodeSettings, load_settings
 
 log = logs.get_logger("start")
@@ -49,7 +49,7 @@
         self.running.discard(task)
         if task.cancelled() or (trouble := task.exception()) is None:
             return
-        if isinstance(trouble, InvariantViolation):
+        if isinstance(trouble, InvariantError):
             if not self.broken.done():
                 self.broken.set_exception(trouble)
         else:
@@ -63,7 +63,7 @@
                 found = act()
                 if isinstance(found, Awaitable):
                     await found
-            except InvariantViolation:
+            except InvariantError:
                 raise
             except Exception:
                 log.exception("a turn failed")
--- a/tests/gateway/test_start.py
+++ b/tests/gateway/test_start.py
@@ -9,7 +9,7 @@
 import pytest
 
 from meadowworks.runtime import lazy_imports
-from meadowworks.runtime.errors import InvariantViolation
+from meadowworks.runtime.errors import InvariantError
 
 PROGRAM = """
 import sys
@@ -58,7 +58,7 @@
 
 
 def test_whoever_uses_what_is_left_out_is_told() -> None:
-    with pytest.raises(InvariantViolation):
+    with pytest.raises(InvariantError):
         _ = lazy_imports.StubModule("certifi").where
     later = lazy_imports.LazyPattern(r"a+", re.IGNORECASE)
     assert later.match("AAA") and not later.match("b")
