--- a/meadowworks/cli/main.py
+++ b/meadowworks/cli/main.py
@@ -9,7 +9,7 @@
 import sys
 from collections.abc import Sequence
 
-WORDS = {
+COMMANDS = {
     "check": ("meadowworks.modelcheck.commands", "check", "explore the machines whole in small worlds"),
     "days": ("meadowworks.simulation.regression", "days", "play the days of our own by the users' bench"),
     "lab": ("meadowworks.simulation.commands", "lab", "measure the product's own machines"),
@@ -26,74 +26,78 @@
 USAGE = "usage: meadowworks WORD [OPTION ...]; without a word the controller runs, as NODE_CONFIG says"
 
 
-class Bad(Exception):
+class CommandError(Exception):
     """What was asked for makes no sense; one plain sentence. Ends the command with status 2."""
 
 
-def listing() -> str:
+def usage_text() -> str:
     return "\n".join(
         [
             USAGE,
             "",
-            *(f"  {word:8} {what}" for word, (*_, what) in WORDS.items()),
+            *(f"  {word:8} {what}" for word, (*_, what) in COMMANDS.items()),
             "",
             "Each word has --help.",
         ]
     )
 
 
-def main(words: Sequence[str] | None = None) -> int:
+def main(arguments: Sequence[str] | None = None) -> int:
     """Runs a command. Its status is 0 when all holds, 1 when what it asks does not, 2 on bad input, 141 where
     whoever read its output has gone."""
     try:
-        status = spoken(sys.argv[1:] if words is None else words)
+        status = run_command(sys.argv[1:] if arguments is None else arguments)
         sys.stdout.flush()
         return status
     except BrokenPipeError:
-        return unread()
+        return discard_output()
 
 
-def spoken(words: Sequence[str]) -> int:
-    if not words or words[0] in ("--help", "-h", "help"):
-        print(listing())
+def run_command(arguments: Sequence[str]) -> int:
+    if not arguments or arguments[0] in ("--help", "-h", "help"):
+        print(usage_text())
         return 0
-    if words[0] not in WORDS:
-        return bad(f"there is no word {words[0]!r}: there are {', '.join(WORDS)}")
+    if arguments[0] not in COMMANDS:
+        return report_error(f"there is no word {arguments[0]!r}: there are {', '.join(COMMANDS)}")
     try:
-        module, name, _ = WORDS[words[0]]
+        module, name, _ = COMMANDS[arguments[0]]
         act = getattr(importlib.import_module(module), name)
         import cappa
         from rich.console import Console
     except ModuleNotFoundError as missing:
-        return bad(
-            f"{words[0]} needs {missing.name}, which is not installed: pip install 'meadowworks[tools]'"
+        return report_error(
+            f"{arguments[0]} needs {missing.name}, which is not installed: pip install 'meadowworks[tools]'"
         )
     quiet = cappa.Output(error_console=Console(file=io.StringIO()))  # an error is told in one line of ours
     try:
         status = cappa.invoke(
-            cappa.command(name=f"meadowworks {words[0]}")(act),
-            argv=list(words[1:]),
+            cappa.command(name=f"meadowworks {arguments[0]}")(act),
+            argv=list(arguments[1:]),
             output=quiet,
             completion=False,
         )
-    except (Bad, ValueError) as trouble:
-        return bad(str(trouble))
+    except (CommandError, ValueError) as trouble:
+        return report_error(str(trouble))
     except cappa.Exit as end:
-        return bad(f"{end.message}; `meadowworks {words[0]} --help` tells the usage") if end.code else 0
+        return (
+            report_error(f"{end.message}; `meadowworks {arguments[0]} --help` tells the usage")
+            if end.code
+            else 0
+        )
     except KeyboardInterrupt:
         return 130
     return status if isinstance(status, int) else 0
 
 
-def unread() -> int:
+def discard_output() -> int:
     """No more is said, not at the process's end either."""
     with contextlib.suppress(OSError, ValueError):
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
     return 141
 
 
-def bad(why: str) -> int:
-    print(f"meadowworks: {' '.join(why.split())}", file=sys.stderr)
+def report_error(reason: str) -> int:
+    print(f"meadowworks: {' '.join(reason.split())}", file=sys.stderr)
     return 2
 
 
--- a/meadowworks/cli/operations.py
+++ b/meadowworks/cli/operations.py
@@ -11,25 +11,25 @@
 
 from cappa import Arg
 
-from meadowworks.cli.main import Bad
+from meadowworks.cli.main import CommandError
 from meadowworks.config.validation import InvalidConfiguration, validate_configuration
 from meadowworks.runtime import node_settings
 from meadowworks.runtime.errors import RequestError, SettingsError
 from meadowworks.runtime.http_connection import Response, connect
 
-WAIT_S = 5.0
+CALL_TIMEOUT_S = 5.0
 
 
-def call(at: str, method: bytes, path: bytes, body: bytes = b"") -> Response:
+def call_node(address: str, method: bytes, path: bytes, body: bytes = b"") -> Response:
     """One call to a controller. Raises Bad if there is no answer."""
-    host, colon, port = at.rpartition(":")
+    host, colon, port = address.rpartition(":")
     if not colon or not port.isdigit():
-        raise Bad(f"{at!r} is no address with a port")
+        raise CommandError(f"{address!r} is no address with a port")
 
     async def whole() -> Response:
-        async with asyncio.timeout(WAIT_S):
-            line = await connect(host, int(port), WAIT_S)
-            headers = [(b"host", at.encode()), (b"content-length", str(len(body)).encode())]
+        async with asyncio.timeout(CALL_TIMEOUT_S):
+            line = await connect(host, int(port), CALL_TIMEOUT_S)
+            headers = [(b"host", address.encode()), (b"content-length", str(len(body)).encode())]
             try:
                 return await line.request(method, path, headers, body, 64 << 20)
             finally:
@@ -38,7 +38,7 @@
     try:
         return asyncio.run(whole())
     except (RequestError, TimeoutError) as trouble:
-        raise Bad(f"{at} gives no answer: {trouble or 'silence'}") from None
+        raise CommandError(f"{address} gives no answer: {trouble or 'silence'}") from None
 
 
 def status(
@@ -50,12 +50,12 @@
 ) -> int:
     """What a junction or a signalbox knows: its version, members, backends and, of a junction, its tables.
     With --all, side by side, what each controller holds; status 1 if one is silent or behind."""
-    reply = call(at, b"GET", b"/status")
+    reply = call_node(at, b"GET", b"/status")
     if reply.status != 200:
-        raise Bad(f"{at} says {reply.status}: is that a controller's inner address?")
+        raise CommandError(f"{at} says {reply.status}: is that a controller's inner address?")
     found: dict[str, Any] = json.loads(reply.body)
     if everyone:
-        return whole_system(at, found, as_json)
+        return print_all_nodes(at, found, as_json)
     if as_json:
         print(json.dumps(found))
         return 0
@@ -69,35 +69,35 @@
     return 0
 
 
-def whole_system(at: str, own: dict[str, Any], as_json: bool) -> int:
+def print_all_nodes(address: str, own_status: dict[str, Any], as_json: bool) -> int:
     """A signalbox's view is partial: beyond sixteen controllers it names the voters and some of the rest."""
-    if "members" not in own:
-        raise Bad(f"{at} tells of no members: is that a signalbox's inner address?")
-    port = at.rpartition(":")[2]
+    if "members" not in own_status:
+        raise CommandError(f"{address} tells of no members: is that a signalbox's inner address?")
+    port = address.rpartition(":")[2]
 
     def one(member: list[Any]) -> dict[str, Any] | None:
         try:
-            reply = call(f"{member[1]}:{port}", b"GET", b"/status")
-        except Bad:
+            reply = call_node(f"{member[1]}:{port}", b"GET", b"/status")
+        except CommandError:
             return None
         return json.loads(reply.body) if reply.status == 200 else None
 
     with ThreadPoolExecutor(8) as pool:
-        rows = [row(own["node"], own)] + [
-            row(member[0], told)
-            for member, told in zip(own["members"], pool.map(one, own["members"]), strict=True)
+        rows = [node_row(own_status["node"], own_status)] + [
+            node_row(member[0], told)
+            for member, told in zip(own_status["members"], pool.map(one, own_status["members"]), strict=True)
         ]
     versions = {r["version"] for r in rows}
     if as_json:
         print(json.dumps({"controllers": rows}))
     else:
-        lay([list(rows[0]), *[[str(cell) for cell in r.values()] for r in rows]])
+        print_columns([list(rows[0]), *[[str(cell) for cell in r.values()] for r in rows]])
     return 0 if len(versions) == 1 and all(r["well"] == "yes" for r in rows) else 1
 
 
-def row(node: str, told: dict[str, Any] | None) -> dict[str, Any]:
+def node_row(node: str, status: dict[str, Any] | None) -> dict[str, Any]:
     """One controller: a signalbox is well if it has its lease, a junction if it is ready."""
-    if told is None:
+    if status is None:
         return {
             "node": node,
             "kind": "-",
@@ -107,33 +107,33 @@
             "draining": "-",
             "levels": "-",
         }
-    box = "sure" in told
-    well = told["sure"] if box else told["ready"]
-    levels = [f"{name} {facts['level']:g}" for name, facts in told.get("services", {}).items()]
+    box = "sure" in status
+    well = status["sure"] if box else status["ready"]
+    levels = [f"{name} {facts['level']:g}" for name, facts in status.get("services", {}).items()]
     return {
-        "node": told["node"],
+        "node": status["node"],
         "kind": "signalbox" if box else "junction",
-        "version": told["version"],
+        "version": status["version"],
         "well": "yes" if well else "no",
-        "undecided": " ".join(told.get("undecided", [])) or "-",
-        "draining": sum(backend[3] == "draining" for backend in told["backends"].values()),
+        "undecided": " ".join(status.get("undecided", [])) or "-",
+        "draining": sum(backend[3] == "draining" for backend in status["backends"].values()),
         "levels": ", ".join(levels) or "-",
     }
 
 
-def table(at: str, field: str, names: tuple[str, ...], as_json: bool) -> int:
+def print_status_field(address: str, field: str, columns: tuple[str, ...], as_json: bool) -> int:
     """One field of a controller's status as rows, or as JSON."""
-    reply = call(at, b"GET", b"/status")
+    reply = call_node(address, b"GET", b"/status")
     found = json.loads(reply.body) if reply.status == 200 else {}
     if field not in found:
-        raise Bad(f"{at} tells of no {field}: is that a signalbox's inner address?")
+        raise CommandError(f"{address} tells of no {field}: is that a signalbox's inner address?")
     rows = found[field]
     if isinstance(rows, dict):
         rows = [[key, *row] for key, row in rows.items()]
     if as_json:
-        print(json.dumps({field: [dict(zip(names, row, strict=True)) for row in rows]}))
+        print(json.dumps({field: [dict(zip(columns, row, strict=True)) for row in rows]}))
         return 0
-    lay([[str(cell) for cell in row] for row in (names, *rows)])
+    print_columns([[str(cell) for cell in row] for row in (columns, *rows)])
     return 0
 
 
@@ -143,12 +143,12 @@
     as_json: Annotated[bool, Arg(long="--json", help="one JSON object on standard output")] = False,
 ) -> int:
     """What a junction's last decisions on a service rest on: views, level, table, and who is held back."""
-    reply = call(at, b"GET", b"/status")
+    reply = call_node(at, b"GET", b"/status")
     found = json.loads(reply.body).get("services") if reply.status == 200 else None
     if found is None:
-        raise Bad(f"{at} tells of no services: is that a junction's inner address?")
+        raise CommandError(f"{at} tells of no services: is that a junction's inner address?")
     if service not in found:
-        raise Bad(f"{at} knows no service {service!r}: there are {', '.join(found) or 'none yet'}")
+        raise CommandError(f"{at} knows no service {service!r}: there are {', '.join(found) or 'none yet'}")
     told = found[service]
     if as_json:
         print(json.dumps({"service": service, **told}))
@@ -161,7 +161,7 @@
     )
     rows = [["zone", "view", "asked", "keeps", "waiting", "jammed", "calm", "figures_s"]]
     rows += [[zone, *[str(facts[name]) for name in rows[0][1:]]] for zone, facts in told["zones"].items()]
-    lay(rows)
+    print_columns(rows)
     rows = [["backend", "weight", "in", "held back"]]
     for field, where in (("table", "own table"), ("abroad", "other zones")):
         for ident, weight in told[field].items():
@@ -175,11 +175,11 @@
     for ident, held in told["held back"].items():
         if not held["ready"]:
             rows.append([ident, "0", "no table", "not ready"])
-    lay(rows)
+    print_columns(rows)
     return 0
 
 
-def lay(rows: list[list[str]]) -> None:
+def print_columns(rows: list[list[str]]) -> None:
     """Rows in columns; the first one names them."""
     widths = [max(map(len, column)) for column in zip(*rows, strict=True)]
     for row in rows:
@@ -191,7 +191,7 @@
     as_json: Annotated[bool, Arg(long="--json", help="one JSON object on standard output")] = False,
 ) -> int:
     """The controllers that a signalbox knows: its partial view."""
-    return table(at, "members", ("node", "address", "zone", "votes", "beat"), as_json)
+    return print_status_field(at, "members", ("node", "address", "zone", "votes", "beat"), as_json)
 
 
 def backends(
@@ -199,16 +199,16 @@
     as_json: Annotated[bool, Arg(long="--json", help="one JSON object on standard output")] = False,
 ) -> int:
     """The backends that a controller knows, as lives."""
-    return table(at, "backends", ("id", "service", "address", "zone", "state"), as_json)
+    return print_status_field(at, "backends", ("id", "service", "address", "zone", "state"), as_json)
 
 
-def differences(old: Any, new: Any, at: str = "") -> list[str]:
+def differences(old: Any, new: Any, path: str = "") -> list[str]:
     """What differs between two configurations, a line each."""
     if isinstance(old, dict) and isinstance(new, dict):
         return [
             line
             for key in sorted({*old, *new})
-            for line in differences(old.get(key), new.get(key), f"{at}.{key}" if at else key)
+            for line in differences(old.get(key), new.get(key), f"{path}.{key}" if path else key)
         ]
     if isinstance(old, list) and isinstance(new, list):
 
@@ -218,11 +218,11 @@
                 for r in rows
             }
 
-        return differences(named(old), named(new), at)
-    return [] if old == new else [f"{at}: {json.dumps(old)} -> {json.dumps(new)}"]
+        return differences(named(old), named(new), path)
+    return [] if old == new else [f"{path}: {json.dumps(old)} -> {json.dumps(new)}"]
 
 
-USAGE = {
+CONFIG_USAGE = {
     "check": "config check FILE",
     "put": "config put ADDRESS FILE",
     "get": "config get ADDRESS",
@@ -240,34 +240,34 @@
     """Checks a configuration here, puts it into force, gets the one in force, or tells how a file differs
     from it: config check FILE, config put ADDRESS FILE, config get ADDRESS, config diff ADDRESS FILE.
     Status 1: refused, or it differs."""
-    if action not in USAGE:
-        raise Bad(f"there is no {action!r}; usage: {', or '.join(USAGE.values())}")
+    if action not in CONFIG_USAGE:
+        raise CommandError(f"there is no {action!r}; usage: {', or '.join(CONFIG_USAGE.values())}")
     given = [*([at] if at else []), *words]
-    if len(given) != len(USAGE[action].split()) - 2:
-        raise Bad(f"{action} wants other words; usage: meadowworks {USAGE[action]}")
+    if len(given) != len(CONFIG_USAGE[action].split()) - 2:
+        raise CommandError(f"{action} wants other words; usage: meadowworks {CONFIG_USAGE[action]}")
     at = given[0] if action != "check" else ""
     file = Path(given[-1]) if action != "get" else None
     if action == "get":
-        reply = call(at, b"GET", b"/api/Config.Read")
+        reply = call_node(at, b"GET", b"/api/Config.Read")
         print(reply.body.decode("utf-8", "replace"))
         return 0 if reply.status == 200 else 1
     assert file is not None
     try:
         body = file.read_bytes()
     except OSError as trouble:
-        raise Bad(f"{file} cannot be read: {trouble.strerror}") from None
+        raise CommandError(f"{file} cannot be read: {trouble.strerror}") from None
     found = validate_configuration(body)
     if isinstance(found, InvalidConfiguration):
-        raise Bad(f"{file}: {found.reason}")
+        raise CommandError(f"{file}: {found.reason}")
     if action == "check":
         print(f"{file}: version {found.version:08x} makes sense")
         return 0
     if action == "diff":
-        reply = call(at, b"GET", b"/api/Config.Read")
+        reply = call_node(at, b"GET", b"/api/Config.Read")
         lines = differences(json.loads(reply.body) if reply.status == 200 else {}, json.loads(body))
         print("\n".join(lines) or "no difference")
         return 1 if lines else 0
-    reply = call(at, b"POST", b"/api/Config.Replace", body)
+    reply = call_node(at, b"POST", b"/api/Config.Replace", body)
     if reply.status == 200:
         print(f"version {found.version:08x} is acknowledged")
         return 0
@@ -280,8 +280,8 @@
     try:
         found = node_settings.parse_settings(file.read_bytes())
     except OSError as trouble:
-        raise Bad(f"{file} cannot be read: {trouble.strerror}") from None
+        raise CommandError(f"{file} cannot be read: {trouble.strerror}") from None
     except SettingsError as trouble:
-        raise Bad(f"{file}: {trouble}") from None
+        raise CommandError(f"{file}: {trouble}") from None
     print(f"{file}: {found.node} of {found.zone}, serves {', '.join(found.roles)}")
     return 0
--- a/meadowworks/controlplane/config_service.py
+++ b/meadowworks/controlplane/config_service.py
@@ -31,56 +31,60 @@
 from meadowworks.runtime import logging as logs
 from meadowworks.runtime.errors import RequestError
 from meadowworks.runtime.node_settings import NodeSettings
-from meadowworks.runtime.peer_client import Peer
-from meadowworks.runtime.process import Tasks, now_ns
+from meadowworks.runtime.peer_client import PeerClient
+from meadowworks.runtime.process import BackgroundTasks, now_ns
 from meadowworks.storage.sqlite_store import Disk
 
-LETTER_S = 1.0  # that a request's reply is waited for
-SMALL = 4096  # bytes above which a body is compressed off the loop
+REQUEST_TIMEOUT_S = 1.0  # that a request's reply is waited for
+INLINE_COMPRESSION_MAX_BYTES = 4096  # bytes above which a body is compressed off the loop
 log = logs.get_logger("table")
-Outcome = Any  # of an order: what replica.Answer holds
+OperationOutcome = Any  # of an order: what replica.Answer holds
 
 
-class Office:
+class ConfigService:
     """`in_force` is called with each version that comes to be known as chosen."""
 
     def __init__(
         self,
-        boot: NodeSettings,
-        disk: Disk,
-        peers: Callable[[str, int], Peer],
-        in_force: Callable[[Held], None],
-        tasks: Tasks,
+        settings: NodeSettings,
+        store: Disk,
+        peer_client: Callable[[str, int], PeerClient],
+        on_commit: Callable[[Held], None],
+        tasks: BackgroundTasks,
     ) -> None:
-        self.disk, self.peers, self.in_force, self.tasks = disk, peers, in_force, tasks
-        stored = disk.load()
+        self.store, self.peer_client, self.on_commit, self.tasks = store, peer_client, on_commit, tasks
+        stored = store.load()
         acceptor = acceptor_for(
             stored.meta,
             disk=uuid4().hex,
-            address=f"{boot.ip}:{boot.peer_port}",
+            address=f"{settings.ip}:{settings.peer_port}",
             seeds=tuple(
-                f"{host}:{boot.peer_port}" for host, _ in boot.seeds
+                f"{host}:{settings.peer_port}" for host, _ in settings.seeds
             ),  # ports are alike on all machines
-            bootstrap=boot.bootstrap,
-            voting=boot.voting,
+            bootstrap=settings.bootstrap,
+            voting=settings.voting,
             held=stored.held,
             history=stored.history,
             slots=stored.slots,
         )
-        self.replica = Replica(acceptor, boot.tolerated_failures, random.random)
-        self.thread = ThreadPoolExecutor(1)
-        self.orders: dict[int, asyncio.Future[Outcome]] = {}
-        self.count = 0
-        self.timer: asyncio.TimerHandle | None = None
-        self.packed: tuple[Request, bytes] | None = None  # the request that went out last, to several
-
-    async def begin(self) -> None:
+        self.replica = Replica(acceptor, settings.tolerated_failures, random.random)
+        self.disk_executor = ThreadPoolExecutor(1)
+        self.pending_operations: dict[int, asyncio.Future[OperationOutcome]] = {}
+        self.last_operation_id = 0
+        self.tick_timer: asyncio.TimerHandle | None = None
+        self.last_encoded_request: tuple[Request, bytes] | None = (
+            None  # the request that went out last, to several
+        )
+
+    async def start(self) -> None:
         """Returns once the number of this life is on the disk. Raises sqlite3.Error."""
         self.replica.start(now_ns())
         effects = self.replica.take()
         for effect in effects:
             if isinstance(effect, Write):
-                await asyncio.get_running_loop().run_in_executor(self.thread, self.disk.save, effect.rows)
+                await asyncio.get_running_loop().run_in_executor(
+                    self.disk_executor, self.store.save, effect.rows
+                )
                 self.replica.written(now_ns(), effect.mark)
         acceptor = self.replica.acceptor
         log.info(
@@ -90,138 +94,138 @@
             acceptor.held.version,
             acceptor.epoch.number,
         )
-        self.pump()
+        self.run_effects()
 
     # -- effects
 
-    def pump(self) -> None:
+    def run_effects(self) -> None:
         """Does what the machine wants done, in order."""
         while effects := self.replica.take():
             for effect in effects:
                 match effect:
                     case Write():
-                        self.tasks.start(self.write(effect))
+                        self.tasks.start(self.persist(effect))
                     case Ask():
-                        self.tasks.start(self.send(effect))
+                        self.tasks.start(self.send_request(effect))
                     case Tell(ticket, who, reply):
                         if not ticket.done():
                             ticket.set_result((who, reply))
                     case Answer(order, outcome):
-                        waiting = self.orders.pop(order, None)
+                        waiting = self.pending_operations.pop(order, None)
                         if waiting is not None and not waiting.done():
                             waiting.set_result(outcome)
                     case InForce(held):
                         log.info("version {:08x} is in force", held.version)
-                        self.in_force(held)
+                        self.on_commit(held)
                     case Note(text):
                         log.info("{}", text)
-        if self.timer is not None:
-            self.timer.cancel()
+        if self.tick_timer is not None:
+            self.tick_timer.cancel()
         wait_s = max(0.001, (self.replica.due() - now_ns()) / 1e9)
-        self.timer = asyncio.get_running_loop().call_later(wait_s, self.turn)
+        self.tick_timer = asyncio.get_running_loop().call_later(wait_s, self.on_tick)
 
-    def turn(self) -> None:
+    def on_tick(self) -> None:
         self.replica.tick(now_ns())
-        self.pump()
+        self.run_effects()
 
-    async def write(self, what: Write) -> None:
+    async def persist(self, effect: Write) -> None:
         try:
-            await asyncio.get_running_loop().run_in_executor(self.thread, self.disk.save, what.rows)
+            await asyncio.get_running_loop().run_in_executor(self.disk_executor, self.store.save, effect.rows)
         except sqlite3.Error as trouble:
             log.warning("the disk refuses: {}", trouble)
-            self.replica.unwritten(now_ns(), what.mark)
+            self.replica.unwritten(now_ns(), effect.mark)
         else:
-            self.replica.written(now_ns(), what.mark)
-        self.pump()
+            self.replica.written(now_ns(), effect.mark)
+        self.run_effects()
 
-    async def send(self, what: Ask) -> None:
-        host, _, port = what.address.rpartition(":")
+    async def send_request(self, effect: Ask) -> None:
+        host, _, port = effect.address.rpartition(":")
         try:
-            if self.packed is None or self.packed[0] is not what.request:
-                self.packed = what.request, await squeezed(what.request)
-            body = post.encode([what.question, self.packed[1]])
-            raw = await self.peers(host, int(port)).call(b"/letter", body, LETTER_S)
-            question, who, reply = read_reply(raw)
-            if question != what.question:
+            if self.last_encoded_request is None or self.last_encoded_request[0] is not effect.request:
+                self.last_encoded_request = effect.request, await encode_message(effect.request)
+            body = post.encode([effect.question, self.last_encoded_request[1]])
+            raw = await self.peer_client(host, int(port)).call(b"/letter", body, REQUEST_TIMEOUT_S)
+            question, who, reply = decode_reply(raw)
+            if question != effect.question:
                 raise post.MalformedMessageError("the reply to another question")
         except (RequestError, *post.DECODE_ERRORS) as trouble:
             log.debug("a request without reply: {}", trouble)
-            self.replica.failed(now_ns(), what.question)
+            self.replica.failed(now_ns(), effect.question)
         else:
-            self.replica.heard(now_ns(), what.question, who, reply)
-        self.pump()
+            self.replica.heard(now_ns(), effect.question, who, reply)
+        self.run_effects()
 
     # -- inputs
 
-    async def asked(self, body: bytes) -> bytes:
+    async def handle_request(self, body: bytes) -> bytes:
         """The reply to another signalbox's request, once it may leave. Raises post.SHAPE."""
-        question, request = read_request(body)
+        question, request = decode_request(body)
         ticket: asyncio.Future[tuple[str, Reply]] = asyncio.get_running_loop().create_future()
         self.replica.asked(now_ns(), ticket, request)
-        self.pump()
+        self.run_effects()
         who, reply = await ticket
-        return post.encode([question, who, await squeezed(reply)])
+        return post.encode([question, who, await encode_message(reply)])
 
-    def ordered(self) -> tuple[int, asyncio.Future[Outcome]]:
-        self.count += 1
-        waiting: asyncio.Future[Outcome] = asyncio.get_running_loop().create_future()
-        self.orders[self.count] = waiting
-        return self.count, waiting
+    def register_operation(self) -> tuple[int, asyncio.Future[OperationOutcome]]:
+        self.last_operation_id += 1
+        waiting: asyncio.Future[OperationOutcome] = asyncio.get_running_loop().create_future()
+        self.pending_operations[self.last_operation_id] = waiting
+        return self.last_operation_id, waiting
 
-    async def order(self, version: int, content: bytes, within_ns: int) -> Outcome:
+    async def propose(self, version: int, content: bytes, timeout_ns: int) -> OperationOutcome:
         """replica.Taken, Another or Late."""
-        number, waiting = self.ordered()
+        number, waiting = self.register_operation()
         now = now_ns()
-        self.replica.order(now, number, version, content, now + within_ns)
-        self.pump()
+        self.replica.order(now, number, version, content, now + timeout_ns)
+        self.run_effects()
         return await waiting
 
-    async def read(self, within_ns: int) -> Held | Late:
-        number, waiting = self.ordered()
+    async def read(self, timeout_ns: int) -> Held | Late:
+        number, waiting = self.register_operation()
         now = now_ns()
-        self.replica.read(now, number, now + within_ns)
-        self.pump()
+        self.replica.read(now, number, now + timeout_ns)
+        self.run_effects()
         return await waiting  # type: ignore[no-any-return]
 
-    async def leave(self, within_ns: int) -> Outcome:
+    async def hand_over(self, timeout_ns: int) -> OperationOutcome:
         """Returns when what is held here has been handed over, or the time is over."""
-        waiting: asyncio.Future[Outcome] = asyncio.get_running_loop().create_future()
-        self.orders[LEAVE] = waiting
+        waiting: asyncio.Future[OperationOutcome] = asyncio.get_running_loop().create_future()
+        self.pending_operations[LEAVE] = waiting
         now = now_ns()
-        self.replica.leave(now, now + within_ns)
-        self.pump()
+        self.replica.leave(now, now + timeout_ns)
+        self.run_effects()
         return await waiting
 
     def close(self) -> None:
         """What is being written is written."""
-        if self.timer is not None:
-            self.timer.cancel()
-        self.thread.shutdown()
-        self.disk.close()
+        if self.tick_timer is not None:
+            self.tick_timer.cancel()
+        self.disk_executor.shutdown()
+        self.store.close()
 
 
-async def squeezed(what: Request | Reply) -> bytes:
+async def encode_message(message: Request | Reply) -> bytes:
     """A large body is compressed off the loop."""
-    body = post.encode(register.pack(what))
-    if len(body) <= SMALL:
+    body = post.encode(register.pack(message))
+    if len(body) <= INLINE_COMPRESSION_MAX_BYTES:
         return zlib.compress(body, 6)
     return await asyncio.get_running_loop().run_in_executor(None, zlib.compress, body, 6)
 
 
-def opened(body: bytes) -> Any:
+def decode_message(body: bytes) -> Any:
     try:
         return register.unpack(post.decode(zlib.decompress(body)))
     except zlib.error as trouble:
         raise post.MalformedMessageError(f"no letter: {trouble}") from None
 
 
-def read_request(body: bytes) -> tuple[int, Request]:
+def decode_request(body: bytes) -> tuple[int, Request]:
     """Raises post.SHAPE."""
     question, inner = post.decode(body)
-    return int(question), opened(inner)
+    return int(question), decode_message(inner)
 
 
-def read_reply(body: bytes) -> tuple[int, str, Reply]:
+def decode_reply(body: bytes) -> tuple[int, str, Reply]:
     """The question that it answers, who says it, and what. Raises post.SHAPE."""
     question, who, inner = post.decode(body)
-    return int(question), str(who), opened(inner)
+    return int(question), str(who), decode_message(inner)
--- a/meadowworks/controlplane/drain_service.py
+++ b/meadowworks/controlplane/drain_service.py
@@ -13,62 +13,73 @@
 from meadowworks.runtime import logging as logs
 from meadowworks.storage.sqlite_store import Disk
 
-AGAIN_S = 0.2  # before a write that the disk has refused is tried again
+WRITE_RETRY_S = 0.2  # before a write that the disk has refused is tried again
 log = logs.get_logger("box")
 
 
-class Fencing:
+class DrainService:
     """`start` starts a task. `moved` is awaited by whoever waits for a write or a receipt."""
 
     def __init__(
-        self, fences: DrainLog, disk: Disk, thread: Executor, start: Callable[[Any], asyncio.Task[Any]]
+        self,
+        drain_log: DrainLog,
+        store: Disk,
+        disk_executor: Executor,
+        start_task: Callable[[Any], asyncio.Task[Any]],
     ) -> None:
-        self.fences, self.disk, self.thread, self.start = fences, disk, thread, start
-        self.task: asyncio.Task[Any] | None = None
-        self.waiting: set[asyncio.Future[None]] = set()
+        self.drain_log, self.store, self.disk_executor, self.start_task = (
+            drain_log,
+            store,
+            disk_executor,
+            start_task,
+        )
+        self.write_task: asyncio.Task[Any] | None = None
+        self.waiters: set[asyncio.Future[None]] = set()
 
-    def wake(self) -> None:
+    def start_pending_write(self) -> None:
         """Begins to write what is owed, unless that is under way."""
-        if (self.fences.unsynced or self.fences.deleted) and (self.task is None or self.task.done()):
-            self.task = self.start(self.write())
+        if (self.drain_log.unsynced or self.drain_log.deleted) and (
+            self.write_task is None or self.write_task.done()
+        ):
+            self.write_task = self.start_task(self.write_pending())
 
-    async def write(self) -> None:
-        while batch := self.fences.next_batch():
+    async def write_pending(self) -> None:
+        while batch := self.drain_log.next_batch():
             rows = {ident: post.encode(list(value)) for ident, value in batch.rows.items()}
             try:
                 await asyncio.get_running_loop().run_in_executor(
-                    self.thread, self.disk.keep_fences, rows, batch.deleted
+                    self.disk_executor, self.store.keep_fences, rows, batch.deleted
                 )
             except sqlite3.Error as trouble:
                 log.warning("the disk refuses: {}", trouble)
-                self.fences.on_write_failed()
-                await asyncio.sleep(AGAIN_S)
+                self.drain_log.on_write_failed()
+                await asyncio.sleep(WRITE_RETRY_S)
             else:
-                self.fences.on_written()
-            self.moved()
+                self.drain_log.on_written()
+            self.notify_waiters()
 
-    def moved(self) -> None:
-        for waiting in self.waiting:
+    def notify_waiters(self) -> None:
+        for waiting in self.waiters:
             if not waiting.done():
                 waiting.set_result(None)
 
-    async def until(self, holds: Callable[[], bool], within_s: float) -> bool:
+    async def wait_until(self, condition: Callable[[], bool], timeout_s: float) -> bool:
         """Waits for writes and receipts until something holds; whether it does."""
         loop = asyncio.get_running_loop()
-        end = loop.time() + within_s
-        while not holds():
-            self.wake()
+        end = loop.time() + timeout_s
+        while not condition():
+            self.start_pending_write()
             if (left := end - loop.time()) <= 0:
                 return False
             waiting: asyncio.Future[None] = loop.create_future()
-            self.waiting.add(waiting)
+            self.waiters.add(waiting)
             try:
                 await asyncio.wait([waiting], timeout=left)
             finally:
-                self.waiting.discard(waiting)
+                self.waiters.discard(waiting)
         return True
 
 
-def read(rows: Mapping[str, bytes]) -> dict[str, Any]:
+def decode_rows(rows: Mapping[str, bytes]) -> dict[str, Any]:
     """Rows of the disk as values. Raises post.Garbled."""
     return {ident: post.decode(value) for ident, value in rows.items()}
--- a/meadowworks/controlplane/server.py
+++ b/meadowworks/controlplane/server.py
@@ -14,9 +14,9 @@
 from uuid import uuid4
 
 from meadowworks.consensus.register import Held
-from meadowworks.controlplane.api import Backends, Config, routes
-from meadowworks.controlplane.config_service import Office
-from meadowworks.controlplane.drain_service import Fencing, read
+from meadowworks.controlplane.api import BackendsResource, ConfigResource, build_routes
+from meadowworks.controlplane.config_service import ConfigService
+from meadowworks.controlplane.drain_service import DrainService, decode_rows
 from meadowworks.forwarding.memory_budget import MemoryBudget
 from meadowworks.gossip import messages as post
 from meadowworks.gossip.peer_sampling import PartialView, PeerRecord
@@ -32,114 +32,141 @@
 from meadowworks.runtime.errors import RequestError, SettingsError
 from meadowworks.runtime.http_server import BodyError, HttpServer, RequestLimits, read_body, send_response
 from meadowworks.runtime.node_settings import NodeSettings, load_settings
-from meadowworks.runtime.peer_client import Peer
-from meadowworks.runtime.process import Tasks, now_ns, run
+from meadowworks.runtime.peer_client import PeerClient
+from meadowworks.runtime.process import BackgroundTasks, now_ns, run_program
 from meadowworks.storage.sqlite_store import Disk
 
-PULL_MS, PULL_S = 500, 1.5  # that a pull may be held back, and is waited for
-HELD_BACK_MS = 1000  # at most, whatever a puller asks for
-OWED_MS = 50  # that one is held back while a receipt is owed: it goes with the next
-SYNC_S = 0.1  # that a receipt is waited for before the next pull goes without it
-BATCH_S = 0.15  # that news of backends gather in before a junction is told: each telling costs every junction
-SUMMARY_TURNS = 10  # seconds between the log's lines of counters
-BODY_MOST = 64 << 20
-BODY_S = 300.0  # that an operator's body may take: 7 MB over a line of 200 kbit/s; a part is waited for 30 s
-BODIES = 0.25  # part of the memory that such bodies may take while they come
-OWN_PART = 0.1  # of it that one may have: its check takes four times its size beside it
+PULL_WAIT_MS, PULL_TIMEOUT_S = 500, 1.5  # that a pull may be held back, and is waited for
+MAX_PULL_WAIT_MS = 1000  # at most, whatever a puller asks for
+ACK_PENDING_PULL_WAIT_MS = 50  # that one is held back while a receipt is owed: it goes with the next
+DRAIN_WRITE_WAIT_S = 0.1  # that a receipt is waited for before the next pull goes without it
+PROXY_BATCHING_DELAY_S = (
+    0.15  # that news of backends gather in before a junction is told: each telling costs every junction
+)
+SUMMARY_INTERVAL_TICKS = 10  # seconds between the log's lines of counters
+MAX_BODY_BYTES = 64 << 20
+BODY_TIMEOUT_S = (
+    300.0  # that an operator's body may take: 7 MB over a line of 200 kbit/s; a part is waited for 30 s
+)
+BODY_MEMORY_RATIO = 0.25  # part of the memory that such bodies may take while they come
+SINGLE_BODY_MEMORY_RATIO = 0.1  # of it that one may have: its check takes four times its size beside it
 log = logs.get_logger("box")
 
 
-class Signalbox:
-    def __init__(self, boot: NodeSettings) -> None:
-        self.boot = boot
-        self.life = f"{boot.node}.{uuid4().hex[:8]}"
+class ControlPlaneServer:
+    def __init__(self, settings: NodeSettings) -> None:
+        self.settings = settings
+        self.incarnation = f"{settings.node}.{uuid4().hex[:8]}"
         card = PeerRecord(
-            boot.node, boot.ip, boot.peer_port, boot.zone, boot.voting, self.life, int(time.time())
+            settings.node,
+            settings.ip,
+            settings.peer_port,
+            settings.zone,
+            settings.voting,
+            self.incarnation,
+            int(time.time()),
         )
-        self.members = PartialView(card, random.getrandbits(32))
-        self.news = UpdateStore(self.life)
-        self.news.update_listeners.append(self.told)
-        self.lives = BackendDirectory(lambda name: self.news.silence_ns(now_ns(), name), now_ns)
-        self.news.update_listeners.append(self.lives.on_update)
-        self.fences = DrainLog(self.life)
-        self.news.update_listeners.append(lambda event: self.fences.on_update(now_ns(), event))
-        self.news.version_listeners.append(self.fences.on_version)
-        self.beats = HeartbeatRegistry(self.news.publish, boot.heartbeat_ms, self.fences.state, self.known)
-        self.peers: dict[tuple[str, int], Peer] = {}
-        self.pulling: set[tuple[str, int]] = set()
-        self.waiting: set[asyncio.Future[None]] = set()
-        self.sums: dict[str, LoadReport] = {}
-        self.summed_ns = now_ns()
-        self.pulse = 0
-        self.leaving = False
-        folder = boot.data_dir or tempfile.mkdtemp(prefix="meadowworks-")
-        self.tasks = Tasks()
-        self.office = Office(boot, Disk(folder), self.peer, self.learnt, self.tasks)
-        self.kept = self.office.disk.lives()
-        self.fencing = Fencing(self.fences, self.office.disk, self.office.thread, self.tasks.start)
-        fenced = read(self.office.disk.fences())
-        self.fences.restore(now_ns(), fenced)
-        self.beats.restore(now_ns(), fenced | read(self.kept))
-        self.backends = Backends(self.beats, self.fencing, self.held_by_enough, self.near, self.sure)
-        self.routes = routes(self.backends, Config(self.office))
-        self.inner_door = HttpServer(self.inner, RequestLimits(65536, 3.0, 30.0), incarnation=self.life)
-        self.room = MemoryBudget(int(boot.memory_mb * 1e6 * BODIES))
-        self.packed: tuple[int, bytes] = (0, b"")  # the version held and its configuration, compressed
-        self.packing: tuple[int, asyncio.Task[bytes]] | None = None
-        self.ctl_door = HttpServer(self.ctl, RequestLimits(65536, 3.0, 30.0))
-
-    def peer(self, host: str, port: int) -> Peer:
-        return self.peers.setdefault((host, port), Peer(host, port))
-
-    def known(self, ident: str) -> bool:
+        self.known_peers = PartialView(card, random.getrandbits(32))
+        self.gossip = UpdateStore(self.incarnation)
+        self.gossip.update_listeners.append(self.on_update)
+        self.lives = BackendDirectory(lambda name: self.gossip.silence_ns(now_ns(), name), now_ns)
+        self.gossip.update_listeners.append(self.lives.on_update)
+        self.drain_log = DrainLog(self.incarnation)
+        self.gossip.update_listeners.append(lambda event: self.drain_log.on_update(now_ns(), event))
+        self.gossip.version_listeners.append(self.drain_log.on_version)
+        self.heartbeats = HeartbeatRegistry(
+            self.gossip.publish, settings.heartbeat_ms, self.drain_log.state, self.knows_backend
+        )
+        self.peer_clients: dict[tuple[str, int], PeerClient] = {}
+        self.pulled_addresses: set[tuple[str, int]] = set()
+        self.waiting_pulls: set[asyncio.Future[None]] = set()
+        self.zone_load_sums: dict[str, LoadReport] = {}
+        self.load_sums_since_ns = now_ns()
+        self.tick_count = 0
+        self.shutting_down = False
+        folder = settings.data_dir or tempfile.mkdtemp(prefix="meadowworks-")
+        self.tasks = BackgroundTasks()
+        self.config_service = ConfigService(
+            settings, Disk(folder), self.peer_client, self.on_commit, self.tasks
+        )
+        self.stored_backends = self.config_service.store.lives()
+        self.drain_service = DrainService(
+            self.drain_log, self.config_service.store, self.config_service.disk_executor, self.tasks.start
+        )
+        fenced = decode_rows(self.config_service.store.fences())
+        self.drain_log.restore(now_ns(), fenced)
+        self.heartbeats.restore(now_ns(), fenced | decode_rows(self.stored_backends))
+        self.backends_resource = BackendsResource(
+            self.heartbeats,
+            self.drain_service,
+            self.is_durable,
+            self.api_addresses_in_zone_of,
+            self.holds_lease,
+        )
+        self.api_routes = build_routes(self.backends_resource, ConfigResource(self.config_service))
+        self.peer_server = HttpServer(
+            self.handle_peer_request, RequestLimits(65536, 3.0, 30.0), incarnation=self.incarnation
+        )
+        self.body_memory = MemoryBudget(int(settings.memory_mb * 1e6 * BODY_MEMORY_RATIO))
+        self.compressed_config: tuple[int, bytes] = (
+            0,
+            b"",
+        )  # the version held and its configuration, compressed
+        self.compression: tuple[int, asyncio.Task[bytes]] | None = None
+        self.api_server = HttpServer(self.handle_api_request, RequestLimits(65536, 3.0, 30.0))
+
+    def peer_client(self, host: str, port: int) -> PeerClient:
+        return self.peer_clients.setdefault((host, port), PeerClient(host, port))
+
+    def knows_backend(self, backend_id: str) -> bool:
         """Whether anyone has spoken of a backend."""
-        return self.lives.is_known(ident) or ident in self.fences.records
+        return self.lives.is_known(backend_id) or backend_id in self.drain_log.records
 
-    def held_by_enough(self, version: int) -> bool:
+    def is_durable(self, version: int) -> bool:
         """Of the epoch's members: whoever else may vote may be gone for good tomorrow."""
-        members = self.office.replica.acceptor.newest().members
-        hosts = {address.rpartition(":")[0] for _, address in members} - {self.boot.ip}
-        return self.fences.is_replicated(
-            version, hosts, self.boot.tolerated_failures, self.office.replica.acceptor.votes()
+        members = self.config_service.replica.acceptor.newest().members
+        hosts = {address.rpartition(":")[0] for _, address in members} - {self.settings.ip}
+        return self.drain_log.is_replicated(
+            version, hosts, self.settings.tolerated_failures, self.config_service.replica.acceptor.votes()
         )
 
-    def near(self, ident: str) -> list[str]:
+    def api_addresses_in_zone_of(self, backend_id: str) -> list[str]:
         """Ctl addresses of signalboxes in a backend's zone, if this one is of another; ports are alike."""
-        life = self.beats.registrations.get(ident)
-        if life is None or life.zone == self.boot.zone:
+        life = self.heartbeats.registrations.get(backend_id)
+        if life is None or life.zone == self.settings.zone:
             return []
-        hosts = [c.host for c in self.members.voters(now_ns()) if c.zone == life.zone]
-        return [f"{host}:{self.boot.bind['ctl'][1]}" for host in hosts]
+        hosts = [c.host for c in self.known_peers.voters(now_ns()) if c.zone == life.zone]
+        return [f"{host}:{self.settings.bind['ctl'][1]}" for host in hosts]
 
     # -- what wakes a pull
 
-    def told(self, event: KeyUpdate) -> None:
+    def on_update(self, event: KeyUpdate) -> None:
         if event.key.startswith(BACKENDS):
-            self.ring()
+            self.wake_waiting_pulls()
 
-    def learnt(self, held: Held) -> None:
-        self.ring()
+    def on_commit(self, value: Held) -> None:
+        self.wake_waiting_pulls()
 
-    def ring(self) -> None:
-        waiting, self.waiting = self.waiting, set()
+    def wake_waiting_pulls(self) -> None:
+        waiting, self.waiting_pulls = self.waiting_pulls, set()
         for one in waiting:
             if not one.done():
                 one.set_result(None)
 
     # -- the inner door
 
-    async def inner(self, scope: Any, receive: Any, send: Any) -> None:
-        body = await read_body(receive, BODY_MOST)
+    async def handle_peer_request(self, scope: Any, receive: Any, send: Any) -> None:
+        body = await read_body(receive, MAX_BODY_BYTES)
         if isinstance(body, BodyError):
             return await send_response(send, 413)
         try:
             match scope["path"]:
                 case "/pull":
                     return await send_response(
-                        send, 200, await self.pulled(post.decode_pull_request(body)), []
+                        send, 200, await self.handle_pull(post.decode_pull_request(body)), []
                     )
                 case "/letter":
-                    return await send_response(send, 200, await self.office.asked(body), [])
+                    return await send_response(send, 200, await self.config_service.handle_request(body), [])
                 case "/status":
                     return await send_response(send, 200, json.dumps(self.status()).encode())
         except post.DECODE_ERRORS as trouble:
@@ -150,37 +177,43 @@
             return await send_response(send, 503)
         await send_response(send, 404)
 
-    async def pulled(self, pull: post.PullRequest) -> bytes:
+    async def handle_pull(self, pull: post.PullRequest) -> bytes:
         now = now_ns()
-        self.members.merge(now, [pull.sender, *pull.peers])
-        self.receipt(pull)
+        self.known_peers.merge(now, [pull.sender, *pull.peers])
+        self.record_acknowledgement(pull)
         if pull.load_report:
-            self.sums.setdefault(pull.sender.zone, LoadReport()).merge(pull.load_report)
-        end = asyncio.get_running_loop().time() + min(pull.max_wait_ms, HELD_BACK_MS) / 1000
-        pieces = self.news.deltas_since(pull.version_vector, pull.sender.incarnation)
-        while not self.urgent(pieces, pull):
+            self.zone_load_sums.setdefault(pull.sender.zone, LoadReport()).merge(pull.load_report)
+        end = asyncio.get_running_loop().time() + min(pull.max_wait_ms, MAX_PULL_WAIT_MS) / 1000
+        pieces = self.gossip.deltas_since(pull.version_vector, pull.sender.incarnation)
+        while not self.must_reply_now(pieces, pull):
             if (left := end - asyncio.get_running_loop().time()) <= 0:
                 break
             waiting: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-            self.waiting.add(waiting)
+            self.waiting_pulls.add(waiting)
             await asyncio.wait([waiting], timeout=left)
-            self.waiting.discard(waiting)
-            if not pull.sender.is_voter and self.held.version <= pull.config_version and not self.leaving:
-                await asyncio.sleep(min(BATCH_S, max(0.0, end - asyncio.get_running_loop().time())))
-            pieces = self.news.deltas_since(pull.version_vector, pull.sender.incarnation)
-        while self.lacks(pull) and self.packed[0] != self.held.version:
-            await self.pack()
-        sure, acceptor = self.sure(), self.office.replica.acceptor
-        table = self.packed if self.lacks(pull) else None
-        cards = tuple(self.members.shuffle_sample()[1:]) if pull.peers else ()
-        known = self.members.peers.get(pull.sender.host)
+            self.waiting_pulls.discard(waiting)
+            if (
+                not pull.sender.is_voter
+                and self.committed.version <= pull.config_version
+                and not self.shutting_down
+            ):
+                await asyncio.sleep(
+                    min(PROXY_BATCHING_DELAY_S, max(0.0, end - asyncio.get_running_loop().time()))
+                )
+            pieces = self.gossip.deltas_since(pull.version_vector, pull.sender.incarnation)
+        while self.needs_config(pull) and self.compressed_config[0] != self.committed.version:
+            await self.compress_config()
+        sure, acceptor = self.holds_lease(), self.config_service.replica.acceptor
+        table = self.compressed_config if self.needs_config(pull) else None
+        cards = tuple(self.known_peers.shuffle_sample()[1:]) if pull.peers else ()
+        known = self.known_peers.peers.get(pull.sender.host)
         if known is not None and known.record.heartbeat > pull.sender.heartbeat:
             cards = (*cards, known.record)  # its last life's: it will raise its own above that
         if pull.epoch_number is None:
-            return post.PullReply(self.members.local, cards, tuple(pieces), sure, table).encode()
+            return post.PullReply(self.known_peers.local, cards, tuple(pieces), sure, table).encode()
         newer = acceptor.installed and acceptor.epoch.number > pull.epoch_number
         return post.PullReply(
-            self.members.local,
+            self.known_peers.local,
             cards,
             tuple(pieces),
             sure,
@@ -190,170 +223,177 @@
             acceptor.past() if table else (),
         ).encode()
 
-    async def pack(self) -> None:
+    async def compress_config(self) -> None:
         """Compresses the configuration held, once for all who lack it."""
-        held = self.held
-        if self.packing is None or self.packing[0] != held.version:
-            self.packing = held.version, self.tasks.start(run_cooperatively(compress_steps(held.content)))
-        version, task = self.packing
-        self.packed = version, await asyncio.shield(task)
+        held = self.committed
+        if self.compression is None or self.compression[0] != held.version:
+            self.compression = held.version, self.tasks.start(run_cooperatively(compress_steps(held.content)))
+        version, task = self.compression
+        self.compressed_config = version, await asyncio.shield(task)
 
     @property
-    def held(self) -> Held:
-        return self.office.replica.acceptor.held
+    def committed(self) -> Held:
+        return self.config_service.replica.acceptor.held
 
-    def lacks(self, pull: post.PullRequest) -> bool:
+    def needs_config(self, pull: post.PullRequest) -> bool:
         """Whether the asker is to be given the configuration. What is chosen is so for good, and signalboxes
         tell each other at once; to a junction nothing is handed out without a lease: it may be old."""
-        return self.held.version > pull.config_version and (pull.epoch_number is not None or self.sure())
+        return self.committed.version > pull.config_version and (
+            pull.epoch_number is not None or self.holds_lease()
+        )
 
-    def receipt(self, pull: post.PullRequest) -> None:
+    def record_acknowledgement(self, pull: post.PullRequest) -> None:
         """What another disk has of the own drains. A card older than what is known of its host is its last
         life's, whose receipts say nothing of the disk that is there now."""
-        known = self.members.peers.get(pull.sender.host)
+        known = self.known_peers.peers.get(pull.sender.host)
         if (
             pull.drain_acknowledgement is not None
             and pull.sender.is_voter
             and known is not None
             and known.record.incarnation == pull.sender.incarnation
         ):
-            self.fences.on_acknowledgement(pull.sender.host, *pull.drain_acknowledgement)
-            self.fencing.moved()
+            self.drain_log.on_acknowledgement(pull.sender.host, *pull.drain_acknowledgement)
+            self.drain_service.notify_waiters()
 
-    def urgent(self, pieces: list[SourceDelta], pull: post.PullRequest) -> bool:
+    def must_reply_now(self, updates: list[SourceDelta], pull: post.PullRequest) -> bool:
         return (
-            self.leaving
-            or self.lacks(pull)
-            or self.life
+            self.shutting_down
+            or self.needs_config(pull)
+            or self.incarnation
             not in pull.version_vector  # the asker has never heard of this life: it is in touch at once
-            or any(key.startswith(BACKENDS) for p in pieces for _, key, _ in p.changes)
+            or any(key.startswith(BACKENDS) for p in updates for _, key, _ in p.changes)
         )
 
-    def sure(self) -> bool:
+    def holds_lease(self) -> bool:
         """Whether what is held here is new: this signalbox has its lease."""
-        return not self.leaving and self.office.replica.sure(now_ns())
+        return not self.shutting_down and self.config_service.replica.sure(now_ns())
 
     # -- pulls of others' news
 
-    async def pull(self, host: str, port: int) -> None:
+    async def pull_from(self, host: str, port: int) -> None:
         """Pulls from one signalbox until it is no longer known."""
-        peer, turn, source = self.peer(host, port), 0, ""
+        peer, turn, source = self.peer_client(host, port), 0, ""
         try:
-            while any(c.host == host for c in self.members.voters()) or self.is_seed(host):
-                cards = tuple(self.members.shuffle_sample()[1:]) if turn % 5 == 0 else ()
+            while any(c.host == host for c in self.known_peers.voters()) or self.is_seed(host):
+                cards = tuple(self.known_peers.shuffle_sample()[1:]) if turn % 5 == 0 else ()
                 pull = post.PullRequest(
-                    self.members.local,
-                    cards or (self.members.local,) if turn % 5 == 0 else (),
-                    self.news.remote_version_vector(),
-                    self.held.version,
-                    PULL_MS if self.fences.is_caught_up(source) else OWED_MS,
-                    epoch_number=self.office.replica.acceptor.newest().number,
-                    drain_acknowledgement=self.fences.acknowledgement(source),
+                    self.known_peers.local,
+                    cards or (self.known_peers.local,) if turn % 5 == 0 else (),
+                    self.gossip.remote_version_vector(),
+                    self.committed.version,
+                    PULL_WAIT_MS if self.drain_log.is_caught_up(source) else ACK_PENDING_PULL_WAIT_MS,
+                    epoch_number=self.config_service.replica.acceptor.newest().number,
+                    drain_acknowledgement=self.drain_log.acknowledgement(source),
                 )
-                asked, sure = now_ns(), self.sure()
+                asked, sure = now_ns(), self.holds_lease()
                 try:
-                    news = post.decode_pull_reply(await peer.call(b"/pull", pull.encode(), PULL_S))
+                    news = post.decode_pull_reply(await peer.call(b"/pull", pull.encode(), PULL_TIMEOUT_S))
                     version, packed = news.config or (0, b"")
                     held = Held(
                         version,
-                        await run_cooperatively(decompress_steps(packed, BODY_MOST)) if version else b"",
+                        await run_cooperatively(decompress_steps(packed, MAX_BODY_BYTES)) if version else b"",
                     )
                 except (RequestError, ValueError) as trouble:
                     log.debug("no news: {}", trouble)
-                    await asyncio.sleep(0.2 if self.sure() else 0.05)
+                    await asyncio.sleep(0.2 if self.holds_lease() else 0.05)
                     continue
                 turn += 1
                 now = now_ns()
-                self.members.merge(now, [news.sender, *news.peers])
+                self.known_peers.merge(now, [news.sender, *news.peers])
                 for piece in news.deltas:
-                    self.news.apply(now, piece)
+                    self.gossip.apply(now, piece)
                 source = news.sender.incarnation
-                replica, now = self.office.replica, now_ns()
+                replica, now = self.config_service.replica, now_ns()
                 if news.epoch is not None:
                     replica.told(now, news.epoch)
                 if news.config is not None:
                     replica.learn(now, held, news.decided_digests)
                 if news.acceptor_state is not None:
                     replica.met(now, asked, news.acceptor_state)
-                self.office.pump()
-                if self.sure() and not sure:
-                    self.ring()  # whoever waits for a table may have it now
-                await self.fencing.until(partial(self.fences.is_caught_up, source), SYNC_S)
+                self.config_service.run_effects()
+                if self.holds_lease() and not sure:
+                    self.wake_waiting_pulls()  # whoever waits for a table may have it now
+                await self.drain_service.wait_until(
+                    partial(self.drain_log.is_caught_up, source), DRAIN_WRITE_WAIT_S
+                )
         finally:
-            self.pulling.discard((host, port))
+            self.pulled_addresses.discard((host, port))
 
     def is_seed(self, host: str) -> bool:
-        return any(host == seed for seed, _ in self.boot.seeds)
+        return any(host == seed for seed, _ in self.settings.seeds)
 
-    def neighbours(self) -> None:
+    def start_pulls(self) -> None:
         """Begins to pull from each signalbox that is known, and from seeds that nobody speaks for."""
-        at = [(c.host, c.port) for c in self.members.voters()]
-        for address in [*at, *self.members.undiscovered_seeds(self.boot.seeds, self.boot.peer_port)]:
-            if address not in self.pulling and address[0] != self.boot.ip:
-                self.pulling.add(address)
-                self.tasks.start(self.pull(*address))
+        at = [(c.host, c.port) for c in self.known_peers.voters()]
+        for address in [
+            *at,
+            *self.known_peers.undiscovered_seeds(self.settings.seeds, self.settings.peer_port),
+        ]:
+            if address not in self.pulled_addresses and address[0] != self.settings.ip:
+                self.pulled_addresses.add(address)
+                self.tasks.start(self.pull_from(*address))
 
     # -- from time to time
 
-    async def second(self) -> None:
-        self.turn()
-        kept = {ident: post.encode(value) for ident, value in self.beats.durable_values().items()}
-        if kept.keys() != self.kept.keys():
+    async def run_maintenance(self) -> None:
+        self.tick()
+        kept = {ident: post.encode(value) for ident, value in self.heartbeats.durable_values().items()}
+        if kept.keys() != self.stored_backends.keys():
             await asyncio.get_running_loop().run_in_executor(
-                self.office.thread, self.office.disk.keep_lives, kept
+                self.config_service.disk_executor, self.config_service.store.keep_lives, kept
             )
-            self.kept = kept
+            self.stored_backends = kept
 
-    def turn(self) -> None:
+    def tick(self) -> None:
         now = now_ns()
-        self.members.advance_heartbeat()
-        self.members.expire(now)
-        self.news.expire_sources(now)
-        self.beats.tick(now)
+        self.known_peers.advance_heartbeat()
+        self.known_peers.expire(now)
+        self.gossip.expire_sources(now)
+        self.heartbeats.tick(now)
         self.lives.refresh_all()
-        self.fences.tick(now, self.lives.is_draining_or_gone, self.news.sources)
-        self.fencing.wake()
+        self.drain_log.tick(now, self.lives.is_draining_or_gone, self.gossip.sources)
+        self.drain_service.start_pending_write()
         self.lives.changed_ids.clear()
-        self.pulse += 1
-        if self.pulse % SUMMARY_TURNS == 0:
+        self.tick_count += 1
+        if self.tick_count % SUMMARY_INTERVAL_TICKS == 0:
             log.info(
                 "sure {}, {} members, {} lives call here, {} known",
-                self.sure(),
-                len(self.members.peers),
-                len(self.beats.registrations),
+                self.holds_lease(),
+                len(self.known_peers.peers),
+                len(self.heartbeats.registrations),
                 len(self.lives.instances),
             )
-        self.news.publish("pulse", self.pulse)
-        covers_ms = (now - self.summed_ns) // 1_000_000
-        self.summed_ns = now
-        for zone, sums in self.sums.items():
-            if sums or self.news.sources[self.life].entries.get(FIGURES + zone, (0, None))[1]:
-                self.news.publish(FIGURES + zone, [covers_ms, *sums.pack()] if sums else None)
-        self.sums = {zone: LoadReport() for zone in self.sums}
+        self.gossip.publish("pulse", self.tick_count)
+        covers_ms = (now - self.load_sums_since_ns) // 1_000_000
+        self.load_sums_since_ns = now
+        for zone, sums in self.zone_load_sums.items():
+            if sums or self.gossip.sources[self.incarnation].entries.get(FIGURES + zone, (0, None))[1]:
+                self.gossip.publish(FIGURES + zone, [covers_ms, *sums.pack()] if sums else None)
+        self.zone_load_sums = {zone: LoadReport() for zone in self.zone_load_sums}
 
     def status(self) -> dict[str, Any]:
         return {
-            "node": self.boot.node,
-            **self.office.replica.status(now_ns()),
+            "node": self.settings.node,
+            **self.config_service.replica.status(now_ns()),
             "members": [
                 [k.record.name, k.record.host, k.record.zone, k.record.is_voter, k.record.heartbeat]
-                for k in self.members.peers.values()
+                for k in self.known_peers.peers.values()
             ],
-            "sources": self.news.version_vector(),
+            "sources": self.gossip.version_vector(),
             "backends": self.lives.summary(),
         }
 
     # -- the outer door
 
-    async def ctl(self, scope: Any, receive: Any, send: Any) -> None:
-        most = min(BODY_MOST, int(self.boot.memory_mb * 1e6 * OWN_PART))
-        body = await read_body(receive, most, self.room, BODY_S)
+    async def handle_api_request(self, scope: Any, receive: Any, send: Any) -> None:
+        most = min(MAX_BODY_BYTES, int(self.settings.memory_mb * 1e6 * SINGLE_BODY_MEMORY_RATIO))
+        body = await read_body(receive, most, self.body_memory, BODY_TIMEOUT_S)
         if isinstance(body, BodyError):
             return await send_response(
                 send, {BodyError.TOO_LARGE: 413, BodyError.OUT_OF_MEMORY: 503}.get(body, 408)
             )
         name, _, ident = scope["path"].removeprefix("/api/").partition("/")
-        act = self.routes.get((scope["method"], name))
+        act = self.api_routes.get((scope["method"], name))
         if act is None or not scope["path"].startswith("/api/"):
             return await send_response(send, 404, b'{"err":"there is no such call"}')
         try:
@@ -362,48 +402,48 @@
             log.warning("the disk refuses: {}", trouble)
             return await send_response(send, 503, b'{"err":"the disk refuses"}')
         headers = [(b"content-type", b"application/json")]
-        if found.retry_s:
-            headers.append((b"retry-after", f"{found.retry_s:g}".encode()))
+        if found.retry_after_s:
+            headers.append((b"retry-after", f"{found.retry_after_s:g}".encode()))
         await send_response(send, found.status, found.body, headers)
 
-    def again(self) -> None:
+    def reload_settings(self) -> None:
         """Reads the settings again: the seeds may be others now."""
         try:
-            self.boot = load_settings()
+            self.settings = load_settings()
         except SettingsError as trouble:
             log.warning("settings not taken, the old ones stand: {}", trouble)
 
-    async def serve(self, told: asyncio.Future[None]) -> None:
-        asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, self.again)
-        inner, ctl = self.inner_door, self.ctl_door
-        await inner.listen(self.boot.ip, self.boot.peer_port)
-        await self.office.begin()
-        await ctl.listen(*self.boot.bind["ctl"])
-        log.info("{} serves", self.boot.node)
-        self.neighbours()
-        self.tasks.start(self.tasks.every(1.0, self.second))
-        self.tasks.start(self.tasks.every(0.25, self.neighbours))
-        await asyncio.wait([told, self.tasks.broken], return_when=asyncio.FIRST_COMPLETED)
-        if self.tasks.broken.done():
-            self.tasks.broken.result()
+    async def serve(self, shutdown_requested: asyncio.Future[None]) -> None:
+        asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, self.reload_settings)
+        inner, ctl = self.peer_server, self.api_server
+        await inner.listen(self.settings.ip, self.settings.peer_port)
+        await self.config_service.start()
+        await ctl.listen(*self.settings.bind["ctl"])
+        log.info("{} serves", self.settings.node)
+        self.start_pulls()
+        self.tasks.start(self.tasks.run_periodically(1.0, self.run_maintenance))
+        self.tasks.start(self.tasks.run_periodically(0.25, self.start_pulls))
+        await asyncio.wait([shutdown_requested, self.tasks.fatal_error], return_when=asyncio.FIRST_COMPLETED)
+        if self.tasks.fatal_error.done():
+            self.tasks.fatal_error.result()
         log.info("told to end")
-        self.leaving = True
+        self.shutting_down = True
         loop = asyncio.get_running_loop()
-        start, grace_s = loop.time(), self.boot.bounds.grace_s
+        start, grace_s = loop.time(), self.settings.bounds.grace_s
         ctl.drain()
-        self.ring()
+        self.wake_waiting_pulls()
         # What stands here alone is handed over before the others hear no more of this disk.
-        handed = await self.office.leave(int(grace_s / 2 * 1e9))
+        handed = await self.config_service.hand_over(int(grace_s / 2 * 1e9))
         log.info("handed over: {}", type(handed).__name__)
         inner.drain()
-        self.ring()
+        self.wake_waiting_pulls()
         while loop.time() < start + min(1.5, grace_s / 2) and (ctl.pending_count() or inner.pending_count()):
             await asyncio.sleep(0.05)
 
 
-async def serve(boot: NodeSettings, told: asyncio.Future[None]) -> None:
-    await Signalbox(boot).serve(told)
+async def serve(settings: NodeSettings, shutdown_requested: asyncio.Future[None]) -> None:
+    await ControlPlaneServer(settings).serve(shutdown_requested)
 
 
 def main() -> int:
-    return run(serve)
+    return run_program(serve)
--- a/meadowworks/local/commands.py
+++ b/meadowworks/local/commands.py
@@ -14,8 +14,8 @@
 
 from cappa import Arg
 
-from meadowworks.cli.main import Bad
-from meadowworks.cli.operations import call
+from meadowworks.cli.main import CommandError
+from meadowworks.cli.operations import call_node
 from meadowworks.local.backend import StubBackend
 from meadowworks.local.system import (
     HEARTBEAT_INTERVAL_MS,
@@ -38,10 +38,10 @@
 ) -> int:
     """Start a small gateway on loopback, with backends of its own."""
     if not 1024 <= port <= 65000:
-        raise Bad("--port is a number from 1024 to 65000")
+        raise CommandError("--port is a number from 1024 to 65000")
     plan = SystemLayout(77, Ports(port, port + 1, port + 2, port + 3))
     if why := first_unavailable(plan.all_addresses()):
-        raise Bad(f"{why}; end what listens there, or name another --port")
+        raise CommandError(f"{why}; end what listens there, or name another --port")
     with tempfile.TemporaryDirectory(prefix="meadowworks-") as folder:
         parts = [
             start_node(plan, place, Path(folder)) for place in range(plan.control_plane_nodes + plan.proxies)
@@ -105,14 +105,14 @@
             try:
                 told = (
                     await asyncio.to_thread(
-                        call,
+                        call_node,
                         f"{host}:{port}",
                         b"POST",
                         b"/api/Config.Replace",
                         build_configuration(1, DEMO_ROUTES),
                     )
                 ).status == 200
-            except Bad:
+            except CommandError:
                 continue
             if told:
                 at = " or ".join(f"{h}:{p}" for h, p in layout.proxy_addresses())
--- a/meadowworks/local/hostile_clients.py
+++ b/meadowworks/local/hostile_clients.py
@@ -19,8 +19,8 @@
 
 from cappa import Arg
 
-from meadowworks.cli.main import Bad
-from meadowworks.cli.operations import call
+from meadowworks.cli.main import CommandError
+from meadowworks.cli.operations import call_node
 from meadowworks.local.backend import StubBackend
 from meadowworks.local.commands import DEMO_ROUTES, start_node
 from meadowworks.local.system import HEARTBEAT_INTERVAL_MS, SystemLayout, build_configuration, free_ports
@@ -60,7 +60,7 @@
     """Slow, rude and lying clients against one junction: status 0 if the good ones beside them were all
     served, memory stayed flat and no descriptor was left."""
     if not 5 <= seconds <= 600 or not 1 <= clients <= 100:
-        raise Bad("--seconds is from 5 to 600, --clients from 1 to 100")
+        raise CommandError("--seconds is from 5 to 600, --clients from 1 to 100")
     plan = SystemLayout(79, free_ports(), control_plane_nodes=1, proxies=1)
     with tempfile.TemporaryDirectory(prefix="meadowworks-") as folder:
         parts = [start_node(plan, place, Path(folder)) for place in (0, 1)]
@@ -152,16 +152,16 @@
         try:
             at = f"{ctl[0]}:{ctl[1]}"
             await asyncio.to_thread(
-                call, at, b"POST", b"/api/Config.Replace", build_configuration(1, DEMO_ROUTES)
+                call_node, at, b"POST", b"/api/Config.Replace", build_configuration(1, DEMO_ROUTES)
             )
             if (
-                await asyncio.to_thread(call, f"{http[0]}:{layout.ports.readyz}", b"GET", b"/")
+                await asyncio.to_thread(call_node, f"{http[0]}:{layout.ports.readyz}", b"GET", b"/")
             ).status == 200:
                 return
-        except Bad:
+        except CommandError:
             pass
         await asyncio.sleep(0.2)
-    raise Bad("the junction did not come up")
+    raise CommandError("the junction did not come up")
 
 
 async def sample_resources(pid: int, tally: Tally, end: float) -> None:
--- a/meadowworks/modelcheck/commands.py
+++ b/meadowworks/modelcheck/commands.py
@@ -14,7 +14,7 @@
 from rich.progress import Progress, SpinnerColumn, TextColumn
 from rich.table import Table
 
-from meadowworks.cli.main import Bad
+from meadowworks.cli.main import CommandError
 from meadowworks.modelcheck import faults, paths, runs
 from meadowworks.modelcheck.explore import IMPLICIT_PROPERTIES, explore
 from meadowworks.modelcheck.model import Counterexample, Model, Result
@@ -37,7 +37,7 @@
     """Explore the product's machines whole and say which property breaks, with the shortest path."""
     bound, steps = parse_bound(most, "--most"), parse_bound(depth, "--depth")
     if workers < 0:
-        raise Bad("--workers is 0 or more")
+        raise CommandError("--workers is 0 or more")
     workers = workers or os.cpu_count() or 1
     if play:
         return replay_file(play, as_json)
@@ -73,7 +73,7 @@
     if not text:
         return 0
     if not re.fullmatch(r"[0-9]{1,12}", text) or not int(text):
-        raise Bad(f"{option} is a whole number above 0, not {text[:40]!r}")
+        raise CommandError(f"{option} is a whole number above 0, not {text[:40]!r}")
     return int(text)
 
 
@@ -212,7 +212,7 @@
                 told = paths.to_json(built, one.counterexample, one.fault.large, one.fault.name)
                 write_path(folder, f"{built.name} {one.fault.name}", told)
     except OSError as trouble:
-        raise Bad(f"{folder} cannot be written: {trouble.strerror}") from trouble
+        raise CommandError(f"{folder} cannot be written: {trouble.strerror}") from trouble
 
 
 def write_path(folder: Path, name: str, told: dict[str, Any]) -> None:
@@ -226,9 +226,9 @@
     try:
         built, broken = runs.replay_counterexample(kept_path)
     except runs.UnknownNameError as trouble:
-        raise Bad(f"{file}: {trouble}") from trouble
+        raise CommandError(f"{file}: {trouble}") from trouble
     except (ValueError, LookupError, TypeError) as trouble:
-        raise Bad(f"{file}: {trouble}") from trouble
+        raise CommandError(f"{file}: {trouble}") from trouble
     holds = kept_path.violates not in broken
     if as_json:
         print(
--- a/meadowworks/modelcheck/models/wires.py
+++ b/meadowworks/modelcheck/models/wires.py
@@ -37,7 +37,7 @@
 from meadowworks.runtime import peer_client as peers
 from meadowworks.runtime.errors import RequestError
 from meadowworks.runtime.http_connection import BufferedStream, ClientConnection
-from meadowworks.runtime.peer_client import Peer
+from meadowworks.runtime.peer_client import PeerClient
 
 LIVES = ("a", "b")
 LINES = {place: 1.0 for place in range(len(LIVES))}
@@ -165,7 +165,7 @@
         self.asked: list[Asked] = []
         self.ran: dict[str, int] = {}
         self.yard: ConnectionPool[ClientConnection] = ConnectionPool()
-        self.peer = Peer("a", 80)
+        self.peer = PeerClient("a", 80)
         self.cuts, self.extras, self.leaves = self.scene.cuts, self.scene.extras, self.scene.leaves
         self.earlier: list[asyncio.Task[Any]] = []
         self.inside(self.begin)
@@ -485,7 +485,7 @@
     def idle(self) -> list[tuple[str, ClientConnection]]:
         """Lines that are kept for a further call, and for whom."""
         backends = [(life, line) for life, stall in self.yard.endpoints.items() for _, line in stall.idle]
-        return backends + [("a", line) for line in self.peer.idle]
+        return backends + [("a", line) for line in self.peer.idle_connections]
 
     def kept(self, line: ClientConnection) -> int:
         return next(wire.number for wire in self.wires if wire.line is line)
--- a/meadowworks/modelcheck/seeded_faults/upstream.py
+++ b/meadowworks/modelcheck/seeded_faults/upstream.py
@@ -95,7 +95,7 @@
         ),
         (
             "a reply to another question is taken",
-            "meadowworks.runtime.peer_client:Peer.call",
+            "meadowworks.runtime.peer_client:PeerClient.call",
             "if reply.header(CALL_ID_HEADER) != question:",
             "if False:",
             ("wrong caller",),
--- a/meadowworks/proxy/server.py
+++ b/meadowworks/proxy/server.py
@@ -51,8 +51,8 @@
 from meadowworks.runtime.http_connection import ClientConnection, Response
 from meadowworks.runtime.http_server import BodyError, HttpServer, read_body, send_response
 from meadowworks.runtime.node_settings import NodeSettings, load_settings
-from meadowworks.runtime.peer_client import Peer
-from meadowworks.runtime.process import Tasks, now_ns, run
+from meadowworks.runtime.peer_client import PeerClient
+from meadowworks.runtime.process import BackgroundTasks, now_ns, run_program
 
 MS, SECOND = 1_000_000, 1_000_000_000
 LONG_POLL_MS, PULL_TIMEOUT_S = 1000, 1.6
@@ -97,7 +97,7 @@
         self.lives = BackendDirectory(lambda name: self.gossip.silence_ns(now_ns(), name), now_ns)
         self.gossip.update_listeners += [self.lives.on_update, self.on_load_report]
         self.control_plane_selector = ControlPlaneSelector(settings.zone)
-        self.peer_clients: dict[tuple[str, int], Peer] = {}
+        self.peer_clients: dict[tuple[str, int], PeerClient] = {}
         self.route_table: RouteTable | None = None
         self.services: dict[str, ServiceBalancer] = {}
         self.retry_budgets: dict[str, RetryBudget] = {}
@@ -117,7 +117,7 @@
         self.counters: dict[str, int] = {}
         self.route_failures: dict[str, dict[str, int]] = {}  # by route: what its operator pays for
         self.logged_counters: dict[str, int] = {}  # counts when they were last logged
-        self.tasks = Tasks()
+        self.tasks = BackgroundTasks()
         self.memory_budget = MemoryBudget(int(settings.memory_mb * 1e6 * BODY_MEMORY_SHARE))
         self.http_server = HttpServer(
             self.handle_request, max_connections=int(settings.max_fds * CLIENT_FD_SHARE)
@@ -212,8 +212,8 @@
 
     # -- pulls
 
-    def peer_client(self, host: str, port: int) -> Peer:
-        return self.peer_clients.setdefault((host, port), Peer(host, port))
+    def peer_client(self, host: str, port: int) -> PeerClient:
+        return self.peer_clients.setdefault((host, port), PeerClient(host, port))
 
     async def pull_forever(self) -> None:
         """Pulls for ever. A fault in one pull does not end the next: a junction that hears nothing any more
@@ -481,7 +481,7 @@
                 caller.on_disconnect = None
             # Guards against tries that nobody waits for, at backends that never answer.
             for task in tasks:
-                self.tasks.bound(task, (limit_ns - now_ns()) / 1e9, share.release)
+                self.tasks.cancel_after(task, (limit_ns - now_ns()) / 1e9, share.release)
 
     async def run_attempt(
         self, backend: BackendInstance, request: UpstreamRequest, limit_ns: int, share: MemoryReservation
@@ -599,12 +599,12 @@
         await self.http_server.listen(*self.settings.bind["http"])
         log.info("{} serves", self.settings.node)
         self.tasks.start(self.pull_forever())
-        self.tasks.start(self.tasks.every(1.0, self.run_every_second))
-        self.tasks.start(self.tasks.every(POLICY_TICK_S, self.tick_policies))
-        self.tasks.start(self.tasks.every(COUNTER_LOG_INTERVAL_S, self.log_counters))
-        await asyncio.wait([shutdown_requested, self.tasks.broken], return_when=asyncio.FIRST_COMPLETED)
-        if self.tasks.broken.done():
-            self.tasks.broken.result()
+        self.tasks.start(self.tasks.run_periodically(1.0, self.run_every_second))
+        self.tasks.start(self.tasks.run_periodically(POLICY_TICK_S, self.tick_policies))
+        self.tasks.start(self.tasks.run_periodically(COUNTER_LOG_INTERVAL_S, self.log_counters))
+        await asyncio.wait([shutdown_requested, self.tasks.fatal_error], return_when=asyncio.FIRST_COMPLETED)
+        if self.tasks.fatal_error.done():
+            self.tasks.fatal_error.result()
         await self.shut_down()
 
     async def shut_down(self) -> None:
@@ -640,4 +640,4 @@
 
 
 def main() -> int:
-    return run(serve)
+    return run_program(serve)
--- a/meadowworks/runtime/process.py
+++ b/meadowworks/runtime/process.py
@@ -22,45 +22,45 @@
     return time.monotonic_ns()
 
 
-class Tasks:
+class BackgroundTasks:
     """Tasks of one program. A fault is logged and the others go on; a broken invariant ends the program."""
 
     def __init__(self) -> None:
         self.running: set[asyncio.Task[Any]] = set()
-        self.broken: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+        self.fatal_error: asyncio.Future[None] = asyncio.get_running_loop().create_future()
 
-    def start(self, what: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
-        task = asyncio.get_running_loop().create_task(what)
+    def start(self, coroutine: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
+        task = asyncio.get_running_loop().create_task(coroutine)
         self.running.add(task)
-        task.add_done_callback(self.ended)
+        task.add_done_callback(self.on_done)
         return task
 
-    def bound(self, task: asyncio.Task[Any], within_s: float, then: Callable[[], None]) -> None:
+    def cancel_after(self, task: asyncio.Task[Any], timeout_s: float, on_done: Callable[[], None]) -> None:
         """Ends a task that nobody waits for, within so many seconds; calls `then` when it is over."""
-        end = asyncio.get_running_loop().call_later(max(0.0, within_s), task.cancel)
+        end = asyncio.get_running_loop().call_later(max(0.0, timeout_s), task.cancel)
 
         def over(_: asyncio.Task[Any]) -> None:
             end.cancel()
-            then()
+            on_done()
 
         task.add_done_callback(over)
 
-    def ended(self, task: asyncio.Task[Any]) -> None:
+    def on_done(self, task: asyncio.Task[Any]) -> None:
         self.running.discard(task)
         if task.cancelled() or (trouble := task.exception()) is None:
             return
         if isinstance(trouble, InvariantError):
-            if not self.broken.done():
-                self.broken.set_exception(trouble)
+            if not self.fatal_error.done():
+                self.fatal_error.set_exception(trouble)
         else:
             log.opt(exception=trouble).error("a task failed")
 
-    async def every(self, seconds: float, act: Callable[[], Any]) -> None:
+    async def run_periodically(self, interval_s: float, action: Callable[[], Any]) -> None:
         """Calls `act` again and again; a fault in one turn does not end the next."""
         while True:
-            await asyncio.sleep(seconds)
+            await asyncio.sleep(interval_s)
             try:
-                found = act()
+                found = action()
                 if isinstance(found, Awaitable):
                     await found
             except InvariantError:
@@ -69,7 +69,7 @@
                 log.exception("a turn failed")
 
 
-def run(serve: Callable[[NodeSettings, asyncio.Future[None]], Coroutine[Any, Any, None]]) -> int:
+def run_program(serve: Callable[[NodeSettings, asyncio.Future[None]], Coroutine[Any, Any, None]]) -> int:
     """Runs a program until it is told to end. 0 then, 2 on settings that make no sense, 1 on a fault."""
     logs.configure()
     try:
--- a/meadowworks/simulation/campaign.py
+++ b/meadowworks/simulation/campaign.py
@@ -10,7 +10,7 @@
 from functools import partial
 from typing import Any
 
-from meadowworks.cli.main import Bad
+from meadowworks.cli.main import CommandError
 from meadowworks.simulation import drill, guards
 from meadowworks.simulation.control import ScenarioCounts
 
@@ -24,13 +24,13 @@
             print(f"{guard.name:20} {seen:22} {guard.text}")
         return 0
     if point not in drill.SCENARIOS:
-        raise Bad(f"there is no point {point}: there are {', '.join(map(str, drill.SCENARIOS))}")
+        raise CommandError(f"there is no point {point}: there are {', '.join(map(str, drill.SCENARIOS))}")
     if (match := re.fullmatch(r"(\d{1,9}):(\d{1,9})", seeds)) is None or int(match[1]) >= int(match[2]):
-        raise Bad(f"--seeds are A:B with A below B, not {seeds[:40]!r}")
+        raise CommandError(f"--seeds are A:B with A below B, not {seeds[:40]!r}")
     if without and without not in guards.GUARDS_BY_NAME:
-        raise Bad(f"there is no guard {without!r}: --guards lists them")
+        raise CommandError(f"there is no guard {without!r}: --guards lists them")
     if not 1 <= processes <= 16:
-        raise Bad("--processes is from 1 to 16")
+        raise CommandError("--processes is from 1 to 16")
     days = range(int(match[1]), int(match[2]))
     total, found, complete = run_seeds(point, days, without, processes)
     if as_json:
--- a/meadowworks/simulation/commands.py
+++ b/meadowworks/simulation/commands.py
@@ -12,7 +12,7 @@
 
 from cappa import Arg
 
-from meadowworks.cli.main import Bad
+from meadowworks.cli.main import CommandError
 from meadowworks.simulation import cost, report, scale, series
 
 WHAT = (
@@ -68,7 +68,7 @@
     if what == "report":
         return write_report(files or [], page)
     if what != "scale":
-        raise Bad(f"there is no measurement {what!r}: there are cost, control, scale and report")
+        raise CommandError(f"there is no measurement {what!r}: there are cost, control, scale and report")
     asked = scale.ScaleSettings(
         controllers,
         boxes,
@@ -91,14 +91,14 @@
     check_settings(asked)
     many = 1 if processes is None else processes
     if runs < 1 or not 1 <= many <= 16:
-        raise Bad("--runs is 1 or more, --processes from 1 to 16")
+        raise CommandError("--runs is 1 or more, --processes from 1 to 16")
     if not axis and runs == 1:
         found = scale.measure(asked, print_progress)
         append_result(keep, found)
         print(json.dumps(found) if as_json else format_result(found))
         return 0 if found["complete"] else 130
     if axis and axis not in series.AXIS_VALUES:
-        raise Bad(f"there is no axis {axis!r}: there are {', '.join(series.AXIS_VALUES)}")
+        raise CommandError(f"there is no axis {axis!r}: there are {', '.join(series.AXIS_VALUES)}")
     values = parse_numbers(points) or series.AXIS_VALUES.get(axis, (0,))
     wanted = [
         replace(one, seed=seed + run)
@@ -119,7 +119,7 @@
     except KeyboardInterrupt:
         complete = False
     except RuntimeError as trouble:
-        raise Bad(str(trouble)) from None
+        raise CommandError(str(trouble)) from None
     if as_json:
         print(json.dumps({"complete": complete, "points": found_all}))
     return 0 if complete else 130
@@ -128,25 +128,27 @@
 def check_settings(settings: scale.ScaleSettings) -> None:
     """Raises Bad for what cannot be played."""
     if not 1 <= settings.boxes <= 16 or settings.controllers <= settings.boxes:
-        raise Bad("--boxes is from 1 to 16, and there are more --controllers than that")
+        raise CommandError("--boxes is from 1 to 16, and there are more --controllers than that")
     least = min(settings.zones, settings.backends, settings.services, settings.routes, settings.whole)
     if least < 1 or not settings.seconds > 0:
-        raise Bad("--zones, --backends, --services, --routes and --whole are 1 or more, --seconds above 0")
+        raise CommandError(
+            "--zones, --backends, --services, --routes and --whole are 1 or more, --seconds above 0"
+        )
     if min(settings.changes, settings.churn, settings.requests) < 0 or not math.isfinite(
         settings.changes + settings.churn + settings.requests + settings.seconds
     ):
-        raise Bad("--changes, --churn and --requests are 0 or more")
+        raise CommandError("--changes, --churn and --requests are 0 or more")
     if not settings.most_mb > 0:
-        raise Bad("--most-mb is above 0")
+        raise CommandError("--most-mb is above 0")
     if settings.loss and settings.loss not in scale.LOSSES:
-        raise Bad(f"there is no loss {settings.loss!r}: there are {', '.join(scale.LOSSES)}")
+        raise CommandError(f"there is no loss {settings.loss!r}: there are {', '.join(scale.LOSSES)}")
 
 
 def parse_numbers(text: str) -> tuple[float, ...]:
     try:
         return tuple(float(part) for part in text.split(",")) if text else ()
     except ValueError:
-        raise Bad(f"--points are numbers with commas between, not {text[:40]!r}") from None
+        raise CommandError(f"--points are numbers with commas between, not {text[:40]!r}") from None
 
 
 def print_progress(line: str) -> None:
@@ -189,16 +191,16 @@
 
 def write_report(files: list[Path], page: Path | None) -> int:
     if not files:
-        raise Bad("report wants the files that scale has kept")
+        raise CommandError("report wants the files that scale has kept")
     texts, pages = [], []
     for file in files:
         try:
             results = [json.loads(line) for line in file.read_text().splitlines() if line.strip()]
             text, plots = report.build_report(results)
         except (OSError, ValueError) as trouble:
-            raise Bad(f"{file}: {trouble}") from None
+            raise CommandError(f"{file}: {trouble}") from None
         except (KeyError, TypeError) as trouble:
-            raise Bad(f"{file}: these are no results of scale: {trouble}") from None
+            raise CommandError(f"{file}: these are no results of scale: {trouble}") from None
         texts.append(text)
         pages.append(plots)
     text, html = "\n\n".join(texts), report.build_page(pages)
--- a/meadowworks/simulation/pauses.py
+++ b/meadowworks/simulation/pauses.py
@@ -23,7 +23,7 @@
 
 from meadowworks.config.route_table import load_route_table_steps
 from meadowworks.config.validation import validation_steps
-from meadowworks.controlplane.server import Signalbox
+from meadowworks.controlplane.server import ControlPlaneServer
 from meadowworks.local.system import SystemLayout, build_configuration, free_ports
 from meadowworks.proxy.server import ProxyServer
 from meadowworks.runtime.cooperative import compress_steps, decompress_steps, run_cooperatively
@@ -113,7 +113,7 @@
     loop.add_reader(sys.stdin, asked)
     gc.freeze()
     await asyncio.gather(
-        beat.run(), (Signalbox if boot.voting else ProxyServer)(boot).serve(loop.create_future())
+        beat.run(), (ControlPlaneServer if boot.voting else ProxyServer)(boot).serve(loop.create_future())
     )
 
 
--- a/meadowworks/simulation/regression.py
+++ b/meadowworks/simulation/regression.py
@@ -19,7 +19,7 @@
 
 from cappa import Arg
 
-from meadowworks.cli.main import Bad
+from meadowworks.cli.main import CommandError
 
 DAYS_FOLDER = Path(__file__).parent / "days"
 MAX_JOBS = 8
@@ -45,14 +45,14 @@
     there is not, and for a file that can't be read or says another name than its own."""
     files = {file.stem: file for file in sorted(folder.glob("*.toml"))}
     if unknown := [name for name in only if name not in files]:
-        raise Bad(f"there is no day {unknown[0]!r}: there are {', '.join(files)}")
+        raise CommandError(f"there is no day {unknown[0]!r}: there are {', '.join(files)}")
     for name, file in files.items():
         try:
             said = tomllib.loads(file.read_text("utf-8")).get("name")
         except (OSError, ValueError) as trouble:
-            raise Bad(f"{file}: {trouble}") from None
+            raise CommandError(f"{file}: {trouble}") from None
         if said != name:
-            raise Bad(f"{file} says the name {said!r}")
+            raise CommandError(f"{file} says the name {said!r}")
     return [file for name, file in files.items() if not only or name in only]
 
 
@@ -128,14 +128,14 @@
     """Plays the days of our own on a site. Status 0 if all hold, 1 if a rule was broken, a gate was missed or
     a day could not be played."""
     if not 1 <= jobs <= MAX_JOBS:
-        raise Bad(f"{jobs} days at a time: 1 to {MAX_JOBS}")
+        raise CommandError(f"{jobs} days at a time: 1 to {MAX_JOBS}")
     if not 0 <= seeds <= MAX_SEEDS:
-        raise Bad(f"{seeds} seeds: 0 to {MAX_SEEDS}")
+        raise CommandError(f"{seeds} seeds: 0 to {MAX_SEEDS}")
     for file in (site, bench):
         if not Path(file).is_file():
-            raise Bad(f"there is no file {file}")
+            raise CommandError(f"there is no file {file}")
     if not os.access(bench, os.X_OK):
-        raise Bad(f"{bench} is no program")
+        raise CommandError(f"{bench} is no program")
     plays = [
         (file, seed) for seed in range(1, seeds + 1) or (0,) for file in day_files(DAYS_FOLDER, only or [])
     ]
--- a/tests/gateway/golden_product.py
+++ b/tests/gateway/golden_product.py
@@ -29,7 +29,7 @@
 )
 from meadowworks.controlplane import config_service as office
 from meadowworks.controlplane import drain_service as fencing
-from meadowworks.controlplane.server import Signalbox
+from meadowworks.controlplane.server import ControlPlaneServer
 from meadowworks.fleet import messages
 from meadowworks.gossip import messages as post
 from meadowworks.gossip.peer_sampling import PeerRecord
@@ -43,7 +43,7 @@
 from meadowworks.registry.heartbeats import HeartbeatRegistry
 from meadowworks.runtime import node_settings
 from meadowworks.runtime.http_server import HttpServer, read_body, send_response
-from meadowworks.runtime.peer_client import Peer
+from meadowworks.runtime.peer_client import PeerClient
 from meadowworks.storage.sqlite_store import Disk
 
 __all__ = ["BACKENDS_PREFIX", "FIGURES_PREFIX", "PeerRecord", "SourceDelta", "load_configuration"]
@@ -153,15 +153,15 @@
 
 
 def compressed_letter(letter: Any) -> bytes:
-    return asyncio.run(office.squeezed(letter))
+    return asyncio.run(office.encode_message(letter))
 
 
 def decode_request(body: bytes) -> tuple[int, Any]:
-    return office.read_request(body)
+    return office.decode_request(body)
 
 
 def decode_reply(body: bytes) -> tuple[int, str, Any]:
-    return office.read_reply(body)
+    return office.decode_reply(body)
 
 
 def encode_pull(pull: Any) -> bytes:
@@ -301,10 +301,10 @@
         return dict(self.disk.load().slots)
 
     def lives(self) -> dict[str, Any]:
-        return fencing.read(self.disk.lives())
+        return fencing.decode_rows(self.disk.lives())
 
     def fences(self) -> dict[str, Any]:
-        return fencing.read(self.disk.fences())
+        return fencing.decode_rows(self.disk.fences())
 
     def write(
         self,
@@ -384,47 +384,47 @@
         return b""
 
 
-def make_signalbox(settings: Any) -> Signalbox:
-    return Signalbox(node_settings.parse_settings(json.dumps(settings)))
+def make_signalbox(settings: Any) -> ControlPlaneServer:
+    return ControlPlaneServer(node_settings.parse_settings(json.dumps(settings)))
 
 
 def make_junction(settings: Any) -> ProxyServer:
     return ProxyServer(node_settings.parse_settings(json.dumps(settings)))
 
 
-async def started_signalbox(settings: Any) -> Signalbox:
+async def started_signalbox(settings: Any) -> ControlPlaneServer:
     box = make_signalbox(settings)
-    await box.office.begin()
+    await box.config_service.start()
     return box
 
 
 def identity(program: Any) -> tuple[str, str]:
     """The names of its life, and of its disk, which are drawn anew at each start."""
-    own_office = getattr(program, "office", None)
-    return getattr(
-        program, "incarnation", None
-    ) or program.life, own_office.replica.acceptor.disk if own_office else "none"
+    service = getattr(program, "config_service", None)
+    return program.incarnation, service.replica.acceptor.disk if service else "none"
 
 
-def stop_signalbox(box: Signalbox) -> None:
+def stop_signalbox(box: ControlPlaneServer) -> None:
     for task in box.tasks.running:
         task.cancel()
-    box.office.close()
+    box.config_service.close()
 
 
-async def sent_letter(box: Signalbox, question: int, address: str, request: Any) -> tuple[bytes, bytes]:
+async def sent_letter(
+    box: ControlPlaneServer, question: int, address: str, request: Any
+) -> tuple[bytes, bytes]:
     """The path and the body under which a signalbox sends a request."""
     recorder = Recorder()
-    box.office.peers = lambda host, port: recorder  # type: ignore[assignment,return-value]
-    await box.office.send(Ask(question, address, request))
+    box.config_service.peer_client = lambda host, port: recorder  # type: ignore[assignment,return-value]
+    await box.config_service.send_request(Ask(question, address, request))
     (found,) = recorder.sent
     return found
 
 
-async def sent_pull_of_signalbox(box: Signalbox, host: str, port: int) -> tuple[bytes, bytes]:
+async def sent_pull_of_signalbox(box: ControlPlaneServer, host: str, port: int) -> tuple[bytes, bytes]:
     recorder = Recorder()
-    box.peer = lambda host, port: recorder  # type: ignore[assignment,method-assign,return-value]
-    pulls = box.tasks.start(box.pull(host, port))
+    box.peer_client = lambda host, port: recorder  # type: ignore[assignment,method-assign,return-value]
+    pulls = box.tasks.start(box.pull_from(host, port))
     await recorder.first.wait()
     pulls.cancel()
     return recorder.sent[0]
@@ -439,12 +439,12 @@
     return found
 
 
-def turn(box: Signalbox, figures: Mapping[str, bytes]) -> dict[str, Any]:
+def turn(box: ControlPlaneServer, figures: Mapping[str, bytes]) -> dict[str, Any]:
     """What a signalbox says in its turn of a second, given what junctions of zones have told."""
     for zone, body in figures.items():
-        box.sums.setdefault(zone, LoadReport()).merge(post.decode(body))
-    box.turn()
-    entries = box.news.sources[box.life].entries
+        box.zone_load_sums.setdefault(zone, LoadReport()).merge(post.decode(body))
+    box.tick()
+    entries = box.gossip.sources[box.incarnation].entries
     return {key: value for key, (_, value) in entries.items()}
 
 
@@ -456,26 +456,28 @@
     junction.refresh_endpoints()
 
 
-def signalbox_learns(box: Signalbox, cards: list[Any], configuration: bytes, said: Mapping[str, Any]) -> None:
-    box.members.merge(0, cards)
-    box.office.replica.learn(0, Held(7, configuration))
+def signalbox_learns(
+    box: ControlPlaneServer, cards: list[Any], configuration: bytes, said: Mapping[str, Any]
+) -> None:
+    box.known_peers.merge(0, cards)
+    box.config_service.replica.learn(0, Held(7, configuration))
     for key, value in said.items():
-        box.news.notify_update(KeyUpdate("source", key, value))
+        box.gossip.notify_update(KeyUpdate("source", key, value))
 
 
 def inner_door(program: Any) -> Any:
-    return program.inner if isinstance(program, Signalbox) else program.handle_internal
+    return program.handle_peer_request if isinstance(program, ControlPlaneServer) else program.handle_internal
 
 
-def control_door(box: Signalbox) -> Any:
-    return box.ctl
+def control_door(box: ControlPlaneServer) -> Any:
+    return box.handle_api_request
 
 
 # -- calls between programs, as bytes on a socket
 
 
 async def call_peer(host: str, port: int, path: bytes, body: bytes) -> bytes:
-    return await Peer(host, port).call(path, body, 2.0)
+    return await PeerClient(host, port).call(path, body, 2.0)
 
 
 async def open_echo(life: str) -> tuple[int, Callable[[], None]]:
--- a/tests/gateway/test_callers.py
+++ b/tests/gateway/test_callers.py
@@ -15,7 +15,7 @@
 from meadowworks.runtime.errors import RequestError
 from meadowworks.runtime.http_connection import ClientConnection
 from meadowworks.runtime.http_server import HttpServer, read_body, send_response
-from meadowworks.runtime.peer_client import Peer
+from meadowworks.runtime.peer_client import PeerClient
 from meadowworks.runtime.process import now_ns
 from tests.gateway.helpers import SECOND, Raw, backend, until
 
@@ -72,7 +72,7 @@
             self.ended += 1
 
 
-async def asks(peer: Peer, wait_s: float) -> bytes | str:
+async def asks(peer: PeerClient, wait_s: float) -> bytes | str:
     try:
         return await peer.call(b"/pull", b"", wait_s)
     except RequestError as trouble:
@@ -84,12 +84,12 @@
     async def main() -> None:
         made = Controller(how)
         host, port = await made.server.open()
-        peer = Peer(host, port)
+        peer = PeerClient(host, port)
         first = await asks(peer, 0.1 if "silence" in how else 5.0)
         assert (first == b"first") == (how in TAKEN) and isinstance(first, bytes) == (how in TAKEN)
-        assert len(peer.idle) <= 1
+        assert len(peer.idle_connections) <= 1
         if how not in ("as it should", "a refusal", "a reset after it"):
-            assert not peer.idle  # whatever else it was, its line is ended
+            assert not peer.idle_connections  # whatever else it was, its line is ended
             await until(lambda: made.ended + (None in made.pieces) > 0, "the line is ended at both sides")
             for writer, reply in made.late:
                 writer.write(reply)  # it comes too late for anybody
@@ -105,14 +105,14 @@
 def test_a_cancelled_call_leaves_no_line_behind() -> None:
     async def main() -> None:
         made = Controller("silence")
-        peer = Peer(*await made.server.open())
+        peer = PeerClient(*await made.server.open())
         call = asyncio.create_task(peer.call(b"/pull", b"", 5.0))
         await until(lambda: made.asked == 1, "it is asked")
         call.cancel()
         with pytest.raises(asyncio.CancelledError):
             await call
         await until(lambda: made.ended == 1, "the line is ended")
-        assert not peer.idle and await peer.call(b"/pull", b"", 5.0) == b"later"
+        assert not peer.idle_connections and await peer.call(b"/pull", b"", 5.0) == b"later"
         peer.close()
         made.server.close()
 
@@ -131,18 +131,18 @@
 
         before, after = HttpServer(app, incarnation="before"), HttpServer(app, incarnation="after")
         port = await before.listen("127.0.0.1", 0)
-        peer = Peer("127.0.0.1", port)
-        assert await peer.call(b"/pull", b"x", 5.0) == b"x" and peer.life == b"before"
+        peer = PeerClient("127.0.0.1", port)
+        assert await peer.call(b"/pull", b"x", 5.0) == b"x" and peer.incarnation == b"before"
         held = asyncio.create_task(peer.call(b"/pull", b"held", 5.0))  # on the line that was kept
         await until(lambda: before.pending_count() == 1, "it is at work")
         assert before.server is not None
         before.server.close()
         await after.listen("127.0.0.1", port)
-        assert await peer.call(b"/pull", b"y", 5.0) == b"y" and peer.life == b"after"
+        assert await peer.call(b"/pull", b"y", 5.0) == b"y" and peer.incarnation == b"after"
         gate.set()
         assert await held == b"held"  # it is that call's, whoever says it
-        assert peer.life == b"after" and len(peer.idle) == 1
-        assert await peer.call(b"/pull", b"z", 5.0) == b"z" and peer.life == b"after"
+        assert peer.incarnation == b"after" and len(peer.idle_connections) == 1
+        assert await peer.call(b"/pull", b"z", 5.0) == b"z" and peer.incarnation == b"after"
         peer.close()
         after.shutdown()
 
--- a/tests/gateway/test_ends.py
+++ b/tests/gateway/test_ends.py
@@ -25,7 +25,7 @@
 from meadowworks.runtime import node_settings
 from meadowworks.runtime.http_connection import ClientConnection, connect
 from meadowworks.runtime.http_server import HttpConnection, HttpServer, RequestLimits, send_response
-from meadowworks.runtime.process import Tasks, now_ns
+from meadowworks.runtime.process import BackgroundTasks, now_ns
 from tests.gateway.helpers import SECOND, Raw, ask, backend, until
 from tests.gateway.test_fleet import ROUTES, Fleet, fleet  # noqa: F401  # the fixture
 
@@ -203,7 +203,7 @@
         if (status := await fleet.replace((place + turn) % 3, version, routes)) == 200:
             return
         assert status in (429, 503), status
-        await until(lambda: any(fleet.nodes[k].sure() for k in range(3)), "one is sure")
+        await until(lambda: any(fleet.nodes[k].holds_lease() for k in range(3)), "one is sure")
     raise AssertionError("it is never taken")
 
 
@@ -254,13 +254,13 @@
             Raw(serve),
             ConnectionPool[ClientConnection](),
             MemoryBudget(1500),
-            Tasks(),
+            BackgroundTasks(),
         )
         there, share = backend("me", await server.open()), MemoryReservation(room)
         asked = UpstreamRequest(b"GET", b"/", [(b"host", b"h"), (b"x-request-id", b"q")], b"", b"q")
         task = tasks.start(send_attempt(yard, there, asked, now_ns() + 9 * SECOND, share.reserve))
         await until(lambda: room.reserved_bytes == 10, "half of it has come")
-        tasks.bound(task, 0.01, share.release)
+        tasks.cancel_after(task, 0.01, share.release)
         await until(task.done, "it is ended", 2.0)
         await until(lambda: not tasks.running, "it is told")
         assert task.cancelled() and not room.reserved_bytes and not yard.endpoints["me"].in_flight
--- a/tests/gateway/test_fleet.py
+++ b/tests/gateway/test_fleet.py
@@ -17,7 +17,7 @@
 from meadowworks.cli import main as commands
 from meadowworks.config.route_table import load_route_table
 from meadowworks.consensus.register import Ballot, Outside, Prepare
-from meadowworks.controlplane.server import Signalbox
+from meadowworks.controlplane.server import ControlPlaneServer
 from meadowworks.forwarding.staleness import MAX_AGE_NS
 from meadowworks.local.backend import StubBackend
 from meadowworks.local.system import SystemLayout, build_configuration, free_ports
@@ -52,7 +52,7 @@
 
     async def start(self, place: int, bootstrap: bool = True) -> None:
         settings = self.plan.node_settings(place, self.folder / f"disk-{place}", bootstrap)
-        node = (Signalbox if place < self.plan.control_plane_nodes else ProxyServer)(
+        node = (ControlPlaneServer if place < self.plan.control_plane_nodes else ProxyServer)(
             node_settings.parse_settings(json.dumps(settings))
         )
         self.told[place] = asyncio.get_running_loop().create_future()
@@ -64,13 +64,13 @@
         node = self.nodes.pop(place)
         for task in [self.running.pop(place), *node.tasks.running]:
             task.cancel()
-        for door in ("inner_door", "ctl_door", "http_server", "readiness_server", "internal_server"):
+        for door in ("peer_server", "api_server", "http_server", "readiness_server", "internal_server"):
             if (found := getattr(node, door, None)) and hasattr(found, "server_state"):
                 found.server.close()
                 for caller in list(found.server_state.connections):
                     caller.transport.abort()
         if place < self.plan.control_plane_nodes:
-            node.office.close()
+            node.config_service.close()
 
     async def begin(self) -> None:
         for place in range(self.plan.control_plane_nodes + self.plan.proxies):
@@ -79,7 +79,7 @@
             made = StubBackend(f"b{k}", svc, zone, self.plan.ip_address(20 + k))
             await made.start()
             self.backends.append(made)
-        await until(lambda: all(self.nodes[k].sure() for k in range(3)), "signalboxes know each other")
+        await until(lambda: all(self.nodes[k].holds_lease() for k in range(3)), "signalboxes know each other")
         for made in self.backends:
             assert await made.send_heartbeat(self.plan.control_addresses()[0]) == 200
 
@@ -215,18 +215,20 @@
         await fleet.kill(0)
         shutil.rmtree(fleet.folder / "disk-0")
         await fleet.start(0, bootstrap=False)
-        acceptor = fleet.nodes[0].office.replica.acceptor
+        acceptor = fleet.nodes[0].config_service.replica.acceptor
         request = Prepare(1, 9, Ballot(1, 1, "x"))  # it may not vote on what it knows nothing of
         assert not acceptor.votes() and isinstance(acceptor.answer(request), Outside)
-        await until(lambda: acceptor.votes() and fleet.nodes[0].ctl_door.server, "the empty disk has entered")
-        await until(lambda: fleet.nodes[0].sure(), "it has its lease")
+        await until(
+            lambda: acceptor.votes() and fleet.nodes[0].api_server.server, "the empty disk has entered"
+        )
+        await until(lambda: fleet.nodes[0].holds_lease(), "it has its lease")
 
     fleet.run(whole())
 
 
 @then("it enters anew and reads back what was acknowledged")
 def entered(fleet: Fleet) -> None:
-    epoch = fleet.nodes[0].office.replica.acceptor.epoch
+    epoch = fleet.nodes[0].config_service.replica.acceptor.epoch
     assert epoch.number > 1 and len(epoch.members) == 3
     assert fleet.run(fleet.read(0)) == json.loads(build_configuration(14, ROUTES))
 
@@ -270,7 +272,7 @@
     async def whole() -> None:
         for place in (1, 2, 4):
             await fleet.kill(place)
-        await until(lambda: not fleet.nodes[0].sure(), "its lease has ended")
+        await until(lambda: not fleet.nodes[0].holds_lease(), "its lease has ended")
         await fleet.start(4)
         await until(lambda: len(fleet.nodes[4].gossip.sources) > 1, "it has been told")
 
@@ -355,7 +357,7 @@
         backend.assigned_address = None
         assert await backend.send_heartbeat(second) == 0 and await backend.send_heartbeat(first) == 200
         # Its card is fresh yet, but it has failed one that was sent there.
-        assert [c.host for c in fleet.nodes[0].members.voters()].count(
+        assert [c.host for c in fleet.nodes[0].known_peers.voters()].count(
             second[0]
         ) and backend.assigned_address is None
 
@@ -370,7 +372,7 @@
         shutil.rmtree(fleet.folder / "disk-1")  # where the drain was acknowledged
         for place in range(5):
             await fleet.start(place, bootstrap=False)
-        await until(lambda: all(fleet.nodes[k].sure() for k in (0, 2)), "two know each other")
+        await until(lambda: all(fleet.nodes[k].holds_lease() for k in (0, 2)), "two know each other")
 
     fleet.run(whole())
 
--- a/tests/gateway/test_roster.py
+++ b/tests/gateway/test_roster.py
@@ -13,8 +13,8 @@
 
 import pytest
 
-from meadowworks.controlplane.api import Answer, Backends
-from meadowworks.controlplane.drain_service import Fencing, read
+from meadowworks.controlplane.api import ApiReply, BackendsResource
+from meadowworks.controlplane.drain_service import DrainService, decode_rows
 from meadowworks.gossip.updates import KeyUpdate, UpdateStore
 from meadowworks.registry.backends import BackendDirectory
 from meadowworks.registry.drain_log import DrainLog
@@ -347,19 +347,21 @@
     def __init__(self, folder: Path, box: Box) -> None:
         self.box, self.disk = box, Disk(folder)
         self.lease, self.zone = True, list[str]()
-        self.fencing = Fencing(box.fences, self.disk, ThreadPoolExecutor(1), asyncio.ensure_future)
+        self.fencing = DrainService(box.fences, self.disk, ThreadPoolExecutor(1), asyncio.ensure_future)
 
         def kept(version: int) -> bool:
             return box.fences.is_replicated(version, ["b"], 1, True)
 
-        self.backends = Backends(box.beats, self.fencing, kept, lambda ident: self.zone, lambda: self.lease)
+        self.backends = BackendsResource(
+            box.beats, self.fencing, kept, lambda ident: self.zone, lambda: self.lease
+        )
 
-    def beat(self, ident: str, state: str, calls: int) -> Coroutine[Any, Any, Answer]:
+    def beat(self, ident: str, state: str, calls: int) -> Coroutine[Any, Any, ApiReply]:
         return self.backends.heartbeat(ident, json.dumps(beat(state, calls)).encode())
 
     def receipt(self, version: int) -> None:
         self.box.fences.on_acknowledgement("b", "a.1", version)
-        self.fencing.moved()
+        self.fencing.notify_waiters()
 
 
 def run(what: Callable[[], Coroutine[Any, Any, None]]) -> None:
@@ -379,7 +381,7 @@
         desk.receipt(desk.box.news.sources["a.1"].latest_version)
         assert (await waiting).status == 200
         shutil.copytree(tmp_path / "d", tmp_path / "after")  # nothing is closed
-        again = Box("a", 2, read(Disk(tmp_path / "after").fences()))
+        again = Box("a", 2, decode_rows(Disk(tmp_path / "after").fences()))
         again.beats.heartbeat(0, "i", beat("up", 1))
         assert again.lives.instances["i"].state == "draining"
 
@@ -412,21 +414,21 @@
         desk = Desk(tmp_path / "d", Box("a"))
         loop = asyncio.get_running_loop()
         desk.zone, desk.lease = ["10.0.0.2:80"], False
-        assert await desk.beat("i", "up", 1) == Answer(200)
+        assert await desk.beat("i", "up", 1) == ApiReply(200)
         began = loop.time()
         for found in (
             await desk.beat("i", "draining", 2),
             await desk.backends.leave("i", b""),
             await desk.backends.leave("unknown", b""),
         ):
-            assert found.status == 503 and 0 < found.retry_s < 1
+            assert found.status == 503 and 0 < found.retry_after_s < 1
         assert loop.time() - began < 0.3
         desk.receipt(99)
         await until(lambda: desk.box.fences.is_caught_up("a.1"), "it is on the own disk")
         assert (await desk.backends.leave("i", b"")).status == 200  # what is on enough disks needs no lease
         desk.lease = True
         assert json.loads((await desk.beat("j", "up", 1)).body) == {"beatUrl": "10.0.0.2:80"}
-        assert await desk.beat("j", "up", 2) == Answer(200)  # that address has failed it
+        assert await desk.beat("j", "up", 2) == ApiReply(200)  # that address has failed it
         desk.zone = ["h" * 5000]
         assert (await desk.beat("k", "up", 1)).body == b"{}"  # larger than an acknowledgement may be
         assert (await desk.backends.leave("unknown", b"")).status == 200
--- a/tests/gateway/test_words.py
+++ b/tests/gateway/test_words.py
@@ -41,7 +41,7 @@
     assert lines[0][0] == "curl" and len(lines) > 4
     for python, *rest in lines[1:]:
         assert (PROJECT_ROOT / python).exists() and rest[:2] == ["-m", "meadowworks"]
-        assert rest[2] in commands.WORDS and commands.main([rest[2], "--help"]) == 0
+        assert rest[2] in commands.COMMANDS and commands.main([rest[2], "--help"]) == 0
 
 
 def test_a_reader_that_has_gone_ends_a_command_without_a_word(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -82,7 +82,7 @@
 def test_members_are_told_with_the_cause_why_one_is_not_in(third: Any, why: str) -> None:
     cards = [["n", "h3", "z", not why.startswith("does"), 1]]
     one = status("d1", members=cards)
-    epoch, rows = members.listed({"h1:7": one, "h2:7": status("d2"), "h3:7": third})
+    epoch, rows = members.membership_rows({"h1:7": one, "h2:7": status("d2"), "h3:7": third})
     assert epoch == 4 and [row[-1] for row in rows[:2]] == ["", ""]
     assert rows[2][1] == "h3:7" and rows[2][-1].startswith(why) and (rows[2][5] == "yes") == (not why)
     if why.startswith("gone"):
@@ -92,10 +92,10 @@
 def test_a_status_of_before_epochs_and_a_junctions_is_read_all_the_same() -> None:
     old = {"node": "n", "sure": True, "sound": True, "members": [["m", "h2", "z", True, 1]]}
     seats = status("d1", epoch=0, members_of_epoch={"@h1:7": "h1:7"})
-    assert members.listed({"h1:7": seats})[1][0][-1] == ""  # the very first start
-    epoch, rows = members.listed({"h1:7": old, "h2:7": None, "j:7": {"node": "j", "ready": True}})
+    assert members.membership_rows({"h1:7": seats})[1][0][-1] == ""  # the very first start
+    epoch, rows = members.membership_rows({"h1:7": old, "h2:7": None, "j:7": {"node": "j", "ready": True}})
     assert epoch is None and [(row[1], row[5]) for row in rows] == [("h1:7", "yes"), ("h2:7", "no")]
-    assert members.addresses(old, "h1:7") == ["h2:7"]
+    assert members.known_addresses(old, "h1:7") == ["h2:7"]
 
 
 def test_an_idle_junction_says_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
