--- a/meadowworks/controlplane/server.py
+++ b/meadowworks/controlplane/server.py
@@ -69,8 +69,8 @@
         self.known_peers = PartialView(card, random.getrandbits(32))
         self.gossip = UpdateStore(self.incarnation)
         self.gossip.update_listeners.append(self.on_update)
-        self.lives = BackendDirectory(lambda name: self.gossip.silence_ns(now_ns(), name), now_ns)
-        self.gossip.update_listeners.append(self.lives.on_update)
+        self.backends = BackendDirectory(lambda name: self.gossip.silence_ns(now_ns(), name), now_ns)
+        self.gossip.update_listeners.append(self.backends.on_update)
         self.drain_log = DrainLog(self.incarnation)
         self.gossip.update_listeners.append(lambda event: self.drain_log.on_update(now_ns(), event))
         self.gossip.version_listeners.append(self.drain_log.on_version)
@@ -120,7 +120,7 @@
 
     def knows_backend(self, backend_id: str) -> bool:
         """Whether anyone has spoken of a backend."""
-        return self.lives.is_known(backend_id) or backend_id in self.drain_log.records
+        return self.backends.is_known(backend_id) or backend_id in self.drain_log.records
 
     def is_durable(self, version: int) -> bool:
         """Of the epoch's members: whoever else may vote may be gone for good tomorrow."""
@@ -350,10 +350,10 @@
         self.known_peers.expire(now)
         self.gossip.expire_sources(now)
         self.heartbeats.tick(now)
-        self.lives.refresh_all()
-        self.drain_log.tick(now, self.lives.is_draining_or_gone, self.gossip.sources)
+        self.backends.refresh_all()
+        self.drain_log.tick(now, self.backends.is_draining_or_gone, self.gossip.sources)
         self.drain_service.start_pending_write()
-        self.lives.changed_ids.clear()
+        self.backends.changed_ids.clear()
         self.tick_count += 1
         if self.tick_count % SUMMARY_INTERVAL_TICKS == 0:
             log.info(
@@ -361,7 +361,7 @@
                 self.holds_lease(),
                 len(self.known_peers.peers),
                 len(self.heartbeats.registrations),
-                len(self.lives.instances),
+                len(self.backends.instances),
             )
         self.gossip.publish("pulse", self.tick_count)
         covers_ms = (now - self.load_sums_since_ns) // 1_000_000
@@ -380,7 +380,7 @@
                 for k in self.known_peers.peers.values()
             ],
             "sources": self.gossip.version_vector(),
-            "backends": self.lives.summary(),
+            "backends": self.backends.summary(),
         }
 
     # -- the outer door
--- a/meadowworks/proxy/server.py
+++ b/meadowworks/proxy/server.py
@@ -94,8 +94,8 @@
         )
         self.known_peers = PartialView(card, random.getrandbits(32))
         self.gossip = UpdateStore(self.incarnation)
-        self.lives = BackendDirectory(lambda name: self.gossip.silence_ns(now_ns(), name), now_ns)
-        self.gossip.update_listeners += [self.lives.on_update, self.on_load_report]
+        self.backends = BackendDirectory(lambda name: self.gossip.silence_ns(now_ns(), name), now_ns)
+        self.gossip.update_listeners += [self.backends.on_update, self.on_load_report]
         self.control_plane_selector = ControlPlaneSelector(settings.zone)
         self.peer_clients: dict[tuple[str, int], PeerClient] = {}
         self.route_table: RouteTable | None = None
@@ -144,7 +144,7 @@
         now, place = now_ns(), self.settings.zones.index(zone)
         by_service: dict[str, dict[str, BackendLoad]] = {}
         for ident, tries, bad, spent, told, running, waiting in met:
-            if known := self.lives.instances.get(ident):
+            if known := self.backends.instances.get(ident):
                 mean = int(spent * MS / max(1, tries - bad))
                 waits = waiting / told if told else -1.0
                 by_service.setdefault(known.service, {})[ident] = BackendLoad(tries, bad, mean, waits)
@@ -180,21 +180,21 @@
                     now_ns(),
                 )
         log.info("version {:08x} is in force", table.version)
-        self.lives.changed_ids |= set(self.lives.instances)
+        self.backends.changed_ids |= set(self.backends.instances)
         self.refresh_endpoints()
 
     def refresh_endpoints(self) -> None:
         """Hands lives that have changed to their services' controllers."""
-        if not self.lives.changed_ids:
+        if not self.backends.changed_ids:
             return
-        for ident in self.lives.changed_ids:
-            if (known := self.lives.instances.get(ident)) and known.state == DRAINING:
+        for ident in self.backends.changed_ids:
+            if (known := self.backends.instances.get(ident)) and known.state == DRAINING:
                 log.info("{} drains", ident)
-        self.lives.changed_ids.clear()
-        listing, now = self.lives.instances_by_service(), now_ns()
+        self.backends.changed_ids.clear()
+        listing, now = self.backends.instances_by_service(), now_ns()
         for name, service in self.services.items():
             service.update_backends(now, listing.get(name, []))
-        self.connection_pool.evict(now, set(self.lives.instances))
+        self.connection_pool.evict(now, set(self.backends.instances))
 
     def is_ready(self) -> bool:
         now = now_ns()
@@ -294,14 +294,14 @@
         self.known_peers.advance_heartbeat()
         self.known_peers.expire(now)
         self.gossip.expire_sources(now)
-        self.lives.refresh_all()
+        self.backends.refresh_all()
         self.refresh_endpoints()
         self.mark_backends_listed(now)
         own, self.last_second_report = self.last_second_report, LoadReport()
         mine = self.settings.zones.index(self.settings.zone)
         if any(service.report_overdue(now, mine) for service in self.services.values()):
             self.apply_load_report(self.settings.zone, 1000, own.pack()[0], own.service_requests)
-        self.connection_pool.evict(now, set(self.lives.instances))
+        self.connection_pool.evict(now, set(self.backends.instances))
 
     def log_counters(self) -> None:
         """Counters, if there is anything to tell since the last time."""
@@ -452,7 +452,7 @@
                         self.count_failure(route, f"{step.status} without an offer")
                     return step
                 if isinstance(step, SendAttempt):
-                    backend = self.lives.instances[service.endpoint_ids.names[step.endpoint]]
+                    backend = self.backends.instances[service.endpoint_ids.names[step.endpoint]]
                     tasks[self.tasks.start(self.run_attempt(backend, request, limit_ns, share))] = step.number
                 until = journey.wait(now_ns()).until_ns
                 done, _ = await asyncio.wait(
@@ -505,7 +505,7 @@
             )
         if tried.incarnation_ended:
             log.info("{} is over: another answers at its address", backend.instance_id)
-            self.lives.mark_superseded(backend.instance_id)
+            self.backends.mark_superseded(backend.instance_id)
             self.refresh_endpoints()
         return tried
 
@@ -524,7 +524,7 @@
                 return own, estimate_delays(own, busy, needs), True
             for place, weight in lines.items():
                 ident = names[place]
-                known = self.lives.instances.get(ident)
+                known = self.backends.instances.get(ident)
                 if known is None or not known.accepts_requests:
                     continue  # the table is a moment behind the list
                 home = known.zone == self.settings.zone
@@ -582,7 +582,7 @@
                 }
                 for name, s in self.services.items()
             },
-            "backends": self.lives.summary(),
+            "backends": self.backends.summary(),
         }
 
     def reload_settings(self) -> None:
--- a/tests/gateway/test_fleet.py
+++ b/tests/gateway/test_fleet.py
@@ -142,7 +142,7 @@
 @then("no junction sends to it once that is acknowledged")
 def none_sends(fleet: Fleet) -> None:
     backend = fleet.backends[0]
-    others = [fleet.nodes[k].lives for k in (3, 4)]
+    others = [fleet.nodes[k].backends for k in (3, 4)]
     fleet.run(
         until(
             lambda: all(lives.instances["b0"].state == "draining" for lives in others), "drain is known", 2.0
@@ -384,13 +384,13 @@
     nodes = [fleet.nodes[k] for k in (0, 2, 3, 4)]
 
     async def whole() -> None:
-        await until(lambda: all("b0" in node.lives.instances for node in nodes), "all know of it")
+        await until(lambda: all("b0" in node.backends.instances for node in nodes), "all know of it")
         for place in (0, 2):
             assert await backend.send_heartbeat(fleet.plan.control_addresses()[place]) == 200
         await until(lambda: nodes[3].is_ready(), "it is ready")
 
     fleet.run(whole())
-    assert {node.lives.instances["b0"].state for node in nodes} == {"draining"}
+    assert {node.backends.instances["b0"].state for node in nodes} == {"draining"}
 
 
 @then("the words tell of nodes, backends and reasons, in columns and as one object")
