--- a/example/toy.py
+++ b/example/toy.py
@@ -15,8 +15,8 @@
 
 from aiohttp import web
 
-from meadowworks.attempts.machine import Attempts, Final
-from meadowworks.attempts.retry_policy import ANSWERED, UNRUN, Way
+from meadowworks.attempts.machine import AttemptMachine, FinalReply
+from meadowworks.attempts.retry_policy import ANSWERED, NEVER_RAN, RouteRetryPolicy
 
 SECOND = 1_000_000_000
 CONFIG = json.loads(Path(os.environ.get("NODE_CONFIG") or Path(__file__).parent / "config.json").read_text())
@@ -67,8 +67,8 @@
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
-        ways = [Way(False, 2 * SECOND, SECOND, SECOND // 10, 5 * SECOND) for _ in ROUTES]
-        self.machine = Attempts(self, ways, SECOND, 1000, 7)
+        ways = [RouteRetryPolicy(False, 2 * SECOND, SECOND, SECOND // 10, 5 * SECOND) for _ in ROUTES]
+        self.machine = AttemptMachine(self, ways, SECOND, 1000, 7)
         self.names: list[str] = []  # of backends, by index
         self.table: dict[str, float] = {}
         self.grants = [(1.0, 0) for _ in ROUTES]
@@ -83,10 +83,10 @@
     def cancel(self, number: int) -> None:
         """Nothing is under way between two periods."""
 
-    def final(self, key: int, asker: int, told: Final) -> None:
+    def reply(self, key: int, asker: int, told: FinalReply) -> None:
         self.asked[key % len(ROUTES)][1] += told.kind == "dropped"
 
-    def note(self, what: str) -> None:
+    def count(self, what: str) -> None:
         print(f"proxy: {what}", flush=True)
 
     def order(self) -> None:
@@ -94,7 +94,7 @@
         self.names += [name for name in self.table if name not in self.names]
         lines = {self.names.index(name): weight for name, weight in self.table.items()}
         for k, (level, policy) in enumerate(self.grants):
-            self.machine.ordered(k, lines, level, policy)
+            self.machine.on_table(k, lines, level, policy)
 
     def period(self) -> None:
         """Half a second's calls, 20 in all."""
@@ -103,7 +103,7 @@
         for _ in range(20):
             self.key += 1
             self.asked[self.key % len(ROUTES)][0] += 1
-            self.machine.came(now, self.key, self.key % len(ROUTES), self.key, False)
+            self.machine.on_request(now, self.key, self.key % len(ROUTES), self.key, False)
             while self.sent:
                 key, number, backend = self.sent.pop()
                 name = self.names[backend]
@@ -111,7 +111,7 @@
                 met = self.met.setdefault(name, [0, 0])
                 met[0] += 1
                 met[1] += refused
-                self.machine.replied(now, key, number, UNRUN if refused else ANSWERED)
+                self.machine.on_attempt_ended(now, key, number, NEVER_RAN if refused else ANSWERED)
 
 
 async def proxy(calls: Calls) -> None:
--- a/meadowworks/__main__.py
+++ b/meadowworks/__main__.py
@@ -11,14 +11,14 @@
 
 from loguru import logger
 
-from meadowworks.fleet.config import Config, load
-from meadowworks.fleet.controller import Node
-from meadowworks.fleet.discovery import Discovery
+from meadowworks.fleet.config import Config, load_config
+from meadowworks.fleet.controller import FleetController
+from meadowworks.fleet.discovery import DiscoveryClient
 from meadowworks.fleet.invariants import count
-from meadowworks.fleet.listener import Door
+from meadowworks.fleet.listener import Listener
 from meadowworks.fleet.mailbox import Mailbox
-from meadowworks.fleet.messages import Follow, Moved, News
-from meadowworks.fleet.settings import Missing
+from meadowworks.fleet.messages import ControllerEvent, DiscoveryCommand, DiscoveryMoved
+from meadowworks.fleet.settings import SettingsError
 
 REPORTS_MOST = 16384  # waiting for the module: more than a minute of all that a report rate brings
 LIST_MOST = 1  # nothing in the list's mailbox is a report
@@ -46,13 +46,13 @@
         """Reads the configuration again. Whatever is wrong with it, the program goes on with the old one."""
         nonlocal config
         try:
-            old, config = config, load(os.environ)
+            old, config = config, load_config(os.environ)
         except Exception as trouble:
             count("configurations passed over")
             return logger.warning("configuration not taken, the old one stands: {}", trouble)
         logger.info("configuration read again: discovery at {}", config.discovery)
         if config.discovery != old.discovery:
-            lists.put(Moved(config.discovery))
+            lists.put(DiscoveryMoved(config.discovery))
         changed = {f.name for f in fields(Config) if getattr(config, f.name) != getattr(old, f.name)}
         if late := sorted(changed - AT_ONCE):
             logger.warning("configuration: only a restart can change {}", ", ".join(late))
@@ -60,23 +60,23 @@
     loop.set_exception_handler(fault)
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, told)
-    module: Mailbox[News] = Mailbox(REPORTS_MOST)
-    lists: Mailbox[Follow] = Mailbox(LIST_MOST)
+    module: Mailbox[ControllerEvent] = Mailbox(REPORTS_MOST)
+    lists: Mailbox[DiscoveryCommand] = Mailbox(LIST_MOST)
     loop.add_signal_handler(signal.SIGHUP, again)
-    node = Node(config, module, lists, loop.call_at)
+    node = FleetController(config, module, lists, loop.call_at)
     index = config.known.index if config.known else None
-    discovery = Discovery(config.discovery, index, config.settings.ask_within_ns, lists, module)
-    door = Door(module, config.zones, config.settings.proxies, config.sockets)
+    discovery = DiscoveryClient(config.discovery, index, config.settings.ask_within_ns, lists, module)
+    door = Listener(module, config.zone_indices, config.settings.proxies, config.sockets)
 
     async def listen() -> None:
-        with await door.listen(config.host, config.port) as listening:
+        with await door.open_socket(config.host, config.port) as listening:
             logger.info("{}: serving on {}:{}", config.name, config.host, config.port)
             await door.run(listening)
 
     actors: list[asyncio.Future[None]] = [end]
     actors += [loop.create_task(actor) for actor in (node.run(), discovery.run(), listen())]
     ended, _ = await asyncio.wait(actors, return_when=asyncio.FIRST_COMPLETED)
-    node.summary()
+    node.log_summary()
     for actor in ended:
         actor.result()  # a failed actor ends the program with its fault
     logger.info("{}: told to end", config.name)
@@ -90,8 +90,8 @@
     logger.remove()
     logger.add(sys.stderr, format="{time:HH:mm:ss.SSS} {level} {message}", backtrace=False, diagnose=False)
     try:
-        config = load(os.environ)
-    except Missing as trouble:
+        config = load_config(os.environ)
+    except SettingsError as trouble:
         print(f"meadowworks: {trouble}", file=sys.stderr)
         return 2
     try:
--- a/meadowworks/fleet/connection_state.py
+++ b/meadowworks/fleet/connection_state.py
@@ -12,192 +12,201 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from meadowworks.fleet.invariants import holds
+from meadowworks.fleet.invariants import check_invariant
 from meadowworks.fleet.messages import (
-    BEAT_OK,
-    LINE_MOST,
-    PARTS_MOST,
-    Asked,
-    Attach,
-    Beat,
-    Collector,
-    Done,
-    End,
-    Joined,
-    Left,
-    Message,
-    Met,
-    News,
+    HEARTBEAT_REPLY,
+    MAX_LINE_BYTES,
+    MAX_MESSAGE_PARTS,
+    BackendReport,
+    CollectorHello,
+    ConnectionEnd,
+    ConnectionItem,
+    ControllerEvent,
+    DemandReport,
+    Heartbeat,
+    PeerMessage,
+    ProxyHello,
+    ProxyJoined,
+    ProxyLeft,
     Report,
-    Spoken,
-    Told,
-    reject,
+    UpdateApplied,
+    UpdateMessage,
+    encode_rejection,
 )
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
+class ConnectionLimits:
     """What a connection may leave undone before it is ended. The bytes are many times what a queue at its cap
     holds; one line may be spoilt on its way, so many in a row are another protocol."""
 
-    unsent: int = 1 << 18  # bytes written that the other side has not read
-    unreadable: int = 8  # lines in a row that are no message
-    strange: int = 1 << 12  # bytes without a line's end, as long as nothing tells what it is
+    unsent_bytes: int = 1 << 18  # bytes written that the other side has not read
+    unreadable_lines: int = 8  # lines in a row that are no message
+    unknown_bytes: int = 1 << 12  # bytes without a line's end, as long as nothing tells what it is
 
 
-class Line(Protocol):
+class ConnectionHost(Protocol):
     """What the machine may do with its connection. `employ` starts its actor, `put` goes to the actor's
     mailbox, `tell` to the module's."""
 
     def write(self, data: bytes) -> None: ...
-    def unsent(self) -> int: ...
+    def unsent_bytes(self) -> int: ...
     def close(self) -> None: ...  # once what was written has gone
     def abort(self) -> None: ...
-    def named(self) -> None: ...
-    def employ(self, first: Attach | Collector) -> None: ...
-    def put(self, item: Told, report: bool) -> None: ...
-    def joined(self, first: Attach) -> Joined: ...
-    def left(self, first: Attach) -> Left: ...
-    def tell(self, item: News, report: bool) -> None: ...
+    def mark_identified(self) -> None: ...
+    def start_peer(self, first: ProxyHello | CollectorHello) -> None: ...
+    def enqueue(self, item: ConnectionItem, report: bool) -> None: ...
+    def joined_event(self, first: ProxyHello) -> ProxyJoined: ...
+    def left_event(self, first: ProxyHello) -> ProxyLeft: ...
+    def publish(self, item: ControllerEvent, report: bool) -> None: ...
     def count(self, what: str) -> None: ...
 
 
-class Life:
+class ConnectionState:
     """`knows` says whether the settings have such a peer."""
 
-    def __init__(self, line: Line, knows: Callable[[Attach | Collector], bool], bounds: Bounds) -> None:
-        self.line, self.knows, self.bounds = line, knows, bounds
-        self.first: Attach | Collector | None = None  # who it is, once it has said so
-        self.over = ""  # why nothing is read any more
-        self.gone = ""  # why its actor has ended
-        self.unreadable = 0
+    def __init__(
+        self,
+        line: ConnectionHost,
+        knows: Callable[[ProxyHello | CollectorHello], bool],
+        bounds: ConnectionLimits,
+    ) -> None:
+        self.host, self.is_known_peer, self.limits = line, knows, bounds
+        self.peer: ProxyHello | CollectorHello | None = None  # who it is, once it has said so
+        self.close_reason = ""  # why nothing is read any more
+        self.finish_reason = ""  # why its actor has ended
+        self.unreadable_lines = 0
 
     # -- what the socket brings
 
-    def said(self, item: Spoken) -> None:
-        if self.over:
+    def on_message(self, item: PeerMessage) -> None:
+        if self.close_reason:
             return
-        self.unreadable = 0
-        if self.first:
-            return self.line.put(item, isinstance(item, Report))
+        self.unreadable_lines = 0
+        if self.peer:
+            return self.host.enqueue(item, isinstance(item, Report))
         match item:
-            case Beat():
-                self.write(BEAT_OK)
-            case Attach() | Collector() if self.knows(item):
-                self.first = item
-                self.line.named()
-                self.line.employ(item)
-            case Attach() | Collector():
-                self.refuse("no such peer")
+            case Heartbeat():
+                self.write(HEARTBEAT_REPLY)
+            case ProxyHello() | CollectorHello() if self.is_known_peer(item):
+                self.peer = item
+                self.host.mark_identified()
+                self.host.start_peer(item)
+            case ProxyHello() | CollectorHello():
+                self.reject("no such peer")
             case _:
-                self.refuse("has not joined")
+                self.reject("has not joined")
 
-    def spoilt(self) -> None:
+    def on_malformed_message(self) -> None:
         """A message with a field that makes no sense: it costs a peer that message alone."""
-        if not self.over and not self.first:
-            self.refuse("cannot be read")
+        if not self.close_reason and not self.peer:
+            self.reject("cannot be read")
 
-    def babbled(self) -> None:
+    def on_unreadable_line(self) -> None:
         """A line that is no message."""
-        if self.over:
+        if self.close_reason:
             return
-        self.unreadable += 1
-        if not self.first:
-            self.refuse("cannot be read")
-        elif self.unreadable >= self.bounds.unreadable:
-            self.end("goes on with what cannot be read")
+        self.unreadable_lines += 1
+        if not self.peer:
+            self.reject("cannot be read")
+        elif self.unreadable_lines >= self.limits.unreadable_lines:
+            self.terminate("goes on with what cannot be read")
 
-    def unended(self, size: int, strange: bool) -> None:
+    def on_partial_line(self, size: int, is_unknown: bool) -> None:
         """So many bytes have come without a line's end; `strange`: they begin no message."""
-        if self.over or size <= self.bounds.strange:
+        if self.close_reason or size <= self.limits.unknown_bytes:
             return
-        if not self.first:
-            self.refuse("a line too long")
-        elif size > LINE_MOST or strange:
-            self.end("a line too long")
+        if not self.peer:
+            self.reject("a line too long")
+        elif size > MAX_LINE_BYTES or is_unknown:
+            self.terminate("a line too long")
 
-    def late(self) -> None:
+    def on_handshake_timeout(self) -> None:
         """It has not said who it is in time, whatever else it said: a sign of life holds a descriptor too."""
-        if not self.over and not self.first:
-            self.refuse("no name in time")
+        if not self.close_reason and not self.peer:
+            self.reject("no name in time")
 
-    def crowded(self) -> None:
+    def on_evicted(self) -> None:
         """Others wait for its descriptor. Told to strangers alone: `crowd` keeps those who have a name
         out."""
-        self.refuse("too many")
+        self.reject("too many")
 
-    def lost(self, why: str) -> None:
+    def on_connection_lost(self, why: str) -> None:
         """The connection has ended, from either side."""
-        self.over = self.over or why
-        self.line.named()
-        if self.first:
-            self.line.put(End(self.over), False)
+        self.close_reason = self.close_reason or why
+        self.host.mark_identified()
+        if self.peer:
+            self.host.enqueue(ConnectionEnd(self.close_reason), False)
 
     # -- what the actor's mailbox brings
 
-    def begin(self) -> None:
+    def on_actor_started(self) -> None:
         """The actor has started."""
-        if isinstance(self.first, Attach):
-            self.line.tell(self.line.joined(self.first), False)
+        if isinstance(self.peer, ProxyHello):
+            self.host.publish(self.host.joined_event(self.peer), False)
 
-    def take(self, item: Told) -> None:
-        if self.gone:
+    def on_mailbox_item(self, item: ConnectionItem) -> None:
+        if self.finish_reason:
             return
         match item:
-            case End(why):
+            case ConnectionEnd(why):
                 return self.finish(why)
-            case Message(text, parts):
-                holds(parts <= PARTS_MOST and len(text) <= LINE_MOST, "a message's most")
+            case UpdateMessage(text, parts):
+                check_invariant(
+                    parts <= MAX_MESSAGE_PARTS and len(text) <= MAX_LINE_BYTES, "a message's most"
+                )
                 self.write(text)
-            case Beat():
-                self.write(BEAT_OK)
-            case _ if self.own(item):
-                self.line.tell(item, True)  # type: ignore[arg-type]
-            case Met():
-                self.line.count("lines passed over: another zone's report")
+            case Heartbeat():
+                self.write(HEARTBEAT_REPLY)
+            case _ if self.may_send(item):
+                self.host.publish(item, True)  # type: ignore[arg-type]
+            case BackendReport():
+                self.host.count("lines passed over: another zone's report")
             case _:
-                self.line.count("lines passed over: not a stream's own")
+                self.host.count("lines passed over: not a stream's own")
 
-    def own(self, item: Told) -> bool:
+    def may_send(self, item: ConnectionItem) -> bool:
         """What this peer may say: a proxy its own usage and marks, a collector its zone's reports and any
         usage. What the backends met never comes by a proxy, nor a second joining by the same stream."""
-        if isinstance(self.first, Attach):
-            return isinstance(item, Asked | Done) and item.proxy == self.first.proxy
-        assert self.first is not None
-        return isinstance(item, Asked) or isinstance(item, Met) and item.zone == self.first.zone
+        if isinstance(self.peer, ProxyHello):
+            return isinstance(item, DemandReport | UpdateApplied) and item.proxy == self.peer.proxy
+        assert self.peer is not None
+        return (
+            isinstance(item, DemandReport) or isinstance(item, BackendReport) and item.zone == self.peer.zone
+        )
 
     def finish(self, why: str) -> None:
         """The actor ends, and its connection with it. A proxy has left, and says so once."""
-        if self.gone:
+        if self.finish_reason:
             return
-        self.gone, self.over = why, self.over or why
-        self.line.abort()
-        if isinstance(self.first, Attach):
-            self.line.tell(self.line.left(self.first), False)
+        self.finish_reason, self.close_reason = why, self.close_reason or why
+        self.host.abort()
+        if isinstance(self.peer, ProxyHello):
+            self.host.publish(self.host.left_event(self.peer), False)
 
     # -- what follows
 
     def write(self, data: bytes) -> None:
         """Guards against memory for who reads nothing: it is ended, and nobody waits for it."""
-        if self.over:
+        if self.close_reason:
             return
-        self.line.write(data)
-        if self.line.unsent() > self.bounds.unsent:
-            self.end("does not read")
+        self.host.write(data)
+        if self.host.unsent_bytes() > self.limits.unsent_bytes:
+            self.terminate("does not read")
 
-    def refuse(self, why: str) -> None:
+    def reject(self, why: str) -> None:
         """Ends a stranger at once, with a word; one that reads nothing goes without it."""
-        self.over = why
-        self.line.count(f"strangers ended: {why}")
-        self.line.named()
-        self.line.write(reject(why))
-        if self.line.unsent():
-            self.line.abort()
+        self.close_reason = why
+        self.host.count(f"strangers ended: {why}")
+        self.host.mark_identified()
+        self.host.write(encode_rejection(why))
+        if self.host.unsent_bytes():
+            self.host.abort()
         else:
-            self.line.close()
+            self.host.close()
 
-    def end(self, why: str) -> None:
+    def terminate(self, why: str) -> None:
         """Ends the connection at once. A peer's actor hears of it as of any end."""
-        self.over = why
-        self.line.count(f"connections ended: {why}")
-        self.line.abort()
+        self.close_reason = why
+        self.host.count(f"connections ended: {why}")
+        self.host.abort()
--- a/meadowworks/fleet/controller.py
+++ b/meadowworks/fleet/controller.py
@@ -13,31 +13,31 @@
 
 from meadowworks.fleet import invariants
 from meadowworks.fleet.config import Config
-from meadowworks.fleet.invariants import count, holds
+from meadowworks.fleet.invariants import check_invariant, count
 from meadowworks.fleet.mailbox import Mailbox
 from meadowworks.fleet.messages import (
-    Asked,
-    Done,
-    Due,
-    Follow,
-    Joined,
-    Left,
-    ListFailed,
-    Listing,
-    Met,
-    News,
-    Told,
-    Track,
+    BackendReport,
+    ConnectionItem,
+    ControllerEvent,
+    DemandReport,
+    DiscoveryCommand,
+    DiscoveryFailed,
+    EndpointList,
+    ProxyJoined,
+    ProxyLeft,
+    TimerDue,
+    UpdateApplied,
+    WatchEndpoints,
 )
-from meadowworks.fleet.names import Names
-from meadowworks.fleet.streams import Streams
-from meadowworks.fleet.table_updates import Orders
+from meadowworks.fleet.names import NameIndex
+from meadowworks.fleet.streams import ProxyStreams
+from meadowworks.fleet.table_updates import TableUpdates
 from meadowworks.policy import Controller
-from meadowworks.policy.interface import Entry
+from meadowworks.policy.interface import EndpointEntry
 
-SECOND = 1_000_000_000
-HOPS = 4  # turns of the loop from a socket to this mailbox: what has come in joins the batch
-SUMMARY_NS = 10 * SECOND  # between the log's lines of counters
+SECOND_NS = 1_000_000_000
+EVENT_LOOP_TURNS = 4  # turns of the loop from a socket to this mailbox: what has come in joins the batch
+SUMMARY_INTERVAL_NS = 10 * SECOND_NS  # between the log's lines of counters
 
 
 class Clock:
@@ -50,86 +50,90 @@
         return time.monotonic_ns() + self.offset
 
 
-class Node:
+class FleetController:
     """`call_at` is the loop's: a time in seconds of the monotonic clock, what to call and with what. The
     laboratory hands in its own, and its own clock."""
 
     def __init__(
         self,
         config: Config,
-        mailbox: Mailbox[News],
-        lists: Mailbox[Follow],
+        mailbox: Mailbox[ControllerEvent],
+        lists: Mailbox[DiscoveryCommand],
         call_at: Callable[..., object],
         clock: Clock | None = None,
     ) -> None:
-        self.mailbox, self.lists = mailbox, lists
-        self.zones, self.routes = config.zones, config.routes
-        self.batch_ns = config.batch_ns
+        self.events, self.discovery_commands = mailbox, lists
+        self.zone_indices, self.route_indices = config.zone_indices, config.route_indices
+        self.batch_interval_ns = config.batch_interval_ns
         self.clock, self.call_at = clock or Clock(), call_at
-        self.backends = Names()
-        self.forgotten: list[int] = []  # freed once this batch's messages, which may name them, are made
-        self.orders = Orders(list(config.routes), self.backends.names)
-        self.streams = Streams(self.orders)
-        self.now = self.due_ns = self.clock.now()
-        self.told_ns = self.now
-        self.module = Controller(self, config.settings, config.seed, self.now)
+        self.backends = NameIndex()
+        self.released_backends: list[
+            int
+        ] = []  # freed once this batch's messages, which may name them, are made
+        self.table_updates = TableUpdates(list(config.route_indices), self.backends.name_by_index)
+        self.streams = ProxyStreams(self.table_updates)
+        self.now = self.timer_due_ns = self.clock.now()
+        self.last_summary_ns = self.now
+        self.policy = Controller(self, config.settings, config.seed, self.now)
         if config.known:
-            self.listed("disk", config.known)
+            self.on_endpoints("disk", config.known)
 
     # -- the module's host
 
-    def record(self, line: str) -> None:
+    def log(self, line: str) -> None:
         logger.info("module: {}", line)
 
-    def track(self, on: bool) -> None:
-        self.lists.put(Track(on))
+    def watch_list(self, on: bool) -> None:
+        self.discovery_commands.put(WatchEndpoints(on))
 
-    def probe(self, backend: int) -> None:
-        holds(False, "no probe is asked for where none is allowed")
+    def check_health(self, backend: int) -> None:
+        check_invariant(False, "no probe is asked for where none is allowed")
 
-    def forget(self, backend: int) -> None:
-        self.forgotten.append(backend)
+    def release_backend(self, backend: int) -> None:
+        self.released_backends.append(backend)
 
-    def mark(self, number: int) -> None:
-        self.orders.mark = number
+    def request_ack(self, number: int) -> None:
+        self.table_updates.nonce = number
 
-    def wake_in(self, wait_ns: int) -> None:
+    def set_timer(self, wait_ns: int) -> None:
         """From when the timer was due, so that it does not drift; after a stall, from now."""
-        self.due_ns = (self.due_ns if self.now - self.due_ns < wait_ns else self.now) + wait_ns
-        self.call_at((self.due_ns - self.clock.offset) / SECOND, self.mailbox.put, Due())
+        self.timer_due_ns = (
+            self.timer_due_ns if self.now - self.timer_due_ns < wait_ns else self.now
+        ) + wait_ns
+        self.call_at((self.timer_due_ns - self.clock.offset) / SECOND_NS, self.events.put, TimerDue())
 
-    def set_line(self, table: int, backend: int, weight: float) -> None:
-        self.orders.set_line(table, backend, weight)
+    def set_weight(self, table: int, backend: int, weight: float) -> None:
+        self.table_updates.set_weight(table, backend, weight)
 
-    def bind(self, routes: int, proxy: int, table: int) -> None:
-        self.orders.bind(routes, proxy, table)
+    def assign_table(self, routes: int, proxy: int, table: int) -> None:
+        self.table_updates.assign_table(routes, proxy, table)
 
-    def admit(self, table: int, routes: int, level: float, retry: int) -> None:
-        self.orders.admit(table, routes, level, retry)
+    def set_admission(self, table: int, routes: int, level: float, retry: int) -> None:
+        self.table_updates.set_admission(table, routes, level, retry)
 
     # -- what happens
 
     async def run(self) -> None:
         while True:
-            await self.mailbox.wait()
-            await asyncio.sleep(max(0, self.now + self.batch_ns - self.clock.now()) / SECOND)
-            for _ in range(HOPS):
+            await self.events.wait()
+            await asyncio.sleep(max(0, self.now + self.batch_interval_ns - self.clock.now()) / SECOND_NS)
+            for _ in range(EVENT_LOOP_TURNS):
                 await asyncio.sleep(0)
-            self.batch()
+            self.process_batch()
 
-    def batch(self) -> None:
+    def process_batch(self) -> None:
         now = self.clock.now()
-        holds(now >= self.now, "the clock does not go back")
+        check_invariant(now >= self.now, "the clock does not go back")
         self.now = max(now, self.now + 1)  # the module tells batches apart by it
-        for item in self.mailbox.drain():
-            self.guarded(self.happen, item)
-        self.guarded(self.send)
-        while self.forgotten:
-            self.backends.free(self.forgotten.pop())
-        if self.now - self.told_ns >= SUMMARY_NS:
-            self.summary()
-
-    def guarded(self, act: Callable[..., None], *what: News) -> None:
+        for item in self.events.drain():
+            self.run_guarded(self.handle_event, item)
+        self.run_guarded(self.send_updates)
+        while self.released_backends:
+            self.backends.release(self.released_backends.pop())
+        if self.now - self.last_summary_ns >= SUMMARY_INTERVAL_NS:
+            self.log_summary()
+
+    def run_guarded(self, act: Callable[..., None], *what: ControllerEvent) -> None:
         """A fault in one event ends a debug build; a release logs it, counts it and serves on."""
         try:
             act(*what)
@@ -139,14 +143,14 @@
             if count("faults in an event"):
                 logger.exception("fault while handling {}", what[0] if what else "orders")
 
-    def happen(self, item: News) -> None:
+    def handle_event(self, item: ControllerEvent) -> None:
         match item:
-            case Met(zone, backend, tries, bad, latency, covers, load):
-                if zone in self.zones and backend in self.backends.places:
-                    self.module.heard(
+            case BackendReport(zone, backend, tries, bad, latency, covers, load):
+                if zone in self.zone_indices and backend in self.backends.index_by_name:
+                    self.policy.on_backend_report(
                         self.now,
-                        self.zones[zone],
-                        self.backends.places[backend],
+                        self.zone_indices[zone],
+                        self.backends.index_by_name[backend],
                         tries,
                         bad,
                         latency,
@@ -155,56 +159,58 @@
                     )
                 else:
                     count("reports passed over: unknown zone or backend")
-            case Asked(proxy, route, calls, dropped, covers):
-                if route in self.routes and proxy in self.streams.by_proxy:
-                    self.module.asked(self.now, proxy, self.routes[route], calls, dropped, covers)
+            case DemandReport(proxy, route, calls, dropped, covers):
+                if route in self.route_indices and proxy in self.streams.by_proxy:
+                    self.policy.on_demand_report(
+                        self.now, proxy, self.route_indices[route], calls, dropped, covers
+                    )
                 else:
                     count("reports passed over: unknown route or proxy")
-            case Done(proxy, mark):
-                if self.streams.answered(proxy, mark):
-                    self.module.applied(self.now, mark)
+            case UpdateApplied(proxy, mark):
+                if self.streams.on_applied(proxy, mark):
+                    self.policy.on_ack(self.now, mark)
                 else:
                     count("answers to marks passed over: not sent on this stream")
-            case Joined(attach, stream):
-                self.joined(attach.proxy, attach.zone, attach.usual, stream)
-            case Left(proxy, stream):
-                if self.streams.left(proxy, stream):
-                    self.module.left(self.now, proxy)
-            case Listing():
-                self.listed("whole" if item.whole else "changes", item)
-            case ListFailed():
-                self.module.listed(self.now, "error", [])
-            case Due():
-                self.module.tick(self.now)
-
-    def joined(self, proxy: int, zone: str, usual: float, stream: Mailbox[Told]) -> None:
-        if self.streams.joined(proxy, stream):
-            self.module.left(self.now, proxy)
+            case ProxyJoined(attach, stream):
+                self.on_proxy_joined(attach.proxy, attach.zone, attach.usual_rate, stream)
+            case ProxyLeft(proxy, stream):
+                if self.streams.on_left(proxy, stream):
+                    self.policy.on_proxy_left(self.now, proxy)
+            case EndpointList():
+                self.on_endpoints("whole" if item.is_snapshot else "changes", item)
+            case DiscoveryFailed():
+                self.policy.on_endpoints(self.now, "error", [])
+            case TimerDue():
+                self.policy.tick(self.now)
+
+    def on_proxy_joined(self, proxy: int, zone: str, usual: float, stream: Mailbox[ConnectionItem]) -> None:
+        if self.streams.on_joined(proxy, stream):
+            self.policy.on_proxy_left(self.now, proxy)
         logger.info("proxy {} of {}: joined", proxy, zone)
-        self.module.joined(self.now, proxy, self.zones[zone], usual)
+        self.policy.on_proxy_joined(self.now, proxy, self.zone_indices[zone], usual)
 
-    def listed(self, how: str, listing: Listing) -> None:
+    def on_endpoints(self, how: str, listing: EndpointList) -> None:
         entries = []
         for e in listing.entries:
-            if e.zone not in self.zones:
+            if e.zone not in self.zone_indices:
                 count("list entries passed over: unknown zone")
                 continue
-            new = e.name not in self.backends.places
+            new = e.name not in self.backends.index_by_name
             place = self.backends.index(e.name)
             if new:
                 logger.info("backend {} is {} of {}", place, e.name, e.zone)
-            entries.append(Entry(place, self.zones[e.zone], e.state, e.since_ns, e.weight))
+            entries.append(EndpointEntry(place, self.zone_indices[e.zone], e.state, e.since_ns, e.weight))
         if how == "changes" and not entries:
             return  # a watch that ran out: nothing happened
-        self.module.listed(self.now, how, entries)
+        self.policy.on_endpoints(self.now, how, entries)
 
-    def send(self) -> None:
-        for users, lines in self.streams.send(self.module.calls):
+    def send_updates(self) -> None:
+        for users, lines in self.streams.send_updates(self.policy.calls):
             count("messages sent", users)
             count("lines sent", users * lines)
 
-    def summary(self) -> None:
-        self.told_ns = self.now
+    def log_summary(self) -> None:
+        self.last_summary_ns = self.now
         memory = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss // 1024
         try:
             descriptors = str(len(os.listdir("/proc/self/fd")))
@@ -212,7 +218,7 @@
             descriptors = "all"
         logger.info(
             "counters: {}; {} proxies, {} descriptors, {} MB at most",
-            invariants.summary(),
+            invariants.format_counters(),
             len(self.streams.by_proxy),
             descriptors,
             memory,
--- a/meadowworks/fleet/messages.py
+++ b/meadowworks/fleet/messages.py
@@ -12,63 +12,63 @@
 from typing import Any
 
 from meadowworks.fleet.mailbox import Mailbox
-from meadowworks.fleet.names import STATES
+from meadowworks.fleet.names import ENDPOINT_STATES
 
-MS = 1_000_000
-LINE_MOST = 1 << 20  # the protocol's limit for a message
-PARTS_MOST = 64  # and for its parts
+MS_NS = 1_000_000
+MAX_LINE_BYTES = 1 << 20  # the protocol's limit for a message
+MAX_MESSAGE_PARTS = 64  # and for its parts
 
 
 @dataclass(frozen=True, slots=True)
-class Beat:
+class Heartbeat:
     """Asks whether the controller is there."""
 
 
 @dataclass(frozen=True, slots=True)
-class Collector:
+class CollectorHello:
     zone: str
 
 
 @dataclass(frozen=True, slots=True)
-class Attach:
+class ProxyHello:
     proxy: int
     zone: str
-    usual: float
+    usual_rate: float
     new: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Done:
+class UpdateApplied:
     proxy: int
-    mark: int
+    nonce: int
 
 
 @dataclass(frozen=True, slots=True)
-class Met:
+class BackendReport:
     """What the proxies of a zone met at a backend."""
 
     zone: str
     backend: str
-    tries: int
-    bad: int
+    attempts: int
+    failures: int
     latency_ns: int
-    covers_ns: int
+    period_ns: int
     load: dict[str, float]
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class DemandReport:
     """Calls of a route that came to a proxy."""
 
     proxy: int
     route: str
     calls: int
     dropped: int
-    covers_ns: int
+    period_ns: int
 
 
 @dataclass(frozen=True, slots=True)
-class Named:
+class Endpoint:
     """A backend as discovery names it."""
 
     name: str
@@ -79,126 +79,131 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Listing:
+class EndpointList:
     index: int
-    whole: bool
-    entries: tuple[Named, ...]
-    spoilt: int = 0  # entries that could not be read
+    is_snapshot: bool
+    entries: tuple[Endpoint, ...]
+    malformed: int = 0  # entries that could not be read
 
 
 @dataclass(frozen=True, slots=True)
-class Part:
+class TableUpdate:
     """One line of a message to a proxy; without routes it is meant for all of them."""
 
     routes: tuple[str, ...]
-    full: bool
-    lines: tuple[tuple[str, float], ...]
-    grant: tuple[float, int] | None  # level and way of trying again
-    mark: int | None = None  # of a message, in its last line: the proxy says once it has applied all
+    replaces: bool
+    weights: tuple[tuple[str, float], ...]
+    admission: tuple[float, int] | None  # level and way of trying again
+    nonce: int | None = None  # of a message, in its last line: the proxy says once it has applied all
 
-    def cost(self) -> int:
+    def channel_lines(self) -> int:
         """What the channel counts, the message's head aside."""
-        return self.full + len(self.lines) + (self.grant is not None) + (self.mark is not None)
+        return self.replaces + len(self.weights) + (self.admission is not None) + (self.nonce is not None)
 
 
 @dataclass(frozen=True, slots=True)
-class Message:
+class UpdateMessage:
     """What a batch orders of one proxy, encoded once for all that are told the same."""
 
-    text: bytes
-    parts: int
+    data: bytes
+    part_count: int
 
 
 @dataclass(frozen=True, slots=True)
-class End:
+class ConnectionEnd:
     """The connection is over, or is to be ended."""
 
-    why: str
+    reason: str
 
 
 @dataclass(frozen=True, slots=True)
-class Joined:
-    attach: Attach
-    stream: Mailbox[Told]
+class ProxyJoined:
+    hello: ProxyHello
+    stream: Mailbox[ConnectionItem]
 
 
 @dataclass(frozen=True, slots=True)
-class Left:
+class ProxyLeft:
     proxy: int
-    stream: Mailbox[Told]
+    stream: Mailbox[ConnectionItem]
 
 
 @dataclass(frozen=True, slots=True)
-class Track:
+class WatchEndpoints:
     """Whether the list is to be followed."""
 
-    on: bool
+    enabled: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Moved:
+class DiscoveryMoved:
     """Discovery is at another address now."""
 
     address: str
 
 
 @dataclass(frozen=True, slots=True)
-class ListFailed:
-    why: str
+class DiscoveryFailed:
+    reason: str
 
 
 @dataclass(frozen=True, slots=True)
-class Due:
+class TimerDue:
     """The module's one timer has come due."""
 
 
-Report = Met | Asked | Done  # the stalest gives way where a mailbox is full
-Spoken = Beat | Collector | Attach | Report
-Told = Spoken | Message | End  # to the actor of a connection
-Follow = Track | Moved  # to the list's actor
-News = Joined | Left | Report | Listing | ListFailed | Due  # to the module's actor
-BEAT_OK = b"hb_ok\r\n"
+Report = BackendReport | DemandReport | UpdateApplied  # the stalest gives way where a mailbox is full
+PeerMessage = Heartbeat | CollectorHello | ProxyHello | Report
+ConnectionItem = PeerMessage | UpdateMessage | ConnectionEnd  # to the actor of a connection
+DiscoveryCommand = WatchEndpoints | DiscoveryMoved  # to the list's actor
+ControllerEvent = (
+    ProxyJoined | ProxyLeft | Report | EndpointList | DiscoveryFailed | TimerDue
+)  # to the module's actor
+HEARTBEAT_REPLY = b"hb_ok\r\n"
 
 
-def reject(why: str) -> bytes:
+def encode_rejection(why: str) -> bytes:
     """The last word to a connection that cannot become a peer."""
     return f"reject reason={why.replace(' ', '_')}\r\n".encode()
 
 
 # What the protocol writes: plain digits. int() and float() would take underscores, signs, other scripts'
 # digits, nan, and figures of any length.
-WHOLE, FIGURE = re.compile(r"[0-9]{1,15}"), re.compile(r"[0-9]{1,15}(\.[0-9]{1,30})?([eE][+-]?[0-9]{1,2})?")
-KINDS = frozenset((b"hb", b"telemetry", b"attach", b"done", b"upstream_stats", b"client_stats"))
+INTEGER, DECIMAL = (
+    re.compile(r"[0-9]{1,15}"),
+    re.compile(r"[0-9]{1,15}(\.[0-9]{1,30})?([eE][+-]?[0-9]{1,2})?"),
+)
+MESSAGE_KINDS = frozenset((b"hb", b"telemetry", b"attach", b"done", b"upstream_stats", b"client_stats"))
 
 
-class Unreadable(ValueError):
+class UnknownMessage(ValueError):
     """No message of the protocol at all, as against a message with a field spoilt."""
 
 
-def figure(text: str) -> float:
-    value = float(text) if FIGURE.fullmatch(text) else -1.0
+def parse_decimal(text: str) -> float:
+    value = float(text) if DECIMAL.fullmatch(text) else -1.0
     if not isfinite(value) or value < 0:
         raise ValueError(f"no figure: {text[:40]!r}")
     return value
 
 
-def span(text: str) -> int:
-    return round(figure(text) * MS)
+def parse_ms(text: str) -> int:
+    return round(parse_decimal(text) * MS_NS)
 
 
-def whole(text: str) -> int:
-    if not WHOLE.fullmatch(text):
+def parse_integer(text: str) -> int:
+    if not INTEGER.fullmatch(text):
         raise ValueError(f"no whole number: {text[:40]!r}")
     return int(text)
 
 
-def yes(text: str) -> bool:
+def parse_flag(text: str) -> bool:
     if text not in ("0", "1"):
         raise ValueError(f"neither yes nor no: {text[:40]!r}")
     return text == "1"
 
 
-def pairs(words: Sequence[str], between: str) -> dict[str, str]:
+def parse_fields(words: Sequence[str], between: str) -> dict[str, str]:
     """Names and values. A name told twice makes no sense, whichever of the two is meant."""
     says = dict(word.partition(between)[::2] for word in words)
     if len(says) < len(words) or not all(between in word for word in words):
@@ -206,112 +211,125 @@
     return says
 
 
-def strange(start: bytes) -> bool:
+def is_unknown_message(start: bytes) -> bool:
     """Whether this is no beginning of a message, however it goes on."""
-    return start.partition(b" ")[0].rstrip(b"\r\n") not in KINDS
+    return start.partition(b" ")[0].rstrip(b"\r\n") not in MESSAGE_KINDS
 
 
-def decode(line: bytes) -> Spoken:
+def decode(line: bytes) -> PeerMessage:
     """Raises Unreadable for what is no message, ValueError for one that has a field spoilt."""
-    if strange(line):
-        raise Unreadable(f"unknown kind {line[:40]!r}")
+    if is_unknown_message(line):
+        raise UnknownMessage(f"unknown kind {line[:40]!r}")
     kind, *words = line.decode("utf-8").rstrip("\r").split(" ")
-    says = pairs(words, "=")
+    says = parse_fields(words, "=")
     try:
         match kind:
             case "hb":
-                return Beat()
+                return Heartbeat()
             case "telemetry":
-                return Collector(says["site"])
+                return CollectorHello(says["site"])
             case "attach":
-                return Attach(
-                    whole(says["id"]), says["site"], figure(says.get("rps", "0")), yes(says.get("new", "0"))
+                return ProxyHello(
+                    parse_integer(says["id"]),
+                    says["site"],
+                    parse_decimal(says.get("rps", "0")),
+                    parse_flag(says.get("new", "0")),
                 )
             case "done":
-                figure(says["ms"])  # not needed, and yet it tells whether the line is spoilt
-                return Done(whole(says["id"]), whole(says["seq"]))
+                parse_decimal(says["ms"])  # not needed, and yet it tells whether the line is spoilt
+                return UpdateApplied(parse_integer(says["id"]), parse_integer(says["seq"]))
             case "upstream_stats":
-                tries, bad = whole(says["count"]), whole(says["fail"])
+                tries, bad = parse_integer(says["count"]), parse_integer(says["fail"])
                 if bad > tries:
                     raise ValueError(f"{bad} of {tries} tries failed")
-                latency = span(says.get("mean", "0") if bad == tries else says["mean"])
-                load = pairs(says["util"].split(","), ":") if says.get("util") else {}
-                return Met(
+                latency = parse_ms(says.get("mean", "0") if bad == tries else says["mean"])
+                load = parse_fields(says["util"].split(","), ":") if says.get("util") else {}
+                return BackendReport(
                     says["site"],
                     says["target"],
                     tries,
                     bad,
                     latency,
-                    covered(says["over"]),
-                    {name: figure(value) for name, value in load.items()},
+                    parse_period(says["over"]),
+                    {name: parse_decimal(value) for name, value in load.items()},
                 )
             case _:
-                return Asked(
-                    whole(says["id"]),
+                return DemandReport(
+                    parse_integer(says["id"]),
                     says["lane"],
-                    whole(says["count"]),
-                    whole(says["fail"]),
-                    covered(says["over"]),
+                    parse_integer(says["count"]),
+                    parse_integer(says["fail"]),
+                    parse_period(says["over"]),
                 )
     except KeyError as missing:
         raise ValueError(f"{kind} without {missing}") from missing
 
 
-def covered(text: str) -> int:
-    if not (found := span(text)):
+def parse_period(text: str) -> int:
+    if not (found := parse_ms(text)):
         raise ValueError("a report that covers no time")
     return found
 
 
-def plain(value: float) -> str:
+def format_decimal(value: float) -> str:
     """A figure without an exponent; a weight too small to show is not 0, which would take a line out."""
     if not isfinite(value) or value < 0:
         raise ValueError(f"a figure that cannot be ordered: {value!r}")
     return (f"{max(value, 1e-9):.9f}".rstrip("0").rstrip(".")) if value else "0"
 
 
-def encode(parts: Sequence[Part]) -> bytes:
+def encode(parts: Sequence[TableUpdate]) -> bytes:
     """One message. Its parts are lines; all but the last announce another."""
     lines = []
     for place, part in enumerate(parts, 1):
         words = ["assign"]
         if part.routes:
             words.append("routes=" + "+".join(part.routes))
-        if part.full:
+        if part.replaces:
             words.append("full=1")
-        if part.lines:
-            words.append("endpoints=" + ",".join(f"{name}:{plain(weight)}" for name, weight in part.lines))
-        if part.grant:
-            words.append(f"admit={plain(part.grant[0])} policy={part.grant[1]}")
-        if part.mark is not None:
-            words.append(f"nonce_out={part.mark}")
+        if part.weights:
+            words.append(
+                "endpoints=" + ",".join(f"{name}:{format_decimal(weight)}" for name, weight in part.weights)
+            )
+        if part.admission:
+            words.append(f"admit={format_decimal(part.admission[0])} policy={part.admission[1]}")
+        if part.nonce is not None:
+            words.append(f"nonce_out={part.nonce}")
         if place < len(parts):
             words.append("continued=1")
         lines.append(" ".join(words) + "\r\n")
     return "".join(lines).encode()
 
 
-def named(e: Any) -> Named:
+def parse_endpoint(e: Any) -> Endpoint:
     if not isinstance(e["name"], str) or not e["name"]:
         raise ValueError("an entry without a name")
-    since = round(figure(str(e.get("since_ms", 0)))) * MS
-    return Named(e["name"], str(e["zone"]), STATES[e["status"]], since, figure(str(e.get("weight", 1.0))))
+    since = round(parse_decimal(str(e.get("since_ms", 0)))) * MS_NS
+    return Endpoint(
+        e["name"],
+        str(e["zone"]),
+        ENDPOINT_STATES[e["status"]],
+        since,
+        parse_decimal(str(e.get("weight", 1.0))),
+    )
 
 
-def listing(answer: Any) -> Listing:
+def parse_endpoint_list(answer: Any) -> EndpointList:
     """Discovery's answer, already read as JSON. A spoilt entry is left out and counted; the whole list then
     tells nothing of who is absent."""
     entries, spoilt = [], 0
     try:
         for entry in answer["endpoints"]:
             try:
-                entries.append(named(entry))
+                entries.append(parse_endpoint(entry))
             except (KeyError, TypeError, ValueError, AttributeError):
                 spoilt += 1
-        return Listing(int(answer["index"]), bool(answer["snapshot"]) and not spoilt, tuple(entries), spoilt)
+        return EndpointList(
+            int(answer["index"]), bool(answer["snapshot"]) and not spoilt, tuple(entries), spoilt
+        )
     except (KeyError, TypeError) as trouble:
         raise ValueError(f"a list without sense: {type(trouble).__name__} {trouble}") from trouble
 
 
-def read_listing(body: bytes) -> Listing:
-    return listing(json.loads(body))
+def decode_endpoint_list(body: bytes) -> EndpointList:
+    return parse_endpoint_list(json.loads(body))
--- a/meadowworks/fleet/peers.py
+++ b/meadowworks/fleet/peers.py
@@ -5,27 +5,27 @@
 
 from loguru import logger
 
-from meadowworks.fleet.connection_state import Life
+from meadowworks.fleet.connection_state import ConnectionState
 from meadowworks.fleet.mailbox import Mailbox
-from meadowworks.fleet.messages import Attach, Collector, Told
+from meadowworks.fleet.messages import CollectorHello, ConnectionItem, ProxyHello
 
 
-def who(first: Attach | Collector | None) -> str:
-    if isinstance(first, Attach):
+def describe(first: ProxyHello | CollectorHello | None) -> str:
+    if isinstance(first, ProxyHello):
         return f"proxy {first.proxy}: stream over"
     return f"collector of {first.zone}: gone" if first else "stranger: gone"
 
 
-async def serve(life: Life, mailbox: Mailbox[Told]) -> None:
+async def run_peer(life: ConnectionState, mailbox: Mailbox[ConnectionItem]) -> None:
     """The actor of one connection, until it ends; whatever ends it, a proxy has then left."""
-    if isinstance(life.first, Collector):
-        logger.info("collector of {}: joined", life.first.zone)
-    life.begin()
+    if isinstance(life.peer, CollectorHello):
+        logger.info("collector of {}: joined", life.peer.zone)
+    life.on_actor_started()
     try:
         async for item in mailbox.each():
-            life.take(item)
-            if life.gone:
-                logger.info("{}, {}", who(life.first), life.gone)
+            life.on_mailbox_item(item)
+            if life.finish_reason:
+                logger.info("{}, {}", describe(life.peer), life.finish_reason)
                 return
     finally:
         life.finish("its actor ended")
--- a/meadowworks/fleet/settings.py
+++ b/meadowworks/fleet/settings.py
@@ -12,10 +12,10 @@
 
 from meadowworks.policy.interface import Route, Settings
 
-TRUE = ("true", "1")
+TRUE_WORDS = ("true", "1")
 
 
-class Missing(Exception):
+class SettingsError(Exception):
     """A setting that the module needs is absent or has no sense."""
 
 
@@ -33,26 +33,26 @@
             for place, item in enumerate(value):
                 put(f"{at}.{place}", item)
         elif isinstance(value, list):
-            flat[at] = ",".join(plain(item) for item in value)
+            flat[at] = ",".join(format_value(item) for item in value)
         elif value is not None:
-            flat[at] = plain(value)
+            flat[at] = format_value(value)
 
     put("", nested)
     return flat
 
 
-def plain(value: Any) -> str:
+def format_value(value: Any) -> str:
     if isinstance(value, bool):
         return "true" if value else "false"
     return str(value).replace(" ", "_").replace(",", "_")
 
 
-def read(options: Mapping[str, str]) -> tuple[Settings, dict[str, int], dict[str, int]]:
+def read_settings(options: Mapping[str, str]) -> tuple[Settings, dict[str, int], dict[str, int]]:
     """The settings, and the places of the zones and of the routes by name."""
 
     def text(key: str) -> str:
         if key not in options:
-            raise Missing(f"setting {key} is missing")
+            raise SettingsError(f"setting {key} is missing")
         return options[key]
 
     def number(key: str) -> float:
@@ -62,19 +62,19 @@
         except ValueError:
             found = nan
         if not isfinite(found):
-            raise Missing(f"setting {key} is no number: {value!r}")
+            raise SettingsError(f"setting {key} is no number: {value!r}")
         return found
 
     def span(key: str) -> int:
         return round(number(key)) * 1000
 
     def flag(key: str) -> bool:
-        return text(key) in TRUE
+        return text(key) in TRUE_WORDS
 
     def flags(key: str, count: int) -> list[bool]:
-        marks = [part in TRUE for part in text(key).split(",")]
+        marks = [part in TRUE_WORDS for part in text(key).split(",")]
         if len(marks) != count:
-            raise Missing(f"setting {key} has {len(marks)} values for {count} routes")
+            raise SettingsError(f"setting {key} has {len(marks)} values for {count} routes")
         return marks
 
     count = round(number("profiles.count"))
@@ -97,11 +97,11 @@
         proxies=round(number("extra.proxy_count")),
         connections=number("extra.sockets_min") if "extra.sockets_min" in options else 0.0,
         controllers=round(number("balancers")),
-        by_zone=options.get("extra.by_zone") in TRUE,
+        by_zone=options.get("extra.by_zone") in TRUE_WORDS,
         subscribe=text("membership_mode") == "subscribe",
         ask_within_ns=span("safety.ask_within_us") if "safety.ask_within_us" in options else 0,
-        only_draining_binds=options.get("safety.only_draining_binds") in TRUE,
-        probes=options.get("limits.probes") in TRUE,
+        only_draining_binds=options.get("safety.only_draining_binds") in TRUE_WORDS,
+        probes=options.get("limits.probes") in TRUE_WORDS,
         level_kind=text("extra.level_kind"),
         base_retry=round(number("extra.base_mode")),
         ejects=round(number("extra.ejects")) if "extra.ejects" in options else 0,
--- a/meadowworks/forwarding/attempts.py
+++ b/meadowworks/forwarding/attempts.py
@@ -11,20 +11,20 @@
 from dataclasses import dataclass, field
 
 from meadowworks.attempts.retry_policy import (
-    AFTER_ANY,
     ANSWERED,
-    DROPPED,
-    LATE,
+    FAILED,
+    OVERDUE,
+    RETRY_ANY_FAILURE,
     SENT,
-    Again,
-    Stop,
-    Try,
-    Way,
-    again,
-    come_back_ns,
-    quickest,
-    sure,
-    wait_ns,
+    Attempt,
+    NoRetry,
+    Retry,
+    RouteRetryPolicy,
+    attempt_wait_ns,
+    decide_retry,
+    none_ran,
+    pick_fastest,
+    retry_after_ns,
 )
 from meadowworks.forwarding.response_check import NOT_RUN_STATUSES
 
@@ -32,8 +32,8 @@
 HEDGE_WAIT_SHARE = 0.5  # part of the usual wait after which a try has another beside it, where a slot is free
 RETRY_AFTER_BASE_NS = 60 * MS  # in which room may be found again: what a time to come back is reckoned with
 MIN_ATTEMPT_NS = 20 * MS  # with less time left no further try begins
-RETRY_BUDGET_EXHAUSTED = Stop("no further try is within the service's budget")
-CLIENT_GONE = Stop("its client has gone")
+RETRY_BUDGET_EXHAUSTED = NoRetry("no further try is within the service's budget")
+CLIENT_GONE = NoRetry("its client has gone")
 
 
 @dataclass(frozen=True, slots=True)
@@ -74,10 +74,10 @@
 class RequestAttempts:
     """`limit_ns` is when the client's or the operator's time is over. `policy` as `attempts` numbers it."""
 
-    rules: Way
+    rules: RouteRetryPolicy
     retry_policy: int
     deadline_ns: int
-    attempts: dict[int, Try] = field(default_factory=dict)
+    attempts: dict[int, Attempt] = field(default_factory=dict)
     backend_failures: dict[int, int] = field(
         default_factory=dict
     )  # tries whose answer is a backend's own failure
@@ -90,7 +90,7 @@
     ) -> Command:
         if self.deadline_ns - now < MIN_ATTEMPT_NS:
             return self.reject(now, chance)
-        place = quickest(weights, (), delays, chance)
+        place = pick_fastest(weights, (), delays, chance)
         # Guards against work for nobody: with no hope of an answer in time it is refused at once.
         if place is None or delays.get(place, 0.0) > self.deadline_ns - now:
             return self.reject(now, chance)
@@ -98,11 +98,11 @@
 
     def send_attempt(self, now: int, place: int, weights: Mapping[int, float]) -> SendAttempt:
         left = self.deadline_ns - now
-        wait = wait_ns(self.rules, self.retry_policy, [*self.attempts.values()], weights, left)
+        wait = attempt_wait_ns(self.rules, self.retry_policy, [*self.attempts.values()], weights, left)
         number = len(self.attempts) + 1
         self.unhedged_until_ns = now + wait
         until = now + (int(HEDGE_WAIT_SHARE * wait) if wait < left else wait)
-        self.attempts[number] = Try(place, SENT, until)
+        self.attempts[number] = Attempt(place, SENT, until)
         return SendAttempt(number, place, until)
 
     def on_attempt_ended(
@@ -121,9 +121,9 @@
         self.attempts[number].state = outcome
         if outcome == ANSWERED:
             return ForwardResponse(number)
-        if outcome == DROPPED and status and status not in NOT_RUN_STATUSES:
+        if outcome == FAILED and status and status not in NOT_RUN_STATUSES:
             self.backend_failures[number] = status
-        if any(one.state in (SENT, LATE) for one in self.attempts.values()):
+        if any(one.state in (SENT, OVERDUE) for one in self.attempts.values()):
             return self.wait(now)
         return self.retry_or_finish(now, weights, delays, chance, take_retry)
 
@@ -141,12 +141,12 @@
         if now >= self.deadline_ns:
             return self.reject(now, chance)
         for one in self.attempts.values():
-            if one.state == SENT and one.due_ns <= now < self.unhedged_until_ns and not slot_free:
-                one.due_ns = self.unhedged_until_ns
-            elif one.state == SENT and one.due_ns <= now:
-                one.state = LATE
+            if one.state == SENT and one.wait_until_ns <= now < self.unhedged_until_ns and not slot_free:
+                one.wait_until_ns = self.unhedged_until_ns
+            elif one.state == SENT and one.wait_until_ns <= now:
+                one.state = OVERDUE
                 found = self.next_attempt(now, weights, delays, chance, take_retry)
-                if isinstance(found, Again):
+                if isinstance(found, Retry):
                     return self.send_attempt(now, found.backend, weights)
         return self.wait(now)
 
@@ -154,10 +154,14 @@
         """Its client has gone: nothing is sent any more. Whether what is under way may be ended: an unsafe
         request that may have run goes on, as its client has wanted it."""
         self.client_gone = True
-        return self.rules.repeatable
+        return self.rules.idempotent
 
     def wait(self, now: int) -> Wait:
-        due = [one.due_ns for one in self.attempts.values() if one.state == SENT and one.due_ns > now]
+        due = [
+            one.wait_until_ns
+            for one in self.attempts.values()
+            if one.state == SENT and one.wait_until_ns > now
+        ]
         return Wait(min([*due, self.deadline_ns]))
 
     def next_attempt(
@@ -167,12 +171,14 @@
         delays: Mapping[int, float],
         chance: float,
         take_retry: Callable[[], bool],
-    ) -> Again | Stop:
+    ) -> Retry | NoRetry:
         if self.client_gone:
             return CLIENT_GONE
         tries = [*self.attempts.values()]
-        found = again(self.rules, self.retry_policy, tries, weights, self.deadline_ns - now, chance, delays)
-        return found if isinstance(found, Stop) or take_retry() else RETRY_BUDGET_EXHAUSTED
+        found = decide_retry(
+            self.rules, self.retry_policy, tries, weights, self.deadline_ns - now, chance, delays
+        )
+        return found if isinstance(found, NoRetry) or take_retry() else RETRY_BUDGET_EXHAUSTED
 
     def retry_or_finish(
         self,
@@ -183,7 +189,7 @@
         take_retry: Callable[[], bool],
     ) -> Command:
         found = self.next_attempt(now, weights, delays, chance, take_retry)
-        if isinstance(found, Again):
+        if isinstance(found, Retry):
             return self.send_attempt(now, found.backend, weights)
         if self.backend_failures:  # the backend's own failure is the answer
             return ForwardResponse(next(iter(self.backend_failures)))
@@ -191,15 +197,19 @@
 
     def reject(self, now: int, chance: float) -> RejectRequest:
         self.finished = True
-        if sure([*self.attempts.values()]):
-            return RejectRequest(503, come_back_ns(RETRY_AFTER_BASE_NS, 1.0, chance))
+        if none_ran([*self.attempts.values()]):
+            return RejectRequest(503, retry_after_ns(RETRY_AFTER_BASE_NS, 1.0, chance))
         return RejectRequest(504 if now >= self.deadline_ns else 502)
 
 
-def retry_rules(safe: bool, time_left_ns: int, hedge_wait_ns: int) -> Way:
+def retry_rules(safe: bool, time_left_ns: int, hedge_wait_ns: int) -> RouteRetryPolicy:
     """What `attempts` reads of a route."""
-    return Way(
-        repeatable=safe, limit_ns=time_left_ns, wait_ns=hedge_wait_ns, least_ns=MIN_ATTEMPT_NS, hold_ns=0
+    return RouteRetryPolicy(
+        idempotent=safe,
+        timeout_ns=time_left_ns,
+        attempt_timeout_ns=hedge_wait_ns,
+        min_remaining_ns=MIN_ATTEMPT_NS,
+        reply_retention_ns=0,
     )
 
 
@@ -207,4 +217,4 @@
     """The way of trying again, by what the operator allows; in a jam none."""
     if max_attempts <= 1 or overloaded:
         return 0
-    return 1 if not safe else AFTER_ANY + (max_attempts > 2)
+    return 1 if not safe else RETRY_ANY_FAILURE + (max_attempts > 2)
--- a/meadowworks/forwarding/response_check.py
+++ b/meadowworks/forwarding/response_check.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from meadowworks.attempts.retry_policy import ANSWERED, DROPPED, UNRUN
+from meadowworks.attempts.retry_policy import ANSWERED, FAILED, NEVER_RAN
 
 NOT_RUN_STATUSES = (408, 421, 429, 503)  # statuses that promise that a request has not run
 
@@ -26,8 +26,8 @@
 def outcome_of_status(status: int, not_run: bool) -> int:
     """What an answer of a backend says of a try, by its status and whether it states that it did not run."""
     if not_run or status == 421:
-        return UNRUN
-    return DROPPED if status >= 500 or status in NOT_RUN_STATUSES else ANSWERED
+        return NEVER_RAN
+    return FAILED if status >= 500 or status in NOT_RUN_STATUSES else ANSWERED
 
 
 def rejection_reason(
@@ -56,7 +56,9 @@
     if rejection_reason(request_id, status, header, first_on_connection):
         # Guards against a late answer to an earlier request in this one's place, which would be taken for
         # this one's: as its success, or as proof that it did not run.
-        return ResponseVerdict(DROPPED, is_valid=False, reusable=False)
+        return ResponseVerdict(FAILED, is_valid=False, reusable=False)
     if status == 421:
-        return ResponseVerdict(UNRUN, incarnation_ended=header(b"x-backend-id") != backend_id, reusable=False)
+        return ResponseVerdict(
+            NEVER_RAN, incarnation_ended=header(b"x-backend-id") != backend_id, reusable=False
+        )
     return ResponseVerdict(outcome_of_status(status, header(b"x-not-run") is not None))
--- a/meadowworks/load_balancing/service.py
+++ b/meadowworks/load_balancing/service.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from meadowworks.fleet.names import Names
+from meadowworks.fleet.names import NameIndex
 from meadowworks.policy import Controller
-from meadowworks.policy.interface import Entry, Route, Settings
+from meadowworks.policy.interface import EndpointEntry, Route, Settings
 from meadowworks.registry.backends import BackendInstance
 from meadowworks.registry.heartbeats import DRAINING, UP
 
@@ -76,7 +76,7 @@
     ) -> None:
         self.name, self.zone_index = name, {zone: place for place, zone in enumerate(zones)}
         self.local_zone = self.zone_index[local_zone]
-        self.endpoint_ids = Names()
+        self.endpoint_ids = NameIndex()
         self.weights: dict[int, float] = {}  # the table of the own zone
         self.remote_weights: dict[int, float] = {}  # lines of the other zones' tables to their own backends
         self.admission_ratio, self.max_retries = 1.0, 1
@@ -91,31 +91,31 @@
             self, policy_settings(len(zones), target_ns, DEFAULT_SLOW_START_NS), seed, now
         )
         for place in self.zone_index.values():
-            self.controller.joined(now, place, place, 0.0)
+            self.controller.on_proxy_joined(now, place, place, 0.0)
 
     # -- the controller's host
 
-    def record(self, line: str) -> None:
+    def log(self, line: str) -> None:
         self.log_entries.append(line)
 
-    def track(self, on: bool) -> None:
+    def watch_list(self, on: bool) -> None:
         pass
 
-    def probe(self, backend: int) -> None:
+    def check_health(self, backend: int) -> None:
         pass
 
-    def forget(self, backend: int) -> None:
-        if name := self.endpoint_ids.names.get(backend):
+    def release_backend(self, backend: int) -> None:
+        if name := self.endpoint_ids.name_by_index.get(backend):
             self.backend_states.pop(name, None)
-            self.endpoint_ids.free(backend)
+            self.endpoint_ids.release(backend)
 
-    def mark(self, number: int) -> None:
+    def request_ack(self, number: int) -> None:
         self.pending_marks.append(number)
 
-    def wake_in(self, wait_ns: int) -> None:
+    def set_timer(self, wait_ns: int) -> None:
         self.next_tick_ns += wait_ns
 
-    def set_line(self, table: int, backend: int, weight: float) -> None:
+    def set_weight(self, table: int, backend: int, weight: float) -> None:
         if table != self.local_zone:
             known = self.controller.backends.get(backend)
             if known is None or known.zone == table:
@@ -123,10 +123,10 @@
         else:
             store_weight(self.weights, backend, weight)
 
-    def bind(self, routes: int, proxy: int, table: int) -> None:
+    def assign_table(self, routes: int, proxy: int, table: int) -> None:
         pass
 
-    def admit(self, table: int, routes: int, level: float, retry: int) -> None:
+    def set_admission(self, table: int, routes: int, level: float, retry: int) -> None:
         if table == self.local_zone:
             self.admission_ratio, self.max_retries = level, retry
 
@@ -140,7 +140,7 @@
     def acknowledge_marks(self, now: int) -> None:
         """Orders within one process are carried out at once."""
         while self.pending_marks:
-            self.controller.applied(now, self.pending_marks.pop(0))
+            self.controller.on_ack(now, self.pending_marks.pop(0))
 
     def update_backends(self, now: int, backends: Iterable[BackendInstance]) -> None:
         """The lives of this service as they are now; only what has changed is handed on."""
@@ -156,7 +156,7 @@
             self.backend_states[b.instance_id] = b.state
             state = {UP: "ready", DRAINING: "draining"}.get(b.state, "gone")
             entries.append(
-                Entry(
+                EndpointEntry(
                     self.endpoint_ids.index(b.instance_id),
                     self.zone_index[b.zone],
                     state,
@@ -170,10 +170,10 @@
             known = self.controller.backends.get(place)
             if known is not None:
                 # First draining, so that it is not held as one that the list only misses.
-                entries.append(Entry(place, known.zone, "draining", known.since_ns, known.weight))
-                entries.append(Entry(place, known.zone, "gone", known.since_ns, known.weight))
+                entries.append(EndpointEntry(place, known.zone, "draining", known.since_ns, known.weight))
+                entries.append(EndpointEntry(place, known.zone, "gone", known.since_ns, known.weight))
         if entries:
-            self.controller.listed(now, "changes", entries)
+            self.controller.on_endpoints(now, "changes", entries)
             self.acknowledge_marks(now)
 
     def record_zone_report(
@@ -181,8 +181,8 @@
     ) -> None:
         """The figures of one zone over a stretch of time."""
         for ident, m in loads.items():
-            if (place := self.endpoint_ids.places.get(ident)) is not None:
-                self.controller.heard(
+            if (place := self.endpoint_ids.index_by_name.get(ident)) is not None:
+                self.controller.on_backend_report(
                     now,
                     zone,
                     place,
@@ -192,7 +192,7 @@
                     covers_ns,
                     {} if m.queue_length < 0 else {"queue": m.queue_length},
                 )
-        self.controller.asked(now, zone, 0, requests, 0, covers_ns)
+        self.controller.on_demand_report(now, zone, 0, requests, 0, covers_ns)
         self.reported_ns[zone] = now
 
     def record_response(self, size: int) -> None:
@@ -223,18 +223,21 @@
                 }
                 for (zone, k), view in zip(self.zone_index.items(), c.views, strict=True)
             },
-            "table": {self.endpoint_ids.names[p]: round(w, 3) for p, w in sorted(self.weights.items())},
+            "table": {
+                self.endpoint_ids.name_by_index[p]: round(w, 3) for p, w in sorted(self.weights.items())
+            },
             "abroad": {
-                self.endpoint_ids.names[p]: round(w, 3) for p, w in sorted(self.remote_weights.items())
+                self.endpoint_ids.name_by_index[p]: round(w, 3)
+                for p, w in sorted(self.remote_weights.items())
             },
             "held back": {
-                self.endpoint_ids.names[p]: {
+                self.endpoint_ids.name_by_index[p]: {
                     "rung": b.rung,
                     "part": round(c.part(now, b), 3),
                     "ready": b.ready,
                 }
                 for p, b in c.backends.items()
-                if p in self.endpoint_ids.names and (b.rung or not b.ready or c.part(now, b) < 1)
+                if p in self.endpoint_ids.name_by_index and (b.rung or not b.ready or c.part(now, b) < 1)
             },
         }
 
--- a/meadowworks/modelcheck/models/attempt.py
+++ b/meadowworks/modelcheck/models/attempt.py
@@ -14,8 +14,16 @@
 from functools import partial
 from typing import Any
 
-from meadowworks.attempts.machine import Attempts, Call, Final, Table
-from meadowworks.attempts.retry_policy import ANSWERED, CANCELLED, DROPPED, SENT, UNRUN, Try, Way
+from meadowworks.attempts.machine import AttemptMachine, Call, FinalReply, RouteTable
+from meadowworks.attempts.retry_policy import (
+    ANSWERED,
+    CANCELLED,
+    FAILED,
+    NEVER_RAN,
+    SENT,
+    Attempt,
+    RouteRetryPolicy,
+)
 from meadowworks.modelcheck.model import LivenessProperty, Model, Property, Step, steps_starting_with
 
 LIMIT, WAIT, LEAST, HOLD = 3, 1, 2, 1  # units: a call's time limit, a followed try's wait, see Way
@@ -24,16 +32,16 @@
 NONE, WAITING, TOLD, AWAY, CUT = range(5)  # of an asking
 MANY = 2  # tries that may run beyond this count as this
 ASKS = 2  # of a call at the most
-REPLIES = (ANSWERED, UNRUN, DROPPED)
+REPLIES = (ANSWERED, NEVER_RAN, FAILED)
 
 
-class Drawn(Attempts):
+class Drawn(AttemptMachine):
     """The machine with its draws handed in: what chance picks, the explorer picks in every way. (Seeds cannot
     stand for that: with zlib.crc32 the draws of a seed hang together.)"""
 
     drawn = 0.0
 
-    def chance(self) -> float:
+    def random(self) -> float:
         return self.drawn
 
 
@@ -54,8 +62,8 @@
     wait: int = WAIT
 
     @property
-    def way(self) -> Way:
-        return Way(self.repeatable, self.limit, self.wait, LEAST, HOLD)
+    def way(self) -> RouteRetryPolicy:
+        return RouteRetryPolicy(self.repeatable, self.limit, self.wait, LEAST, HOLD)
 
 
 @dataclass(slots=True)
@@ -99,7 +107,7 @@
 
     def order(self, place: int) -> None:
         if machine := self.machines[place]:
-            machine.ordered(0, self.lines(), 1.0, self.policy)
+            machine.on_table(0, self.lines(), 1.0, self.policy)
 
     def lines(self) -> dict[int, float]:
         return {b: 1.0 for b, state in enumerate(self.backends) if state != DRAINED}
@@ -122,7 +130,7 @@
                     continue
                 coming = True
                 for p, machine in enumerate(self.machines):
-                    if machine and key in machine.calls and machine.calls[key].over is None:
+                    if machine and key in machine.calls and machine.calls[key].outcome is None:
                         found.append(("ask", key, place, p, 0, 1))
                     elif machine:
                         found += [("ask", key, place, p, dice, 1) for dice in range(open_to)]
@@ -132,11 +140,11 @@
         draws = range(open_to if self.scene.backends > 2 else 1)
         for (p, number), truth in self.tries.items():
             if truth.heard < 0:
-                hows = (UNRUN, DROPPED) if truth.cut else REPLIES
+                hows = (NEVER_RAN, FAILED) if truth.cut else REPLIES
                 found += [
                     ("reply", p, number, how, d) for how in hows for d in (draws if how != ANSWERED else (0,))
                 ]
-            elif truth.heard == UNRUN:
+            elif truth.heard == NEVER_RAN:
                 found.append(("cut", p, number))
         for b, state in enumerate(self.backends):
             if state != ENDED:
@@ -177,29 +185,29 @@
         assert machine is not None
         ask.state, ask.proxy = WAITING, p
         fresh = key not in machine.calls
-        machine.tables[0].level = float(let_in)
-        machine.came(self.now, key, 0, key * ASKS + place, before.state in (WAITING, AWAY, CUT))
-        machine.tables[0].level = 1.0
+        machine.tables[0].admission_ratio = float(let_in)
+        machine.on_request(self.now, key, 0, key * ASKS + place, before.state in (WAITING, AWAY, CUT))
+        machine.tables[0].admission_ratio = 1.0
         self.outcomes.append(("asked", fresh, let_in, ask.state == WAITING))
 
     def do_leave(self, key: int, place: int) -> None:
         ask = self.asks[key][place]
         ask.state = AWAY
         if machine := self.machines[ask.proxy]:
-            machine.cancelled(self.now, key, key * ASKS + place)
+            machine.on_client_gone(self.now, key, key * ASKS + place)
 
     def do_reply(self, p: int, number: int, how: int, dice: int) -> None:
         self.dice(dice)
         truth, machine = self.tries[p, number], self.machines[p]
         truth.heard = how
         assert machine is not None
-        machine.replied(self.now, truth.key, number, how)
+        machine.on_attempt_ended(self.now, truth.key, number, how)
 
     def do_cut(self, p: int, number: int) -> None:
         """The connection of a try that was answered for ends too, and the transport says so."""
         machine = self.machines[p]
         assert machine is not None
-        machine.replied(self.now, self.tries[p, number].key, number, DROPPED)
+        machine.on_attempt_ended(self.now, self.tries[p, number].key, number, FAILED)
 
     def do_drain(self, b: int) -> None:
         self.backends[b] = DRAINED
@@ -242,7 +250,7 @@
 
     def let_go(self, at: tuple[int, int]) -> None:
         truth = self.tries.pop(at)
-        if truth.heard != UNRUN and not self.scene.repeatable:
+        if truth.heard != NEVER_RAN and not self.scene.repeatable:
             self.loose[truth.key] = min(MANY, self.loose[truth.key] + 1)
 
     def tidy(self) -> None:
@@ -250,12 +258,12 @@
         for at, truth in list(self.tries.items()):
             machine = self.machines[at[0]]
             call = machine.calls.get(truth.key) if machine else None
-            if call is None or at[1] not in call.tries:
+            if call is None or at[1] not in call.attempts:
                 self.let_go(at)
 
     def may_run(self, key: int) -> int:
         """Tries of a call without proof that they never ran."""
-        return self.loose[key] + sum(t.key == key and t.heard != UNRUN for t in self.tries.values())
+        return self.loose[key] + sum(t.key == key and t.heard != NEVER_RAN for t in self.tries.values())
 
     # -- what the machine does
 
@@ -263,8 +271,8 @@
         machine = self.machines[p]
         assert machine is not None
         call = machine.calls[key]
-        before = [self.tries[p, n] for n in call.tries if n != number]
-        proof = all(t.heard == UNRUN for t in before)
+        before = [self.tries[p, n] for n in call.attempts if n != number]
+        proof = all(t.heard == NEVER_RAN for t in before)
         allowed = not before or self.policy > 0 and (proof or self.scene.repeatable and self.policy > 1)
         self.outcomes.append(
             (
@@ -273,25 +281,25 @@
                 allowed,
                 self.backends[b] != DRAINED,
                 all(t.backend != b for t in before),
-                call.limit_ns - self.now,
-                bool(call.askers),
+                call.deadline_ns - self.now,
+                bool(call.waiters),
             )
         )
         self.tries[p, number] = Truth(key, b)
         if self.backends[b] == ENDED:
             self.tries[p, number].cut = True
 
-    def told(self, p: int, key: int, asker: int, told: Final) -> None:
+    def told(self, p: int, key: int, asker: int, told: FinalReply) -> None:
         place = asker % ASKS
         ask = self.asks[key][place]
         machine = self.machines[p]
         assert machine is not None
         call = machine.calls.get(key)
-        mine = [self.tries[p, n] for n in call.tries if (p, n) in self.tries] if call else []
-        could = any(t.heard != UNRUN for t in mine) or not self.scene.repeatable and self.may_run(key) > 0
+        mine = [self.tries[p, n] for n in call.attempts if (p, n) in self.tries] if call else []
+        could = any(t.heard != NEVER_RAN for t in mine) or not self.scene.repeatable and self.may_run(key) > 0
         heard = any(t.heard == ANSWERED for t in mine)
         early = (
-            any(one.state == CANCELLED and one.due_ns > self.now for one in call.tries.values())
+            any(one.state == CANCELLED and one.wait_until_ns > self.now for one in call.attempts.values())
             if call
             else 0
         )
@@ -300,7 +308,7 @@
                 "told",
                 told.kind,
                 told.may_have_run,
-                told.back_ns > 0,
+                told.retry_after_ns > 0,
                 could,
                 bool(mine),
                 heard,
@@ -309,7 +317,7 @@
             )
         )
         ask.times += 1
-        ask.back = told.back_ns > 0
+        ask.back = told.retry_after_ns > 0
         if ask.state == WAITING:
             ask.state = TOLD
 
@@ -339,8 +347,8 @@
                 continue
             calls = []
             for key, call in sorted(machine.calls.items()):
-                over = call.over
-                for place, (number, one) in enumerate(call.tries.items()):
+                over = call.outcome
+                for place, (number, one) in enumerate(call.attempts.items()):
                     truth = self.tries[p, number]
                     at[one.backend].append(
                         (
@@ -350,19 +358,19 @@
                             one.state,
                             truth.heard,
                             truth.cut,
-                            one.due_ns - now if one.state == SENT else 0,
+                            one.wait_until_ns - now if one.state == SENT else 0,
                         )
                     )
                 calls.append(
                     (
                         key,
-                        tuple(call.askers),
-                        call.until_ns - now if over else call.limit_ns - now,
-                        (over.kind, over.may_have_run, over.back_ns > 0) if over else (),
+                        tuple(call.waiters),
+                        call.keep_until_ns - now if over else call.deadline_ns - now,
+                        (over.kind, over.may_have_run, over.retry_after_ns > 0) if over else (),
                     )
                 )
-            machines.append((tuple(calls), tuple(machine.kept), machine.tables[0].policy))
-            for b in machine.tables[0].lines:
+            machines.append((tuple(calls), tuple(machine.kept), machine.tables[0].retry_policy))
+            for b in machine.tables[0].weights:
                 at[b].append((p, -1))
         backends = tuple(sorted([(state, tuple(at[b])) for b, state in enumerate(self.backends)]))
         asks = tuple([(a.state, a.proxy, a.times, a.back) for asks in self.asks for a in asks])
@@ -379,25 +387,25 @@
         )
 
 
-def frozen(machine: Attempts) -> Any:
+def frozen(machine: AttemptMachine) -> Any:
     return (
         tuple(
             (
                 key,
                 c.route,
-                c.limit_ns,
-                tuple(c.askers),
-                tuple((n, t.backend, t.state, t.due_ns) for n, t in c.tries.items()),
-                c.over,
-                c.until_ns,
+                c.deadline_ns,
+                tuple(c.waiters),
+                tuple((n, t.backend, t.state, t.wait_until_ns) for n, t in c.attempts.items()),
+                c.outcome,
+                c.keep_until_ns,
             )
             for key, c in machine.calls.items()
         ),
         tuple(machine.kept),
-        tuple(machine.due),
-        machine.sent,
-        tuple(machine.tables[0].lines.items()),
-        machine.tables[0].policy,
+        tuple(machine.timers),
+        machine.attempt_count,
+        tuple(machine.tables[0].weights.items()),
+        machine.tables[0].retry_policy,
     )
 
 
@@ -414,14 +422,14 @@
         world.rise(place)
         machine = world.machines[place]
         assert machine is not None
-        calls, over, due, machine.sent, lines, policy = kept
-        machine.tables[0] = Table(dict(lines), 1.0, policy)
+        calls, over, due, machine.attempt_count, lines, policy = kept
+        machine.tables[0] = RouteTable(dict(lines), 1.0, policy)
         for key, route, limit, askers, each, final, until in calls:
             machine.calls[key] = Call(
-                route, limit, list(askers), {n: Try(b, s, d) for n, b, s, d in each}, final, until
+                route, limit, list(askers), {n: Attempt(b, s, d) for n, b, s, d in each}, final, until
             )
         machine.kept = dict.fromkeys(over)
-        machine.due = list(due)
+        machine.timers = list(due)
     return world
 
 
@@ -430,12 +438,12 @@
 
     def __init__(self, world: World, place: int) -> None:
         self.send = partial(world.sent, place)
-        self.final = partial(world.told, place)
+        self.reply = partial(world.told, place)
 
     def cancel(self, number: int) -> None:
         """A wish only: the try stays as it is, and may run."""
 
-    def note(self, what: str) -> None:
+    def count(self, what: str) -> None:
         """Counted in the product; here no outcome hangs on it."""
 
 
@@ -520,8 +528,8 @@
     """An open call has a try that is waited for: what is given up is answered at once."""
     for machine in world.machines:
         for call in machine.calls.values() if machine else ():
-            if call.over is None and not any(
-                one.state == SENT and one.due_ns > world.now for one in call.tries.values()
+            if call.outcome is None and not any(
+                one.state == SENT and one.wait_until_ns > world.now for one in call.attempts.values()
             ):
                 return False
     return True
@@ -530,14 +538,14 @@
 def within_limit(world: World) -> bool:
     for machine in world.machines:
         for call in machine.calls.values() if machine else ():
-            if call.over is None and call.limit_ns <= world.now:
+            if call.outcome is None and call.deadline_ns <= world.now:
                 return False
     return True
 
 
 def one_at_a_time(world: World) -> bool:
     return all(
-        sum(one.state == SENT for one in call.tries.values()) <= 1
+        sum(one.state == SENT for one in call.attempts.values()) <= 1
         for machine in world.machines
         if machine
         for call in machine.calls.values()
@@ -546,7 +554,7 @@
 
 def bounded(world: World) -> bool:
     return all(
-        len(machine.kept) <= machine.kept_most
+        len(machine.kept) <= machine.max_kept_replies
         and len(machine.calls) <= len(machine.kept) + len(world.scene.asks)
         for machine in world.machines
         if machine
@@ -561,8 +569,8 @@
     """A client whose mutating call was answered after it went away is told so when it asks again."""
     for machine in world.machines:
         for call in machine.calls.values() if machine else ():
-            answered = any(one.state == ANSWERED for one in call.tries.values())
-            if call.over and answered and call.over.kind != "answered" and not world.scene.repeatable:
+            answered = any(one.state == ANSWERED for one in call.attempts.values())
+            if call.outcome and answered and call.outcome.kind != "answered" and not world.scene.repeatable:
                 return False
     return True
 
@@ -646,9 +654,11 @@
         case "leave":
             return f"the client of call {v[0]} goes away (asking {v[1]})"
         case "reply":
-            how = {ANSWERED: "the answer", UNRUN: "proof that it never ran", DROPPED: "an error, no proof,"}[
-                v[2]
-            ]
+            how = {
+                ANSWERED: "the answer",
+                NEVER_RAN: "proof that it never ran",
+                FAILED: "an error, no proof,",
+            }[v[2]]
             return f"{how} to try {v[1]} reaches proxy {v[0]}"
         case "cut":
             return f"the connection of try {v[1]} of proxy {v[0]} ends, after its reply"
--- a/meadowworks/modelcheck/models/connection.py
+++ b/meadowworks/modelcheck/models/connection.py
@@ -14,28 +14,30 @@
 from functools import cache, partial
 from typing import Any
 
-from meadowworks.fleet.connection_state import Bounds, Life
+from meadowworks.fleet.connection_state import ConnectionLimits, ConnectionState
 from meadowworks.fleet.mailbox import Mailbox
 from meadowworks.fleet.messages import (
-    BEAT_OK,
-    Asked,
-    Attach,
-    Beat,
-    Collector,
-    Done,
-    End,
-    Joined,
-    Left,
-    Message,
-    News,
-    Told,
+    HEARTBEAT_REPLY,
+    CollectorHello,
+    ConnectionEnd,
+    ConnectionItem,
+    ControllerEvent,
+    DemandReport,
+    Heartbeat,
+    ProxyHello,
+    ProxyJoined,
+    ProxyLeft,
+    UpdateApplied,
+    UpdateMessage,
 )
-from meadowworks.fleet.streams import Streams
-from meadowworks.fleet.table_updates import Orders
+from meadowworks.fleet.streams import ProxyStreams
+from meadowworks.fleet.table_updates import TableUpdates
 from meadowworks.modelcheck.model import LivenessProperty, Model, Property, Step, steps_starting_with
 from meadowworks.runtime.connection_limit import ConnectionLimit
 
-BOUNDS = Bounds(unsent=1, unreadable=2, strange=1)  # messages, lines and bytes that a world has room for
+BOUNDS = ConnectionLimits(
+    unsent_bytes=1, unreadable_lines=2, unknown_bytes=1
+)  # messages, lines and bytes that a world has room for
 REPORTS_MOST = 1
 LAST = b"reject"  # how a last word begins
 AWAY, HERE, DEAF, SHUT = range(4)  # the other side: not yet dialled; reads; reads nothing; has closed
@@ -62,8 +64,8 @@
 
     def __init__(self, world: World, place: int) -> None:
         self.world, self.place = world, place
-        self.life = Life(self, world.knows, BOUNDS)
-        self.box: Mailbox[Told] = Mailbox(REPORTS_MOST)
+        self.life = ConnectionState(self, world.knows, BOUNDS)
+        self.box: Mailbox[ConnectionItem] = Mailbox(REPORTS_MOST)
         self.other = AWAY
         self.open = False  # the transport, as the controller sees it
         self.told_lost = False
@@ -76,8 +78,8 @@
         self.beats_owed = 0
 
     def write(self, data: bytes) -> None:
-        self.world.outcomes.append(("write", self.place, self.open, bool(self.life.first), data[:6]))
-        if data == BEAT_OK:
+        self.world.outcomes.append(("write", self.place, self.open, bool(self.life.peer), data[:6]))
+        if data == HEARTBEAT_REPLY:
             self.beats_owed -= 1
         if self.other == DEAF:
             self.unread += 1
@@ -98,7 +100,7 @@
             if "nonce_out" in says:
                 self.seen.append(int(says["nonce_out"]))
 
-    def unsent(self) -> int:
+    def unsent_bytes(self) -> int:
         return self.unread
 
     def close(self) -> None:
@@ -107,23 +109,23 @@
     def abort(self) -> None:
         self.open = False
 
-    def named(self) -> None:
+    def mark_identified(self) -> None:
         self.world.crowd.protect(self.place)
 
-    def employ(self, first: Attach | Collector) -> None:
+    def start_peer(self, first: ProxyHello | CollectorHello) -> None:
         self.hired = True
 
-    def put(self, item: Told, report: bool) -> None:
+    def enqueue(self, item: ConnectionItem, report: bool) -> None:
         self.box.put(item, report)
 
-    def joined(self, first: Attach) -> Joined:
-        return Joined(first, self.box)
+    def joined_event(self, first: ProxyHello) -> ProxyJoined:
+        return ProxyJoined(first, self.box)
 
-    def left(self, first: Attach) -> Left:
-        return Left(first.proxy, self.box)
+    def left_event(self, first: ProxyHello) -> ProxyLeft:
+        return ProxyLeft(first.proxy, self.box)
 
-    def tell(self, item: News, report: bool) -> None:
-        self.world.outcomes.append(("told", self.place, type(item).__name__, bool(self.life.first)))
+    def publish(self, item: ControllerEvent, report: bool) -> None:
+        self.world.outcomes.append(("told", self.place, type(item).__name__, bool(self.life.peer)))
         self.world.module.put(item, report)
 
     def count(self, what: str) -> None:
@@ -143,20 +145,20 @@
         self.scene = scene
         self.outcomes: list[tuple[Any, ...]] = []
         self.now = 0
-        self.module: Mailbox[News] = Mailbox(REPORTS_MOST)
-        self.orders = Orders(("all",), {0: "b"})
-        self.streams = Streams(self.orders)
+        self.module: Mailbox[ControllerEvent] = Mailbox(REPORTS_MOST)
+        self.orders = TableUpdates(("all",), {0: "b"})
+        self.streams = ProxyStreams(self.orders)
         self.crowd: ConnectionLimit[int] = ConnectionLimit(scene.descriptors, 0)
         self.sides = [Side(self, k) for k in range(scene.proxies + scene.strangers)]
         self.heard = [Heard() for _ in self.sides]
         self.orders_left, self.mark, self.weight = scene.orders, 0, 1.0
         self.bound = -1  # which connection the module takes the proxy to be on
-        self.orders.set_line(0, 0, 1.0)
-        for _ in self.streams.send():
+        self.orders.set_weight(0, 0, 1.0)
+        for _ in self.streams.send_updates():
             pass
 
-    def knows(self, first: Attach | Collector) -> bool:
-        return isinstance(first, Attach) and first.proxy == PROXY
+    def knows(self, first: ProxyHello | CollectorHello) -> bool:
+        return isinstance(first, ProxyHello) and first.proxy == PROXY
 
     def enabled(self) -> Iterable[Step]:
         found: list[Step] = []
@@ -173,13 +175,13 @@
                     found += self.says(k, side)
             if side.other == HERE and self.scene.deaf:
                 found.append(("deafen", k))
-            if side.open and not side.life.first and not side.life.over:
+            if side.open and not side.life.peer and not side.life.close_reason:
                 found.append(("late", k))
             if not side.told_lost and (not side.open or side.other == SHUT):
                 found.append(("lost", k))
             if side.hired and not side.begun:
                 found.append(("begin", k))
-            elif side.begun and side.box.items and not side.life.gone:
+            elif side.begun and side.box.items and not side.life.finish_reason:
                 found.append(("act", k))
         if self.module.items:
             found.append(("module",))
@@ -190,7 +192,7 @@
     def says(self, k: int, side: Side) -> list[Step]:
         beats, rubbish, spoilt, marks = side.left_of
         found: list[Step] = []
-        if k < self.scene.proxies and not side.life.first:
+        if k < self.scene.proxies and not side.life.peer:
             found.append(("attach", k))
         if beats:
             found.append(("beat", k))
@@ -200,7 +202,7 @@
             found.append(("spoilt", k))
         if marks:
             found += [("mark", k, mark) for mark in sorted({max(s.seen, default=0) for s in self.sides})]
-            if not side.life.first:
+            if not side.life.peer:
                 found.append(("usage", k))
         return found
 
@@ -221,11 +223,11 @@
         self.now += 1
         oldest, _ = self.crowd.next_eviction(self.now)
         if oldest is not None:
-            self.outcomes.append(("gave way", bool(self.sides[oldest].life.first)))
-            self.sides[oldest].life.crowded()
+            self.outcomes.append(("gave way", bool(self.sides[oldest].life.peer)))
+            self.sides[oldest].life.on_evicted()
 
     def do_attach(self, k: int) -> None:
-        self.sides[k].life.said(Attach(PROXY, "z", 1.0, True))
+        self.sides[k].life.on_message(ProxyHello(PROXY, "z", 1.0, True))
 
     def spend(self, k: int, which: int) -> Side:
         self.sides[k].left_of[which] -= 1
@@ -234,30 +236,30 @@
     def do_beat(self, k: int) -> None:
         side = self.spend(k, 0)
         side.beats_owed += 1
-        side.life.said(Beat())
+        side.life.on_message(Heartbeat())
 
     def do_rubbish(self, k: int) -> None:
         side = self.spend(k, 1)
-        run, was = side.life.unreadable, side.life.over
-        side.life.babbled()
-        self.outcomes.append(("rubbish", k, run + 1, was, side.life.over, bool(side.life.first)))
+        run, was = side.life.unreadable_lines, side.life.close_reason
+        side.life.on_unreadable_line()
+        self.outcomes.append(("rubbish", k, run + 1, was, side.life.close_reason, bool(side.life.peer)))
 
     def do_long(self, k: int) -> None:
         side = self.spend(k, 1)
-        side.life.unended(BOUNDS.strange + 1, True)
-        self.outcomes.append(("long", k, side.life.over))
+        side.life.on_partial_line(BOUNDS.unknown_bytes + 1, True)
+        self.outcomes.append(("long", k, side.life.close_reason))
 
     def do_spoilt(self, k: int) -> None:
         side = self.spend(k, 2)
-        was = side.life.over
-        side.life.spoilt()
-        self.outcomes.append(("spoilt", k, was, side.life.over, bool(side.life.first)))
+        was = side.life.close_reason
+        side.life.on_malformed_message()
+        self.outcomes.append(("spoilt", k, was, side.life.close_reason, bool(side.life.peer)))
 
     def do_mark(self, k: int, mark: int) -> None:
-        self.spend(k, 3).life.said(Done(PROXY, mark))
+        self.spend(k, 3).life.on_message(UpdateApplied(PROXY, mark))
 
     def do_usage(self, k: int) -> None:
-        self.spend(k, 3).life.said(Asked(PROXY, "all", 1, 0, 1))
+        self.spend(k, 3).life.on_message(DemandReport(PROXY, "all", 1, 0, 1))
 
     def do_deafen(self, k: int) -> None:
         self.sides[k].other = DEAF
@@ -268,47 +270,47 @@
     # -- the controller
 
     def do_late(self, k: int) -> None:
-        self.sides[k].life.late()
+        self.sides[k].life.on_handshake_timeout()
 
     def do_lost(self, k: int) -> None:
         side = self.sides[k]
         side.open, side.told_lost = False, True
         self.crowd.on_close(k)
-        side.life.lost("closed")
+        side.life.on_connection_lost("closed")
 
     def do_begin(self, k: int) -> None:
         self.sides[k].begun = True
-        self.sides[k].life.begin()
+        self.sides[k].life.on_actor_started()
 
     def do_act(self, k: int) -> None:
         side = self.sides[k]
         report, item = side.box.items.popleft()
-        side.box.reports -= report
-        side.life.take(item)
-        if side.life.gone:
+        side.box.report_count -= report
+        side.life.on_mailbox_item(item)
+        if side.life.finish_reason:
             side.life.finish("its actor ended")  # as the actor does whatever ended it
 
     def do_module(self) -> None:
         report, item = self.module.items.popleft()
-        self.module.reports -= report
+        self.module.report_count -= report
         match item:
-            case Joined(attach, stream):
+            case ProxyJoined(attach, stream):
                 k = self.place(stream)
                 self.outcomes.append(("joined", k, self.heard[k].state))
                 self.heard[k].state = 1
-                self.streams.joined(attach.proxy, stream)
+                self.streams.on_joined(attach.proxy, stream)
                 self.bound = k
-                self.orders.bind(0, attach.proxy, 0)
+                self.orders.assign_table(0, attach.proxy, 0)
                 self.flush()
-            case Left(proxy, stream):
+            case ProxyLeft(proxy, stream):
                 k = self.place(stream)
                 self.outcomes.append(("left", k, self.heard[k].state))
                 self.heard[k].state = 2
-                if self.streams.left(proxy, stream):
+                if self.streams.on_left(proxy, stream):
                     self.outcomes.append(("unbound", k, self.bound))
                     self.bound = -1
-            case Done(proxy, mark):
-                counted = self.streams.answered(proxy, mark)
+            case UpdateApplied(proxy, mark):
+                counted = self.streams.on_applied(proxy, mark)
                 sent = self.bound >= 0 and mark in self.heard[self.bound].marks
                 self.outcomes.append(("answered", counted, sent))
             case _:
@@ -317,17 +319,17 @@
     def do_order(self) -> None:
         self.orders_left -= 1
         self.weight = 3.0 - self.weight
-        self.orders.set_line(0, 0, self.weight)
+        self.orders.set_weight(0, 0, self.weight)
         self.flush()
 
     def flush(self) -> None:
         self.mark += 1
-        self.orders.mark = self.mark
-        for _ in self.streams.send():
+        self.orders.nonce = self.mark
+        for _ in self.streams.send_updates():
             if self.bound >= 0:
                 self.heard[self.bound].marks.append(self.mark)
 
-    def place(self, box: Mailbox[Told]) -> int:
+    def place(self, box: Mailbox[ConnectionItem]) -> int:
         return next(k for k, side in enumerate(self.sides) if side.box is box)
 
     # -- states
@@ -335,19 +337,19 @@
     def item(self, item: Any) -> Any:
         """An item of a mailbox without the mailboxes that it names."""
         match item:
-            case Joined(_, stream):
+            case ProxyJoined(_, stream):
                 return "joined", self.place(stream)
-            case Left(_, stream):
+            case ProxyLeft(_, stream):
                 return "left", self.place(stream)
-            case Message(text, parts):
+            case UpdateMessage(text, parts):
                 return "message", text, parts
-            case Done(_, mark):
+            case UpdateApplied(_, mark):
                 return "done", mark
-            case End(why):
+            case ConnectionEnd(why):
                 return "end", why
-            case Beat():
+            case Heartbeat():
                 return ("beat",)
-            case Asked():
+            case DemandReport():
                 return ("asked",)
             case _:
                 return ("attach",)
@@ -355,31 +357,31 @@
     def whole(self, told: tuple[Any, ...]) -> Any:
         match told:
             case "joined", place:
-                return Joined(Attach(PROXY, "z", 1.0, True), self.sides[place].box)
+                return ProxyJoined(ProxyHello(PROXY, "z", 1.0, True), self.sides[place].box)
             case "left", place:
-                return Left(PROXY, self.sides[place].box)
+                return ProxyLeft(PROXY, self.sides[place].box)
             case "message", text, parts:
-                return Message(text, parts)
+                return UpdateMessage(text, parts)
             case "done", mark:
-                return Done(PROXY, mark)
+                return UpdateApplied(PROXY, mark)
             case "end", why:
-                return End(why)
+                return ConnectionEnd(why)
             case ("beat",):
-                return Beat()
+                return Heartbeat()
             case ("asked",):
-                return Asked(PROXY, "all", 1, 0, 1)
+                return DemandReport(PROXY, "all", 1, 0, 1)
             case _:
-                return Attach(PROXY, "z", 1.0, True)
+                return ProxyHello(PROXY, "z", 1.0, True)
 
     def held(self, box: Mailbox[Any]) -> tuple[Any, ...]:
         """A mailbox's own count of its reports goes along: whether it is right is a property."""
-        return (box.reports, *((r, *self.item(i)) for r, i in box.items))
+        return (box.report_count, *((r, *self.item(i)) for r, i in box.items))
 
     def key(self) -> Any:
         sides: list[tuple[Any, ...]] = []
         for k, s in enumerate(self.sides):
             life, heard = s.life, self.heard[k]
-            if s.told_lost and (life.gone or not s.hired):
+            if s.told_lost and (life.finish_reason or not s.hired):
                 marks = tuple(heard.marks) if self.bound == k else ()
                 sides.append((SHUT, heard.state, marks))  # what it was makes no difference any more
                 continue
@@ -397,10 +399,10 @@
                     tuple(s.seen[-1:]),
                     tuple(s.left_of),
                     s.beats_owed,
-                    life.first is not None,
-                    life.over,
-                    life.gone,
-                    life.unreadable,
+                    life.peer is not None,
+                    life.close_reason,
+                    life.finish_reason,
+                    life.unreadable_lines,
                     box,
                     heard.state,
                     tuple(heard.marks),
@@ -408,7 +410,10 @@
             )
         module = self.held(self.module)
         streams = tuple(
-            [(p, self.place(box), tuple(self.streams.marks[p])) for p, box in self.streams.by_proxy.items()]
+            [
+                (p, self.place(box), tuple(self.streams.outstanding_nonces[p]))
+                for p, box in self.streams.by_proxy.items()
+            ]
         )
         return (
             kind_of(self.scene),
@@ -447,7 +452,7 @@
     for s, kept in zip(world.sides, sides, strict=True):
         if len(kept) == 3:
             s.other, state_of, marks = kept
-            s.told_lost, s.life.over, s.life.gone = True, "closed", "closed"
+            s.told_lost, s.life.close_reason, s.life.finish_reason = True, "closed", "closed"
             world.heard.append(Heard(state_of, list(marks)))
             continue
         (
@@ -463,32 +468,32 @@
             left_of,
             s.beats_owed,
             named,
-            s.life.over,
-            s.life.gone,
-            s.life.unreadable,
+            s.life.close_reason,
+            s.life.finish_reason,
+            s.life.unreadable_lines,
             _,
             state_of,
             marks,
         ) = kept
         s.holds, s.seen, s.left_of = dict(holds), list(seen), list(left_of)
-        s.life.first = Attach(PROXY, "z", 1.0, True) if named else None
+        s.life.peer = ProxyHello(PROXY, "z", 1.0, True) if named else None
         world.heard.append(Heard(state_of, list(marks)))
     for s, kept in zip(world.sides, sides, strict=True):
         fill(world, s.box, kept[15] if len(kept) > 3 else (0,))
     fill(world, world.module, module)
-    world.orders = Orders(("all",), {0: "b"})
-    world.orders.table(0).lines[0] = world.weight
-    world.streams = Streams(world.orders)
+    world.orders = TableUpdates(("all",), {0: "b"})
+    world.orders.table(0).weights[0] = world.weight
+    world.streams = ProxyStreams(world.orders)
     for proxy, place, marks in streams:
         world.streams.by_proxy[proxy] = world.sides[place].box
-        world.streams.marks[proxy] = deque(marks, maxlen=64)
-        world.orders.bound[proxy] = (0,)
-        world.orders.table(0).users.add(proxy)
+        world.streams.outstanding_nonces[proxy] = deque(marks, maxlen=64)
+        world.orders.assignments[proxy] = (0,)
+        world.orders.table(0).proxies.add(proxy)
     return world
 
 
 def fill(world: World, box: Mailbox[Any], held: tuple[Any, ...]) -> None:
-    box.reports, *items = held
+    box.report_count, *items = held
     box.items.extend((report, world.whole(tuple(told))) for report, *told in items)
 
 
@@ -529,13 +534,13 @@
 
 def rubbish_ends(world: World) -> bool:
     for _, run, was, over, named in events(world, "rubbish"):
-        if not was and bool(over) != (not named or run >= BOUNDS.unreadable):
+        if not was and bool(over) != (not named or run >= BOUNDS.unreadable_lines):
             return False
     return all(over for _, over in events(world, "long"))
 
 
 def unread_bounded(world: World) -> bool:
-    return all(side.unread <= BOUNDS.unsent + 1 for side in world.sides)
+    return all(side.unread <= BOUNDS.unsent_bytes + 1 for side in world.sides)
 
 
 def descriptors(world: World) -> bool:
@@ -558,7 +563,9 @@
 
 def mailboxes(world: World) -> bool:
     boxes: list[Mailbox[Any]] = [world.module, *(side.box for side in world.sides)]
-    return all(box.reports <= REPORTS_MOST and box.reports == sum(r for r, _ in box.items) for box in boxes)
+    return all(
+        box.report_count <= REPORTS_MOST and box.report_count == sum(r for r, _ in box.items) for box in boxes
+    )
 
 
 def at_rest(world: World) -> bool:
@@ -578,7 +585,7 @@
 
 
 def strangers_owe(world: World) -> bool:
-    return any(side.open and side.other in (HERE, DEAF) and not side.life.first for side in world.sides)
+    return any(side.open and side.other in (HERE, DEAF) and not side.life.peer for side in world.sides)
 
 
 def replaced_lives(world: World) -> bool:
@@ -590,7 +597,7 @@
 
 def unbound(world: World) -> bool:
     """A peer that is there, reads and has said who it is waits for its table, alone with its number."""
-    named = [side for side in world.sides if side.life.first and not side.life.gone]
+    named = [side for side in world.sides if side.life.peer and not side.life.finish_reason]
     return len(named) == 1 and named[0].open and named[0].other == HERE and not named[0].full
 
 
--- a/meadowworks/modelcheck/models/forwarding.py
+++ b/meadowworks/modelcheck/models/forwarding.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from meadowworks.attempts.retry_policy import DROPPED, UNRUN
+from meadowworks.attempts.retry_policy import FAILED, NEVER_RAN
 from meadowworks.forwarding.attempts import (
     MS,
     ForwardResponse,
@@ -182,7 +182,7 @@
             if address not in self.at:  # nobody there: the connection never comes up
                 self.yard.mark_unreachable(self.now, life)
                 self.yard.attempt_ended(life)
-                return self.ended(r, number, UNRUN, 0)
+                return self.ended(r, number, NEVER_RAN, 0)
             line = self.open(self.at[address])
         line.carried += 1
         self.flights.append(Flight(r, number, life, line))
@@ -287,7 +287,7 @@
         f = self.flights[k]
         f.line.close()
         self.close(f)
-        self.ended(f.request, f.number, DROPPED, 0)
+        self.ended(f.request, f.number, FAILED, 0)
 
     def do_due(self, r: int) -> None:
         journey = self.asked[r].journey
@@ -335,7 +335,12 @@
                         one.told,
                         one.whose,
                         one.journey.unhedged_until_ns,
-                        tuple([(n, t.backend, t.state, t.due_ns) for n, t in one.journey.attempts.items()]),
+                        tuple(
+                            [
+                                (n, t.backend, t.state, t.wait_until_ns)
+                                for n, t in one.journey.attempts.items()
+                            ]
+                        ),
                         tuple(one.journey.backend_failures.items()),
                     )
                     for one in self.asked
--- a/meadowworks/modelcheck/models/policy.py
+++ b/meadowworks/modelcheck/models/policy.py
@@ -15,11 +15,11 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from meadowworks.fleet.messages import Part
-from meadowworks.fleet.table_updates import Orders
+from meadowworks.fleet.messages import TableUpdate
+from meadowworks.fleet.table_updates import TableUpdates
 from meadowworks.modelcheck.model import Model, Property, Step
 from meadowworks.policy import Controller
-from meadowworks.policy.interface import Entry, Route, Settings
+from meadowworks.policy.interface import EndpointEntry, Route, Settings
 
 SECOND = 1_000_000_000
 ROUTES = (Route(2.0, SECOND, False), Route(1.0, SECOND, False))
@@ -72,7 +72,7 @@
         self.now = 1000 * SECOND
         self.listed = {b: ("ready", 0) for b in range(len(ZONE_OF))}
         self.told_ns: dict[int, int] = {}  # since when the module knows that a backend is not ready
-        self.orders = Orders(("a", "b"), {b: f"s-{b}" for b in range(len(ZONE_OF))})
+        self.orders = TableUpdates(("a", "b"), {b: f"s-{b}" for b in range(len(ZONE_OF))})
         self.holds: dict[int, list[dict[str, float]]] = {}  # of each joined proxy: its table by route
         self.grants: dict[int, list[tuple[float, int] | None]] = {}
         self.bare_ns: dict[int, int] = {}  # since when a proxy has nothing to pick though something is warm
@@ -84,47 +84,49 @@
         self.told = listed
         self.module = Controller(self, SETTINGS, 7, self.now)
         if listed:
-            self.module.listed(self.now, "disk", self.entries())
+            self.module.on_endpoints(self.now, "disk", self.entries())
         self.flush()
 
-    def entries(self) -> list[Entry]:
+    def entries(self) -> list[EndpointEntry]:
         return [self.entry(b) for b in self.listed]
 
-    def entry(self, b: int) -> Entry:
+    def entry(self, b: int) -> EndpointEntry:
         state, since = self.listed[b]
-        return Entry(b, ZONE_OF[b], state, since, WEIGHT)
+        return EndpointEntry(b, ZONE_OF[b], state, since, WEIGHT)
 
     # -- the module's host
 
-    def record(self, line: str) -> None:
+    def log(self, line: str) -> None:
         """The log."""
 
-    def track(self, on: bool) -> None:
+    def watch_list(self, on: bool) -> None:
         """The list is told by steps."""
 
-    def probe(self, backend: int) -> None:
+    def check_health(self, backend: int) -> None:
         raise AssertionError("no probe is asked for where none is allowed")
 
-    def forget(self, backend: int) -> None:
-        assert not any(backend in table.lines for table in self.orders.tables.values()), "a name still in use"
+    def release_backend(self, backend: int) -> None:
+        assert not any(
+            backend in table.weights for table in self.orders.tables.values()
+        ), "a name still in use"
 
-    def mark(self, number: int) -> None:
-        self.orders.mark = number
+    def request_ack(self, number: int) -> None:
+        self.orders.nonce = number
         self.marks.append(number)
 
-    def wake_in(self, wait_ns: int) -> None:
+    def set_timer(self, wait_ns: int) -> None:
         assert wait_ns == TICK
 
-    def set_line(self, table: int, backend: int, weight: float) -> None:
+    def set_weight(self, table: int, backend: int, weight: float) -> None:
         assert weight >= 0
-        self.orders.set_line(table, backend, weight)
+        self.orders.set_weight(table, backend, weight)
 
-    def bind(self, routes: int, proxy: int, table: int) -> None:
-        self.orders.bind(routes, proxy, table)
+    def assign_table(self, routes: int, proxy: int, table: int) -> None:
+        self.orders.assign_table(routes, proxy, table)
 
-    def admit(self, table: int, routes: int, level: float, retry: int) -> None:
+    def set_admission(self, table: int, routes: int, level: float, retry: int) -> None:
         self.outcomes.append(("level", level, retry))
-        self.orders.admit(table, routes, level, retry)
+        self.orders.set_admission(table, routes, level, retry)
 
     # -- the channel and the proxies
 
@@ -132,9 +134,9 @@
         """All orders of a step are one message a proxy; a proxy takes it in at once."""
         gone = (self.now - self.backlog_ns) / SECOND * SETTINGS.channel_rate
         self.backlog, self.backlog_ns = max(0.0, self.backlog - gone), self.now
-        for users, parts in self.orders.messages():
+        for users, parts in self.orders.take_messages():
             for proxy in users:
-                self.backlog += SETTINGS.head + sum(part.cost() for part in parts)
+                self.backlog += SETTINGS.head + sum(part.channel_lines() for part in parts)
                 heads = self.heads[proxy]
                 heads.append(self.now)
                 while heads[0] <= self.now - SETTINGS.messages_over_ns:
@@ -142,20 +144,20 @@
                 self.apply(proxy, parts)
         self.look()
 
-    def apply(self, proxy: int, parts: list[Part]) -> None:
+    def apply(self, proxy: int, parts: list[TableUpdate]) -> None:
         for part in parts:
             for k, route in enumerate(("a", "b")):
                 if part.routes and route not in part.routes:
                     continue
                 held = self.holds[proxy][k]
-                if part.full:
+                if part.replaces:
                     held.clear()
                     self.grants[proxy][k] = None
-                held.update(part.lines)
+                held.update(part.weights)
                 for name in [name for name, weight in held.items() if not weight]:
                     del held[name]
-                if part.grant:
-                    self.grants[proxy][k] = part.grant
+                if part.admission:
+                    self.grants[proxy][k] = part.admission
 
     def look(self) -> None:
         """Notes since when a proxy lacks a line that it might have, by what the module has been told."""
@@ -214,7 +216,7 @@
         for b, (state, _) in self.listed.items():
             if state == "gone":
                 self.told_ns.setdefault(b, self.now)
-        self.module.listed(
+        self.module.on_endpoints(
             self.now, "whole", [self.entry(b) for b, (s, _) in self.listed.items() if s != "gone"]
         )
 
@@ -231,7 +233,7 @@
             self.told_ns.pop(b, None)
         else:
             self.told_ns.setdefault(b, self.now)
-        self.module.listed(self.now, "changes", [self.entry(b)])
+        self.module.on_endpoints(self.now, "changes", [self.entry(b)])
 
     def do_report(self, ill: int) -> None:
         """A period in which what each proxy holds was tried. `ill` drops all; -1: none does; -2: all do."""
@@ -240,24 +242,24 @@
                 b = int(name[2:])
                 bad = 20 if ill in (b, -2) else 0
                 load = {"queue": 9.0} if ill == -2 else {}
-                self.module.heard(self.now, p, b, 20, bad, SECOND // 10, SECOND, load)
+                self.module.on_backend_report(self.now, p, b, 20, bad, SECOND // 10, SECOND, load)
 
     def do_ask(self, calls: int) -> None:
         for p in self.holds:
             for k in range(len(ROUTES)):
-                self.module.asked(self.now, p, k, calls, 0, SECOND)
+                self.module.on_demand_report(self.now, p, k, calls, 0, SECOND)
 
     def do_join(self, p: int) -> None:
         self.holds[p], self.grants[p] = [{}, {}], [None, None]
         self.heads[p] = deque()
-        self.orders.join(p)
-        self.module.joined(self.now, p, p, 10.0)
+        self.orders.add_proxy(p)
+        self.module.on_proxy_joined(self.now, p, p, 10.0)
 
     def do_leave(self, p: int) -> None:
         for kept in (self.holds, self.grants, self.heads, self.bare_ns):
             kept.pop(p, None)
-        self.orders.leave(p)
-        self.module.left(self.now, p)
+        self.orders.remove_proxy(p)
+        self.module.on_proxy_left(self.now, p)
 
     def do_channel(self) -> None:
         """It stands, or goes on."""
@@ -266,7 +268,7 @@
     def answer(self) -> None:
         if not self.stuck:
             for mark in self.marks:
-                self.module.applied(self.now, mark)
+                self.module.on_ack(self.now, mark)
             self.marks.clear()
 
     # -- states
@@ -354,7 +356,7 @@
         if not world.module.proxies[p].bound:
             continue
         for k, table in enumerate(tables):
-            number = world.orders.bound[p][k]
+            number = world.orders.assignments[p][k]
             if number is None or table != {f"s-{b}": w for b, w in world.module.tables[number].items()}:
                 return False
     return True
--- a/meadowworks/modelcheck/models/quota.py
+++ b/meadowworks/modelcheck/models/quota.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from meadowworks.modelcheck.model import LivenessProperty, Model, Property, Step, steps_starting_with
-from meadowworks.quota.machine import Account, Budget, Grant, Holder, Report
+from meadowworks.quota.machine import QuotaAccount, QuotaBudget, QuotaGrant, QuotaHolder, UsageReport
 
 LEASE, MARGIN = 2, 1  # units
 NEVER = 1 << 20  # a lease that does not end
@@ -46,15 +46,15 @@
         self.scene = scene
         self.outcomes: list[tuple[Any, ...]] = []
         self.now = 0
-        self.budget = Budget(scene.lease, scene.handoff)
+        self.budget = QuotaBudget(scene.lease, scene.handoff)
         self.holders = [self.fresh(k) for k in range(scene.holders)]
         self.here = [False] * scene.holders
         self.views = [max(scene.views, default=scene.estimate)] * scene.holders
-        self.wire: list[Report | Grant] = []
+        self.wire: list[UsageReport | QuotaGrant] = []
         self.deaths, self.losses = scene.deaths, scene.losses
 
-    def fresh(self, k: int) -> Holder:
-        return Holder(k, self.scene.lease, 2 * MARGIN)
+    def fresh(self, k: int) -> QuotaHolder:
+        return QuotaHolder(k, self.scene.lease, 2 * MARGIN)
 
     def clock(self, k: int) -> int:
         """Half units, so that clocks can differ by less than the margin."""
@@ -63,15 +63,15 @@
     def enabled(self) -> Iterable[Step]:
         found: list[Step] = []
         for k, holder in enumerate(self.holders):
-            mine = sum(m.who == k for m in self.wire)
+            mine = sum(m.holder_id == k for m in self.wire)
             if not self.here[k]:
                 found.append(("come", k))
                 continue
             if mine < self.scene.wire[k]:
                 found.append(("beat", k))
-            if self.clock(k) < holder.until_ns:
+            if self.clock(k) < holder.lease_until_ns:
                 found.append(("begin", k))
-            if holder.under_way:
+            if holder.in_flight:
                 found.append(("end", k))
             elif not mine:
                 found.append(("leave", k))
@@ -80,10 +80,10 @@
             found += [("view", k, v) for v in self.scene.views if v != self.views[k]]
         nth = [0] * len(self.holders)
         for message in self.wire:
-            found.append(("deliver", message.who, nth[message.who]))
+            found.append(("deliver", message.holder_id, nth[message.holder_id]))
             if self.losses:
-                found.append(("lose", message.who, nth[message.who]))
-            nth[message.who] += 1
+                found.append(("lose", message.holder_id, nth[message.holder_id]))
+            nth[message.holder_id] += 1
         if self.scene.timed and (any(self.here) or self.budget.accounts):
             found.append(("pass",))
         return found
@@ -93,7 +93,9 @@
         kind, *what = step
         getattr(self, "do_" + kind)(*what)
         self.budget.expire(self.now)  # nothing is read of it before this would be done anyway
-        self.wire.sort(key=lambda m: (m.who, isinstance(m, Grant)))  # each holder's two ways, in order
+        self.wire.sort(
+            key=lambda m: (m.holder_id, isinstance(m, QuotaGrant))
+        )  # each holder's two ways, in order
 
     def do_come(self, k: int) -> None:
         self.here[k] = True
@@ -101,20 +103,20 @@
 
     def do_beat(self, k: int) -> None:
         self.now += not self.scene.timed
-        self.wire.append(self.holders[k].report(self.clock(k), self.views[k]))
+        self.wire.append(self.holders[k].build_report(self.clock(k), self.views[k]))
 
     def do_begin(self, k: int) -> None:
         holder = self.holders[k]
-        before = holder.under_way
-        began = holder.begin(self.clock(k))
-        self.outcomes.append(("begin", began, before, holder.share, self.clock(k) < holder.until_ns))
+        before = holder.in_flight
+        began = holder.try_start(self.clock(k))
+        self.outcomes.append(("begin", began, before, holder.share, self.clock(k) < holder.lease_until_ns))
 
     def do_end(self, k: int) -> None:
-        self.holders[k].ended()
+        self.holders[k].on_call_ended()
 
     def do_leave(self, k: int) -> None:
         self.here[k] = False
-        self.budget.left(k)
+        self.budget.on_holder_left(k)
         self.holders[k] = self.fresh(k)
 
     def do_die(self, k: int) -> None:
@@ -128,19 +130,19 @@
 
     def nth(self, k: int, place: int) -> int:
         """Where a holder's message lies on the wire."""
-        return [at for at, message in enumerate(self.wire) if message.who == k][place]
+        return [at for at, message in enumerate(self.wire) if message.holder_id == k][place]
 
     def do_deliver(self, k: int, place: int) -> None:
         message = self.wire.pop(self.nth(k, place))
-        if isinstance(message, Report):
-            if grant := self.budget.heard(self.now, message):
+        if isinstance(message, UsageReport):
+            if grant := self.budget.on_report(self.now, message):
                 self.wire.append(grant)
-        elif self.here[message.who]:
-            holder = self.holders[message.who]
-            before = holder.number
-            holder.granted(message)
+        elif self.here[message.holder_id]:
+            holder = self.holders[message.holder_id]
+            before = holder.grant_number
+            holder.on_grant(message)
             self.outcomes.append(
-                ("granted", before, message.number, holder.number, holder.share, message.share)
+                ("granted", before, message.grant_number, holder.grant_number, holder.share, message.share)
             )
 
     def do_lose(self, k: int, place: int) -> None:
@@ -155,7 +157,7 @@
         self.wire = [m for m in self.wire if m.sent_ns + self.scene.lease > self.now]
 
     def under_way(self) -> int:
-        return sum(holder.under_way for holder in self.holders)
+        return sum(holder.in_flight for holder in self.holders)
 
     def top(self) -> int:
         return max(self.scene.views, default=self.scene.estimate)
@@ -163,16 +165,16 @@
     def key(self) -> Any:
         """Times from now, and grants by the order of their numbers."""
         now = self.now
-        numbers = {h.number for h in self.holders} | {0}
+        numbers = {h.grant_number for h in self.holders} | {0}
         numbers.update(n for a in self.budget.accounts.values() for n in a.shares)
-        numbers.update(m.number for m in self.wire)
+        numbers.update(m.grant_number for m in self.wire)
         rank = {n: k for k, n in enumerate(sorted(numbers))}
         if self.scene.timed:
 
             def at(who: int, sent_ns: int) -> int:
                 return sent_ns - now
         else:  # only the order of what each has sent
-            sent = {(m.who, m.sent_ns) for m in self.wire}
+            sent = {(m.holder_id, m.sent_ns) for m in self.wire}
             sent |= {(who, a.expires_ns - NEVER) for who, a in self.budget.accounts.items()}
 
             def at(who: int, sent_ns: int) -> int:
@@ -183,28 +185,28 @@
             [
                 (
                     who,
-                    a.view,
-                    a.under_way,
+                    a.estimate,
+                    a.in_flight,
                     at(who, a.expires_ns - lease),
                     tuple([(rank[n], share) for n, share in a.shares.items()]),
                 )
                 for who, a in sorted(self.budget.accounts.items())
             ]
         )
-        left = [max(h.until_ns - now, -1) if self.scene.timed else 0 for h in self.holders]
+        left = [max(h.lease_until_ns - now, -1) if self.scene.timed else 0 for h in self.holders]
         holders = tuple(
             [
-                (h.share if over >= 0 else 0, rank[h.number], h.under_way, over)
+                (h.share if over >= 0 else 0, rank[h.grant_number], h.in_flight, over)
                 for h, over in zip(self.holders, left, strict=True)
             ]
         )
         wire = tuple(
             [
                 (
-                    m.who,
-                    at(m.who, m.sent_ns),
-                    rank[m.number],
-                    *((m.view, m.under_way) if isinstance(m, Report) else (m.share,)),
+                    m.holder_id,
+                    at(m.holder_id, m.sent_ns),
+                    rank[m.grant_number],
+                    *((m.estimate, m.in_flight) if isinstance(m, UsageReport) else (m.share,)),
                 )
                 for m in self.wire
             ]
@@ -227,29 +229,29 @@
         return (
             self.scene,
             self.now,
-            self.budget.given,
+            self.budget.last_grant_number,
             tuple(self.here),
             tuple(self.views),
             tuple(self.wire),
             self.deaths,
             self.losses,
             tuple(
-                (who, a.view, a.under_way, a.expires_ns, tuple(a.shares.items()))
+                (who, a.estimate, a.in_flight, a.expires_ns, tuple(a.shares.items()))
                 for who, a in self.budget.accounts.items()
             ),
-            tuple((h.share, h.number, h.under_way, h.until_ns) for h in self.holders),
+            tuple((h.share, h.grant_number, h.in_flight, h.lease_until_ns) for h in self.holders),
         )
 
 
 def thaw(state: Any) -> World:
     scene, now, given, here, views, wire, deaths, losses, accounts, holders = state
     world = World(scene)
-    world.now, world.budget.given, world.deaths, world.losses = now, given, deaths, losses
+    world.now, world.budget.last_grant_number, world.deaths, world.losses = now, given, deaths, losses
     world.here, world.views, world.wire = list(here), list(views), list(wire)
     for who, view, under_way, expires, shares in accounts:
-        world.budget.accounts[who] = Account(view, under_way, expires, dict(shares))
+        world.budget.accounts[who] = QuotaAccount(view, under_way, expires, dict(shares))
     for holder, kept in zip(world.holders, holders, strict=True):
-        holder.share, holder.number, holder.under_way, holder.until_ns = kept
+        holder.share, holder.grant_number, holder.in_flight, holder.lease_until_ns = kept
     return world
 
 
@@ -282,7 +284,7 @@
 
 def fenced(world: World) -> bool:
     """Nobody has calls under way for whom nothing is reserved any more."""
-    return all(not h.under_way or k in world.budget.accounts for k, h in enumerate(world.holders))
+    return all(not h.in_flight or k in world.budget.accounts for k, h in enumerate(world.holders))
 
 
 def starved(world: World) -> bool:
--- a/meadowworks/modelcheck/seeded_faults/forwarding.py
+++ b/meadowworks/modelcheck/seeded_faults/forwarding.py
@@ -4,7 +4,7 @@
 
 from meadowworks.modelcheck.fault import SeededFault
 
-AGAIN, MACHINE = "meadowworks.attempts.retry_policy:", "meadowworks.attempts.machine:Attempts."
+AGAIN, MACHINE = "meadowworks.attempts.retry_policy:", "meadowworks.attempts.machine:AttemptMachine."
 CLIENTS, BREAKS, KEPT, NAMELESS, BETWEEN = tuple(range(9)), (9,), (10,), (12,), (14,)  # worlds of the model
 JOURNEY, ANSWERS = (
     "meadowworks.forwarding.attempts:RequestAttempts.",
@@ -45,36 +45,37 @@
             (
                 "a line with a spoilt answer is kept",
                 ANSWERS + "check_response",
-                "return ResponseVerdict(DROPPED, is_valid=False, reusable=False)",
-                "return ResponseVerdict(UNRUN, is_valid=False, reusable=False)",
+                "return ResponseVerdict(FAILED, is_valid=False, reusable=False)",
+                "return ResponseVerdict(NEVER_RAN, is_valid=False, reusable=False)",
                 ("at most once", "promises kept"),
             ),
             (
                 "a line to another life is kept",
                 ANSWERS + "check_response",
-                "!= backend_id, reusable=False)",
-                "!= backend_id)",
+                "!= backend_id, reusable=False",
+                "!= backend_id",
                 ("own lines",),
             ),
             (
                 "an unsafe request has another try beside it",
-                AGAIN + "may_follow",
-                "if not sure(tries) and not (way.repeatable and policy >= AFTER_ANY):",
+                AGAIN + "retry_obstacle",
+                "if not none_ran(attempts) and not "
+                "(route_policy.idempotent and retry_policy >= RETRY_ANY_FAILURE):",
                 "if False:",
                 ("at most once",),
             ),
             (
                 "what was given up is told 503",
                 JOURNEY + "reject",
-                "if sure([*self.attempts.values()]):",
+                "if none_ran([*self.attempts.values()]):",
                 "if True:",
                 ("promises kept",),
             ),
             (
                 "a backend's own 503 goes to the client",
                 JOURNEY + "on_attempt_ended",
-                "if outcome == DROPPED and status and status not in NOT_RUN_STATUSES:",
-                "if outcome == DROPPED and status:",
+                "if outcome == FAILED and status and status not in NOT_RUN_STATUSES:",
+                "if outcome == FAILED and status:",
                 ("promises kept",),
             ),
             (
--- a/meadowworks/modelcheck/seeded_faults/policy.py
+++ b/meadowworks/modelcheck/seeded_faults/policy.py
@@ -10,7 +10,7 @@
     SeededFault(
         "what drains goes with the rest, at the usual pace",
         "module",
-        RULES + "settle",
+        RULES + "update_tables",
         "1 if not b.ready or self.cold",
         "1 if self.cold",
         ("drains first",),
@@ -19,7 +19,7 @@
     SeededFault(
         "a cold server that is to leave waits with a warm one's weight",
         "module",
-        RULES + "settle",
+        RULES + "update_tables",
         "(shut or w > b.weight * self.part(now, b))",
         "shut",
         ("cold ones spared",),
@@ -28,7 +28,7 @@
     SeededFault(
         "a restarted server's line goes with the rest",
         "module",
-        RULES + "settle",
+        RULES + "update_tables",
         "min(first, 1) if p in eased else first",
         "first",
         ("cold ones spared",),
@@ -46,7 +46,7 @@
     SeededFault(
         "a drained backend stays in the tables",
         "module",
-        RULES + "listed",
+        RULES + "on_endpoints",
         'known.ready, known.lost, known.gone_ns = entry.state == "ready", False, 0',
         "known.ready, known.lost, known.gone_ns = True, False, 0",
         ("drains kept",),
@@ -54,7 +54,7 @@
     SeededFault(
         "what a whole list lacks stays",
         "module",
-        RULES + "listed",
+        RULES + "on_endpoints",
         "if place not in named]",
         "if False]",
         ("drains kept",),
@@ -63,7 +63,7 @@
     SeededFault(
         "a start under an old name is not seen",
         "module",
-        RULES + "listed",
+        RULES + "on_endpoints",
         "if entry.since_ns > known.since_ns:",
         "if False:",
         ("cold ones spared",),
@@ -88,7 +88,7 @@
         "who was not bound at once never is",
         "module",
         RULES + "tick",
-        "self.bind(now, number)",
+        "self.assign_tables(now, number)",
         "pass",
         ("never without a backend",),
         start_indices=(5,),
@@ -140,7 +140,7 @@
     SeededFault(
         "lines that were taken out are not noted",
         "module",
-        RULES + "settle",
+        RULES + "update_tables",
         "del self.tables[table][place]",
         "pass",
         ("tables held", NO_EXCEPTION),
--- a/meadowworks/modelcheck/seeded_faults/quota.py
+++ b/meadowworks/modelcheck/seeded_faults/quota.py
@@ -4,13 +4,13 @@
 
 from meadowworks.modelcheck.fault import SeededFault
 
-BUDGET, HOLDER = "meadowworks.quota.machine:Budget.", "meadowworks.quota.machine:Holder."
+BUDGET, HOLDER = "meadowworks.quota.machine:QuotaBudget.", "meadowworks.quota.machine:QuotaHolder."
 QUOTA_FAULTS = (
     SeededFault(
         "a grant counts as given back when a smaller one was sent",
         "grants",
-        BUDGET + "held",
-        "max(shares) if self.handoff else shares[-1]",
+        BUDGET + "reserved",
+        "max(shares) if self.acknowledged_handoff else shares[-1]",
         "shares[-1]",
         ("under the estimate",),
         start_indices=(0,),
@@ -18,8 +18,8 @@
     SeededFault(
         "what is under way is not reserved",
         "grants",
-        BUDGET + "held",
-        "account.under_way, max(shares)",
+        BUDGET + "reserved",
+        "account.in_flight, max(shares)",
         "0, max(shares)",
         ("under the estimate",),
         start_indices=(0,),
@@ -28,15 +28,15 @@
         "views are summed",
         "grants",
         BUDGET + "estimate",
-        "median(a.view",
-        "sum(a.view",
+        "median(a.estimate",
+        "sum(a.estimate",
         ("granted under it", "under the estimate"),
         start_indices=(0,),
     ),
     SeededFault(
         "shares are dealt without the budget",
         "grants",
-        BUDGET + "heard",
+        BUDGET + "on_report",
         "estimate - others",
         "estimate",
         ("granted under it", "under the estimate"),
@@ -45,7 +45,7 @@
     SeededFault(
         "an older report counts again",
         "grants",
-        BUDGET + "heard",
+        BUDGET + "on_report",
         "if report.sent_ns + self.lease_ns <= max(now, account.expires_ns - 1):",
         "if False:",
         ("under the estimate", "newer only", "fenced"),
@@ -55,16 +55,16 @@
     SeededFault(
         "grants are forgotten before they are confirmed",
         "grants",
-        BUDGET + "heard",
-        "if n >= report.number",
-        "if n > report.number",
+        BUDGET + "on_report",
+        "if n >= report.grant_number",
+        "if n > report.grant_number",
         ("under the estimate", "granted under it"),
         start_indices=(0,),
     ),
     SeededFault(
         "one share is never dealt",
         "grants",
-        BUDGET + "heard",
+        BUDGET + "on_report",
         "estimate - others))",
         "estimate - others - 1))",
         ("a share at last",),
@@ -73,8 +73,8 @@
     SeededFault(
         "an overtaken grant is gone by",
         "grants",
-        HOLDER + "granted",
-        "if grant.number <= self.number:",
+        HOLDER + "on_grant",
+        "if grant.grant_number <= self.grant_number:",
         "if False:",
         ("newer only",),
         start_indices=(3,),
@@ -82,9 +82,9 @@
     SeededFault(
         "a holder goes over its share by one",
         "grants",
-        HOLDER + "begin",
-        "self.under_way >= self.share",
-        "self.under_way > self.share",
+        HOLDER + "try_start",
+        "self.in_flight >= self.share",
+        "self.in_flight > self.share",
         ("within the share",),
         start_indices=(0,),
     ),
@@ -92,7 +92,7 @@
         "a holder that is cut off goes on",
         "grants",
         HOLDER + "fence",
-        "if now < self.until_ns or not self.under_way:",
+        "if now < self.lease_until_ns or not self.in_flight:",
         "if True:",
         ("fenced",),
         start_indices=(2,),
@@ -100,9 +100,9 @@
     SeededFault(
         "a lease runs from when its grant came",
         "grants",
-        HOLDER + "granted",
-        "grant.sent_ns + self.span_ns",
-        "max(self.until_ns, grant.sent_ns) + self.span_ns",
+        HOLDER + "on_grant",
+        "grant.sent_ns + self.usable_lease_ns",
+        "max(self.lease_until_ns, grant.sent_ns) + self.usable_lease_ns",
         ("fenced",),
         start_indices=(2,),
     ),
--- a/meadowworks/policy/admission.py
+++ b/meadowworks/policy/admission.py
@@ -4,14 +4,14 @@
 from statistics import median
 
 from meadowworks.policy.state import FRESH_NS, OPEN_RATE, WINDOW_NS
-from meadowworks.policy.zone_views import SLO_PART, Views
+from meadowworks.policy.zone_views import SLO_PART, ZoneViews
 
 TOLERANCE, LEAST_CUT, GAIN, CAP = 2.0, 0.5, 0.1, 2.0  # the design's (docs/design/): of a view
 PROVEN, PROVEN_CALM = 0.4, 0.8  # parts of the best throughput that a budget keeps; the latter in calm
 FLOOR, LEVEL_STEP, LINE_STEP = 0.1, 0.05, 0.1  # the least level; the least moves of a level and of a weight
 
 
-class Levels(Views):
+class AdmissionControl(ZoneViews):
     def lowest(self, now: int, seen: deque[tuple[int, float]], value: float) -> float:
         while seen and seen[-1][1] >= value:
             seen.pop()
--- a/meadowworks/policy/control_channel.py
+++ b/meadowworks/policy/control_channel.py
@@ -3,13 +3,13 @@
 from collections import deque
 from collections.abc import Sequence
 
-from meadowworks.policy.state import FRESH_NS, PACE_NS, SECOND, WINDOW_NS, Proxy, State
+from meadowworks.policy.state import FRESH_NS, PACE_NS, SECOND, WINDOW_NS, ControllerState, Proxy
 
 CHANNEL_TRUST, MARKS = (0.5, 0.33), 65536  # of its rate: by urgent orders; by the rest. Numbers of marks
 KEEP_DRAIN, KEEP_JOIN, KEEP_USUAL = 0.1, 0.3, 0.5  # parts of the caps that orders of a kind leave free
 
 
-class Channel(State):
+class ControlChannel(ControllerState):
     def take(self, now: int, users: Sequence[Proxy], lines: int, keep: float, rest: int = -1) -> int:
         """Takes room in queue and caps for lines to each user, and leaves some; with a rest, a part does."""
         gone, self.queue_ns = (now - self.queue_ns) / SECOND * self.set.channel_rate, now
@@ -43,13 +43,13 @@
             self.marked_ns, self.mark = now, (self.mark + 1) % MARKS
             due = now + int(cost / self.set.channel_rate * SECOND) + self.set.report_ns
             self.marks.append((self.mark, due + self.set.delay_most_ns, self.sent, cost / len(fresh)))
-            self.host.mark(self.mark)
+            self.host.request_ack(self.mark)
         self.sent, self.queue = self.sent + cost, [q + cost for q in self.queue]
         for proxy in fresh:
             proxy.sent.append(now)
         return lines + rest
 
-    def applied(self, now: int, mark: int) -> None:
+    def on_ack(self, now: int, mark: int) -> None:
         while any(m[0] == mark for m in self.marks):  # what was sent before has left the channel
             _, _, self.passed, each = self.marks.popleft()
             self.answering = mark, each
--- a/meadowworks/policy/publisher.py
+++ b/meadowworks/policy/publisher.py
@@ -3,13 +3,13 @@
 from meadowworks.policy.admission import LINE_STEP
 from meadowworks.policy.control_channel import KEEP_DRAIN, KEEP_JOIN, KEEP_USUAL
 from meadowworks.policy.state import PACE_NS, Pool, Proxy
-from meadowworks.policy.weights import Tables
+from meadowworks.policy.weights import ZoneTables
 
 
-class Orders(Tables):
-    def settle(self, now: int) -> None:  # brings tables to what is wanted; what must go leaves at once
+class TablePublisher(ZoneTables):
+    def update_tables(self, now: int) -> None:  # brings tables to what is wanted; what must go leaves at once
         if self.set.slices:
-            return self.settle_slices(now)
+            return self.update_slices(now)
         self.balance(now)
         pools: dict[tuple[int, bool], Pool] = {}
         bound: dict[tuple[int, int], list[Proxy]] = {}
@@ -53,15 +53,15 @@
             if fit >= ahead + len(levels):
                 fit -= len(levels)
                 for (table, grant), mask in levels.items():
-                    self.host.admit(table, mask, *grant)
+                    self.host.set_admission(table, mask, *grant)
                     self.levels[table].update((k, grant) for k in range(mask.bit_length()) if mask >> k & 1)
             for _, _, table, place, weight in todo[:fit]:
-                self.host.set_line(table, place, weight)
+                self.host.set_weight(table, place, weight)
                 self.tables[table][place] = weight
                 if not weight:
                     del self.tables[table][place]
 
-    def bind(self, now: int, number: int) -> None:
+    def assign_tables(self, now: int, number: int) -> None:
         proxy = self.proxies[number]
         tables = self.cells[proxy.zone * self.splits + proxy.split]
         if self.set.slices or proxy.bound or not any(self.tables[t] for t, _, _ in tables):
@@ -70,18 +70,18 @@
         if self.take(now, [proxy], lines, KEEP_JOIN):
             proxy.bound = True
             for table, routes, _ in tables:
-                self.host.bind(routes if len(tables) > 1 else 0, number, table)
+                self.host.assign_table(routes if len(tables) > 1 else 0, number, table)
 
-    def slice_given(self, now: int, number: int, on: bool) -> None:
+    def on_slice_assigned(self, now: int, number: int, on: bool) -> None:
         self.slices.pop(number, None)
         self.moving.pop(number, None)
         if on:
             self.slices[number] = {}
 
-    def slice_line(self, now: int, number: int, place: int, weight: float) -> None:
+    def on_slice_backend(self, now: int, number: int, place: int, weight: float) -> None:
         self.slices.get(number, {})[place] = weight
 
-    def settle_slices(self, now: int) -> None:  # an owner is followed only once its writes are done
+    def update_slices(self, now: int) -> None:  # an owner is followed only once its writes are done
         ready = [p for p, b in self.backends.items() if b.ready]
         warm = [p for p in ready if not self.cold(now, self.backends[p])] or ready
         for number, lines in self.slices.items():
@@ -93,14 +93,14 @@
                 return
             if waits:  # first nothing goes to the former owner, later all to the next
                 self.moving[number] = now + self.set.lease_ns + self.set.in_flight_ns + self.set.delay_most_ns
-                self.host.admit(number, 0, 0.0, retry)
+                self.host.set_admission(number, 0, 0.0, retry)
                 continue
             if len(bad) == len(lines):
                 lines[place := warm[int(self.chance() * len(warm))]] = 1.0
-                self.host.set_line(number, place, 1.0)
+                self.host.set_weight(number, place, 1.0)
             for place in bad:
                 del lines[place]
                 if not self.set.exclusive:
-                    self.host.set_line(number, place, 0.0)
+                    self.host.set_weight(number, place, 0.0)
             if self.moving.pop(number, None):
-                self.host.admit(number, 0, 1.0, retry)
+                self.host.set_admission(number, 0, 1.0, retry)
--- a/meadowworks/policy/state.py
+++ b/meadowworks/policy/state.py
@@ -59,7 +59,7 @@
 
 
 @dataclass(slots=True)
-class View:  # what one zone of proxies makes of the backends all together
+class ZoneView:  # what one zone of proxies makes of the backends all together
     calls: float = -1.0  # under 0: nothing heard yet
     lows: deque[tuple[int, float]] = field(default_factory=deque)  # (when, latency), see lowest()
     lines: dict[int, tuple[float, float, int]] = field(default_factory=dict)  # good a second, latency, until
@@ -86,7 +86,7 @@
     whole: float  # weight of its own
 
 
-class State:
+class ControllerState:
     def __init__(self, host: Host, settings: Settings, seed: int, now_ns: int) -> None:
         self.host, self.set, self.seed = host, settings, seed
         self.count = self.failures = self.mark = self.marked_ns = 0
@@ -105,7 +105,7 @@
         self.levels: list[dict[int, tuple[float, int]]] = [{} for _ in self.tables]
         # The way of trying again goes with the first table, at a line; later it costs each proxy a message.
         grant = OPEN_RATE if settings.level_kind == "rate" else 1.0, 1
-        self.views = [View(grants=[grant] * len(settings.routes)) for _ in range(settings.zones)]
+        self.views = [ZoneView(grants=[grant] * len(settings.routes)) for _ in range(settings.zones)]
         self.best: deque[tuple[int, float]] = deque()  # (when, -throughput of a weight), see lowest()
         self.slo_ns = max(float(r.slo_ns) for r in settings.routes)  # the mean over the calls heard
         self.due: list[tuple[int, int, Callable[[], None]]] = []
@@ -116,9 +116,9 @@
         self.moving: dict[int, int] = {}  # slices whose owner is gone, and when the next may follow
         self.half_ns, self.climb_ns = HALF_REPORTS * settings.report_ns, CLIMB_REPORTS * settings.report_ns
         self.tick_ns = settings.report_ns // TICKS_A_REPORT
-        host.wake_in(self.tick_ns)
+        host.set_timer(self.tick_ns)
         if settings.subscribe:
-            host.track(True)
+            host.watch_list(True)
 
     def chance(self) -> float:
         self.count += 1
--- a/meadowworks/policy/weights.py
+++ b/meadowworks/policy/weights.py
@@ -1,7 +1,7 @@
 """Each zone's table: its own servers by capacity, others' where a guard below says so."""
 
-from meadowworks.policy.admission import PROVEN, Levels
-from meadowworks.policy.state import FRESH_NS, RUNGS, SECOND, Met, Pool, View
+from meadowworks.policy.admission import PROVEN, AdmissionControl
+from meadowworks.policy.state import FRESH_NS, RUNGS, SECOND, Met, Pool, ZoneView
 from meadowworks.policy.zone_views import ILL, LEAST_QUEUE, LEAST_TRIES, SLO_PART
 
 JAM, CALM = (0.08, 0.02), 3.0  # dropped share that jams a zone, and ends it; times as much if none is avoided
@@ -11,7 +11,7 @@
 BEAR, LEAST_LINES, SPLIT_LEAST = 0.8, 3, 0.75
 
 
-class Tables(Levels):
+class ZoneTables(AdmissionControl):
     def balance(self, now: int) -> None:
         """Guards against a zone that loses servers, has cold or suspect ones, or meets far more calls."""
         own = (now - self.born_ns >= FRESH_NS) / (self.set.controllers if self.set.by_zone else 1)
@@ -41,7 +41,7 @@
             share = view.met.bad / max(view.met.tries, LEAST_TRIES) / (1 if self.set.ejects else CALM)
             if share > JAM[0] if not view.jam else share < JAM[1]:
                 view.jam = not view.jam
-                self.host.record(f"zone {zone} " + ("jammed" if view.jam else "no longer jammed"))
+                self.host.log(f"zone {zone} " + ("jammed" if view.jam else "no longer jammed"))
             view.full = max(view.full, listed[zone])
             # Guards against pushing over a cold server in a jam, unless the cold bear what may come: their
             # part by weight, or that of the calls whose proxies may be avoiding the warm.
@@ -59,12 +59,12 @@
             keep = 1 - (1 - keep) * (sum(free) - free[zone]) / max(sum(spare) - spare[zone], 1e-9)
             if abs(keep - view.keep) <= SPILL_STEP * view.keep and (keep < 1.0 or view.keep == 1.0):
                 continue
-            self.host.record(f"zone {zone} " + ("keeps calls" if keep == 1.0 else "sends calls abroad"))
+            self.host.log(f"zone {zone} " + ("keeps calls" if keep == 1.0 else "sends calls abroad"))
             excess = room[zone] * (1 - keep) / max(keep, RUNGS[-1]) / max(sum(free) - free[zone], 1e-9)
             view.keep = keep
             view.abroad = [excess * s / max(r, 1e-9) for s, r in zip(free, room, strict=True)]
 
-    def shunned(self, view: View, zone: int, rate: float) -> float:
+    def shunned(self, view: ZoneView, zone: int, rate: float) -> float:
         """The part of a zone's calls that may go round its warm servers. A call's proxy has so many a second,
         and avoids a server once `ejects` tries in a row have failed there, for a cold time at the longest."""
         drops = min(1 - 1e-9, view.met.bad / max(view.met.tries, LEAST_TRIES))
@@ -114,5 +114,5 @@
             lack = max(lack, min(most, view.asked / self.splits / bear - total))
         return lines | {p: lines.get(p, 0.0) + lack * w / most for p, w in net.items() if lack > 0}
 
-    def shut(self, now: int, view: View) -> bool:  # to cold servers: what happens to them is heard too late
+    def shut(self, now: int, view: ZoneView) -> bool:  # to cold servers: they are heard of too late
         return view.frail or now - self.blind_ns < FRESH_NS
--- a/meadowworks/policy/zone_views.py
+++ b/meadowworks/policy/zone_views.py
@@ -2,7 +2,7 @@
 
 from statistics import median
 
-from meadowworks.policy.control_channel import Channel
+from meadowworks.policy.control_channel import ControlChannel
 from meadowworks.policy.state import LAST, OPEN_RATE, SECOND, WINDOW_NS, Met
 
 SLO_PART, LN2 = 0.5, 0.6931  # latency under this part of the SLO time is none to throttle for
@@ -13,12 +13,12 @@
 SILENT, HASTE = 0.95, 0.2  # dropped share of one that answers nothing, and its part of that wait
 
 
-class Views(Channel):
+class ZoneViews(ControlChannel):
     def odd(self, covers_ns: int, latency_ns: int, *counts: float) -> bool:  # guards against spoilt reports
         return not 0 < covers_ns <= WINDOW_NS or latency_ns > WINDOW_NS or max(counts) > OPEN_RATE
 
-    def heard(self, now: int, zone: int, place: int, tries: int, bad: int, latency_ns: int, covers_ns: int,
-              load: dict[str, float]) -> None:
+    def on_backend_report(self, now: int, zone: int, place: int, tries: int, bad: int, latency_ns: int,
+                          covers_ns: int, load: dict[str, float]) -> None:
         backend, view = self.backends.get(place), self.views[zone]
         if backend is None or self.odd(covers_ns, latency_ns, tries, load.get("queue", 0)):
             return
@@ -31,7 +31,8 @@
         until, rate = now + 2 * max(covers_ns, self.set.report_ns), (tries - bad) * SECOND / covers_ns
         view.lines[place], view.fresh = (rate, latency_ns, until), True
 
-    def asked(self, now: int, number: int, route: int, calls: int, dropped: int, covers_ns: int) -> None:
+    def on_demand_report(self, now: int, number: int, route: int, calls: int, dropped: int,
+                         covers_ns: int) -> None:
         proxy = self.proxies.get(number)
         if proxy is not None and not self.odd(covers_ns, 0, calls):
             # Counts fade with time: no line tells of long idle time, nor of a proxy that is cut off.
@@ -44,7 +45,7 @@
             b.met.add(now, self.half_ns, 0, 0, 0)  # what is not heard fades, or a silent suspect stays one
             if 0 < b.gone_ns < now - WINDOW_NS and not b.ready and all(p not in t for t in self.tables):
                 del self.backends[p]  # guards against a memory of all that ever were
-                self.host.forget(p)
+                self.host.release_backend(p)
         heard = [b.met for b in self.backends.values() if b.ready and b.met.tries >= LEAST_TRIES]
         usual = median(m.bad / m.tries for m in heard) if heard else 0.0
         waits = [m.spent / (m.tries - m.bad) for m in heard if m.tries - m.bad >= 1]
@@ -63,4 +64,4 @@
                 rung = LAST if share >= DEAD and not full else b.rung + 1
             if min(LAST, max(0, rung)) != b.rung:
                 b.rung, b.moved_ns, b.met = rung, now, Met()
-                self.host.record(f"suspect {place} on rung {rung}")
+                self.host.log(f"suspect {place} on rung {rung}")
--- a/meadowworks/proxy/server.py
+++ b/meadowworks/proxy/server.py
@@ -12,7 +12,7 @@
 
 import xxhash
 
-from meadowworks.attempts.retry_policy import ANSWERED, CANCELLED, UNRUN, come_back_ns
+from meadowworks.attempts.retry_policy import ANSWERED, CANCELLED, NEVER_RAN, retry_after_ns
 from meadowworks.config.route_table import Route, RouteTable, load_route_table_steps
 from meadowworks.forwarding.attempts import (
     RETRY_AFTER_BASE_NS,
@@ -411,7 +411,7 @@
         if service.admission_ratio < 1 and self.random.random() >= service.admission_ratio:
             self.increment("let in no more")
             return RejectRequest(
-                503, come_back_ns(RETRY_AFTER_BASE_NS, service.admission_ratio, self.random.random())
+                503, retry_after_ns(RETRY_AFTER_BASE_NS, service.admission_ratio, self.random.random())
             )
         jammed, target_ns = service.max_retries == 0, route.target_ms * MS
         journey = RequestAttempts(
@@ -452,7 +452,7 @@
                         self.count_failure(route, f"{step.status} without an offer")
                     return step
                 if isinstance(step, SendAttempt):
-                    backend = self.backends.instances[service.endpoint_ids.names[step.endpoint]]
+                    backend = self.backends.instances[service.endpoint_ids.name_by_index[step.endpoint]]
                     tasks[self.tasks.start(self.run_attempt(backend, request, limit_ns, share))] = step.number
                 until = journey.wait(now_ns()).until_ns
                 done, _ = await asyncio.wait(
@@ -470,7 +470,7 @@
                     number = tasks.pop(task)
                     tried = AttemptResult(CANCELLED, None, 0) if task.cancelled() else task.result()
                     replies[number] = tried.response
-                    offered = offered or tried.outcome != UNRUN or tried.response is not None
+                    offered = offered or tried.outcome != NEVER_RAN or tried.response is not None
                     step = journey.on_attempt_ended(
                         later, number, tried.outcome, tried.status, lines, waits, self.random.random(), again
                     )
@@ -513,7 +513,7 @@
         self, service: ServiceBalancer, target_ns: float, now: int
     ) -> tuple[dict[int, float], dict[int, float], bool]:
         """The lines that a request may take now, how long each would take, and whether a slot is free."""
-        names = service.endpoint_ids.names
+        names = service.endpoint_ids.name_by_index
         kept: dict[int, float] = {}
         own: dict[int, float] = {}
         abroad: dict[int, float] = {}
--- a/meadowworks/proxy/upstream_attempt.py
+++ b/meadowworks/proxy/upstream_attempt.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from meadowworks.attempts.retry_policy import DROPPED, UNRUN
+from meadowworks.attempts.retry_policy import FAILED, NEVER_RAN
 from meadowworks.forwarding.connection_pool import ConnectionPool
 from meadowworks.forwarding.response_check import check_response
 from meadowworks.registry.backends import BackendInstance
@@ -143,7 +143,7 @@
             line.close()
         if not trouble.may_have_run:
             pool.mark_unreachable(now_ns(), backend.instance_id)
-        return AttemptResult(DROPPED if trouble.may_have_run else UNRUN, None, now_ns() - start)
+        return AttemptResult(FAILED if trouble.may_have_run else NEVER_RAN, None, now_ns() - start)
     except asyncio.CancelledError:
         if line is not None:
             line.close()
--- a/meadowworks/runtime/connection_limit.py
+++ b/meadowworks/runtime/connection_limit.py
@@ -46,15 +46,15 @@
         return (None, left) if left > 0 else (oldest, 0)
 
 
-class Collectors(Generic[W]):
+class CollectorLimit(Generic[W]):
     """The newest few of each zone: older ones may have been cut off without a word."""
 
     def __init__(self, most: int) -> None:
-        self.most = most
-        self.here: dict[str, deque[W]] = {}
+        self.max_per_zone = most
+        self.by_zone: dict[str, deque[W]] = {}
 
-    def come(self, zone: str, who: W) -> W | None:
+    def add(self, zone: str, who: W) -> W | None:
         """Who of the zone's has to go for this one."""
-        here = self.here.setdefault(zone, deque())
+        here = self.by_zone.setdefault(zone, deque())
         here.append(who)
-        return here.popleft() if len(here) > self.most else None
+        return here.popleft() if len(here) > self.max_per_zone else None
--- a/meadowworks/simulation/cost.py
+++ b/meadowworks/simulation/cost.py
@@ -17,7 +17,7 @@
 from meadowworks.config.route_table import Route as Route_
 from meadowworks.config.route_table import RouteTable
 from meadowworks.policy import Controller
-from meadowworks.policy.interface import Entry, Route, Settings
+from meadowworks.policy.interface import EndpointEntry, Route, Settings
 
 SECOND = 1_000_000_000
 SIZES = ((50, 20), (640, 120))
@@ -70,19 +70,19 @@
     """Microseconds for a join, for a report line, and for a tick."""
     now = 1000 * SECOND
     module = Controller(Nobody(), settings(proxies), 7, now)
-    module.listed(now, "disk", [Entry(b, b % 2, "ready", 0, 2.0) for b in range(backends)])
+    module.on_endpoints(now, "disk", [EndpointEntry(b, b % 2, "ready", 0, 2.0) for b in range(backends)])
     start = process_time()
     for p in range(proxies):
-        module.joined(now, p, p % 2, 1.0)
+        module.on_proxy_joined(now, p, p % 2, 1.0)
     join = (process_time() - start) / proxies
     report = tick = 0.0
     for turn in range(8):
         now += SECOND // 4
         start = process_time()
         for b in range(backends):
-            module.heard(now, b % 2, b, 5, 0, SECOND // 5, SECOND // 2, {"queue": 0.0})
+            module.on_backend_report(now, b % 2, b, 5, 0, SECOND // 5, SECOND // 2, {"queue": 0.0})
         for p in range(proxies):
-            module.asked(now, p, turn % 3, 2, 0, SECOND)
+            module.on_demand_report(now, p, turn % 3, 2, 0, SECOND)
         report += (process_time() - start) / (backends + proxies)
         start = process_time()
         module.tick(now)
--- a/meadowworks/simulation/fleet.py
+++ b/meadowworks/simulation/fleet.py
@@ -15,25 +15,25 @@
 from typing import Any
 
 from meadowworks.fleet.config import Config
-from meadowworks.fleet.controller import Clock, Node
+from meadowworks.fleet.controller import Clock, FleetController
 from meadowworks.fleet.mailbox import Mailbox
 from meadowworks.fleet.messages import (
-    Asked,
-    Attach,
-    Done,
-    Follow,
-    Joined,
-    Left,
-    ListFailed,
-    Listing,
-    Message,
-    Met,
-    Named,
-    News,
-    Told,
-    Track,
+    BackendReport,
+    ConnectionItem,
+    ControllerEvent,
+    DemandReport,
+    DiscoveryCommand,
+    DiscoveryFailed,
+    Endpoint,
+    EndpointList,
+    ProxyHello,
+    ProxyJoined,
+    ProxyLeft,
+    UpdateApplied,
+    UpdateMessage,
+    WatchEndpoints,
 )
-from meadowworks.fleet.names import STATES
+from meadowworks.fleet.names import ENDPOINT_STATES
 from meadowworks.policy.interface import Settings
 from meadowworks.simulation.proxies import Proxy
 from meadowworks.simulation.servers import SECOND, SLACK, Server
@@ -62,8 +62,8 @@
 
     def __init__(self, number: int, zone: str) -> None:
         self.number, self.zone = number, zone
-        self.node: Node | None = None
-        self.known: Listing | None = None  # as its last process had it
+        self.node: FleetController | None = None
+        self.known: EndpointList | None = None  # as its last process had it
         self.index = 0  # of the list that it has been told
         self.states: dict[str, str] = {}  # of each server, as told
         self.told_ns: dict[str, int] = {}  # since when it has known that a server drains or is gone
@@ -158,8 +158,8 @@
 
     def start(self, seat: Seat) -> None:
         """A process of its own, with the list as its last one had it and nothing else."""
-        lists: Mailbox[Follow] = Mailbox(1)
-        news: Mailbox[News] = Mailbox(16384)
+        lists: Mailbox[DiscoveryCommand] = Mailbox(1)
+        news: Mailbox[ControllerEvent] = Mailbox(16384)
         config = Config(
             name=f"n{seat.number}",
             host="",
@@ -169,15 +169,15 @@
             seed=self.seed * 100 + seat.number,
             known=seat.known,
             settings=self.settings,
-            zones={z: k for k, z in enumerate(self.zones)},
-            routes={r: k for k, r in enumerate(self.routes)},
-            batch_ns=BATCH_NS,
+            zone_indices={z: k for k, z in enumerate(self.zones)},
+            route_indices={r: k for k, r in enumerate(self.routes)},
+            batch_interval_ns=BATCH_NS,
         )
 
         def call_at(when: float, act: Callable[..., Any], *what: Any) -> None:
             self.at(round(when * SECOND) - self.now, self.alarm, seat, news, act, what)
 
-        node = Node(config, news, lists, call_at, Time(self))
+        node = FleetController(config, news, lists, call_at, Time(self))
         seat.node, seat.free_ns = node, self.now
         seat.queue.clear()
         seat.met, seat.asked, seat.tracking, seat.index = {}, {}, False, 0
@@ -186,8 +186,10 @@
         seat.told_ns = {name: self.now for name, state in seat.states.items() if state != "ready"}
         self.lists(seat)
 
-    def alarm(self, seat: Seat, news: Mailbox[News], act: Callable[..., Any], what: tuple[Any, ...]) -> None:
-        if seat.node and seat.node.mailbox is news:
+    def alarm(
+        self, seat: Seat, news: Mailbox[ControllerEvent], act: Callable[..., Any], what: tuple[Any, ...]
+    ) -> None:
+        if seat.node and seat.node.events is news:
             act(*what)
             self.soon(seat)
 
@@ -205,32 +207,32 @@
             seat.due = True
             self.at(BATCH_NS, self.batch, seat)
 
-    def put(self, seat: Seat, item: News, report: bool = False) -> None:
+    def put(self, seat: Seat, item: ControllerEvent, report: bool = False) -> None:
         if seat.node:
-            seat.node.mailbox.put(item, report)
+            seat.node.events.put(item, report)
             self.soon(seat)
 
     def batch(self, seat: Seat) -> None:
         seat.due = False
         if not seat.node:
             return
-        seat.node.batch()
+        seat.node.process_batch()
         self.lists(seat)
         told = [
             (p, item)
             for p in self.proxies
             if p.at == seat.number and p.stream
             for item in p.stream.drain()
-            if isinstance(item, Message)
+            if isinstance(item, UpdateMessage)
         ]
-        calls = seat.node.module.calls
+        calls = seat.node.policy.calls
         for proxy, message in sorted(told, key=lambda t: (-calls(t[0].number), t[0].number)):
             self.send(seat, proxy, message)
 
     # -- the channel
 
-    def send(self, seat: Seat, proxy: Proxy, message: Message) -> None:
-        lines = self.settings.head + self.cost(message.text)
+    def send(self, seat: Seat, proxy: Proxy, message: UpdateMessage) -> None:
+        lines = self.settings.head + self.cost(message.data)
         takes_ns = int(lines / self.settings.channel_rate / self.speed * SECOND)
         seat.free_ns = max(seat.free_ns, self.now) + takes_ns
         seat.queue.append((seat.free_ns, lines))
@@ -245,17 +247,17 @@
         self.counts["messages"] += 1
         self.counts["lines"] += lines
         wait_ns = seat.free_ns - self.now + self.settings.delay_most_ns // 2
-        self.at(wait_ns, self.arrive, seat, proxy, proxy.stream, message.text)
+        self.at(wait_ns, self.arrive, seat, proxy, proxy.stream, message.data)
 
     def cost(self, text: bytes) -> int:
         return text.count(b"full=1") + text.count(b":") + text.count(b"admit=") + text.count(b"nonce_out=")
 
-    def arrive(self, seat: Seat, proxy: Proxy, stream: Mailbox[Told], text: bytes) -> None:
+    def arrive(self, seat: Seat, proxy: Proxy, stream: Mailbox[ConnectionItem], text: bytes) -> None:
         if proxy.stream is not stream or not seat.node:
             return
         mark = proxy.take(text)
         if mark is not None:
-            self.put(seat, Done(proxy.number, mark))
+            self.put(seat, UpdateApplied(proxy.number, mark))
 
     # -- proxies
 
@@ -268,30 +270,32 @@
         seat = near[int(self.chance() * len(near))]
         proxy.at, proxy.stream, proxy.joined_ns, proxy.messages = seat.number, Mailbox(4096), self.now, []
         proxy.bare_ns = 0
-        self.put(seat, Joined(Attach(proxy.number, proxy.zone, proxy.rate, True), proxy.stream))
+        self.put(seat, ProxyJoined(ProxyHello(proxy.number, proxy.zone, proxy.rate, True), proxy.stream))
 
     def die(self, proxy: Proxy, back_ns: int) -> None:
         """It forgets all and comes back with its standing table."""
         if proxy.stream:
-            self.put(self.seats[proxy.at], Left(proxy.number, proxy.stream))
+            self.put(self.seats[proxy.at], ProxyLeft(proxy.number, proxy.stream))
         proxy.at, proxy.stream = -1, None
         proxy.start()
         self.at(back_ns, self.dial, proxy)
 
     # -- discovery
 
-    def entry(self, server: Server) -> Named:
-        return Named(server.name, server.zone, STATES[server.state], server.since_ns, server.weight)
+    def entry(self, server: Server) -> Endpoint:
+        return Endpoint(
+            server.name, server.zone, ENDPOINT_STATES[server.state], server.since_ns, server.weight
+        )
 
-    def whole(self) -> Listing:
+    def whole(self) -> EndpointList:
         known = tuple(self.entry(s) for s in self.servers.values() if s.state != "terminated")
-        return Listing(self.index, True, known)
+        return EndpointList(self.index, True, known)
 
     def lists(self, seat: Seat) -> None:
         """Takes what a controller asks of discovery."""
         assert seat.node
-        for item in seat.node.lists.drain():
-            if isinstance(item, Track):
+        for item in seat.node.discovery_commands.drain():
+            if isinstance(item, WatchEndpoints):
                 self.counts["list calls"] += 1
                 self.calls.append(self.now)
                 while self.calls[0] <= self.now - SECOND:
@@ -299,12 +303,12 @@
                 heard = not self.deaf(seat) and len(self.calls) <= self.list_calls
                 self.at(CALL_NS, self.told if heard else self.fail, seat, seat.node)
 
-    def fail(self, seat: Seat, node: Node) -> None:
+    def fail(self, seat: Seat, node: FleetController) -> None:
         if seat.node is node:
             seat.tracking = False
-            self.put(seat, ListFailed("no answer"))
+            self.put(seat, DiscoveryFailed("no answer"))
 
-    def told(self, seat: Seat, node: Node) -> None:
+    def told(self, seat: Seat, node: FleetController) -> None:
         """Answers with all that is newer than what this process has; from then on it watches."""
         if seat.node is not node:
             return
@@ -317,13 +321,15 @@
         listing = (
             self.whole()
             if missed or not seat.index
-            else Listing(
+            else EndpointList(
                 self.index,
                 False,
                 tuple(self.entry(s) for s in self.servers.values() if self.changed[s.name] > seat.index),
             )
         )
-        gone = {n for n, s in self.servers.items() if s.state == "terminated"} if listing.whole else set()
+        gone = (
+            {n for n, s in self.servers.items() if s.state == "terminated"} if listing.is_snapshot else set()
+        )
         for name, state in [(e.name, e.state) for e in listing.entries] + [(n, "gone") for n in gone]:
             seat.states[name] = state
             if state == "ready":
@@ -407,7 +413,7 @@
                 whole = int(tries)
                 load = {"queue": self.servers[key[1]].queued}
                 del seat.met[key]
-                item = Met(
+                item = BackendReport(
                     *key,
                     whole,
                     min(whole, round(bad)),
@@ -420,7 +426,9 @@
             *calls, since = seat.asked.pop(proxy)
             covers = max(self.settings.report_ns, int(self.now - since))
             for name, count in zip(self.routes, calls, strict=True):
-                self.at(HEARD_LATE_NS, self.put, seat, Asked(proxy, name, round(count), 0, covers), True)
+                self.at(
+                    HEARD_LATE_NS, self.put, seat, DemandReport(proxy, name, round(count), 0, covers), True
+                )
 
     # -- the rules
 
--- a/meadowworks/simulation/proxies.py
+++ b/meadowworks/simulation/proxies.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from meadowworks.fleet.mailbox import Mailbox
-from meadowworks.fleet.messages import Told
+from meadowworks.fleet.messages import ConnectionItem
 
 
 @dataclass(slots=True)
@@ -20,7 +20,7 @@
     tables: list[dict[str, float]] = field(default_factory=list)  # by route
     grants: list[tuple[float, int]] = field(default_factory=list)
     at: int = -1  # the controller that its stream goes to; under 0: none
-    stream: Mailbox[Told] | None = None
+    stream: Mailbox[ConnectionItem] | None = None
     joined_ns: int = 0
     bare_ns: int = 0  # since when it has lacked a line that it might have
     messages: list[int] = field(default_factory=list)  # when they entered the channel, of this stream
--- a/tests/gateway/golden_product.py
+++ b/tests/gateway/golden_product.py
@@ -249,7 +249,7 @@
 
 def encode_orders(*parts: tuple[Any, ...]) -> bytes:
     """Each part: routes, whether it is full, lines, grant, mark."""
-    return messages.encode([messages.Part(*part) for part in parts])
+    return messages.encode([messages.TableUpdate(*part) for part in parts])
 
 
 def decode_line(line: bytes) -> tuple[Any, ...]:
@@ -259,23 +259,23 @@
 
 
 LINE_FIELDS: dict[Any, tuple[str, ...]] = {
-    messages.Beat: (),
-    messages.Collector: ("zone",),
-    messages.Attach: ("proxy", "zone", "usual", "new"),
-    messages.Done: ("proxy", "mark"),
-    messages.Met: ("zone", "backend", "tries", "bad", "latency_ns", "covers_ns", "load"),
-    messages.Asked: ("proxy", "route", "calls", "dropped", "covers_ns"),
+    messages.Heartbeat: (),
+    messages.CollectorHello: ("zone",),
+    messages.ProxyHello: ("proxy", "zone", "usual_rate", "new"),
+    messages.UpdateApplied: ("proxy", "nonce"),
+    messages.BackendReport: ("zone", "backend", "attempts", "failures", "latency_ns", "period_ns", "load"),
+    messages.DemandReport: ("proxy", "route", "calls", "dropped", "period_ns"),
 }
 LINE_KINDS = {
-    "beat": messages.Beat,
-    "collector": messages.Collector,
-    "attach": messages.Attach,
-    "done": messages.Done,
-    "met": messages.Met,
-    "asked": messages.Asked,
+    "beat": messages.Heartbeat,
+    "collector": messages.CollectorHello,
+    "attach": messages.ProxyHello,
+    "done": messages.UpdateApplied,
+    "met": messages.BackendReport,
+    "asked": messages.DemandReport,
 }
-BEAT_ANSWER = messages.BEAT_OK
-rejection = messages.reject
+BEAT_ANSWER = messages.HEARTBEAT_REPLY
+rejection = messages.encode_rejection
 
 # -- disks
 
--- a/tests/gateway/test_callers.py
+++ b/tests/gateway/test_callers.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from meadowworks.attempts.retry_policy import ANSWERED, DROPPED, UNRUN
+from meadowworks.attempts.retry_policy import ANSWERED, FAILED, NEVER_RAN
 from meadowworks.forwarding.connection_pool import ConnectionPool
 from meadowworks.forwarding.response_check import check_response
 from meadowworks.forwarding.staleness import StalenessTracker
@@ -156,19 +156,19 @@
 # What a backend says to the second request of a line, the state of that try, and whether the line is kept.
 SECONDS: dict[str, tuple[list[bytes | None], int, bool]] = {
     "as it should": ([OK], ANSWERED, True),
-    "a reset before the head": ([None], DROPPED, False),
-    "a reset in the head": ([OK[:40], None], DROPPED, False),
-    "a reset at the end of the head": ([OK[:-4], None], DROPPED, False),
-    "a reset in the body": ([OK[:-1], None], DROPPED, False),
-    "an end in the body": ([OK[:-1], b""], DROPPED, False),
+    "a reset before the head": ([None], FAILED, False),
+    "a reset in the head": ([OK[:40], None], FAILED, False),
+    "a reset at the end of the head": ([OK[:-4], None], FAILED, False),
+    "a reset in the body": ([OK[:-1], None], FAILED, False),
+    "an end in the body": ([OK[:-1], b""], FAILED, False),
     "a reset after it": ([OK, None], ANSWERED, False),
     "an end that is said": ([OK.replace(b"Content-L", b"Connection: close\r\nContent-L")], ANSWERED, False),
-    "not run, by name": ([NOT_RUN.replace(b"X-Not", b"X-Request-Id: %s\r\nX-Not")], UNRUN, True),
-    "not run, without a name": ([NOT_RUN], DROPPED, False),  # it may be to an earlier request
-    "421 without a name": ([NOT_RUN.replace(b"503 Full", b"421 No")], DROPPED, False),
-    "the first one's, late": ([OK % b"one"], DROPPED, False),
-    "silence": ([], DROPPED, False),
-    "silence in the body": ([OK[:-1]], DROPPED, False),
+    "not run, by name": ([NOT_RUN.replace(b"X-Not", b"X-Request-Id: %s\r\nX-Not")], NEVER_RAN, True),
+    "not run, without a name": ([NOT_RUN], FAILED, False),  # it may be to an earlier request
+    "421 without a name": ([NOT_RUN.replace(b"503 Full", b"421 No")], FAILED, False),
+    "the first one's, late": ([OK % b"one"], FAILED, False),
+    "silence": ([], FAILED, False),
+    "silence in the body": ([OK[:-1]], FAILED, False),
 }
 
 
@@ -214,7 +214,7 @@
         assert not second.done()  # a silence ends nothing, and sends nothing again
         second.cancel()
         assert isinstance((await asyncio.gather(second, return_exceptions=True))[0], asyncio.CancelledError)
-        found.append(AttemptResult(DROPPED, None, 0))
+        found.append(AttemptResult(FAILED, None, 0))
         await until(lambda: made.ended == 1, "its line is ended")
     else:
         found.append(await second)
@@ -232,7 +232,7 @@
     made, (first, second, third) = asyncio.run(three(how))
     _, state, kept = SECONDS[how]
     assert first.outcome == ANSWERED and second.outcome == state
-    assert (second.response is not None) == (state in (ANSWERED, UNRUN))
+    assert (second.response is not None) == (state in (ANSWERED, NEVER_RAN))
     assert made.read[:2] == [b"one", b"two"] and made.read.count(b"two") == 1  # nothing repeats by itself
     if how != "a reset after it":  # which may be seen only when the third is on its way
         assert made.lines == (1 if kept else 2) and third.outcome == (state if kept else ANSWERED)
@@ -255,9 +255,9 @@
 
 def test_a_failure_that_names_no_request_is_proof_on_a_new_line_alone() -> None:
     headers = {b"x-not-run": b"1"}
-    assert check_response(b"q", b"me", 503, headers.get, True).outcome == UNRUN
-    assert check_response(b"q", b"me", 503, headers.get, False).outcome == DROPPED
-    assert check_response(None, b"me", 503, headers.get, True).outcome == UNRUN
+    assert check_response(b"q", b"me", 503, headers.get, True).outcome == NEVER_RAN
+    assert check_response(b"q", b"me", 503, headers.get, False).outcome == FAILED
+    assert check_response(None, b"me", 503, headers.get, True).outcome == NEVER_RAN
 
 
 # -- what a junction that may be cut off says
--- a/tests/gateway/test_carriage.py
+++ b/tests/gateway/test_carriage.py
@@ -10,7 +10,7 @@
 import pytest
 from pytest_bdd import given, parsers, scenarios, then, when
 
-from meadowworks.attempts.retry_policy import ANSWERED, DROPPED, UNRUN
+from meadowworks.attempts.retry_policy import ANSWERED, FAILED, NEVER_RAN
 from meadowworks.forwarding.attempts import (
     ForwardResponse,
     RejectRequest,
@@ -37,8 +37,8 @@
 scenarios("features/carriage.feature")
 LINES = {1: 2.0, 2: 2.0}
 ENDS = {
-    "no connection": (UNRUN, 0),
-    "a reset": (DROPPED, 0),
+    "no connection": (NEVER_RAN, 0),
+    "a reset": (FAILED, 0),
     "503 stating not run": (outcome_of_status(503, True), 503),
     "421": (outcome_of_status(421, False), 421),
     "a bare 503": (outcome_of_status(503, False), 503),
@@ -89,7 +89,7 @@
     second = journey.on_timer(SECOND // 2, LINES, {}, 0.1, lambda: True, slot_free=False)
     assert isinstance(second, SendAttempt) and second.endpoint != first.endpoint
     assert isinstance(
-        journey.on_attempt_ended(SECOND, second.number, UNRUN, 503, LINES, {}, 0.1, lambda: True), Wait
+        journey.on_attempt_ended(SECOND, second.number, NEVER_RAN, 503, LINES, {}, 0.1, lambda: True), Wait
     )
     assert isinstance(
         journey.on_attempt_ended(SECOND, first.number, ANSWERED, 200, LINES, {}, 0.1, lambda: True),
@@ -112,7 +112,7 @@
         retry_rules(True, 2 * SECOND, SECOND), choose_retry_policy(True, 2, False), 2 * SECOND
     )
     journey.start(0, LINES, {}, 0.1)
-    step = journey.on_attempt_ended(1, 1, DROPPED, 0, LINES, {}, 0.1, lambda: False)
+    step = journey.on_attempt_ended(1, 1, FAILED, 0, LINES, {}, 0.1, lambda: False)
     assert isinstance(step, RejectRequest) and step.status == 502
     budget = RetryBudget(0.2, 10 * SECOND)
     for k in range(100):
@@ -283,7 +283,7 @@
 @then(parsers.parse("the try is {state}"))
 def the_try_is(how: str, tried: tuple[AttemptResult, AttemptResult, int], state: str) -> None:
     first, _, read = tried
-    assert first.outcome == {"answered": ANSWERED, "dropped": DROPPED, "unrun": UNRUN}[state]
+    assert first.outcome == {"answered": ANSWERED, "dropped": FAILED, "unrun": NEVER_RAN}[state]
     assert (first.response is not None and first.response.status == 200) == (state == "answered")
     assert first.incarnation_ended == (how == "as another life")
     assert read == (0 if how == "by not listening" else 2)  # one arrival a try: nothing repeats by itself
--- a/tests/gateway/test_ends.py
+++ b/tests/gateway/test_ends.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from meadowworks.attempts.retry_policy import CANCELLED, DROPPED
+from meadowworks.attempts.retry_policy import CANCELLED, FAILED
 from meadowworks.forwarding.attempts import (
     RejectRequest,
     RequestAttempts,
@@ -169,7 +169,7 @@
         first = await send_attempt(yard, there, asked, now_ns() + SECOND, one.reserve)
         assert first.response is not None and room.reserved_bytes == 1000
         second = await send_attempt(yard, there, asked, now_ns() + SECOND, two.reserve)
-        assert second.outcome == DROPPED and second.response is None and room.reserved_bytes == 1000
+        assert second.outcome == FAILED and second.response is None and room.reserved_bytes == 1000
         one.release()
         again = await send_attempt(yard, there, asked, now_ns() + SECOND, two.reserve)
         assert again.response is not None
@@ -191,9 +191,7 @@
     first = journey.start(0, lines, {}, 0.1)
     assert isinstance(first, SendAttempt) and journey.on_client_gone() == safe
     assert isinstance(journey.on_timer(SECOND, lines, {}, 0.1, lambda: True), Wait)
-    step = journey.on_attempt_ended(
-        SECOND, 1, CANCELLED if safe else DROPPED, 0, lines, {}, 0.1, lambda: True
-    )
+    step = journey.on_attempt_ended(SECOND, 1, CANCELLED if safe else FAILED, 0, lines, {}, 0.1, lambda: True)
     assert isinstance(step, RejectRequest) and step.status == 502 and len(journey.attempts) == 1
 
 
--- a/tests/gateway/test_state.py
+++ b/tests/gateway/test_state.py
@@ -333,14 +333,14 @@
         ]
 
     service.update_backends(1, lives("up", "up", "up"))
-    named = {service.endpoint_ids.names[p]: w for p, w in service.weights.items()}
+    named = {service.endpoint_ids.name_by_index[p]: w for p, w in service.weights.items()}
     assert named == {"b0": 2.0, "b1": 3.0} and {
-        service.endpoint_ids.names[p] for p in service.remote_weights
+        service.endpoint_ids.name_by_index[p] for p in service.remote_weights
     } == {"b2"}
     service.update_backends(2, lives("draining", "up", "up"))
-    assert {service.endpoint_ids.names[p] for p in service.weights} == {"b1"}
+    assert {service.endpoint_ids.name_by_index[p] for p in service.weights} == {"b1"}
     service.update_backends(3, lives("draining", "draining", "up"))
-    assert {service.endpoint_ids.names[p] for p in service.weights} == {
+    assert {service.endpoint_ids.name_by_index[p] for p in service.weights} == {
         "b2"
     }  # the zone has none: all of them
     for k in range(1, 40):  # demand that fits leaves the level open
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -17,7 +17,7 @@
 from aiohttp import web
 
 from meadowworks.policy import Controller
-from meadowworks.policy.interface import Entry, Route, Settings
+from meadowworks.policy.interface import EndpointEntry, Route, Settings
 
 SECOND = 1_000_000_000
 ROUTES = (Route(2.0, SECOND, False), Route(1.0, SECOND, False), Route(2.0, SECOND, False))
@@ -82,41 +82,41 @@
                     self.lines.append((self.now, self.settings.head))
                 self.lines.append((self.now, lines))
 
-    def record(self, line: str) -> None:
+    def log(self, line: str) -> None:
         self.records.append(line)
 
-    def track(self, on: bool) -> None:
+    def watch_list(self, on: bool) -> None:
         self.tracks.append(self.now)
 
-    def probe(self, backend: int) -> None:
+    def check_health(self, backend: int) -> None:
         self.probes.append(backend)
 
-    def mark(self, number: int) -> None:
+    def request_ack(self, number: int) -> None:
         self.marks.append(number)
         self.unanswered.append((number, self.now))
 
-    def forget(self, backend: int) -> None:
+    def release_backend(self, backend: int) -> None:
         assert not any(backend in lines for lines in self.tables.values())
         self.forgotten.append(backend)
 
-    def wake_in(self, wait_ns: int) -> None:
+    def set_timer(self, wait_ns: int) -> None:
         assert wait_ns > 0
 
-    def set_line(self, table: int, backend: int, weight: float) -> None:
+    def set_weight(self, table: int, backend: int, weight: float) -> None:
         lines = self.tables.setdefault(table, {})
         lines[backend] = weight
         if weight == 0:
             del lines[backend]
         self.cost(table, 1)
 
-    def bind(self, routes: int, proxy: int, table: int) -> None:
+    def assign_table(self, routes: int, proxy: int, table: int) -> None:
         for k in range(len(self.settings.routes)):
             if not routes or routes >> k & 1:
                 self.bound[proxy][k] = table
         self.held.pop(proxy, None)
         self.cost(None, 1 + len(self.tables.get(table, {})), proxy)
 
-    def admit(self, table: int, routes: int, level: float, retry: int) -> None:
+    def set_admission(self, table: int, routes: int, level: float, retry: int) -> None:
         assert level >= 0
         for k in range(len(self.settings.routes)):
             if not routes or routes >> k & 1:
@@ -138,11 +138,11 @@
 
     def join(self, proxy: int, zone: int, held: set[int] | None = None) -> None:
         self.bound[proxy], self.held[proxy], self.heads[proxy] = {}, held or set(), []
-        self.module.joined(self.now, proxy, zone, 10.0)
+        self.module.on_proxy_joined(self.now, proxy, zone, 10.0)
 
     def leave(self, proxy: int) -> None:
         self.bound.pop(proxy, None)
-        self.module.left(self.now, proxy)
+        self.module.on_proxy_left(self.now, proxy)
 
     def run(self, seconds: float, step: int = SECOND // 4) -> None:
         for _ in range(int(seconds * SECOND / step)):
@@ -150,14 +150,14 @@
             while self.answers and self.unanswered:
                 number, when = self.unanswered.pop(0)
                 for _ in range(sum(when in sent for sent in self.heads.values())):
-                    self.module.applied(self.now, number)
+                    self.module.on_ack(self.now, number)
             self.module.tick(self.now)
 
     def ask(self, calls: int) -> None:
         """A second in which so many calls of each route come to each bound proxy."""
         for p in self.bound:
             for route in range(len(self.settings.routes)):
-                self.module.asked(self.now, p, route, calls, 0, SECOND)
+                self.module.on_demand_report(self.now, p, route, calls, 0, SECOND)
 
     def report(self, bad: dict[int, float], latency: int = SECOND // 10, tries: int = 20) -> None:
         """A period in which each backend of each zone's table met so many tries of the zone's proxies."""
@@ -165,22 +165,24 @@
             for b in sorted(lines):
                 dropped = round(tries * bad.get(b, 0))
                 zone, period = table % self.settings.zones, self.settings.report_ns
-                self.module.heard(self.now, zone, b, tries, dropped, latency, period, {})
+                self.module.on_backend_report(self.now, zone, b, tries, dropped, latency, period, {})
 
 
-def entry(backend: int, zone: int, state: str = "ready", since: int = 0, weight: float = 2.0) -> Entry:
-    return Entry(backend, zone, state, since, weight)
+def entry(
+    backend: int, zone: int, state: str = "ready", since: int = 0, weight: float = 2.0
+) -> EndpointEntry:
+    return EndpointEntry(backend, zone, state, since, weight)
 
 
 def started(settings: Settings = SETTINGS, per_zone: int = 3, proxies: int = 4) -> Fleet:
     """A fleet some seconds into a quiet day: backends 0.. in zones in turn, proxies bound."""
     fleet = Fleet(settings)
     listed = [entry(k, k % settings.zones) for k in range(per_zone * settings.zones)]
-    fleet.module.listed(fleet.now, "disk", listed)
+    fleet.module.on_endpoints(fleet.now, "disk", listed)
     for p in range(proxies):
         fleet.join(p, p % settings.zones)
     fleet.run(1)
-    fleet.module.listed(fleet.now, "whole", listed)
+    fleet.module.on_endpoints(fleet.now, "whole", listed)
     fleet.run(8)
     return fleet
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from meadowworks.fleet.discovery import HASTE_S
+from meadowworks.fleet.discovery import MIN_POLL_INTERVAL_S
 from tests.helpers import NESTED, PATIENCE_S, Desk, Peer, Program, listed, play
 
 THREE = listed("s-1"), listed("s-2"), listed("s-9", "west")
@@ -90,7 +90,7 @@
         await east.until(holds("s-1", "s-2"))
         first, began = desk.calls, asyncio.get_running_loop().time()
         await asyncio.sleep(1)
-        pauses = (asyncio.get_running_loop().time() - began) / HASTE_S
+        pauses = (asyncio.get_running_loop().time() - began) / MIN_POLL_INTERVAL_S
         assert desk.calls - first <= 2 * pauses + 2
         await desk.tell(listed("s-1", status="terminating"), mood="hasty")
         await east.until(rid("s-1"))
@@ -356,14 +356,14 @@
 import sys
 from meadowworks import __main__, policy as rules
 from meadowworks.fleet import connection_state as life
-life.PARTS_MOST = 0 if "parts" in sys.argv else life.PARTS_MOST
+life.MAX_MESSAGE_PARTS = 0 if "parts" in sys.argv else life.MAX_MESSAGE_PARTS
 del sys.argv[1:]
-sound = rules.Controller.joined
+sound = rules.Controller.on_proxy_joined
 def joined(self, now, number, zone, usual):
     if number == 3:
         raise RuntimeError("no sense")
     sound(self, now, number, zone, usual)
-rules.Controller.joined = joined
+rules.Controller.on_proxy_joined = joined
 sys.exit(__main__.main())
 """
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -73,7 +73,7 @@
     ],
 )
 def test_what_the_wire_does_not_allow_is_named_with_its_line(batch: str, said: str) -> None:
-    with pytest.raises(wire.Malformed, match=r"line \d+") as trouble:
+    with pytest.raises(wire.WireError, match=r"line \d+") as trouble:
         answer(batch)
     assert said in str(trouble.value)
 
