--- a/meadowworks/consensus/register.py
+++ b/meadowworks/consensus/register.py
@@ -1,15 +1,16 @@
 """One register a version: which content a version of the configuration has, and when that is certain.
 
 Sides, all free of I/O. An `Acceptor` is what one disk holds: it answers requests, and nothing that it
-answers may leave before its writes are on the disk (`replica` orders that). A `Proposer` asks the members of
-an epoch in two rounds (single-decree, by ballots); a content is chosen once a majority of that epoch's
+answers may leave before its writes are on the disk (`replica` orders that). A `Proposer` asks the members
+of an epoch in two rounds (single-decree, by ballots); a content is chosen once a majority of that epoch's
 members have accepted it under one ballot, and only then may it be acknowledged or come into force.
 
 Who is a member is itself agreed on. `Epoch` n+1 is chosen by a majority of epoch n (in the register of
-version 0, which every epoch has anew), n is then sealed at a majority, which from then on neither promise nor
-accept in it, and what these held is installed with a majority of n+1: that is a `Change`. A member is a disk,
-by the name that it gave itself when it was empty: a wiped disk, or another in its place, is another member.
-Epoch 0 is of the seeds that all processes are told at the first start; no version is chosen in it.
+version 0, which every epoch has anew), n is then sealed at a majority, which from then on neither promise
+nor accept in it, and what these held is installed with a majority of n+1: that is a `Reconfiguration`. A
+member is a disk, by the name that it gave itself when it was empty: a wiped disk, or another in its place,
+is another member. Epoch 0 is of the seeds that all processes are told at the first start; no version is
+chosen in it.
 
 Source: Lamport's single-decree synod for a version; stop, transfer and go on for a change of members.
 """
@@ -23,69 +24,70 @@
 
 from meadowworks.runtime.errors import InvariantError
 
-HISTORY = 256  # versions below the one held whose content's digest is remembered
-UNKNOWN = -1  # the number of no epoch
-MEMBERSHIP = 0  # the version whose content is the next epoch's members
+HISTORY_LENGTH = 256  # versions below the one held whose content's digest is remembered
+UNKNOWN_EPOCH = -1  # the number of no epoch
+MEMBERSHIP_VERSION = 0  # the version whose content is the next epoch's members
 
 
 class Ballot(NamedTuple):
-    """The epoch leads: a ballot of a later epoch is above all of an earlier one. `who` is a disk's name and
-    the number of its life, which is on the disk before the first request leaves: no ballot is used twice."""
+    """The epoch leads: a ballot of a later epoch is above all of an earlier one. `proposer_id` is a disk's
+    name and the number of its life, which is on the disk before the first request leaves: no ballot is used
+    twice."""
 
     epoch: int
     number: int
-    who: str
+    proposer_id: str
 
 
-NONE = Ballot(UNKNOWN, 0, "")
+NO_BALLOT = Ballot(UNKNOWN_EPOCH, 0, "")
 
 
 @dataclass(frozen=True, slots=True)
 class Epoch:
     """`members`: a disk's name and its address, sorted."""
 
-    number: int = UNKNOWN
+    number: int = UNKNOWN_EPOCH
     members: tuple[tuple[str, str], ...] = ()
 
     @property
     def majority(self) -> int:
         return len(self.members) // 2 + 1
 
-    def has(self, disk: str) -> bool:
-        return any(name == disk for name, _ in self.members)
+    def has_member(self, member_id: str) -> bool:
+        return any(name == member_id for name, _ in self.members)
 
 
 @dataclass(slots=True)
-class Slot:
+class AcceptorSlot:
     """A version that may be undecided."""
 
-    promised: Ballot = NONE
-    accepted: Ballot = NONE
-    content: bytes = b""
+    promised: Ballot = NO_BALLOT
+    accepted: Ballot = NO_BALLOT
+    value: bytes = b""
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
+class CommittedValue:
     """The highest version that is known to be chosen. Version 0 is none."""
 
     version: int = 0
-    content: bytes = b""
+    value: bytes = b""
 
 
-def digest(content: bytes) -> bytes:
+def digest(value: bytes) -> bytes:
     """16 bytes that stand for a content."""
-    return hashlib.blake2b(content, digest_size=16).digest()
+    return hashlib.blake2b(value, digest_size=16).digest()
 
 
-History = tuple[tuple[int, bytes], ...]  # versions that were chosen, and their contents' digests
+DigestHistory = tuple[tuple[int, bytes], ...]  # versions that were chosen, and the digests of their values
 
 
 @dataclass(frozen=True, slots=True)
-class State:
+class AcceptorState:
     """What an acceptor holds of versions, as it is handed to others."""
 
-    held: Held
-    history: History
+    committed: CommittedValue
+    history: DigestHistory
     slots: tuple[tuple[int, Ballot, Ballot, bytes], ...]
 
 
@@ -93,335 +95,358 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Prepare:
+class PrepareRequest:
     epoch: int
     version: int
     ballot: Ballot
 
 
 @dataclass(frozen=True, slots=True)
-class Accept:
+class AcceptRequest:
     epoch: int
     version: int
     ballot: Ballot
-    content: bytes
+    value: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Seal:
-    """Ends an epoch at an acceptor: `after` has been chosen as the next one."""
+class SealRequest:
+    """Ends an epoch at an acceptor: `next_epoch` has been chosen as the next one."""
 
     epoch: int
-    after: Epoch
+    next_epoch: Epoch
 
 
 @dataclass(frozen=True, slots=True)
-class Install:
+class InstallRequest:
     """Makes an acceptor a member of an epoch, with what the one before held."""
 
     epoch: int
-    after: Epoch
-    state: State
+    next_epoch: Epoch
+    state: AcceptorState
 
 
 @dataclass(frozen=True, slots=True)
-class Look:
+class QueryRequest:
     """Asks which version is held and which is undecided, without their contents."""
 
     epoch: int
 
 
 @dataclass(frozen=True, slots=True)
-class Fetch:
+class SnapshotRequest:
     """Asks for the version held, whole."""
 
     epoch: int
 
 
 @dataclass(frozen=True, slots=True)
-class Teach:
+class LearnRequest:
     """Tells what is chosen."""
 
     epoch: int
-    held: Held
-    history: History
+    committed: CommittedValue
+    history: DigestHistory
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
-    """`votes`: it is a member of `epoch` and neither sealed nor told of a newer. `needs`: the highest version
-    that it holds or has accepted: whatever was acknowledged before it said so is not above that, at one of
-    any majority. `wants`: it would be a member, with `disk` at `address`."""
+class QueryReply:
+    """`may_vote`: it is a member of `epoch` and neither sealed nor told of a newer. `highest_version`: the
+    highest version that it holds or has accepted: whatever was acknowledged before it said so is not above
+    that, at one of any majority. `wants_membership`: it would be a member, with `member_id` at
+    `address`."""
 
     epoch: int
-    votes: bool
-    needs: int
-    version: int
-    disk: str
+    may_vote: bool
+    highest_version: int
+    committed_version: int
+    member_id: str
     address: str
-    wants: bool
+    wants_membership: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Promised:
+class PromiseReply:
     ballot: Ballot
     accepted: Ballot
-    content: bytes
+    value: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Accepted:
+class AcceptedReply:
     ballot: Ballot
 
 
 @dataclass(frozen=True, slots=True)
-class Refused:
+class BallotRejectedReply:
     """Another ballot stands in the way."""
 
     ballot: Ballot
 
 
 @dataclass(frozen=True, slots=True)
-class Past:
+class VersionDecidedReply:
     """The version is not above one that is chosen already."""
 
-    held: Held
-    history: History
+    committed: CommittedValue
+    history: DigestHistory
 
 
 @dataclass(frozen=True, slots=True)
-class Newer:
+class StaleEpochReply:
     """The sender's epoch is over: this one is in force, or about to be."""
 
     epoch: Epoch
 
 
 @dataclass(frozen=True, slots=True)
-class Sealed:
-    """This acceptor takes no more part in the sender's epoch; `after` has been chosen."""
+class SealedReply:
+    """This acceptor takes no more part in the sender's epoch; `next_epoch` has been chosen."""
 
-    after: Epoch
-    state: State | None = None
+    next_epoch: Epoch
+    state: AcceptorState | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Installed:
+class InstalledReply:
     epoch: int
 
 
 @dataclass(frozen=True, slots=True)
-class Outside:
+class NotAMemberReply:
     """This acceptor is no member of the sender's epoch, or not installed in it: it may not be counted."""
 
     epoch: int
 
 
 @dataclass(frozen=True, slots=True)
-class Whole:
-    held: Held
-    history: History
-
-
-Request = Prepare | Accept | Seal | Install | Look | Fetch | Teach
-Reply = Promised | Accepted | Refused | Past | Newer | Sealed | Installed | Outside | Seen | Whole
+class SnapshotReply:
+    committed: CommittedValue
+    history: DigestHistory
+
+
+Request = (
+    PrepareRequest
+    | AcceptRequest
+    | SealRequest
+    | InstallRequest
+    | QueryRequest
+    | SnapshotRequest
+    | LearnRequest
+)
+Reply = (
+    PromiseReply
+    | AcceptedReply
+    | BallotRejectedReply
+    | VersionDecidedReply
+    | StaleEpochReply
+    | SealedReply
+    | InstalledReply
+    | NotAMemberReply
+    | QueryReply
+    | SnapshotReply
+)
 
 
 @dataclass(slots=True)
 class Acceptor:
-    """What one disk holds. `changed`, `meta` and `news` tell what to write before a reply leaves.
+    """What one disk holds. `changed_slots`, `metadata_changed` and `committed_changed` tell what to write
+    before a reply leaves.
 
-    `disk` is its name as a member, `seat` the one under which it founds (epoch 0). `installed`: it is a
-    member of `epoch` and holds what must be held to vote in it. `view` is the newest epoch heard of, which is
-    not kept on the disk."""
+    `member_id` is its name as a member, `founder_id` the one under which it founds (epoch 0). `installed`:
+    it is a member of `epoch` and holds what must be held to vote in it. `announced_epoch` is the newest
+    epoch heard of, which is not kept on the disk."""
 
-    disk: str
+    member_id: str
     address: str = ""
-    seat: str = ""
-    wants: bool = True
-    life: int = 0
+    founder_id: str = ""
+    wants_membership: bool = True
+    incarnation: int = 0
     epoch: Epoch = Epoch()
     installed: bool = False
-    sealed: Epoch | None = None
-    held: Held = Held()
+    sealed_by: Epoch | None = None
+    committed: CommittedValue = CommittedValue()
     history: dict[int, bytes] = field(default_factory=dict)
-    slots: dict[int, Slot] = field(default_factory=dict)
-    view: Epoch = Epoch()
-    changed: set[int] = field(default_factory=set)  # slots to write
-    meta: bool = False  # all but slots and contents to write
-    news: bool = False  # held and history to write
+    slots: dict[int, AcceptorSlot] = field(default_factory=dict)
+    announced_epoch: Epoch = Epoch()
+    changed_slots: set[int] = field(default_factory=set)  # slots to write
+    metadata_changed: bool = False  # all but slots and contents to write
+    committed_changed: bool = False  # held and history to write
 
-    def newest(self) -> Epoch:
-        return max(self.view, self.epoch, key=lambda e: e.number)
+    def newest_epoch(self) -> Epoch:
+        return max(self.announced_epoch, self.epoch, key=lambda e: e.number)
 
-    def name(self, epoch: int) -> str:
+    def id_in_epoch(self, epoch: int) -> str:
         """Under which it is counted in an epoch."""
-        return self.seat if epoch == 0 else self.disk
+        return self.founder_id if epoch == 0 else self.member_id
 
-    def votes(self) -> bool:
-        return self.installed and self.sealed is None and self.view.number <= self.epoch.number
+    def may_vote(self) -> bool:
+        return self.installed and self.sealed_by is None and self.announced_epoch.number <= self.epoch.number
 
-    def answer(self, request: Request) -> Reply:
+    def handle(self, request: Request) -> Reply:
         match request:
-            case Look(epoch):
+            case QueryRequest(epoch):
                 if epoch < self.epoch.number and self.installed:
-                    return Newer(self.epoch)
-                return self.seen()
-            case Fetch():
-                return Whole(self.held, self.past())
-            case Teach(_, held, history):
-                self.learn(held.version, held.content, history)
-                return self.seen()
-            case Install(_, after, state):
+                    return StaleEpochReply(self.epoch)
+                return self.query_reply()
+            case SnapshotRequest():
+                return SnapshotReply(self.committed, self.digest_history())
+            case LearnRequest(_, held, history):
+                self.learn(held.version, held.value, history)
+                return self.query_reply()
+            case InstallRequest(_, after, state):
                 return self.install(after, state)
-            case Seal(epoch, after):
+            case SealRequest(epoch, after):
                 return self.seal(epoch, after)
-        if request.epoch < self.newest().number:
-            return Newer(self.newest())
+        if request.epoch < self.newest_epoch().number:
+            return StaleEpochReply(self.newest_epoch())
         if request.epoch != self.epoch.number or not self.installed or request.ballot.epoch != request.epoch:
-            return Outside(self.epoch.number)
-        if self.sealed is not None:
-            return Sealed(self.sealed)
-        if MEMBERSHIP < request.version <= self.held.version:
-            return Past(self.held, self.past())
-        if request.version != MEMBERSHIP and request.epoch == 0:
-            return Outside(0)  # who votes is not settled yet
-        slot = self.slots.get(request.version) or Slot()
+            return NotAMemberReply(self.epoch.number)
+        if self.sealed_by is not None:
+            return SealedReply(self.sealed_by)
+        if MEMBERSHIP_VERSION < request.version <= self.committed.version:
+            return VersionDecidedReply(self.committed, self.digest_history())
+        if request.version != MEMBERSHIP_VERSION and request.epoch == 0:
+            return NotAMemberReply(0)  # who votes is not settled yet
+        slot = self.slots.get(request.version) or AcceptorSlot()
         if request.ballot < slot.promised:
-            return Refused(slot.promised)
+            return BallotRejectedReply(slot.promised)
         self.slots[request.version] = slot
         slot.promised = request.ballot
-        self.changed.add(request.version)
-        if isinstance(request, Prepare):
-            return Promised(request.ballot, slot.accepted, slot.content)
-        slot.accepted, slot.content = request.ballot, request.content
-        return Accepted(request.ballot)
-
-    def seal(self, epoch: int, after: Epoch) -> Reply:
-        if self.epoch.number >= after.number:
-            return Newer(self.epoch)
+        self.changed_slots.add(request.version)
+        if isinstance(request, PrepareRequest):
+            return PromiseReply(request.ballot, slot.accepted, slot.value)
+        slot.accepted, slot.value = request.ballot, request.value
+        return AcceptedReply(request.ballot)
+
+    def seal(self, epoch: int, next_epoch: Epoch) -> Reply:
+        if self.epoch.number >= next_epoch.number:
+            return StaleEpochReply(self.epoch)
         if self.epoch.number != epoch or not self.installed:
-            return Outside(self.epoch.number)
-        if self.sealed is None:
-            self.sealed, self.meta = after, True
-        elif self.sealed != after:
+            return NotAMemberReply(self.epoch.number)
+        if self.sealed_by is None:
+            self.sealed_by, self.metadata_changed = next_epoch, True
+        elif self.sealed_by != next_epoch:
             raise InvariantError(f"two sets of members after epoch {epoch}")
-        return Sealed(after, self.state())
+        return SealedReply(next_epoch, self.export_state())
 
-    def install(self, after: Epoch, state: State) -> Reply:
+    def install(self, next_epoch: Epoch, state: AcceptorState) -> Reply:
         """What is held besides stays: it was accepted in an earlier epoch, so it is what `state` holds, or
         was never chosen."""
-        if self.installed and self.epoch.number >= after.number:
-            return Installed(self.epoch.number)
-        if not after.has(self.disk) or after.number < self.newest().number:
-            return Outside(self.epoch.number)
-        if not self.installed and not self.wants:
-            return Outside(self.epoch.number)  # told not to vote
-        if after.number > self.epoch.number:  # else it comes back to where it was, sealed or not
-            self.epoch, self.sealed = after, None
-            if self.slots.pop(MEMBERSHIP, None):
-                self.changed.add(MEMBERSHIP)
-        self.installed, self.meta = True, True
-        self.merge(state)
-        return Installed(after.number)
-
-    def merge(self, state: State) -> None:
-        self.learn(state.held.version, state.held.content, state.history)
+        if self.installed and self.epoch.number >= next_epoch.number:
+            return InstalledReply(self.epoch.number)
+        if not next_epoch.has_member(self.member_id) or next_epoch.number < self.newest_epoch().number:
+            return NotAMemberReply(self.epoch.number)
+        if not self.installed and not self.wants_membership:
+            return NotAMemberReply(self.epoch.number)  # told not to vote
+        if next_epoch.number > self.epoch.number:  # else it comes back to where it was, sealed or not
+            self.epoch, self.sealed_by = next_epoch, None
+            if self.slots.pop(MEMBERSHIP_VERSION, None):
+                self.changed_slots.add(MEMBERSHIP_VERSION)
+        self.installed, self.metadata_changed = True, True
+        self.merge_state(state)
+        return InstalledReply(next_epoch.number)
+
+    def merge_state(self, state: AcceptorState) -> None:
+        self.learn(state.committed.version, state.committed.value, state.history)
         for version, promised, accepted, content in state.slots:
-            if version <= self.held.version:
+            if version <= self.committed.version:
                 continue
-            slot = self.slots.setdefault(version, Slot())
+            slot = self.slots.setdefault(version, AcceptorSlot())
             slot.promised = max(slot.promised, promised)
             if accepted > slot.accepted:
-                slot.accepted, slot.content = accepted, content
-            self.changed.add(version)
+                slot.accepted, slot.value = accepted, content
+            self.changed_slots.add(version)
 
-    def told(self, epoch: Epoch) -> bool:
+    def on_epoch(self, epoch: Epoch) -> bool:
         """Hears of an epoch that is in force somewhere. True if it is news."""
-        if epoch.number <= self.newest().number:
+        if epoch.number <= self.newest_epoch().number:
             return False
-        self.view = epoch
+        self.announced_epoch = epoch
         return True
 
-    def state(self) -> State:
-        slots = tuple((v, s.promised, s.accepted, s.content) for v, s in sorted(self.slots.items()) if v)
-        return State(self.held, self.past(), slots)
+    def export_state(self) -> AcceptorState:
+        slots = tuple((v, s.promised, s.accepted, s.value) for v, s in sorted(self.slots.items()) if v)
+        return AcceptorState(self.committed, self.digest_history(), slots)
 
-    def past(self) -> History:
+    def digest_history(self) -> DigestHistory:
         return tuple(sorted(self.history.items()))
 
-    def seen(self) -> Seen:
-        return Seen(
-            self.newest().number,
-            self.votes(),
-            max(self.held.version, self.undecided()),
-            self.held.version,
-            self.disk,
+    def query_reply(self) -> QueryReply:
+        return QueryReply(
+            self.newest_epoch().number,
+            self.may_vote(),
+            max(self.committed.version, self.highest_undecided_version()),
+            self.committed.version,
+            self.member_id,
             self.address,
-            self.wants,
+            self.wants_membership,
         )
 
-    def learn(self, version: int, content: bytes, history: Iterable[tuple[int, bytes]] = ()) -> bool:
+    def learn(self, version: int, value: bytes, history: Iterable[tuple[int, bytes]] = ()) -> bool:
         """A content is known to be chosen. True if it is newer than what is held."""
         known = {v: d for v, d in history if v not in self.history and v <= version}
         if version > 0 and version not in self.history:
-            known[version] = digest(content)
+            known[version] = digest(value)
         if known:
             self.history.update(known)
-            for old in sorted(self.history)[:-HISTORY]:
+            for old in sorted(self.history)[:-HISTORY_LENGTH]:
                 del self.history[old]
-            self.news = True
-        if version <= self.held.version:
+            self.committed_changed = True
+        if version <= self.committed.version:
             return False
-        self.held, self.news = Held(version, content), True
-        for old in [v for v in self.slots if MEMBERSHIP < v <= version]:
+        self.committed, self.committed_changed = CommittedValue(version, value), True
+        for old in [v for v in self.slots if MEMBERSHIP_VERSION < v <= version]:
             del self.slots[old]
-            self.changed.add(old)
+            self.changed_slots.add(old)
         return True
 
-    def undecided(self) -> int:
+    def highest_undecided_version(self) -> int:
         """The highest version above the one held that some proposal has been accepted for; 0 if none."""
-        return max((v for v, s in self.slots.items() if v and s.accepted > NONE), default=0)
+        return max((v for v, s in self.slots.items() if v and s.accepted > NO_BALLOT), default=0)
 
 
 @dataclass(frozen=True, slots=True)
 class Chosen:
     version: int
-    content: bytes
+    value: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Overtaken:
+class Superseded:
     """A version not below this one is chosen already."""
 
-    held: Held
-    history: History = ()
+    committed: CommittedValue
+    history: DigestHistory = ()
 
 
 @dataclass(frozen=True, slots=True)
-class Again:
+class RetryWithHigherBallot:
     """A higher ballot stands in the way: begin anew, above it. NONE: there is nothing to finish."""
 
     ballot: Ballot
 
 
 @dataclass(frozen=True, slots=True)
-class Moved:
-    """The epoch is over, or about to be; `sealed`: its end is still to be carried through."""
+class EpochChanged:
+    """The epoch is over, or about to be; `reconfiguration_pending`: its end is still to be carried
+    through."""
 
     epoch: Epoch
-    sealed: bool
+    reconfiguration_pending: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Read:
-    """`needs`: what is to be known before anything may be read out; `version` stands at `address`."""
+class QuorumReadResult:
+    """`highest_version`: what is to be known before anything may be read out; `committed_version` stands at
+    `address`."""
 
-    needs: int
-    version: int
+    highest_version: int
+    committed_version: int
     address: str
 
 
-Outcome = Chosen | Overtaken | Again | Moved
+Outcome = Chosen | Superseded | RetryWithHigherBallot | EpochChanged
 
 
 class Proposer:
@@ -429,186 +454,205 @@
     another has begun. A majority of the epoch's members must agree; each is counted once, by its name, and
     nobody else is."""
 
-    def __init__(self, epoch: Epoch, version: int, ballot: Ballot, content: bytes | None) -> None:
-        self.epoch, self.version, self.ballot, self.content = epoch, version, ballot, content
-        self.promises: dict[str, Promised] = {}
-        self.accepts: set[str] = set()
+    def __init__(self, epoch: Epoch, version: int, ballot: Ballot, value: bytes | None) -> None:
+        self.epoch, self.version, self.ballot, self.value = epoch, version, ballot, value
+        self.promises: dict[str, PromiseReply] = {}
+        self.acceptances: set[str] = set()
         self.accepting = False
         self.outcome: Outcome | None = None
 
     def request(self) -> Request:
         if self.accepting:
-            assert self.content is not None
-            return Accept(self.epoch.number, self.version, self.ballot, self.content)
-        return Prepare(self.epoch.number, self.version, self.ballot)
+            assert self.value is not None
+            return AcceptRequest(self.epoch.number, self.version, self.ballot, self.value)
+        return PrepareRequest(self.epoch.number, self.version, self.ballot)
 
-    def targets(self) -> list[tuple[str, str]]:
+    def unanswered_members(self) -> list[tuple[str, str]]:
         """Members that have not answered this round."""
-        done = self.accepts if self.accepting else self.promises.keys()
+        done = self.acceptances if self.accepting else self.promises.keys()
         return [(disk, address) for disk, address in self.epoch.members if disk not in done]
 
-    def heard(self, who: str, reply: Reply) -> bool:
+    def on_reply(self, member_id: str, reply: Reply) -> bool:
         """Takes a reply in. True when the next request is due, or the outcome is there."""
         if self.outcome is not None:
             return False
         match reply:
-            case Past(held, history):
-                self.outcome = Overtaken(held, history)
-            case Newer(epoch):
-                self.outcome = Moved(epoch, False)
-            case Sealed(after) if self.epoch.has(who):
-                self.outcome = Moved(after, True)
-            case Refused(ballot):
-                self.outcome = Again(ballot)
-            case Promised(ballot=ballot) if (
-                ballot == self.ballot and not self.accepting and self.epoch.has(who)
+            case VersionDecidedReply(held, history):
+                self.outcome = Superseded(held, history)
+            case StaleEpochReply(epoch):
+                self.outcome = EpochChanged(epoch, False)
+            case SealedReply(after) if self.epoch.has_member(member_id):
+                self.outcome = EpochChanged(after, True)
+            case BallotRejectedReply(ballot):
+                self.outcome = RetryWithHigherBallot(ballot)
+            case PromiseReply(ballot=ballot) if (
+                ballot == self.ballot and not self.accepting and self.epoch.has_member(member_id)
             ):
-                self.promises[who] = reply
+                self.promises[member_id] = reply
                 if len(self.promises) < self.epoch.majority:
                     return False
                 best = max(self.promises.values(), key=lambda p: p.accepted)
-                if best.accepted > NONE:
-                    self.content = best.content
-                if self.content is None:
-                    self.outcome = Again(NONE)
+                if best.accepted > NO_BALLOT:
+                    self.value = best.value
+                if self.value is None:
+                    self.outcome = RetryWithHigherBallot(NO_BALLOT)
                     return True
                 self.accepting = True
-            case Accepted(ballot) if ballot == self.ballot and self.accepting and self.epoch.has(who):
-                self.accepts.add(who)
-                if len(self.accepts) < self.epoch.majority:
+            case AcceptedReply(ballot) if ballot == self.ballot and self.accepting and self.epoch.has_member(
+                member_id
+            ):
+                self.acceptances.add(member_id)
+                if len(self.acceptances) < self.epoch.majority:
                     return False
-                assert self.content is not None
-                self.outcome = Chosen(self.version, self.content)
+                assert self.value is not None
+                self.outcome = Chosen(self.version, self.value)
             case _:
                 return False
         return True
 
 
-class Change:
+class Reconfiguration:
     """Carries a chosen change of members through: seals the old epoch at a majority, installs what these
     held with a majority of the new one. May be done by several at once, and again."""
 
-    def __init__(self, epoch: Epoch, after: Epoch) -> None:
-        self.epoch, self.after = epoch, after
-        self.states: dict[str, State] = {}
-        self.installed: set[str] = set()
+    def __init__(self, epoch: Epoch, next_epoch: Epoch) -> None:
+        self.epoch, self.next_epoch = epoch, next_epoch
+        self.states: dict[str, AcceptorState] = {}
+        self.installed_members: set[str] = set()
         self.installing = False
-        self.outcome: Moved | None = None
+        self.outcome: EpochChanged | None = None
 
     def request(self) -> Request:
         if not self.installing:
-            return Seal(self.epoch.number, self.after)
+            return SealRequest(self.epoch.number, self.next_epoch)
         merged = Acceptor("")
         for state in self.states.values():
-            merged.merge(state)
-        return Install(self.after.number, self.after, merged.state())
+            merged.merge_state(state)
+        return InstallRequest(self.next_epoch.number, self.next_epoch, merged.export_state())
 
-    def targets(self) -> list[tuple[str, str]]:
+    def unanswered_members(self) -> list[tuple[str, str]]:
         if self.installing:
-            return [(d, a) for d, a in self.after.members if d not in self.installed]
+            return [(d, a) for d, a in self.next_epoch.members if d not in self.installed_members]
         return [(d, a) for d, a in self.epoch.members if d not in self.states]
 
-    def heard(self, who: str, reply: Reply) -> bool:
+    def on_reply(self, member_id: str, reply: Reply) -> bool:
         """True when the next request is due, or the outcome is there."""
         if self.outcome is not None:
             return False
         match reply:
-            case Sealed(_, state) if state is not None and not self.installing and self.epoch.has(who):
-                self.states[who] = state
+            case SealedReply(_, state) if state is not None and not self.installing and self.epoch.has_member(
+                member_id
+            ):
+                self.states[member_id] = state
                 if len(self.states) < self.epoch.majority:
                     return False
                 self.installing = True
-            case Newer(epoch) if epoch.number > self.after.number or not self.installing:
-                self.outcome = Moved(epoch, False)
-            case Installed(number) if self.installing and number >= self.after.number and self.after.has(who):
-                self.installed.add(who)
-                if len(self.installed) < self.after.majority:
+            case StaleEpochReply(epoch) if epoch.number > self.next_epoch.number or not self.installing:
+                self.outcome = EpochChanged(epoch, False)
+            case InstalledReply(
+                number
+            ) if self.installing and number >= self.next_epoch.number and self.next_epoch.has_member(
+                member_id
+            ):
+                self.installed_members.add(member_id)
+                if len(self.installed_members) < self.next_epoch.majority:
                     return False
-                self.outcome = Moved(self.after, False)
+                self.outcome = EpochChanged(self.next_epoch, False)
             case _:
                 return False
         return True
 
 
-class Reader:
+class QuorumRead:
     """Asks a majority of an epoch's members what they hold: whatever was acknowledged before the first
-    question left is not above `needs`."""
+    question left is not above `highest_version`."""
 
     def __init__(self, epoch: Epoch) -> None:
         self.epoch = epoch
-        self.seen: dict[str, Seen] = {}
-        self.outcome: Moved | Read | None = None
+        self.replies: dict[str, QueryReply] = {}
+        self.outcome: EpochChanged | QuorumReadResult | None = None
 
     def request(self) -> Request:
-        return Look(self.epoch.number)
+        return QueryRequest(self.epoch.number)
 
-    def targets(self) -> list[tuple[str, str]]:
-        return [(d, a) for d, a in self.epoch.members if d not in self.seen]
+    def unanswered_members(self) -> list[tuple[str, str]]:
+        return [(d, a) for d, a in self.epoch.members if d not in self.replies]
 
-    def heard(self, who: str, reply: Reply) -> bool:
+    def on_reply(self, member_id: str, reply: Reply) -> bool:
         if self.outcome is not None:
             return False
         match reply:
-            case Newer(epoch):
-                self.outcome = Moved(epoch, False)
-            case Seen(epoch=number, votes=True) if number == self.epoch.number and self.epoch.has(who):
-                self.seen[who] = reply
-                if len(self.seen) < self.epoch.majority:
+            case StaleEpochReply(epoch):
+                self.outcome = EpochChanged(epoch, False)
+            case QueryReply(
+                epoch=number, may_vote=True
+            ) if number == self.epoch.number and self.epoch.has_member(member_id):
+                self.replies[member_id] = reply
+                if len(self.replies) < self.epoch.majority:
                     return False
-                best = max(self.seen, key=lambda name: self.seen[name].version)
-                self.outcome = Read(
-                    max(s.needs for s in self.seen.values()), self.seen[best].version, self.seen[best].address
+                best = max(self.replies, key=lambda name: self.replies[name].committed_version)
+                self.outcome = QuorumReadResult(
+                    max(r.highest_version for r in self.replies.values()),
+                    self.replies[best].committed_version,
+                    self.replies[best].address,
                 )
             case _:
                 return False
         return True
 
 
-class Teacher:
+class StateTransfer:
     """Tells members what is chosen, until a majority of the others hold it on their disks."""
 
-    def __init__(self, epoch: Epoch, me: str, held: Held, history: History) -> None:
-        self.epoch, self.held, self.history = epoch, held, history
-        self.others = tuple((d, a) for d, a in epoch.members if d != me)
-        self.know: set[str] = set()
-        self.outcome: Read | None = None
+    def __init__(
+        self, epoch: Epoch, member_id: str, committed: CommittedValue, history: DigestHistory
+    ) -> None:
+        self.epoch, self.committed, self.history = epoch, committed, history
+        self.other_members = tuple((d, a) for d, a in epoch.members if d != member_id)
+        self.acknowledged: set[str] = set()
+        self.outcome: QuorumReadResult | None = None
 
     def request(self) -> Request:
-        return Teach(self.epoch.number, self.held, self.history)
+        return LearnRequest(self.epoch.number, self.committed, self.history)
 
-    def targets(self) -> list[tuple[str, str]]:
-        return [(d, a) for d, a in self.others if d not in self.know]
+    def unanswered_members(self) -> list[tuple[str, str]]:
+        return [(d, a) for d, a in self.other_members if d not in self.acknowledged]
 
-    def heard(self, who: str, reply: Reply) -> bool:
-        if self.outcome is not None or not isinstance(reply, Seen) or reply.version < self.held.version:
+    def on_reply(self, member_id: str, reply: Reply) -> bool:
+        if (
+            self.outcome is not None
+            or not isinstance(reply, QueryReply)
+            or reply.committed_version < self.committed.version
+        ):
             return False
-        if not any(who == d for d, _ in self.others):
+        if not any(member_id == d for d, _ in self.other_members):
             return False
-        self.know.add(who)
-        if len(self.know) < min(self.epoch.majority, len(self.others)):
+        self.acknowledged.add(member_id)
+        if len(self.acknowledged) < min(self.epoch.majority, len(self.other_members)):
             return False
-        self.outcome = Read(self.held.version, self.held.version, "")
+        self.outcome = QuorumReadResult(self.committed.version, self.committed.version, "")
         return True
 
 
-def members_after(
+def next_members(
     epoch: Epoch,
-    tolerate: int,
-    silent: Iterable[str],
+    tolerated_failures: int,
+    silent_members: Iterable[str],
     candidates: Mapping[str, str],
     leaving: str = "",
 ) -> tuple[tuple[str, str], ...] | None:
     """Which members the next epoch should have; none if the set is as it should be, or the change has no
     majority in touch on the new side.
 
-    `silent`: members not heard of for long, the longest first; `candidates`: disks that are in touch and want
-    to be members, with their addresses; `leaving`: one that ends. An empty disk at a member's address stands
-    in its place. Nobody is taken out, by silence or by leaving, below the `2 x tolerate + 1` that the
-    settings speak of: who is away may come back with its disk, and a smaller set bears less.
+    `silent_members`: members not heard of for long, the longest first; `candidates`: disks that are in
+    touch and want to be members, with their addresses; `leaving`: one that ends. An empty disk at a
+    member's address stands in its place. Nobody is taken out, by silence or by leaving, below the `2 x
+    tolerated_failures + 1` that the settings speak of: who is away may come back with its disk, and a
+    smaller set bears less.
     """
-    least = 2 * tolerate + 1
+    least = 2 * tolerated_failures + 1
     members = dict(epoch.members)
-    quiet = [disk for disk in silent if disk in members]
+    quiet = [disk for disk in silent_members if disk in members]
     for disk, address in sorted(candidates.items()):
         if disk in members:
             continue
@@ -629,25 +673,25 @@
 # -- as plain values for msgpack
 
 
-def pack_epoch(epoch: Epoch) -> list[Any]:
+def encode_epoch(epoch: Epoch) -> list[Any]:
     return [epoch.number, [list(m) for m in epoch.members]]
 
 
-def unpack_epoch(raw: Any) -> Epoch:
+def decode_epoch(raw: Any) -> Epoch:
     """Raises ValueError or TypeError for what is none."""
     number, members = raw
     return Epoch(int(number), tuple((str(disk), str(address)) for disk, address in members))
 
 
-def plain(value: Any) -> Any:
+def encode_value(value: Any) -> Any:
     match value:
         case Epoch():
-            return pack_epoch(value)
-        case Held(version, content):
+            return encode_epoch(value)
+        case CommittedValue(version, content):
             return [version, content]
-        case State(held, history, slots):
+        case AcceptorState(held, history, slots):
             rows = [[v, list(p), list(a), c] for v, p, a, c in slots]
-            return [plain(held), [list(h) for h in history], rows]
+            return [encode_value(held), [list(h) for h in history], rows]
         case Ballot():
             return list(value)
         case tuple():
@@ -655,63 +699,87 @@
     return value
 
 
-def pack(what: Request | Reply) -> list[Any]:
-    name = type(what).__name__
-    return [name, *(plain(getattr(what, f)) for f in what.__dataclass_fields__)]
+def encode(message: Request | Reply) -> list[Any]:
+    return [
+        WIRE_NAMES[type(message)],
+        *(encode_value(getattr(message, f)) for f in message.__dataclass_fields__),
+    ]
 
 
-def ballot(raw: Any) -> Ballot:
+def decode_ballot(raw: Any) -> Ballot:
     epoch, number, who = raw
     return Ballot(int(epoch), int(number), str(who))
 
 
-def held(raw: Any) -> Held:
+def decode_committed_value(raw: Any) -> CommittedValue:
     version, content = raw
-    return Held(int(version), bytes(content))
+    return CommittedValue(int(version), bytes(content))
 
 
-def history(raw: Any) -> History:
+def decode_history(raw: Any) -> DigestHistory:
     return tuple((int(version), bytes(what)) for version, what in raw)
 
 
-def state(raw: Any) -> State:
+def decode_state(raw: Any) -> AcceptorState:
     what, past, slots = raw
-    return State(
-        held(what), history(past), tuple((int(v), ballot(p), ballot(a), bytes(c)) for v, p, a, c in slots)
+    return AcceptorState(
+        decode_committed_value(what),
+        decode_history(past),
+        tuple((int(v), decode_ballot(p), decode_ballot(a), bytes(c)) for v, p, a, c in slots),
     )
 
 
-def maybe_state(raw: Any) -> State | None:
-    return None if raw is None else state(raw)
-
-
-READERS: dict[type, tuple[Any, ...]] = {
-    Prepare: (int, int, ballot),
-    Accept: (int, int, ballot, bytes),
-    Seal: (int, unpack_epoch),
-    Install: (int, unpack_epoch, state),
-    Look: (int,),
-    Fetch: (int,),
-    Teach: (int, held, history),
-    Seen: (int, bool, int, int, str, str, bool),
-    Promised: (ballot, ballot, bytes),
-    Accepted: (ballot,),
-    Refused: (ballot,),
-    Past: (held, history),
-    Newer: (unpack_epoch,),
-    Sealed: (unpack_epoch, maybe_state),
-    Installed: (int,),
-    Outside: (int,),
-    Whole: (held, history),
+def decode_optional_state(raw: Any) -> AcceptorState | None:
+    return None if raw is None else decode_state(raw)
+
+
+FIELD_DECODERS: dict[type, tuple[Any, ...]] = {
+    PrepareRequest: (int, int, decode_ballot),
+    AcceptRequest: (int, int, decode_ballot, bytes),
+    SealRequest: (int, decode_epoch),
+    InstallRequest: (int, decode_epoch, decode_state),
+    QueryRequest: (int,),
+    SnapshotRequest: (int,),
+    LearnRequest: (int, decode_committed_value, decode_history),
+    QueryReply: (int, bool, int, int, str, str, bool),
+    PromiseReply: (decode_ballot, decode_ballot, bytes),
+    AcceptedReply: (decode_ballot,),
+    BallotRejectedReply: (decode_ballot,),
+    VersionDecidedReply: (decode_committed_value, decode_history),
+    StaleEpochReply: (decode_epoch,),
+    SealedReply: (decode_epoch, decode_optional_state),
+    InstalledReply: (int,),
+    NotAMemberReply: (int,),
+    SnapshotReply: (decode_committed_value, decode_history),
+}
+# How a message is named on the wire; it stays as it is when a class gets another name.
+WIRE_NAMES: dict[type, str] = {
+    PrepareRequest: "Prepare",
+    AcceptRequest: "Accept",
+    SealRequest: "Seal",
+    InstallRequest: "Install",
+    QueryRequest: "Look",
+    SnapshotRequest: "Fetch",
+    LearnRequest: "Teach",
+    QueryReply: "Seen",
+    PromiseReply: "Promised",
+    AcceptedReply: "Accepted",
+    BallotRejectedReply: "Refused",
+    VersionDecidedReply: "Past",
+    StaleEpochReply: "Newer",
+    SealedReply: "Sealed",
+    InstalledReply: "Installed",
+    NotAMemberReply: "Outside",
+    SnapshotReply: "Whole",
 }
-KINDS = {kind.__name__: kind for kind in READERS}
+MESSAGE_TYPES = {name: kind for kind, name in WIRE_NAMES.items()}
 
 
-def unpack(raw: Any) -> Any:
+def decode(raw: Any) -> Any:
     """A request or a reply. Raises ValueError, TypeError or KeyError for what is none."""
     name, *rest = raw
-    kind = KINDS[name]
-    readers = READERS[kind]
+    kind = MESSAGE_TYPES[name]
+    readers = FIELD_DECODERS[kind]
     if len(rest) != len(readers):
         raise ValueError(f"no {name}")
     for reader, value in zip(readers, rest, strict=True):
--- a/meadowworks/consensus/replica.py
+++ b/meadowworks/consensus/replica.py
@@ -1,12 +1,12 @@
 """A signalbox's part in the agreement, as one machine without I/O: its acceptor, what it proposes, whom it
 has heard of, and the order of its writes and sends.
 
-Every input takes the time; what is to be done comes out of `take` as effects, in order. Nothing that an
-acceptor answers leaves before the write that it rests on is reported by `written`; no request leaves before
-the number of this life is on the disk. Times are of the steady clock, in nanoseconds.
+Every input takes the time; what is to be done comes out of `take_effects` as effects, in order. Nothing
+that an acceptor answers leaves before the write that it rests on is reported by `on_persisted`; no request
+leaves before the number of this life is on the disk. Times are of the steady clock, in nanoseconds.
 
 What may be said to the outside goes by a lease: a majority of the epoch's members have answered questions
-that left within `LEASE_NS`, and what they have accepted is known here.
+that left within `LEASE_DURATION_NS`, and what they have accepted is known here.
 """
 
 from __future__ import annotations
@@ -17,747 +17,881 @@
 from typing import Any
 
 from meadowworks.consensus.register import (
-    MEMBERSHIP,
-    NONE,
-    UNKNOWN,
+    MEMBERSHIP_VERSION,
+    NO_BALLOT,
+    UNKNOWN_EPOCH,
     Acceptor,
-    Again,
+    AcceptorSlot,
     Ballot,
-    Change,
     Chosen,
+    CommittedValue,
     Epoch,
-    Fetch,
-    Held,
-    Install,
-    Moved,
-    Newer,
-    Overtaken,
+    EpochChanged,
+    InstallRequest,
     Proposer,
-    Read,
-    Reader,
+    QueryReply,
+    QuorumRead,
+    QuorumReadResult,
+    Reconfiguration,
     Reply,
     Request,
-    Seen,
-    Slot,
-    Teacher,
-    Whole,
+    RetryWithHigherBallot,
+    SnapshotReply,
+    SnapshotRequest,
+    StaleEpochReply,
+    StateTransfer,
+    Superseded,
+    decode_epoch,
     digest,
-    members_after,
-    pack_epoch,
-    unpack_epoch,
+    encode_epoch,
+    next_members,
 )
 
-MS, SECOND = 1_000_000, 1_000_000_000
-LEASE_NS = 1_800 * MS
-RESEND_NS = 300 * MS  # that a reply is waited for before the request goes again
-PAUSE_NS, PAUSE_MOST_NS = 20 * MS, 500 * MS  # before a try that a higher ballot ended begins anew
-FINISH_NS, THIN_NS = 400 * MS, 60 * MS  # that another may take to finish its own; less when a copy is missing
-SILENT_NS = 2 * SECOND  # a member that has not answered for so long is away
-YOUNG_NS = 2 * SECOND  # an epoch, or a life, that began within this
-RANK_NS = 250 * MS  # by which the next member waits longer before it proposes other members
-FOUND_NS = 1_500 * MS  # that founding waits for voters that are not heard of yet
-STEP_NS = 250 * MS  # between looks at the members
-FORGET_NS = 60 * SECOND  # after which a disk that is not heard of is not spoken of either
-THAW_NS = SECOND  # a turn that is later than this: this process stood still, and knows nobody's silence
-NOTHING = Held()
-LEAVE = -1  # the order under which `leave` reports
+MILLISECOND_NS, SECOND_NS = 1_000_000, 1_000_000_000
+LEASE_DURATION_NS = 1_800 * MILLISECOND_NS
+RESEND_INTERVAL_NS = 300 * MILLISECOND_NS  # that a reply is waited for before the request goes again
+INITIAL_BACKOFF_NS, MAX_BACKOFF_NS = (
+    20 * MILLISECOND_NS,
+    500 * MILLISECOND_NS,
+)  # before a try that a higher ballot ended begins anew
+FINISH_DELAY_NS, FINISH_DELAY_DEGRADED_NS = (
+    400 * MILLISECOND_NS,
+    60 * MILLISECOND_NS,
+)  # that another may take to finish its own; less when a copy is missing
+MEMBER_SILENCE_TIMEOUT_NS = 2 * SECOND_NS  # a member that has not answered for so long is away
+EPOCH_SETTLING_NS = 2 * SECOND_NS  # an epoch, or a life, that began within this
+RANK_DELAY_NS = 250 * MILLISECOND_NS  # by which the next member waits longer before it proposes other members
+BOOTSTRAP_WAIT_NS = 1_500 * MILLISECOND_NS  # that founding waits for voters that are not heard of yet
+MEMBERSHIP_CHECK_INTERVAL_NS = 250 * MILLISECOND_NS  # between looks at the members
+PEER_EXPIRY_NS = 60 * SECOND_NS  # after which a disk that is not heard of is not spoken of either
+STALL_THRESHOLD_NS = (
+    SECOND_NS  # a tick that is later than this: this process stood still, and knows nobody's silence
+)
+NOTHING_COMMITTED = CommittedValue()
+LEAVE_WAITER_ID = -1  # the order under which `leave` reports
 
 
 @dataclass(frozen=True, slots=True)
-class Rows:
-    """What a write holds. `meta`: all of the acceptor's own fields; `slots`: none takes one away; `history`:
-    what is added, and what is below `floor` goes."""
+class StateUpdate:
+    """What a write holds. `metadata`: all of the acceptor's own fields; `slots`: none takes one away;
+    `history`: what is added, and what is below `oldest_history_version` goes."""
 
-    meta: Mapping[str, Any] | None
-    held: Held | None
+    metadata: Mapping[str, Any] | None
+    committed: CommittedValue | None
     history: Mapping[int, bytes]
-    floor: int
-    slots: Mapping[int, Slot | None]
+    oldest_history_version: int
+    slots: Mapping[int, AcceptorSlot | None]
 
 
 @dataclass(frozen=True, slots=True)
-class Write:
-    mark: int
-    rows: Rows
+class Persist:
+    write_id: int
+    update: StateUpdate
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
-    question: int
+class SendRequest:
+    request_id: int
     address: str
     request: Request
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
-    """The reply to a request that came under `ticket`; `who` says it."""
+class SendReply:
+    """The reply to a request that came under `ticket`; `member_id` answers it."""
 
     ticket: Any
-    who: str
+    member_id: str
     reply: Reply
 
 
 @dataclass(frozen=True, slots=True)
-class Taken:
+class Committed:
     """In force, or overtaken by a higher version and without effect."""
 
 
 @dataclass(frozen=True, slots=True)
-class Another:
+class Conflict:
     """Another content was chosen under this number."""
 
 
 @dataclass(frozen=True, slots=True)
-class Late:
-    """Not decided in time, or not to be known here: it may be in force. `back_ns`: when to ask again."""
+class Undecided:
+    """Not decided in time, or not to be known here: it may be in force. `retry_after_ns`: when to ask
+    again."""
 
-    back_ns: int
+    retry_after_ns: int
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
-    order: int
-    outcome: Taken | Another | Late | Held
+class CompleteOperation:
+    waiter_id: int
+    outcome: Committed | Conflict | Undecided | CommittedValue
 
 
 @dataclass(frozen=True, slots=True)
-class InForce:
-    held: Held
+class ValueCommitted:
+    committed: CommittedValue
 
 
 @dataclass(frozen=True, slots=True)
-class Note:
+class LogEntry:
     text: str
 
 
-Effect = Write | Ask | Tell | Answer | InForce | Note
-Op = Proposer | Change | Reader | Teacher
+Effect = Persist | SendRequest | SendReply | CompleteOperation | ValueCommitted | LogEntry
+QuorumCall = Proposer | Reconfiguration | QuorumRead | StateTransfer
 
 
 @dataclass(slots=True)
-class Peer:
-    """Another signalbox's disk. `sent_ns`: when the newest question left that counts for the lease."""
+class PeerState:
+    """Another signalbox's disk. `confirmed_ns`: when the newest question left that counts for the lease."""
 
-    seen: Seen
-    heard_ns: int
-    sent_ns: int = 0
-    waits: list[tuple[int, int]] = field(default_factory=list)  # versions to be known, and when asked
+    last_reply: QueryReply
+    last_reply_ns: int
+    confirmed_ns: int = 0
+    unconfirmed: list[tuple[int, int]] = field(default_factory=list)  # versions to be known, and when asked
 
 
 @dataclass(slots=True)
-class Job:
+class Operation:
     """Something that is carried through: an order, a read, a version or a change of members to finish."""
 
-    kind: str  # order, finish, read, members, leave
+    kind: str  # propose, finish, read, members, leave
     version: int
-    content: bytes | None
-    until_ns: int
-    orders: list[int]
-    op: Op | None = None
-    round: int = 0
+    value: bytes | None
+    deadline_ns: int
+    waiter_ids: list[int]
+    quorum_call: QuorumCall | None = None
+    round_number: int = 0
     due_ns: int = 0
-    pause_ns: int = PAUSE_NS
-    floor: int = 0
-    before: Epoch | None = None  # of a change that is to be carried through: the epoch that ends
+    backoff_ns: int = INITIAL_BACKOFF_NS
+    min_ballot_number: int = 0
+    previous_epoch: Epoch | None = None  # of a change that is to be carried through: the epoch that ends
 
 
 class Replica:
-    """`chance` gives numbers from 0 to 1."""
-
-    def __init__(self, acceptor: Acceptor, tolerate: int, chance: Callable[[], float]) -> None:
-        self.acceptor, self.tolerate, self.chance = acceptor, tolerate, chance
+    """`random_fraction` gives numbers from 0 to 1."""
+
+    def __init__(
+        self, acceptor: Acceptor, tolerated_failures: int, random_fraction: Callable[[], float]
+    ) -> None:
+        self.acceptor, self.tolerated_failures, self.random_fraction = (
+            acceptor,
+            tolerated_failures,
+            random_fraction,
+        )
         self.effects: list[Effect] = []
-        self.peers: dict[str, Peer] = {}
-        self.mine = Peer(acceptor.seen(), 0)  # as a member: what it has accepted may be acknowledged already
-        self.jobs: dict[int, Job] = {}
-        self.questions: dict[int, tuple[int, int, str]] = {}  # job, round, disk
-        self.count = self.number = 0
-        self.mark = self.inflight = self.synced = 0
-        self.rows: Rows | None = None  # in flight
-        self.retry_ns = 0
-        self.gated: deque[tuple[int, Any]] = deque()
+        self.peers: dict[str, PeerState] = {}
+        self.own_state = PeerState(
+            acceptor.query_reply(), 0
+        )  # as a member: what it has accepted may be acknowledged already
+        self.operations: dict[int, Operation] = {}
+        self.pending_requests: dict[int, tuple[int, int, str]] = {}  # operation id, round, member id
+        self.last_id = self.last_ballot_number = 0
+        self.last_write_id = self.write_in_flight = self.last_written_id = 0
+        self.update_in_flight: StateUpdate | None = None  # in flight
+        self.write_retry_ns = 0
+        self.awaiting_write: deque[tuple[int, Any]] = deque()
         self.ready: deque[Any] = deque()
-        self.kept = set(acceptor.history)
+        self.persisted_history_versions = set(acceptor.history)
         self.started = self.leaving = False
-        self.born_ns = self.epoch_ns = self.turn_ns = self.step_ns = 0
-        self.since: dict[Any, int] = {}  # when something that should not last was first seen
+        self.started_ns = self.epoch_since_ns = self.last_tick_ns = self.last_check_ns = 0
+        self.condition_since_ns: dict[Any, int] = {}  # when something that should not last was first seen
 
     # -- inputs
 
-    def start(self, now: int) -> None:
+    def start(self, now_ns: int) -> None:
         """The first write holds the number of this life: ballots made in it are of this life alone."""
-        self.born_ns = self.epoch_ns = self.turn_ns = now
-        self.acceptor.life += 1
-        self.acceptor.meta = True
-        self.later(("started",))
-        self.settle(now)
+        self.started_ns = self.epoch_since_ns = self.last_tick_ns = now_ns
+        self.acceptor.incarnation += 1
+        self.acceptor.metadata_changed = True
+        self.defer_until_written(("started",))
+        self.flush(now_ns)
 
-    def asked(self, now: int, ticket: Any, request: Request) -> None:
+    def on_request(self, now_ns: int, ticket: Any, request: Request) -> None:
         """A request from another signalbox."""
-        who = self.acceptor.name(request.epoch)
-        self.later(("tell", ticket, who, self.answered(now, request)))
-        self.settle(now)
+        member_id = self.acceptor.id_in_epoch(request.epoch)
+        self.defer_until_written(("tell", ticket, member_id, self.handle_request(now_ns, request)))
+        self.flush(now_ns)
 
-    def heard(self, now: int, question: int, who: str, reply: Reply) -> None:
+    def on_reply(self, now_ns: int, request_id: int, member_id: str, reply: Reply) -> None:
         """The reply to a question."""
-        if (found := self.questions.pop(question, None)) is None:
+        if (found := self.pending_requests.pop(request_id, None)) is None:
             return
-        number, turn, _ = found
-        if isinstance(reply, Newer):
-            self.told(now, reply.epoch)
-        if (job := self.jobs.get(number)) is not None and job.round == turn:
-            self.reply(now, number, job, who, reply)
-        self.settle(now)
-
-    def failed(self, now: int, question: int) -> None:
+        operation_id, round_number, _ = found
+        if isinstance(reply, StaleEpochReply):
+            self.on_epoch(now_ns, reply.epoch)
+        if (
+            operation := self.operations.get(operation_id)
+        ) is not None and operation.round_number == round_number:
+            self.on_operation_reply(now_ns, operation_id, operation, member_id, reply)
+        self.flush(now_ns)
+
+    def on_request_failed(self, now_ns: int, request_id: int) -> None:
         """No reply came, or may come any more."""
-        self.questions.pop(question, None)
+        self.pending_requests.pop(request_id, None)
 
-    def written(self, now: int, mark: int) -> None:
+    def on_persisted(self, now_ns: int, write_id: int) -> None:
         """The write of a mark, and all before it, are on the disk."""
-        self.synced, self.inflight, self.rows = mark, 0, None
-        while self.gated and self.gated[0][0] <= mark:
-            self.ready.append(self.gated.popleft()[1])
-        self.settle(now)
+        self.last_written_id, self.write_in_flight, self.update_in_flight = write_id, 0, None
+        while self.awaiting_write and self.awaiting_write[0][0] <= write_id:
+            self.ready.append(self.awaiting_write.popleft()[1])
+        self.flush(now_ns)
 
-    def unwritten(self, now: int, mark: int) -> None:
+    def on_persist_failed(self, now_ns: int, write_id: int) -> None:
         """The disk refused the write: what rests on it waits, and it is tried again."""
-        self.retry_ns = now + 200 * MS
+        self.write_retry_ns = now_ns + 200 * MILLISECOND_NS
 
-    def order(self, now: int, order: int, version: int, content: bytes, until_ns: int) -> None:
+    def propose(self, now_ns: int, waiter_id: int, version: int, value: bytes, deadline_ns: int) -> None:
         """An operator's change, checked."""
-        if not self.sure(now):
-            self.effects.append(Answer(order, Late(SECOND)))
+        if not self.holds_lease(now_ns):
+            self.effects.append(CompleteOperation(waiter_id, Undecided(SECOND_NS)))
             return
-        if version <= self.acceptor.held.version:
-            self.effects.append(Answer(order, self.verdict(version, content)))
+        if version <= self.acceptor.committed.version:
+            self.effects.append(CompleteOperation(waiter_id, self.outcome_of(version, value)))
             return
-        for job in self.jobs.values():
-            if job.kind == "order" and job.version == version and job.content == content:
-                job.orders.append(order)
-                job.until_ns = max(job.until_ns, until_ns)
+        for operation in self.operations.values():
+            if operation.kind == "propose" and operation.version == version and operation.value == value:
+                operation.waiter_ids.append(waiter_id)
+                operation.deadline_ns = max(operation.deadline_ns, deadline_ns)
                 return
-        self.begin(now, Job("order", version, content, until_ns, [order]))
-        self.settle(now)
+        self.begin_operation(now_ns, Operation("propose", version, value, deadline_ns, [waiter_id]))
+        self.flush(now_ns)
 
-    def read(self, now: int, order: int, until_ns: int) -> None:
+    def read(self, now_ns: int, waiter_id: int, deadline_ns: int) -> None:
         """The newest version that may have been acknowledged before now."""
-        if not self.started or self.acceptor.newest().number < 1 or self.leaving:
-            self.effects.append(Answer(order, Late(SECOND)))
+        if not self.started or self.acceptor.newest_epoch().number < 1 or self.leaving:
+            self.effects.append(CompleteOperation(waiter_id, Undecided(SECOND_NS)))
             return
-        self.begin(now, Job("read", 0, None, until_ns, [order]))
-        self.settle(now)
+        self.begin_operation(now_ns, Operation("read", 0, None, deadline_ns, [waiter_id]))
+        self.flush(now_ns)
 
-    def learn(self, now: int, held: Held, history: Any = ()) -> None:
+    def on_committed_value(self, now_ns: int, committed: CommittedValue, history: Any = ()) -> None:
         """Another signalbox says what is chosen."""
-        self.learnt(held, history)
-        self.settle(now)
+        self.record_committed(committed, history)
+        self.flush(now_ns)
 
-    def met(self, now: int, sent_ns: int, seen: Seen) -> None:
+    def on_query_reply(self, now_ns: int, sent_ns: int, reply: QueryReply) -> None:
         """Another signalbox's answer to a question of this one that left at `sent_ns`."""
-        peer = self.peers.get(seen.disk)
+        peer = self.peers.get(reply.member_id)
         if peer is None:
-            for disk in [d for d, p in self.peers.items() if p.seen.address == seen.address]:
+            for disk in [d for d, p in self.peers.items() if p.last_reply.address == reply.address]:
                 del self.peers[disk]  # an empty disk stands there now
-            peer = self.peers[seen.disk] = Peer(seen, now)
-        peer.seen, peer.heard_ns = seen, now
-        if seen.votes and seen.epoch == self.acceptor.newest().number:
-            peer.waits = [*peer.waits, (seen.needs, sent_ns)][-8:]
-            self.freshen(peer)
+            peer = self.peers[reply.member_id] = PeerState(reply, now_ns)
+        peer.last_reply, peer.last_reply_ns = reply, now_ns
+        if reply.may_vote and reply.epoch == self.acceptor.newest_epoch().number:
+            peer.unconfirmed = [*peer.unconfirmed, (reply.highest_version, sent_ns)][-8:]
+            self.confirm_lease(peer)
 
-    def told(self, now: int, epoch: Epoch) -> None:
+    def on_epoch(self, now_ns: int, epoch: Epoch) -> None:
         """An epoch that is in force somewhere."""
-        if epoch.number > 0 and self.acceptor.told(epoch):
-            self.epoch_ns = now
+        if epoch.number > 0 and self.acceptor.on_epoch(epoch):
+            self.epoch_since_ns = now_ns
             for peer in self.peers.values():
-                peer.sent_ns, peer.waits = 0, []
-            self.note(f"epoch {epoch.number} has {len(epoch.members)} members")
-
-    def leave(self, now: int, until_ns: int) -> None:
-        """This signalbox ends: what it holds is handed over; `Answer(LEAVE, ...)` tells when."""
-        self.leaving, self.acceptor.wants = True, False
-        for job in list(self.jobs.values()):
-            if job.kind in ("order", "read"):
-                job.until_ns = min(job.until_ns, now + 400 * MS)
-        if not self.acceptor.votes():
-            self.effects.append(Answer(LEAVE, Taken()))
+                peer.confirmed_ns, peer.unconfirmed = 0, []
+            self.log(f"epoch {epoch.number} has {len(epoch.members)} members")
+
+    def leave(self, now_ns: int, deadline_ns: int) -> None:
+        """This signalbox ends: what it holds is handed over; `CompleteOperation(LEAVE_WAITER_ID, ...)`
+        tells when."""
+        self.leaving, self.acceptor.wants_membership = True, False
+        for operation in list(self.operations.values()):
+            if operation.kind in ("propose", "read"):
+                operation.deadline_ns = min(operation.deadline_ns, now_ns + 400 * MILLISECOND_NS)
+        if not self.acceptor.may_vote():
+            self.effects.append(CompleteOperation(LEAVE_WAITER_ID, Committed()))
             return
-        self.begin(now, Job("leave", 0, None, until_ns, [LEAVE]))
-        self.settle(now)
+        self.begin_operation(now_ns, Operation("leave", 0, None, deadline_ns, [LEAVE_WAITER_ID]))
+        self.flush(now_ns)
 
-    def tick(self, now: int) -> None:
-        """Time has passed; `due` says when to call."""
-        if now - self.turn_ns > THAW_NS:
+    def tick(self, now_ns: int) -> None:
+        """Time has passed; `next_tick_ns` says when to call."""
+        if now_ns - self.last_tick_ns > STALL_THRESHOLD_NS:
             for peer in self.peers.values():
-                peer.heard_ns = now
-        self.turn_ns = now
-        if self.inflight and self.retry_ns and now >= self.retry_ns and self.rows is not None:
-            self.retry_ns = 0
-            self.effects.append(Write(self.inflight, self.rows))
-        for number, job in list(self.jobs.items()):
-            if now >= job.until_ns:
-                self.end(number, Late(200 * MS))
-            elif now >= job.due_ns:
-                if job.op is None:
-                    self.again(now, number, job)
+                peer.last_reply_ns = now_ns
+        self.last_tick_ns = now_ns
+        if (
+            self.write_in_flight
+            and self.write_retry_ns
+            and now_ns >= self.write_retry_ns
+            and self.update_in_flight is not None
+        ):
+            self.write_retry_ns = 0
+            self.effects.append(Persist(self.write_in_flight, self.update_in_flight))
+        for operation_id, operation in list(self.operations.items()):
+            if now_ns >= operation.deadline_ns:
+                self.complete_operation(operation_id, Undecided(200 * MILLISECOND_NS))
+            elif now_ns >= operation.due_ns:
+                if operation.quorum_call is None:
+                    self.begin_attempt(now_ns, operation_id, operation)
                 else:
-                    self.drive(now, number, job)
-        if self.started and now - self.step_ns >= STEP_NS:
-            self.step_ns = now
-            self.mine.waits = [*self.mine.waits, (self.acceptor.undecided(), now)][-8:]
-            self.freshen(self.mine)
-            for disk in [d for d, p in self.peers.items() if now - p.heard_ns > FORGET_NS]:
+                    self.send_round(now_ns, operation_id, operation)
+        if self.started and now_ns - self.last_check_ns >= MEMBERSHIP_CHECK_INTERVAL_NS:
+            self.last_check_ns = now_ns
+            self.own_state.unconfirmed = [
+                *self.own_state.unconfirmed,
+                (self.acceptor.highest_undecided_version(), now_ns),
+            ][-8:]
+            self.confirm_lease(self.own_state)
+            for disk in [d for d, p in self.peers.items() if now_ns - p.last_reply_ns > PEER_EXPIRY_NS]:
                 del self.peers[disk]
-            self.look(now)
-        self.settle(now)
+            self.check_membership(now_ns)
+        self.flush(now_ns)
 
-    def due(self) -> int:
+    def next_tick_ns(self) -> int:
         """When `tick` is next to be called."""
-        times = [self.step_ns + STEP_NS, *(min(j.due_ns, j.until_ns) for j in self.jobs.values())]
-        if self.retry_ns:
-            times.append(self.retry_ns)
+        times = [
+            self.last_check_ns + MEMBERSHIP_CHECK_INTERVAL_NS,
+            *(min(o.due_ns, o.deadline_ns) for o in self.operations.values()),
+        ]
+        if self.write_retry_ns:
+            times.append(self.write_retry_ns)
         return min(times)
 
-    def take(self) -> list[Effect]:
+    def take_effects(self) -> list[Effect]:
         found, self.effects = self.effects, []
         return found
 
     # -- what may be said
 
-    def as_of(self, now: int) -> int | None:
+    def known_as_of_ns(self, now_ns: int) -> int | None:
         """Whatever was acknowledged before this time is known here; none if that can't be said of any."""
-        epoch, acceptor = self.acceptor.newest(), self.acceptor
+        epoch, acceptor = self.acceptor.newest_epoch(), self.acceptor
         if not self.started or epoch.number < 1 or not epoch.members:
             return None
         times = []
         for disk, _ in epoch.members:
-            if disk == acceptor.disk:
-                if acceptor.votes():
-                    times.append(now if not acceptor.undecided() else self.mine.sent_ns)
-            elif (peer := self.peers.get(disk)) is not None and peer.sent_ns:
-                times.append(peer.sent_ns)
+            if disk == acceptor.member_id:
+                if acceptor.may_vote():
+                    times.append(
+                        now_ns if not acceptor.highest_undecided_version() else self.own_state.confirmed_ns
+                    )
+            elif (peer := self.peers.get(disk)) is not None and peer.confirmed_ns:
+                times.append(peer.confirmed_ns)
         if len(times) < epoch.majority:
             return None
         return sorted(times, reverse=True)[epoch.majority - 1]
 
-    def sure(self, now: int) -> bool:
+    def holds_lease(self, now_ns: int) -> bool:
         """Whether this signalbox has its lease."""
-        at = self.as_of(now)
-        return at is not None and not self.leaving and now - at < LEASE_NS
+        at = self.known_as_of_ns(now_ns)
+        return at is not None and not self.leaving and now_ns - at < LEASE_DURATION_NS
 
-    def verdict(self, version: int, content: bytes) -> Taken | Another:
+    def outcome_of(self, version: int, value: bytes) -> Committed | Conflict:
         """Of a version not above the one held."""
-        held = self.acceptor.held
+        held = self.acceptor.committed
         if version == held.version:
-            return Taken() if content == held.content else Another()
+            return Committed() if value == held.value else Conflict()
         known = self.acceptor.history.get(version)
-        return Taken() if known is None or known == digest(content) else Another()
+        return Committed() if known is None or known == digest(value) else Conflict()
 
     # -- jobs
 
-    def begin(self, now: int, job: Job) -> None:
-        self.count += 1
-        self.jobs[self.count] = job
-        self.again(now, self.count, job)
+    def begin_operation(self, now_ns: int, operation: Operation) -> None:
+        self.last_id += 1
+        self.operations[self.last_id] = operation
+        self.begin_attempt(now_ns, self.last_id, operation)
 
-    def again(self, now: int, number: int, job: Job) -> None:
+    def begin_attempt(self, now_ns: int, operation_id: int, operation: Operation) -> None:
         """Begins a try."""
         acceptor = self.acceptor
-        epoch = acceptor.newest()
-        job.round += 1
+        epoch = acceptor.newest_epoch()
+        operation.round_number += 1
         if not self.started:  # a ballot of this life may not leave before the life is on the disk
-            job.op, job.due_ns = None, now + RESEND_NS
+            operation.quorum_call, operation.due_ns = None, now_ns + RESEND_INTERVAL_NS
             return
-        if job.kind == "members":
-            if job.before is not None:
-                job.op = Change(job.before, Epoch(job.before.number + 1, unpack_members(job.content or b"")))
-            elif acceptor.epoch.number != epoch.number or not acceptor.votes():
-                return self.end(number, None)  # the set has changed meanwhile
+        if operation.kind == "members":
+            if operation.previous_epoch is not None:
+                operation.quorum_call = Reconfiguration(
+                    operation.previous_epoch,
+                    Epoch(operation.previous_epoch.number + 1, decode_member_list(operation.value or b"")),
+                )
+            elif acceptor.epoch.number != epoch.number or not acceptor.may_vote():
+                return self.complete_operation(operation_id, None)  # the set has changed meanwhile
             else:
-                job.op = self.proposer(epoch, MEMBERSHIP, job)
-        elif job.kind in ("order", "finish"):
+                operation.quorum_call = self.new_proposer(epoch, MEMBERSHIP_VERSION, operation)
+        elif operation.kind in ("propose", "finish"):
             if epoch.number < 1:
-                job.op, job.due_ns = None, now + RESEND_NS
+                operation.quorum_call, operation.due_ns = None, now_ns + RESEND_INTERVAL_NS
                 return
-            if job.version <= acceptor.held.version:
-                return self.end(number, self.verdict(job.version, job.content or b""))
-            job.op = self.proposer(epoch, job.version, job)
-        elif job.kind == "leave" and len(epoch.members) > 2 * self.tolerate + 1 and acceptor.votes():
-            job.content = job.content or pack_members(
-                tuple((d, a) for d, a in epoch.members if d != acceptor.disk)
+            if operation.version <= acceptor.committed.version:
+                return self.complete_operation(
+                    operation_id, self.outcome_of(operation.version, operation.value or b"")
+                )
+            operation.quorum_call = self.new_proposer(epoch, operation.version, operation)
+        elif (
+            operation.kind == "leave"
+            and len(epoch.members) > 2 * self.tolerated_failures + 1
+            and acceptor.may_vote()
+        ):
+            operation.value = operation.value or encode_member_list(
+                tuple((d, a) for d, a in epoch.members if d != acceptor.member_id)
             )
-            job.op = self.proposer(epoch, MEMBERSHIP, job)
+            operation.quorum_call = self.new_proposer(epoch, MEMBERSHIP_VERSION, operation)
         else:
-            job.op = Reader(epoch)
-        self.drive(now, number, job)
+            operation.quorum_call = QuorumRead(epoch)
+        self.send_round(now_ns, operation_id, operation)
 
-    def proposer(self, epoch: Epoch, version: int, job: Job) -> Proposer:
+    def new_proposer(self, epoch: Epoch, version: int, operation: Operation) -> Proposer:
         slot = self.acceptor.slots.get(version)
-        self.number = max(self.number, job.floor, slot.promised.number if slot else 0) + 1
-        who = f"{self.acceptor.disk}.{self.acceptor.life}"
-        return Proposer(epoch, version, Ballot(epoch.number, self.number, who), job.content)
+        self.last_ballot_number = (
+            max(self.last_ballot_number, operation.min_ballot_number, slot.promised.number if slot else 0) + 1
+        )
+        member_id = f"{self.acceptor.member_id}.{self.acceptor.incarnation}"
+        return Proposer(
+            epoch, version, Ballot(epoch.number, self.last_ballot_number, member_id), operation.value
+        )
 
-    def drive(self, now: int, number: int, job: Job) -> None:
+    def send_round(self, now_ns: int, operation_id: int, operation: Operation) -> None:
         """Sends the round's request to whoever has not answered it."""
-        op = job.op
-        assert op is not None
-        job.due_ns = now + RESEND_NS
-        request = op.request()
-        for disk, address in op.targets():
-            if disk == self.acceptor.name(request.epoch):
-                self.later(("own", number, job.round, disk, self.answered(now, request)))
+        call = operation.quorum_call
+        assert call is not None
+        operation.due_ns = now_ns + RESEND_INTERVAL_NS
+        request = call.request()
+        for disk, address in call.unanswered_members():
+            if disk == self.acceptor.id_in_epoch(request.epoch):
+                own = (
+                    "own",
+                    operation_id,
+                    operation.round_number,
+                    disk,
+                    self.handle_request(now_ns, request),
+                )
+                self.defer_until_written(own)
             else:
-                self.ask(number, job.round, disk, address, request)
-
-    def ask(self, number: int, turn: int, disk: str, address: str, request: Request) -> None:
-        self.count += 1
-        self.questions[self.count] = number, turn, disk
-        while len(self.questions) > 4096:
-            del self.questions[next(iter(self.questions))]
-        self.effects.append(Ask(self.count, address, request))
-
-    def reply(self, now: int, number: int, job: Job, who: str, reply: Reply) -> None:
-        if isinstance(reply, Whole):
-            self.learnt(reply.held, reply.history)
-            if job.op is None:
-                self.again(now, number, job)
+                self.send_request(operation_id, operation.round_number, disk, address, request)
+
+    def send_request(
+        self, operation_id: int, round_number: int, member_id: str, address: str, request: Request
+    ) -> None:
+        self.last_id += 1
+        self.pending_requests[self.last_id] = operation_id, round_number, member_id
+        while len(self.pending_requests) > 4096:
+            del self.pending_requests[next(iter(self.pending_requests))]
+        self.effects.append(SendRequest(self.last_id, address, request))
+
+    def on_operation_reply(
+        self, now_ns: int, operation_id: int, operation: Operation, member_id: str, reply: Reply
+    ) -> None:
+        if isinstance(reply, SnapshotReply):
+            self.record_committed(reply.committed, reply.history)
+            if operation.quorum_call is None:
+                self.begin_attempt(now_ns, operation_id, operation)
             return
-        if job.op is None or not job.op.heard(who, reply):
+        if operation.quorum_call is None or not operation.quorum_call.on_reply(member_id, reply):
             return
-        if job.op.outcome is None:
-            job.round += 1
-            self.drive(now, number, job)
+        if operation.quorum_call.outcome is None:
+            operation.round_number += 1
+            self.send_round(now_ns, operation_id, operation)
             return
-        outcome = job.op.outcome
+        outcome = operation.quorum_call.outcome
         match outcome:
-            case Chosen(version, content) if version == MEMBERSHIP:
-                before = job.op.epoch
-                job.before, job.content = before, content
-                job.op = Change(before, Epoch(before.number + 1, unpack_members(content)))
-                job.round += 1
-                self.drive(now, number, job)
-            case Chosen(version, content):
-                self.learnt(Held(version, content), ())
-                if job.kind == "order":
-                    self.end(number, Taken() if content == job.content else Another())
-                elif job.kind == "finish":
-                    self.end(number, None)
+            case Chosen(version, value) if version == MEMBERSHIP_VERSION:
+                before = operation.quorum_call.epoch
+                operation.previous_epoch, operation.value = before, value
+                operation.quorum_call = Reconfiguration(
+                    before, Epoch(before.number + 1, decode_member_list(value))
+                )
+                operation.round_number += 1
+                self.send_round(now_ns, operation_id, operation)
+            case Chosen(version, value):
+                self.record_committed(CommittedValue(version, value), ())
+                if operation.kind == "propose":
+                    self.complete_operation(
+                        operation_id, Committed() if value == operation.value else Conflict()
+                    )
+                elif operation.kind == "finish":
+                    self.complete_operation(operation_id, None)
                 else:
-                    self.again(now, number, job)
-            case Overtaken(held, history):
-                self.learnt(held, history)
-                if job.kind == "order":
-                    self.end(number, self.verdict(job.version, job.content or b""))
-                elif job.kind == "finish":
-                    self.end(number, None)
+                    self.begin_attempt(now_ns, operation_id, operation)
+            case Superseded(held, history):
+                self.record_committed(held, history)
+                if operation.kind == "propose":
+                    self.complete_operation(
+                        operation_id, self.outcome_of(operation.version, operation.value or b"")
+                    )
+                elif operation.kind == "finish":
+                    self.complete_operation(operation_id, None)
                 else:
-                    self.again(now, number, job)
-            case Again(ballot):
-                if ballot == NONE and job.kind in ("finish", "members"):
-                    return self.end(number, None)
-                job.floor = max(job.floor, ballot.number)
-                self.pause(now, job)
-            case Moved(epoch, sealed):
-                before = job.op.epoch
+                    self.begin_attempt(now_ns, operation_id, operation)
+            case RetryWithHigherBallot(ballot):
+                if ballot == NO_BALLOT and operation.kind in ("finish", "members"):
+                    return self.complete_operation(operation_id, None)
+                operation.min_ballot_number = max(operation.min_ballot_number, ballot.number)
+                self.back_off(now_ns, operation)
+            case EpochChanged(epoch, sealed):
+                before = operation.quorum_call.epoch
                 if sealed:
-                    self.carry(now, before, epoch)
+                    self.complete_reconfiguration(now_ns, before, epoch)
                 else:
-                    self.told(now, epoch)
-                if job.kind == "members":
-                    self.end(number, None)
+                    self.on_epoch(now_ns, epoch)
+                if operation.kind == "members":
+                    self.complete_operation(operation_id, None)
                 else:
-                    if job.kind == "leave":
-                        job.before, job.content = None, None
-                    self.pause(now, job)
-            case Read(needs, version, address):
-                self.found(now, number, job, needs, version, address)
-
-    def found(self, now: int, number: int, job: Job, needs: int, version: int, address: str) -> None:
+                    if operation.kind == "leave":
+                        operation.previous_epoch, operation.value = None, None
+                    self.back_off(now_ns, operation)
+            case QuorumReadResult(needs, version, address):
+                self.on_quorum_read(now_ns, operation_id, operation, needs, version, address)
+
+    def on_quorum_read(
+        self,
+        now_ns: int,
+        operation_id: int,
+        operation: Operation,
+        highest_version: int,
+        committed_version: int,
+        address: str,
+    ) -> None:
         """A majority has said what it holds."""
         acceptor = self.acceptor
-        assert job.op is not None
-        if job.kind == "leave" and not job.op.epoch.has(acceptor.disk):
-            self.note("handed over, and out of the members")
-            self.end(number, Taken())
-        elif isinstance(job.op, Teacher):
-            self.note(f"version {job.op.held.version:08x} is on a majority of the others' disks")
-            self.end(number, Taken())
-        elif needs <= acceptor.held.version:
-            if job.kind == "leave":
-                job.op = Teacher(acceptor.newest(), acceptor.disk, acceptor.held, acceptor.past())
-                job.round += 1
-                if not job.op.others:
-                    return self.end(number, Taken())
-                self.drive(now, number, job)
+        assert operation.quorum_call is not None
+        if operation.kind == "leave" and not operation.quorum_call.epoch.has_member(acceptor.member_id):
+            self.log("handed over, and out of the members")
+            self.complete_operation(operation_id, Committed())
+        elif isinstance(operation.quorum_call, StateTransfer):
+            self.log(
+                f"version {operation.quorum_call.committed.version:08x} is on a majority of the others' disks"
+            )
+            self.complete_operation(operation_id, Committed())
+        elif highest_version <= acceptor.committed.version:
+            if operation.kind == "leave":
+                operation.quorum_call = StateTransfer(
+                    acceptor.newest_epoch(), acceptor.member_id, acceptor.committed, acceptor.digest_history()
+                )
+                operation.round_number += 1
+                if not operation.quorum_call.other_members:
+                    return self.complete_operation(operation_id, Committed())
+                self.send_round(now_ns, operation_id, operation)
             else:
-                self.end(number, acceptor.held)
-        elif version > acceptor.held.version and address != acceptor.address:
-            job.op, job.round, job.due_ns = None, job.round + 1, now + RESEND_NS
-            self.ask(number, job.round, "", address, Fetch(acceptor.newest().number))
+                self.complete_operation(operation_id, acceptor.committed)
+        elif committed_version > acceptor.committed.version and address != acceptor.address:
+            operation.quorum_call, operation.round_number, operation.due_ns = (
+                None,
+                operation.round_number + 1,
+                now_ns + RESEND_INTERVAL_NS,
+            )
+            self.send_request(
+                operation_id,
+                operation.round_number,
+                "",
+                address,
+                SnapshotRequest(acceptor.newest_epoch().number),
+            )
         else:
-            job.content = None
-            job.op = self.proposer(acceptor.newest(), needs, job)
-            job.round += 1
-            self.drive(now, number, job)
+            operation.value = None
+            operation.quorum_call = self.new_proposer(acceptor.newest_epoch(), highest_version, operation)
+            operation.round_number += 1
+            self.send_round(now_ns, operation_id, operation)
 
-    def pause(self, now: int, job: Job) -> None:
-        job.op, job.round = None, job.round + 1
-        job.due_ns = now + int(job.pause_ns * (0.5 + self.chance()))
-        job.pause_ns = min(PAUSE_MOST_NS, 2 * job.pause_ns)
+    def back_off(self, now_ns: int, operation: Operation) -> None:
+        operation.quorum_call, operation.round_number = None, operation.round_number + 1
+        operation.due_ns = now_ns + int(operation.backoff_ns * (0.5 + self.random_fraction()))
+        operation.backoff_ns = min(MAX_BACKOFF_NS, 2 * operation.backoff_ns)
 
-    def carry(self, now: int, before: Epoch, after: Epoch) -> None:
+    def complete_reconfiguration(self, now_ns: int, previous_epoch: Epoch, next_epoch: Epoch) -> None:
         """Carries a change through that another has had chosen."""
-        if any(j.kind == "members" for j in self.jobs.values()):
+        if any(o.kind == "members" for o in self.operations.values()):
             return
-        job = Job("members", MEMBERSHIP, pack_members(after.members), now + 2 * SECOND, [], before=before)
-        self.begin(now, job)
+        operation = Operation(
+            "members",
+            MEMBERSHIP_VERSION,
+            encode_member_list(next_epoch.members),
+            now_ns + 2 * SECOND_NS,
+            [],
+            previous_epoch=previous_epoch,
+        )
+        self.begin_operation(now_ns, operation)
 
-    def end(self, number: int, outcome: Taken | Another | Late | Held | None) -> None:
-        job = self.jobs.pop(number)
-        for order in job.orders:
+    def complete_operation(
+        self, operation_id: int, outcome: Committed | Conflict | Undecided | CommittedValue | None
+    ) -> None:
+        operation = self.operations.pop(operation_id)
+        for waiter_id in operation.waiter_ids:
             if outcome is not None:
-                self.effects.append(Answer(order, outcome))
+                self.effects.append(CompleteOperation(waiter_id, outcome))
 
     # -- what is known
 
-    def learnt(self, held: Held, history: Any) -> None:
-        if self.acceptor.learn(held.version, held.content, history):
-            self.effects.append(InForce(self.acceptor.held))
-        for peer in (self.mine, *self.peers.values()):
-            self.freshen(peer)
+    def record_committed(self, committed: CommittedValue, history: Any) -> None:
+        if self.acceptor.learn(committed.version, committed.value, history):
+            self.effects.append(ValueCommitted(self.acceptor.committed))
+        for peer in (self.own_state, *self.peers.values()):
+            self.confirm_lease(peer)
 
-    def freshen(self, peer: Peer) -> None:
+    def confirm_lease(self, peer: PeerState) -> None:
         """A question counts once what its answer spoke of is known here."""
-        known = [sent for needs, sent in peer.waits if needs <= self.acceptor.held.version]
-        peer.sent_ns = max([peer.sent_ns, *known])
-        peer.waits = [(n, s) for n, s in peer.waits if n > self.acceptor.held.version]
+        known = [sent for needs, sent in peer.unconfirmed if needs <= self.acceptor.committed.version]
+        peer.confirmed_ns = max([peer.confirmed_ns, *known])
+        peer.unconfirmed = [(n, s) for n, s in peer.unconfirmed if n > self.acceptor.committed.version]
 
-    def answered(self, now: int, request: Request) -> Reply:
+    def handle_request(self, now_ns: int, request: Request) -> Reply:
         """The own acceptor's answer. By it, it may be of another epoch, or hold a newer version."""
-        epoch, held = self.acceptor.epoch.number, self.acceptor.held.version
-        reply = self.acceptor.answer(request)
-        if self.acceptor.held.version > held:
-            self.effects.append(InForce(self.acceptor.held))
-            for peer in (self.mine, *self.peers.values()):
-                self.freshen(peer)
+        epoch, held = self.acceptor.epoch.number, self.acceptor.committed.version
+        reply = self.acceptor.handle(request)
+        if self.acceptor.committed.version > held:
+            self.effects.append(ValueCommitted(self.acceptor.committed))
+            for peer in (self.own_state, *self.peers.values()):
+                self.confirm_lease(peer)
         if self.acceptor.epoch.number > epoch:
-            self.joined(now)
+            self.on_epoch_joined(now_ns)
         return reply
 
-    def joined(self, now: int) -> None:
-        self.epoch_ns = now
-        self.note(f"a member of epoch {self.acceptor.epoch.number}, of {len(self.acceptor.epoch.members)}")
+    def on_epoch_joined(self, now_ns: int) -> None:
+        self.epoch_since_ns = now_ns
+        self.log(f"a member of epoch {self.acceptor.epoch.number}, of {len(self.acceptor.epoch.members)}")
         for peer in self.peers.values():
-            peer.sent_ns, peer.waits = 0, []
+            peer.confirmed_ns, peer.unconfirmed = 0, []
 
     # -- from time to time
 
-    def silent(self, now: int) -> list[str]:
+    def silent_members(self, now_ns: int) -> list[str]:
         """Members that have not answered for long, the longest first."""
         found = []
         for disk, _ in self.acceptor.epoch.members:
-            if disk in (self.acceptor.disk, self.acceptor.seat):
+            if disk in (self.acceptor.member_id, self.acceptor.founder_id):
                 continue
             peer = self.peers.get(disk)
-            since = max(peer.heard_ns, self.born_ns) if peer else max(self.epoch_ns, self.born_ns)
-            if now - since > SILENT_NS:
+            since = (
+                max(peer.last_reply_ns, self.started_ns)
+                if peer
+                else max(self.epoch_since_ns, self.started_ns)
+            )
+            if now_ns - since > MEMBER_SILENCE_TIMEOUT_NS:
                 found.append((since, disk))
         return [disk for _, disk in sorted(found)]
 
-    def candidates(self, now: int) -> dict[str, str]:
+    def membership_candidates(self, now_ns: int) -> dict[str, str]:
         found = {
-            disk: peer.seen.address
+            disk: peer.last_reply.address
             for disk, peer in self.peers.items()
-            if peer.seen.wants
-            and peer.seen.epoch >= self.acceptor.epoch.number  # said since it may know itself out
-            and now - peer.heard_ns < SILENT_NS
-            and not self.acceptor.epoch.has(disk)
+            if peer.last_reply.wants_membership
+            and peer.last_reply.epoch >= self.acceptor.epoch.number  # said since it may know itself out
+            and now_ns - peer.last_reply_ns < MEMBER_SILENCE_TIMEOUT_NS
+            and not self.acceptor.epoch.has_member(disk)
         }
-        if self.acceptor.wants and not self.acceptor.epoch.has(self.acceptor.disk):
-            found[self.acceptor.disk] = self.acceptor.address  # a founder, in epoch 0
+        if self.acceptor.wants_membership and not self.acceptor.epoch.has_member(self.acceptor.member_id):
+            found[self.acceptor.member_id] = self.acceptor.address  # a founder, in epoch 0
         return found
 
-    def lasting(self, now: int, what: Any, holds: bool) -> int:
+    def condition_duration_ns(self, now_ns: int, condition: Any, holds: bool) -> int:
         """For how long something has been so."""
         if not holds:
-            self.since.pop(what, None)
+            self.condition_since_ns.pop(condition, None)
             return -1
-        return now - self.since.setdefault(what, now)
+        return now_ns - self.condition_since_ns.setdefault(condition, now_ns)
 
-    def look(self, now: int) -> None:
+    def check_membership(self, now_ns: int) -> None:
         """Finishes what others have left, and sees to it that the members are as they should be."""
         acceptor, epoch = self.acceptor, self.acceptor.epoch
-        changing = any(j.kind in ("members", "leave") for j in self.jobs.values())
-        silent = self.silent(now)
+        changing = any(o.kind in ("members", "leave") for o in self.operations.values())
+        silent = self.silent_members(now_ns)
         alive = sorted(d for d, _ in epoch.members if d not in silent)
-        me = acceptor.name(epoch.number)
+        me = acceptor.id_in_epoch(epoch.number)
         rank = alive.index(me) if me in alive else len(alive)
-        if acceptor.sealed is not None and acceptor.installed:
-            if self.lasting(now, "sealed", True) >= rank * RANK_NS and not changing:
-                self.carry(now, epoch, acceptor.sealed)
+        if acceptor.sealed_by is not None and acceptor.installed:
+            if self.condition_duration_ns(now_ns, "sealed", True) >= rank * RANK_DELAY_NS and not changing:
+                self.complete_reconfiguration(now_ns, epoch, acceptor.sealed_by)
             return
-        self.lasting(now, "sealed", False)
-        if not acceptor.votes():
+        self.condition_duration_ns(now_ns, "sealed", False)
+        if not acceptor.may_vote():
             return
-        thin = bool(silent) or now - self.epoch_ns < YOUNG_NS
-        undecided = acceptor.undecided()
-        for key in [k for k in self.since if isinstance(k, tuple) and k[1] != undecided]:
-            del self.since[key]
-        waits = (THIN_NS if thin else FINISH_NS) + rank * 60 * MS
-        if self.lasting(now, ("version", undecided), undecided > acceptor.held.version) >= waits and not any(
-            j.version == undecided for j in self.jobs.values()
+        thin = bool(silent) or now_ns - self.epoch_since_ns < EPOCH_SETTLING_NS
+        undecided = acceptor.highest_undecided_version()
+        for key in [k for k in self.condition_since_ns if isinstance(k, tuple) and k[1] != undecided]:
+            del self.condition_since_ns[key]
+        waits = (FINISH_DELAY_DEGRADED_NS if thin else FINISH_DELAY_NS) + rank * 60 * MILLISECOND_NS
+        if self.condition_duration_ns(
+            now_ns, ("version", undecided), undecided > acceptor.committed.version
+        ) >= waits and not any(o.version == undecided for o in self.operations.values()):
+            self.log(f"finishing version {undecided:08x}")
+            self.begin_operation(now_ns, Operation("finish", undecided, None, now_ns + SECOND_NS, []))
+        slot = acceptor.slots.get(MEMBERSHIP_VERSION)
+        begun = slot is not None and slot.accepted > NO_BALLOT
+        if (
+            self.condition_duration_ns(now_ns, "begun", begun) >= FINISH_DELAY_NS + rank * RANK_DELAY_NS
+            and not changing
         ):
-            self.note(f"finishing version {undecided:08x}")
-            self.begin(now, Job("finish", undecided, None, now + SECOND, []))
-        slot = acceptor.slots.get(MEMBERSHIP)
-        begun = slot is not None and slot.accepted > NONE
-        if self.lasting(now, "begun", begun) >= FINISH_NS + rank * RANK_NS and not changing:
-            self.begin(now, Job("members", MEMBERSHIP, None, now + 2 * SECOND, []))
+            self.begin_operation(
+                now_ns, Operation("members", MEMBERSHIP_VERSION, None, now_ns + 2 * SECOND_NS, [])
+            )
             return
         if epoch.number > 0:
-            self.bring(now)
+            self.install_lagging_members(now_ns)
         if changing or begun or self.leaving:
             return
-        wanted = self.wanted(now, silent)
-        if self.lasting(now, "members", wanted is not None) >= rank * RANK_NS and wanted is not None:
-            self.note(f"proposing {len(wanted)} members for epoch {epoch.number + 1}")
-            self.begin(now, Job("members", MEMBERSHIP, pack_members(wanted), now + 2 * SECOND, []))
+        wanted = self.desired_members(now_ns, silent)
+        if (
+            self.condition_duration_ns(now_ns, "members", wanted is not None) >= rank * RANK_DELAY_NS
+            and wanted is not None
+        ):
+            self.log(f"proposing {len(wanted)} members for epoch {epoch.number + 1}")
+            self.begin_operation(
+                now_ns,
+                Operation(
+                    "members", MEMBERSHIP_VERSION, encode_member_list(wanted), now_ns + 2 * SECOND_NS, []
+                ),
+            )
 
-    def wanted(self, now: int, silent: list[str]) -> tuple[tuple[str, str], ...] | None:
-        candidates = self.candidates(now)
+    def desired_members(self, now_ns: int, silent_members: list[str]) -> tuple[tuple[str, str], ...] | None:
+        candidates = self.membership_candidates(now_ns)
         if self.acceptor.epoch.number > 0:
-            return members_after(self.acceptor.epoch, self.tolerate, silent, candidates)
+            return next_members(self.acceptor.epoch, self.tolerated_failures, silent_members, candidates)
         # Founding: nothing can have been acknowledged yet, and whoever comes later is taken in.
-        enough = 2 * self.tolerate + 1 if now - self.born_ns < FOUND_NS else self.tolerate + 1
+        enough = (
+            2 * self.tolerated_failures + 1
+            if now_ns - self.started_ns < BOOTSTRAP_WAIT_NS
+            else self.tolerated_failures + 1
+        )
         return tuple(sorted(candidates.items())) if len(candidates) >= enough else None
 
-    def bring(self, now: int) -> None:
+    def install_lagging_members(self, now_ns: int) -> None:
         """Installs members that have missed the change to this epoch."""
         for disk, address in self.acceptor.epoch.members:
             peer = self.peers.get(disk)
-            if peer is None or peer.seen.votes and peer.seen.epoch == self.acceptor.epoch.number:
+            if (
+                peer is None
+                or peer.last_reply.may_vote
+                and peer.last_reply.epoch == self.acceptor.epoch.number
+            ):
                 continue
-            if peer.seen.epoch <= self.acceptor.epoch.number and now - peer.heard_ns < SILENT_NS:
-                install = Install(self.acceptor.epoch.number, self.acceptor.epoch, self.acceptor.state())
-                self.ask(0, 0, disk, address, install)
-
-    def note(self, text: str) -> None:
-        self.effects.append(Note(text))
+            if (
+                peer.last_reply.epoch <= self.acceptor.epoch.number
+                and now_ns - peer.last_reply_ns < MEMBER_SILENCE_TIMEOUT_NS
+            ):
+                install = InstallRequest(
+                    self.acceptor.epoch.number, self.acceptor.epoch, self.acceptor.export_state()
+                )
+                self.send_request(0, 0, disk, address, install)
+
+    def log(self, message: str) -> None:
+        self.effects.append(LogEntry(message))
 
     # -- the order of writes and sends
 
-    def dirty(self) -> bool:
-        return bool(self.acceptor.changed) or self.acceptor.meta or self.acceptor.news
+    def has_unwritten_changes(self) -> bool:
+        return (
+            bool(self.acceptor.changed_slots)
+            or self.acceptor.metadata_changed
+            or self.acceptor.committed_changed
+        )
 
-    def later(self, what: Any) -> None:
+    def defer_until_written(self, item: Any) -> None:
         """Something that rests on all that the acceptor has come to hold: it waits for the write of that."""
-        if self.dirty():
-            self.gated.append((self.mark + 1, what))
-        elif self.inflight:
-            self.gated.append((self.inflight, what))
+        if self.has_unwritten_changes():
+            self.awaiting_write.append((self.last_write_id + 1, item))
+        elif self.write_in_flight:
+            self.awaiting_write.append((self.write_in_flight, item))
         else:
-            self.ready.append(what)
+            self.ready.append(item)
 
-    def settle(self, now: int) -> None:
+    def flush(self, now_ns: int) -> None:
         """Does what is ready, then hands out the next write if none is under way."""
         while self.ready:
             match self.ready.popleft():
                 case ("started",):
                     self.started = True
-                case ("tell", ticket, who, reply):
-                    self.effects.append(Tell(ticket, who, reply))
-                case ("own", number, turn, who, reply):
-                    if isinstance(reply, Newer):
-                        self.told(now, reply.epoch)
-                    job = self.jobs.get(number)
-                    if job is not None and job.round == turn:
-                        self.reply(now, number, job, who, reply)
-        if self.dirty() and not self.inflight:
-            self.mark += 1
-            self.inflight, self.rows = self.mark, self.collect()
-            self.effects.append(Write(self.mark, self.rows))
-
-    def collect(self) -> Rows:
+                case ("tell", ticket, member_id, reply):
+                    self.effects.append(SendReply(ticket, member_id, reply))
+                case ("own", operation_id, round_number, member_id, reply):
+                    if isinstance(reply, StaleEpochReply):
+                        self.on_epoch(now_ns, reply.epoch)
+                    operation = self.operations.get(operation_id)
+                    if operation is not None and operation.round_number == round_number:
+                        self.on_operation_reply(now_ns, operation_id, operation, member_id, reply)
+        if self.has_unwritten_changes() and not self.write_in_flight:
+            self.last_write_id += 1
+            self.write_in_flight, self.update_in_flight = self.last_write_id, self.collect_update()
+            self.effects.append(Persist(self.last_write_id, self.update_in_flight))
+
+    def collect_update(self) -> StateUpdate:
         """What has changed since the last write, as a copy."""
         acceptor = self.acceptor
         meta = None
-        if acceptor.meta:
+        if acceptor.metadata_changed:
             meta = {
-                "disk": acceptor.disk,
-                "seat": acceptor.seat,
-                "life": acceptor.life,
-                "epoch": pack_epoch(acceptor.epoch),
+                "disk": acceptor.member_id,
+                "seat": acceptor.founder_id,
+                "life": acceptor.incarnation,
+                "epoch": encode_epoch(acceptor.epoch),
                 "installed": acceptor.installed,
-                "sealed": None if acceptor.sealed is None else pack_epoch(acceptor.sealed),
+                "sealed": None if acceptor.sealed_by is None else encode_epoch(acceptor.sealed_by),
             }
         slots = {
-            v: Slot(s.promised, s.accepted, s.content) if (s := acceptor.slots.get(v)) else None
-            for v in acceptor.changed
+            v: AcceptorSlot(s.promised, s.accepted, s.value) if (s := acceptor.slots.get(v)) else None
+            for v in acceptor.changed_slots
         }
-        added = {v: d for v, d in acceptor.history.items() if v not in self.kept} if acceptor.news else {}
-        self.kept = set(acceptor.history)
-        held = acceptor.held if acceptor.news else None
-        acceptor.changed, acceptor.meta, acceptor.news = set(), False, False
-        return Rows(meta, held, added, min(acceptor.history, default=0), slots)
-
-    def status(self, now: int) -> dict[str, Any]:
-        acceptor, at = self.acceptor, self.as_of(now)
+        added = (
+            {v: d for v, d in acceptor.history.items() if v not in self.persisted_history_versions}
+            if acceptor.committed_changed
+            else {}
+        )
+        self.persisted_history_versions = set(acceptor.history)
+        held = acceptor.committed if acceptor.committed_changed else None
+        acceptor.changed_slots, acceptor.metadata_changed, acceptor.committed_changed = set(), False, False
+        return StateUpdate(meta, held, added, min(acceptor.history, default=0), slots)
+
+    def status(self, now_ns: int) -> dict[str, Any]:
+        acceptor, at = self.acceptor, self.known_as_of_ns(now_ns)
         return {
-            "sure": self.sure(now),
-            "lease_ms": None if at is None else max(0, (LEASE_NS - (now - at)) // MS),
-            "disk": acceptor.disk,
-            "life": acceptor.life,
-            "voting": acceptor.votes(),
-            "epoch": acceptor.newest().number,
-            "members_of_epoch": dict(acceptor.newest().members),
-            "version": f"{acceptor.held.version:08x}",
+            "sure": self.holds_lease(now_ns),
+            "lease_ms": None if at is None else max(0, (LEASE_DURATION_NS - (now_ns - at)) // MILLISECOND_NS),
+            "disk": acceptor.member_id,
+            "life": acceptor.incarnation,
+            "voting": acceptor.may_vote(),
+            "epoch": acceptor.newest_epoch().number,
+            "members_of_epoch": dict(acceptor.newest_epoch().members),
+            "version": f"{acceptor.committed.version:08x}",
             "undecided": [f"{v:08x}" for v in sorted(acceptor.slots) if v],
         }
 
 
-def pack_members(members: tuple[tuple[str, str], ...]) -> bytes:
+def encode_member_list(members: tuple[tuple[str, str], ...]) -> bytes:
     """As the content of a register: equal for equal sets."""
     return "\n".join(f"{disk} {address}" for disk, address in sorted(members)).encode()
 
 
-def unpack_members(content: bytes) -> tuple[tuple[str, str], ...]:
-    rows = [line.partition(" ") for line in content.decode().splitlines()]
+def decode_member_list(value: bytes) -> tuple[tuple[str, str], ...]:
+    rows = [line.partition(" ") for line in value.decode().splitlines()]
     return tuple((disk, address) for disk, _, address in rows)
 
 
-def acceptor_for(
-    meta: Mapping[str, Any] | None,
+def load_acceptor(
+    metadata: Mapping[str, Any] | None,
     *,
-    disk: str,
+    new_member_id: str,
     address: str,
     seeds: tuple[str, ...],
     bootstrap: bool,
     voting: bool,
-    held: Held = NOTHING,
+    committed: CommittedValue = NOTHING_COMMITTED,
     history: Mapping[int, bytes] | None = None,
-    slots: Mapping[int, Slot] | None = None,
+    slots: Mapping[int, AcceptorSlot] | None = None,
 ) -> Acceptor:
     """The acceptor of a disk as it is at a start. `meta` is what the disk holds; none if it is empty, then
     `disk` is its name from now on. `address` and `seeds` are of the port for signalboxes among themselves."""
-    if meta is not None:
-        sealed = meta["sealed"]
+    if metadata is not None:
+        sealed = metadata["sealed"]
         return Acceptor(
-            str(meta["disk"]),
+            str(metadata["disk"]),
             address,
-            str(meta["seat"]),
+            str(metadata["seat"]),
             voting,
-            int(meta["life"]),
-            unpack_epoch(meta["epoch"]),
-            bool(meta["installed"]) and voting,
-            None if sealed is None else unpack_epoch(sealed),
-            held,
+            int(metadata["life"]),
+            decode_epoch(metadata["epoch"]),
+            bool(metadata["installed"]) and voting,
+            None if sealed is None else decode_epoch(sealed),
+            committed,
             dict(history or {}),
             dict(slots or {}),
         )
-    epoch, seat = Epoch(UNKNOWN), ""
+    epoch, seat = Epoch(UNKNOWN_EPOCH), ""
     founder = bootstrap and address in seeds
     if bootstrap:
         # All are told the same seeds at the first start: they are the members of epoch 0, by their seats.
         epoch = Epoch(0, tuple(sorted((f"@{seed}", seed) for seed in seeds)))
         seat = f"@{address}" if founder else ""
-    return Acceptor(disk, address, seat, voting, epoch=epoch, installed=founder, meta=True)
+    return Acceptor(
+        new_member_id, address, seat, voting, epoch=epoch, installed=founder, metadata_changed=True
+    )
--- a/meadowworks/controlplane/api.py
+++ b/meadowworks/controlplane/api.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 from meadowworks.config.validation import InvalidConfiguration, validation_steps
-from meadowworks.consensus.replica import Another, Late
+from meadowworks.consensus.replica import Conflict, Undecided
 from meadowworks.controlplane.config_service import ConfigService
 from meadowworks.controlplane.drain_service import DrainService
 from meadowworks.registry.heartbeats import (
@@ -130,7 +130,7 @@
         self.validation_lock = asyncio.Lock()  # of large ones one is checked at a time
 
     async def replace(self, ident: str, body: bytes) -> ApiReply:
-        if not self.config_service.replica.sure(now_ns()):
+        if not self.config_service.replica.holds_lease(now_ns()):
             return error_reply(503, "no majority of disks is in touch", 1.0)
         found = await run_cooperatively(
             validation_steps(body), self.validation_lock if len(body) > LARGE_CONFIG_BYTES else None
@@ -141,19 +141,19 @@
         match await self.config_service.propose(
             found.version, body, COMMIT_TIMEOUT_NS + COMMIT_TIMEOUT_PER_BYTE_NS * len(body)
         ):
-            case Another():
+            case Conflict():
                 return error_reply(409, f"version {found.version:08x} has another content")
-            case Late(back_ns):
+            case Undecided(back_ns):
                 return error_reply(503, "too few disks answer", back_ns / 1e9)
         return ApiReply(200)
 
     async def read(self, ident: str, body: bytes) -> ApiReply:
         held = await self.config_service.read(READ_TIMEOUT_NS)
-        if isinstance(held, Late):
-            return error_reply(503, "too few disks answer", held.back_ns / 1e9)
+        if isinstance(held, Undecided):
+            return error_reply(503, "too few disks answer", held.retry_after_ns / 1e9)
         if not held.version:
             return error_reply(404, "no configuration has been taken yet")
-        return ApiReply(200, held.content)
+        return ApiReply(200, held.value)
 
 
 def build_routes(backends: BackendsResource, config: ConfigResource) -> dict[tuple[str, str], Callable]:  # type: ignore[type-arg]
--- a/meadowworks/controlplane/config_service.py
+++ b/meadowworks/controlplane/config_service.py
@@ -14,18 +14,18 @@
 from uuid import uuid4
 
 from meadowworks.consensus import register
-from meadowworks.consensus.register import Held, Reply, Request
+from meadowworks.consensus.register import CommittedValue, Reply, Request
 from meadowworks.consensus.replica import (
-    LEAVE,
-    Answer,
-    Ask,
-    InForce,
-    Late,
-    Note,
+    LEAVE_WAITER_ID,
+    CompleteOperation,
+    LogEntry,
+    Persist,
     Replica,
-    Tell,
-    Write,
-    acceptor_for,
+    SendReply,
+    SendRequest,
+    Undecided,
+    ValueCommitted,
+    load_acceptor,
 )
 from meadowworks.gossip import messages as post
 from meadowworks.runtime import logging as logs
@@ -33,7 +33,7 @@
 from meadowworks.runtime.node_settings import NodeSettings
 from meadowworks.runtime.peer_client import PeerClient
 from meadowworks.runtime.process import BackgroundTasks, now_ns
-from meadowworks.storage.sqlite_store import Disk
+from meadowworks.storage.sqlite_store import SqliteStore
 
 REQUEST_TIMEOUT_S = 1.0  # that a request's reply is waited for
 INLINE_COMPRESSION_MAX_BYTES = 4096  # bytes above which a body is compressed off the loop
@@ -47,23 +47,23 @@
     def __init__(
         self,
         settings: NodeSettings,
-        store: Disk,
+        store: SqliteStore,
         peer_client: Callable[[str, int], PeerClient],
-        on_commit: Callable[[Held], None],
+        on_commit: Callable[[CommittedValue], None],
         tasks: BackgroundTasks,
     ) -> None:
         self.store, self.peer_client, self.on_commit, self.tasks = store, peer_client, on_commit, tasks
         stored = store.load()
-        acceptor = acceptor_for(
-            stored.meta,
-            disk=uuid4().hex,
+        acceptor = load_acceptor(
+            stored.metadata,
+            new_member_id=uuid4().hex,
             address=f"{settings.ip}:{settings.peer_port}",
             seeds=tuple(
                 f"{host}:{settings.peer_port}" for host, _ in settings.seeds
             ),  # ports are alike on all machines
             bootstrap=settings.bootstrap,
             voting=settings.voting,
-            held=stored.held,
+            committed=stored.committed,
             history=stored.history,
             slots=stored.slots,
         )
@@ -79,19 +79,19 @@
     async def start(self) -> None:
         """Returns once the number of this life is on the disk. Raises sqlite3.Error."""
         self.replica.start(now_ns())
-        effects = self.replica.take()
+        effects = self.replica.take_effects()
         for effect in effects:
-            if isinstance(effect, Write):
+            if isinstance(effect, Persist):
                 await asyncio.get_running_loop().run_in_executor(
-                    self.disk_executor, self.store.save, effect.rows
+                    self.disk_executor, self.store.save, effect.update
                 )
-                self.replica.written(now_ns(), effect.mark)
+                self.replica.on_persisted(now_ns(), effect.write_id)
         acceptor = self.replica.acceptor
         log.info(
             "disk {} in its life {}: version {:08x}, epoch {}",
-            acceptor.disk[:8],
-            acceptor.life,
-            acceptor.held.version,
+            acceptor.member_id[:8],
+            acceptor.incarnation,
+            acceptor.committed.version,
             acceptor.epoch.number,
         )
         self.run_effects()
@@ -100,59 +100,61 @@
 
     def run_effects(self) -> None:
         """Does what the machine wants done, in order."""
-        while effects := self.replica.take():
+        while effects := self.replica.take_effects():
             for effect in effects:
                 match effect:
-                    case Write():
+                    case Persist():
                         self.tasks.start(self.persist(effect))
-                    case Ask():
+                    case SendRequest():
                         self.tasks.start(self.send_request(effect))
-                    case Tell(ticket, who, reply):
+                    case SendReply(ticket, who, reply):
                         if not ticket.done():
                             ticket.set_result((who, reply))
-                    case Answer(order, outcome):
+                    case CompleteOperation(order, outcome):
                         waiting = self.pending_operations.pop(order, None)
                         if waiting is not None and not waiting.done():
                             waiting.set_result(outcome)
-                    case InForce(held):
+                    case ValueCommitted(held):
                         log.info("version {:08x} is in force", held.version)
                         self.on_commit(held)
-                    case Note(text):
+                    case LogEntry(text):
                         log.info("{}", text)
         if self.tick_timer is not None:
             self.tick_timer.cancel()
-        wait_s = max(0.001, (self.replica.due() - now_ns()) / 1e9)
+        wait_s = max(0.001, (self.replica.next_tick_ns() - now_ns()) / 1e9)
         self.tick_timer = asyncio.get_running_loop().call_later(wait_s, self.on_tick)
 
     def on_tick(self) -> None:
         self.replica.tick(now_ns())
         self.run_effects()
 
-    async def persist(self, effect: Write) -> None:
+    async def persist(self, effect: Persist) -> None:
         try:
-            await asyncio.get_running_loop().run_in_executor(self.disk_executor, self.store.save, effect.rows)
+            await asyncio.get_running_loop().run_in_executor(
+                self.disk_executor, self.store.save, effect.update
+            )
         except sqlite3.Error as trouble:
             log.warning("the disk refuses: {}", trouble)
-            self.replica.unwritten(now_ns(), effect.mark)
+            self.replica.on_persist_failed(now_ns(), effect.write_id)
         else:
-            self.replica.written(now_ns(), effect.mark)
+            self.replica.on_persisted(now_ns(), effect.write_id)
         self.run_effects()
 
-    async def send_request(self, effect: Ask) -> None:
+    async def send_request(self, effect: SendRequest) -> None:
         host, _, port = effect.address.rpartition(":")
         try:
             if self.last_encoded_request is None or self.last_encoded_request[0] is not effect.request:
                 self.last_encoded_request = effect.request, await encode_message(effect.request)
-            body = post.encode([effect.question, self.last_encoded_request[1]])
+            body = post.encode([effect.request_id, self.last_encoded_request[1]])
             raw = await self.peer_client(host, int(port)).call(b"/letter", body, REQUEST_TIMEOUT_S)
             question, who, reply = decode_reply(raw)
-            if question != effect.question:
+            if question != effect.request_id:
                 raise post.MalformedMessageError("the reply to another question")
         except (RequestError, *post.DECODE_ERRORS) as trouble:
             log.debug("a request without reply: {}", trouble)
-            self.replica.failed(now_ns(), effect.question)
+            self.replica.on_request_failed(now_ns(), effect.request_id)
         else:
-            self.replica.heard(now_ns(), effect.question, who, reply)
+            self.replica.on_reply(now_ns(), effect.request_id, who, reply)
         self.run_effects()
 
     # -- inputs
@@ -161,7 +163,7 @@
         """The reply to another signalbox's request, once it may leave. Raises post.SHAPE."""
         question, request = decode_request(body)
         ticket: asyncio.Future[tuple[str, Reply]] = asyncio.get_running_loop().create_future()
-        self.replica.asked(now_ns(), ticket, request)
+        self.replica.on_request(now_ns(), ticket, request)
         self.run_effects()
         who, reply = await ticket
         return post.encode([question, who, await encode_message(reply)])
@@ -176,11 +178,11 @@
         """replica.Taken, Another or Late."""
         number, waiting = self.register_operation()
         now = now_ns()
-        self.replica.order(now, number, version, content, now + timeout_ns)
+        self.replica.propose(now, number, version, content, now + timeout_ns)
         self.run_effects()
         return await waiting
 
-    async def read(self, timeout_ns: int) -> Held | Late:
+    async def read(self, timeout_ns: int) -> CommittedValue | Undecided:
         number, waiting = self.register_operation()
         now = now_ns()
         self.replica.read(now, number, now + timeout_ns)
@@ -190,7 +192,7 @@
     async def hand_over(self, timeout_ns: int) -> OperationOutcome:
         """Returns when what is held here has been handed over, or the time is over."""
         waiting: asyncio.Future[OperationOutcome] = asyncio.get_running_loop().create_future()
-        self.pending_operations[LEAVE] = waiting
+        self.pending_operations[LEAVE_WAITER_ID] = waiting
         now = now_ns()
         self.replica.leave(now, now + timeout_ns)
         self.run_effects()
@@ -206,7 +208,7 @@
 
 async def encode_message(message: Request | Reply) -> bytes:
     """A large body is compressed off the loop."""
-    body = post.encode(register.pack(message))
+    body = post.encode(register.encode(message))
     if len(body) <= INLINE_COMPRESSION_MAX_BYTES:
         return zlib.compress(body, 6)
     return await asyncio.get_running_loop().run_in_executor(None, zlib.compress, body, 6)
@@ -214,7 +216,7 @@
 
 def decode_message(body: bytes) -> Any:
     try:
-        return register.unpack(post.decode(zlib.decompress(body)))
+        return register.decode(post.decode(zlib.decompress(body)))
     except zlib.error as trouble:
         raise post.MalformedMessageError(f"no letter: {trouble}") from None
 
--- a/meadowworks/controlplane/drain_service.py
+++ b/meadowworks/controlplane/drain_service.py
@@ -11,7 +11,7 @@
 from meadowworks.gossip import messages as post
 from meadowworks.registry.drain_log import DrainLog
 from meadowworks.runtime import logging as logs
-from meadowworks.storage.sqlite_store import Disk
+from meadowworks.storage.sqlite_store import SqliteStore
 
 WRITE_RETRY_S = 0.2  # before a write that the disk has refused is tried again
 log = logs.get_logger("box")
@@ -23,7 +23,7 @@
     def __init__(
         self,
         drain_log: DrainLog,
-        store: Disk,
+        store: SqliteStore,
         disk_executor: Executor,
         start_task: Callable[[Any], asyncio.Task[Any]],
     ) -> None:
@@ -48,7 +48,7 @@
             rows = {ident: post.encode(list(value)) for ident, value in batch.rows.items()}
             try:
                 await asyncio.get_running_loop().run_in_executor(
-                    self.disk_executor, self.store.keep_fences, rows, batch.deleted
+                    self.disk_executor, self.store.save_drain_records, rows, batch.deleted
                 )
             except sqlite3.Error as trouble:
                 log.warning("the disk refuses: {}", trouble)
--- a/meadowworks/controlplane/server.py
+++ b/meadowworks/controlplane/server.py
@@ -13,7 +13,7 @@
 from typing import Any
 from uuid import uuid4
 
-from meadowworks.consensus.register import Held
+from meadowworks.consensus.register import CommittedValue
 from meadowworks.controlplane.api import BackendsResource, ConfigResource, build_routes
 from meadowworks.controlplane.config_service import ConfigService
 from meadowworks.controlplane.drain_service import DrainService, decode_rows
@@ -34,7 +34,7 @@
 from meadowworks.runtime.node_settings import NodeSettings, load_settings
 from meadowworks.runtime.peer_client import PeerClient
 from meadowworks.runtime.process import BackgroundTasks, now_ns, run_program
-from meadowworks.storage.sqlite_store import Disk
+from meadowworks.storage.sqlite_store import SqliteStore
 
 PULL_WAIT_MS, PULL_TIMEOUT_S = 500, 1.5  # that a pull may be held back, and is waited for
 MAX_PULL_WAIT_MS = 1000  # at most, whatever a puller asks for
@@ -87,13 +87,13 @@
         folder = settings.data_dir or tempfile.mkdtemp(prefix="meadowworks-")
         self.tasks = BackgroundTasks()
         self.config_service = ConfigService(
-            settings, Disk(folder), self.peer_client, self.on_commit, self.tasks
+            settings, SqliteStore(folder), self.peer_client, self.on_commit, self.tasks
         )
-        self.stored_backends = self.config_service.store.lives()
+        self.stored_backends = self.config_service.store.load_backend_hints()
         self.drain_service = DrainService(
             self.drain_log, self.config_service.store, self.config_service.disk_executor, self.tasks.start
         )
-        fenced = decode_rows(self.config_service.store.fences())
+        fenced = decode_rows(self.config_service.store.load_drain_records())
         self.drain_log.restore(now_ns(), fenced)
         self.heartbeats.restore(now_ns(), fenced | decode_rows(self.stored_backends))
         self.backends_resource = BackendsResource(
@@ -124,10 +124,10 @@
 
     def is_durable(self, version: int) -> bool:
         """Of the epoch's members: whoever else may vote may be gone for good tomorrow."""
-        members = self.config_service.replica.acceptor.newest().members
+        members = self.config_service.replica.acceptor.newest_epoch().members
         hosts = {address.rpartition(":")[0] for _, address in members} - {self.settings.ip}
         return self.drain_log.is_replicated(
-            version, hosts, self.settings.tolerated_failures, self.config_service.replica.acceptor.votes()
+            version, hosts, self.settings.tolerated_failures, self.config_service.replica.acceptor.may_vote()
         )
 
     def api_addresses_in_zone_of(self, backend_id: str) -> list[str]:
@@ -144,7 +144,7 @@
         if event.key.startswith(BACKENDS):
             self.wake_waiting_pulls()
 
-    def on_commit(self, value: Held) -> None:
+    def on_commit(self, value: CommittedValue) -> None:
         self.wake_waiting_pulls()
 
     def wake_waiting_pulls(self) -> None:
@@ -218,22 +218,22 @@
             tuple(pieces),
             sure,
             table,
-            acceptor.seen(),
+            acceptor.query_reply(),
             acceptor.epoch if newer else None,
-            acceptor.past() if table else (),
+            acceptor.digest_history() if table else (),
         ).encode()
 
     async def compress_config(self) -> None:
         """Compresses the configuration held, once for all who lack it."""
         held = self.committed
         if self.compression is None or self.compression[0] != held.version:
-            self.compression = held.version, self.tasks.start(run_cooperatively(compress_steps(held.content)))
+            self.compression = held.version, self.tasks.start(run_cooperatively(compress_steps(held.value)))
         version, task = self.compression
         self.compressed_config = version, await asyncio.shield(task)
 
     @property
-    def committed(self) -> Held:
-        return self.config_service.replica.acceptor.held
+    def committed(self) -> CommittedValue:
+        return self.config_service.replica.acceptor.committed
 
     def needs_config(self, pull: post.PullRequest) -> bool:
         """Whether the asker is to be given the configuration. What is chosen is so for good, and signalboxes
@@ -266,7 +266,7 @@
 
     def holds_lease(self) -> bool:
         """Whether what is held here is new: this signalbox has its lease."""
-        return not self.shutting_down and self.config_service.replica.sure(now_ns())
+        return not self.shutting_down and self.config_service.replica.holds_lease(now_ns())
 
     # -- pulls of others' news
 
@@ -282,14 +282,14 @@
                     self.gossip.remote_version_vector(),
                     self.committed.version,
                     PULL_WAIT_MS if self.drain_log.is_caught_up(source) else ACK_PENDING_PULL_WAIT_MS,
-                    epoch_number=self.config_service.replica.acceptor.newest().number,
+                    epoch_number=self.config_service.replica.acceptor.newest_epoch().number,
                     drain_acknowledgement=self.drain_log.acknowledgement(source),
                 )
                 asked, sure = now_ns(), self.holds_lease()
                 try:
                     news = post.decode_pull_reply(await peer.call(b"/pull", pull.encode(), PULL_TIMEOUT_S))
                     version, packed = news.config or (0, b"")
-                    held = Held(
+                    held = CommittedValue(
                         version,
                         await run_cooperatively(decompress_steps(packed, MAX_BODY_BYTES)) if version else b"",
                     )
@@ -305,11 +305,11 @@
                 source = news.sender.incarnation
                 replica, now = self.config_service.replica, now_ns()
                 if news.epoch is not None:
-                    replica.told(now, news.epoch)
+                    replica.on_epoch(now, news.epoch)
                 if news.config is not None:
-                    replica.learn(now, held, news.decided_digests)
+                    replica.on_committed_value(now, held, news.decided_digests)
                 if news.acceptor_state is not None:
-                    replica.met(now, asked, news.acceptor_state)
+                    replica.on_query_reply(now, asked, news.acceptor_state)
                 self.config_service.run_effects()
                 if self.holds_lease() and not sure:
                     self.wake_waiting_pulls()  # whoever waits for a table may have it now
@@ -340,7 +340,7 @@
         kept = {ident: post.encode(value) for ident, value in self.heartbeats.durable_values().items()}
         if kept.keys() != self.stored_backends.keys():
             await asyncio.get_running_loop().run_in_executor(
-                self.config_service.disk_executor, self.config_service.store.keep_lives, kept
+                self.config_service.disk_executor, self.config_service.store.save_backend_hints, kept
             )
             self.stored_backends = kept
 
--- a/meadowworks/gossip/messages.py
+++ b/meadowworks/gossip/messages.py
@@ -15,7 +15,7 @@
 from meadowworks.gossip.updates import SourceDelta
 
 if TYPE_CHECKING:  # a junction speaks no letters: their import would be a tenth of its start
-    from meadowworks.consensus.register import Epoch, History, Seen
+    from meadowworks.consensus.register import DigestHistory, Epoch, QueryReply
 
 DECODE_ERRORS = (
     TypeError,
@@ -76,9 +76,9 @@
     deltas: tuple[SourceDelta, ...]
     has_lease: bool
     config: tuple[int, bytes] | None = field(default=None)
-    acceptor_state: Seen | None = None
+    acceptor_state: QueryReply | None = None
     epoch: Epoch | None = None
-    decided_digests: History = ()
+    decided_digests: DigestHistory = ()
 
     def encode(self) -> bytes:
         table = None if self.config is None else list(self.config)
@@ -99,8 +99,8 @@
         from meadowworks.consensus import register
 
         return [
-            None if self.acceptor_state is None else register.pack(self.acceptor_state),
-            None if self.epoch is None else register.pack_epoch(self.epoch),
+            None if self.acceptor_state is None else register.encode(self.acceptor_state),
+            None if self.epoch is None else register.encode_epoch(self.epoch),
             [list(one) for one in self.decided_digests],
         ]
 
@@ -117,16 +117,18 @@
         raise MalformedMessageError(f"no msgpack: {trouble}") from None
 
 
-def decode_consensus_fields(seen: Any, epoch: Any, history: Any) -> tuple[Seen | None, Epoch | None, History]:
+def decode_consensus_fields(
+    seen: Any, epoch: Any, history: Any
+) -> tuple[QueryReply | None, Epoch | None, DigestHistory]:
     """Raises ValueError, TypeError or KeyError."""
     if seen is None and epoch is None and history == []:
         return None, None, ()
     from meadowworks.consensus import register
 
-    found = None if seen is None else register.unpack(seen)
-    if not (found is None or isinstance(found, register.Seen)):
+    found = None if seen is None else register.decode(seen)
+    if not (found is None or isinstance(found, register.QueryReply)):
         raise ValueError("not what a disk says of itself")
-    return found, None if epoch is None else register.unpack_epoch(epoch), register.history(history)
+    return found, None if epoch is None else register.decode_epoch(epoch), register.decode_history(history)
 
 
 def decode_pull_request(body: bytes) -> PullRequest:
--- a/meadowworks/modelcheck/models/consensus.py
+++ b/meadowworks/modelcheck/models/consensus.py
@@ -1,12 +1,13 @@
 """One register a version and one of members an epoch: `meadowworks.consensus.register.Acceptor`s on disks
-that are wiped, replaced, restarted and taken off, and `Proposer`s, `Change`s, `Reader`s and `Teacher`s that
-race, are given up, begun anew, or finish what another began, as `replica.Replica` has them do.
-
-A request and its reply are one step, or the reply is lost: what a proposer has heard only tells when its next
-requests go, and those are steps of their own; one that got no reply may be asked again. An acceptor's answer
-is on its disk when it leaves (the model `replica` looks at that), also to its own proposer: a loss of power
-of a proposer's box before any of its writes is a crash before the step in which it asks itself. A cut needs
-no clock: every proposer may go on, whoever it no longer reaches.
+that are wiped, replaced, restarted and taken off, and `Proposer`s, `Reconfiguration`s, `QuorumRead`s and
+`StateTransfer`s that race, are given up, begun anew, or finish what another began, as `replica.Replica` has
+them do.
+
+A request and its reply are one step, or the reply is lost: what a proposer has heard only tells when its
+next requests go, and those are steps of their own; one that got no reply may be asked again. An acceptor's
+answer is on its disk when it leaves (the model `replica` looks at that), also to its own proposer: a loss
+of power of a proposer's box before any of its writes is a crash before the step in which it asks itself. A
+cut needs no clock: every proposer may go on, whoever it no longer reaches.
 """
 
 from __future__ import annotations
@@ -18,41 +19,47 @@
 from typing import Any
 
 from meadowworks.consensus.register import (
-    MEMBERSHIP,
-    Accept,
-    Accepted,
+    MEMBERSHIP_VERSION,
+    AcceptedReply,
     Acceptor,
-    Again,
+    AcceptorSlot,
+    AcceptorState,
+    AcceptRequest,
     Ballot,
-    Change,
     Chosen,
+    CommittedValue,
     Epoch,
-    Fetch,
-    Held,
-    Install,
-    Moved,
-    Newer,
-    Overtaken,
-    Prepare,
-    Promised,
+    EpochChanged,
+    InstallRequest,
+    LearnRequest,
+    PrepareRequest,
+    PromiseReply,
     Proposer,
-    Read,
-    Reader,
+    QueryReply,
+    QuorumRead,
+    QuorumReadResult,
+    Reconfiguration,
     Request,
-    Seal,
-    Seen,
-    Slot,
-    State,
-    Teach,
-    Teacher,
-    Whole,
+    RetryWithHigherBallot,
+    SealRequest,
+    SnapshotReply,
+    SnapshotRequest,
+    StaleEpochReply,
+    StateTransfer,
+    Superseded,
     digest,
 )
-from meadowworks.consensus.replica import Job, Replica, acceptor_for, pack_members, unpack_members
+from meadowworks.consensus.replica import (
+    Operation,
+    Replica,
+    decode_member_list,
+    encode_member_list,
+    load_acceptor,
+)
 from meadowworks.modelcheck.model import Model, Property, Step
 
 Members = tuple[tuple[str, str], ...]
-Op = Proposer | Change | Reader | Teacher
+Op = Proposer | Reconfiguration | QuorumRead | StateTransfer
 BEGUN, TAKEN, BEFORE = Ballot(1, 1, "b.0"), Ballot(1, 1, "a.0"), Ballot(0, 9, "a.0")
 X, Y = b"x", b"y"
 NOBODY: frozenset[frozenset[int]] = frozenset()
@@ -130,8 +137,8 @@
         self.chosen: tuple[tuple[int, int, bytes], ...] = ()  # epoch, version, content: may be acknowledged
         self.tried: tuple[tuple[int, bytes], ...] = ()  # sets of members, and in which epoch proposed
         if scene.after:
-            content = pack_members(scene.after)
-            self.chosen, self.tried = ((1, MEMBERSHIP, content),), ((1, content),)
+            content = encode_member_list(scene.after)
+            self.chosen, self.tried = ((1, MEMBERSHIP_VERSION, content),), ((1, content),)
         if scene.taken:
             self.chosen = (*self.chosen, (1, 1, X))
 
@@ -184,7 +191,7 @@
         if (found := self.known.get(at)) is None:
             op = thaw_op(self.ops[p])
             assert op is not None
-            found = self.known[at] = op.targets()
+            found = self.known[at] = op.unanswered_members()
         return found
 
     def may_begin(self, p: int, want: Want) -> bool:
@@ -230,7 +237,7 @@
         self.outcomes, before = [], list(self.kept)
         getattr(self, "do_" + kind)(*what)
         for k, made in self.made.items():  # on its disk before its answer leaves
-            made.changed, made.meta, made.news = set(), False, False
+            made.changed_slots, made.metadata_changed, made.committed_changed = set(), False, False
             self.kept[k] = flat_acceptor(made)
         self.made = {}
         self.outcomes += [
@@ -244,32 +251,32 @@
         self.tries[p] -= 1
         self.hold_up(p)
         home = self.at(want.home)
-        epoch = home.newest()
+        epoch = home.newest_epoch()
         if want.kind == "change":
-            self.put(p, Change(epoch_of(1, self.scene.members), epoch_of(2, self.scene.after)))
+            self.put(p, Reconfiguration(epoch_of(1, self.scene.members), epoch_of(2, self.scene.after)))
         elif want.kind == "carry":
-            assert home.sealed is not None
-            self.put(p, Change(home.epoch, home.sealed))
+            assert home.sealed_by is not None
+            self.put(p, Reconfiguration(home.epoch, home.sealed_by))
         elif want.kind == "members" or want.kind == "leave" and len(epoch.members) > 3:
-            others = tuple((d, a) for d, a in epoch.members if d != home.disk)
+            others = tuple((d, a) for d, a in epoch.members if d != home.member_id)
             which = others if want.kind == "leave" else want.members
-            content = pack_members(which) if which else None
+            content = encode_member_list(which) if which else None
             if content is not None:
                 self.tried = tuple(sorted({*self.tried, (epoch.number, content)}))
-            self.put(p, self.proposer(want.home, epoch, MEMBERSHIP, content))
+            self.put(p, self.proposer(want.home, epoch, MEMBERSHIP_VERSION, content))
         elif want.kind in ("put", "finish"):
             self.put(p, self.proposer(want.home, epoch, want.version, want.content))
         else:
-            self.put(p, Reader(epoch), self.newest_chosen())
+            self.put(p, QuorumRead(epoch), self.newest_chosen())
 
     def newest_chosen(self) -> int:
         return max((version for _, version, _ in self.chosen), default=0)
 
     def proposer(self, home: int, epoch: Epoch, version: int, content: bytes | None) -> Proposer:
         replica = Replica(self.at(home), 1, lambda: 0.5)
-        replica.number = self.numbers[home]
-        made = replica.proposer(epoch, version, Job("order", version, content, 0, []))
-        self.numbers[home] = replica.number
+        replica.last_ballot_number = self.numbers[home]
+        made = replica.new_proposer(epoch, version, Operation("propose", version, content, 0, []))
+        self.numbers[home] = replica.last_ballot_number
         return made
 
     def put(self, p: int, op: Op | None, floor: int | None = None) -> None:
@@ -290,7 +297,7 @@
         if not heard:
             return
         if newer is not None:
-            self.at(self.scene.wants[p].home).told(newer)
+            self.at(self.scene.wants[p].home).on_epoch(newer)
         self.ops[p] = op
         if outcome is not None:
             made = thaw_op(kept)
@@ -309,59 +316,59 @@
             case Chosen(version, content):
                 assert isinstance(op, Proposer)
                 self.chosen = tuple(sorted({*self.chosen, (op.epoch.number, version, content)}))
-                if version == MEMBERSHIP:
-                    after = Epoch(op.epoch.number + 1, unpack_members(content))
-                    return self.put(p, Change(op.epoch, after))
+                if version == MEMBERSHIP_VERSION:
+                    after = Epoch(op.epoch.number + 1, decode_member_list(content))
+                    return self.put(p, Reconfiguration(op.epoch, after))
                 home.learn(version, content)
                 if want.kind == "leave":
-                    return self.put(p, Reader(home.newest()))
+                    return self.put(p, QuorumRead(home.newest_epoch()))
                 self.tries[p] = 0
-            case Overtaken(held, history):
-                home.learn(held.version, held.content, history)
+            case Superseded(held, history):
+                home.learn(held.version, held.value, history)
                 if want.kind == "leave":
-                    return self.put(p, Reader(home.newest()))
+                    return self.put(p, QuorumRead(home.newest_epoch()))
                 self.tries[p] = 0
-            case Again(ballot):
+            case RetryWithHigherBallot(ballot):
                 self.numbers[want.home] = max(self.numbers[want.home], ballot.number)
-            case Moved(epoch, True):
-                return self.put(p, Change(op.epoch, epoch))
-            case Moved(epoch, False):
-                home.told(epoch)
-                if want.kind == "members" and isinstance(op, Change):
+            case EpochChanged(epoch, True):
+                return self.put(p, Reconfiguration(op.epoch, epoch))
+            case EpochChanged(epoch, False):
+                home.on_epoch(epoch)
+                if want.kind == "members" and isinstance(op, Reconfiguration):
                     self.tries[p] = 0
                 if want.kind == "leave":
-                    return self.put(p, Reader(home.newest()))
-            case Read(needs, version, address):
+                    return self.put(p, QuorumRead(home.newest_epoch()))
+            case QuorumReadResult(needs, version, address):
                 if want.kind == "read":
                     self.outcomes.append(("read", floor, needs))
                     self.tries[p] = 0
-                elif not op.epoch.has(home.disk):
-                    there = [kept for kept in self.kept if kept and kept[6] and op.epoch.has(kept[0])]
+                elif not op.epoch.has_member(home.member_id):
+                    there = [kept for kept in self.kept if kept and kept[6] and op.epoch.has_member(kept[0])]
                     count = sum(kept[5][0] >= op.epoch.number for kept in there)
                     self.outcomes.append(("handed", floor, count, op.epoch.majority))
                     self.leaves(p, want.home)
-                elif isinstance(op, Teacher):
-                    least = min(op.epoch.majority, len(op.others))
+                elif isinstance(op, StateTransfer):
+                    least = min(op.epoch.majority, len(op.other_members))
                     self.outcomes.append(("handed", floor, self.knowing(floor, op), least))
                     self.leaves(p, want.home)
-                elif needs <= home.held.version:
-                    me = (home.newest(), home.disk, home.held, home.past())
-                    return self.put(p, Teacher(*me), max(floor, home.held.version))
-                elif version > home.held.version:
+                elif needs <= home.committed.version:
+                    me = (home.newest_epoch(), home.member_id, home.committed, home.digest_history())
+                    return self.put(p, StateTransfer(*me), max(floor, home.committed.version))
+                elif version > home.committed.version:
                     if self.kept[int(address)] is not None:
-                        whole = self.at(int(address)).answer(Fetch(home.newest().number))
-                        assert isinstance(whole, Whole)
-                        home.learn(whole.held.version, whole.held.content, whole.history)
-                    return self.put(p, Reader(home.newest()))
+                        whole = self.at(int(address)).handle(SnapshotRequest(home.newest_epoch().number))
+                        assert isinstance(whole, SnapshotReply)
+                        home.learn(whole.committed.version, whole.committed.value, whole.history)
+                    return self.put(p, QuorumRead(home.newest_epoch()))
                 else:
-                    return self.put(p, self.proposer(want.home, home.newest(), needs, None))
+                    return self.put(p, self.proposer(want.home, home.newest_epoch(), needs, None))
         self.put(p, None)
 
-    def knowing(self, version: int, op: Teacher) -> int:
+    def knowing(self, version: int, op: StateTransfer) -> int:
         """How many of those told hold a version, or a newer one."""
-        others = {disk for disk, _ in op.others}
+        others = {disk for disk, _ in op.other_members}
         return sum(
-            kept is not None and self.at(k).disk in others and self.at(k).held.version >= version
+            kept is not None and self.at(k).member_id in others and self.at(k).committed.version >= version
             for k, kept in enumerate(self.kept)
         )
 
@@ -379,8 +386,8 @@
     def hold_up(self, p: int) -> None:
         """Requests that are on their way, and not yet answered, come late."""
         op = thaw_op(self.ops[p])
-        if self.scene.late and isinstance(op, Proposer | Change):
-            to = tuple(int(address) for _, address in op.targets())
+        if self.scene.late and isinstance(op, Proposer | Reconfiguration):
+            to = tuple(int(address) for _, address in op.unanswered_members())
             self.late = tuple(sorted({*self.late, (flat_request(op.request()), to)}))
 
     def do_late(self, place: int, k: int) -> None:
@@ -389,8 +396,8 @@
         left = [*self.late[:place], *([(request, rest)] if rest else []), *self.late[place + 1 :]]
         self.late = tuple(sorted(left))
         other, asked = self.at(k), thaw_request(request)
-        newest, votes = other.newest().number, voter(other, asked.epoch)
-        if isinstance(other.answer(asked), Promised | Accepted):
+        newest, votes = other.newest_epoch().number, voter(other, asked.epoch)
+        if isinstance(other.handle(asked), PromiseReply | AcceptedReply):
             self.outcomes.append(("took", asked.epoch, newest, votes))
 
     def do_wipe(self, k: int) -> None:
@@ -399,10 +406,10 @@
         self.left = (tuple(j for j in wiped if j != k), *rest)  # type: ignore[assignment]
         self.end_ops(k)
         self.numbers[k] = 0
-        name = self.at(k).disk[0] + "2"
+        name = self.at(k).member_id[0] + "2"
         seeds = tuple(address for _, address in self.scene.members)
         self.made[k] = start(
-            acceptor_for(None, disk=name, address=str(k), seeds=seeds, bootstrap=False, voting=True)
+            load_acceptor(None, new_member_id=name, address=str(k), seeds=seeds, bootstrap=False, voting=True)
         )
 
     def do_gone(self, k: int) -> None:
@@ -431,17 +438,17 @@
         self.end_ops(k)
         self.numbers[k] = 0
         old = self.at(k)
-        old.meta = True
-        meta = Replica(old, 1, lambda: 0.5).collect().meta
+        old.metadata_changed = True
+        meta = Replica(old, 1, lambda: 0.5).collect_update().metadata
         self.made[k] = start(
-            acceptor_for(
+            load_acceptor(
                 meta,
-                disk="",
+                new_member_id="",
                 address=old.address,
                 seeds=(),
                 bootstrap=False,
                 voting=voting,
-                held=old.held,
+                committed=old.committed,
                 history=old.history,
                 slots=old.slots,
             )
@@ -449,14 +456,14 @@
 
     def do_tell(self, k: int, j: int) -> None:
         one = self.at(k)
-        self.at(j).answer(Teach(one.epoch.number, one.held, one.past()))
+        self.at(j).handle(LearnRequest(one.epoch.number, one.committed, one.digest_history()))
 
     def do_bring(self, k: int, j: int) -> None:
         one = self.at(k)
-        self.at(j).answer(Install(one.epoch.number, one.epoch, one.state()))
+        self.at(j).handle(InstallRequest(one.epoch.number, one.epoch, one.export_state()))
 
     def do_hear(self, k: int, j: int) -> None:
-        self.at(k).told(self.at(j).epoch)
+        self.at(k).on_epoch(self.at(j).epoch)
 
     def do_cut(self) -> None:
         self.cut = self.scene.cut
@@ -486,19 +493,19 @@
     op, one = thaw_op(kept), acceptor(other)
     assert op is not None
     request = op.request()
-    newest, votes = one.newest().number, voter(one, request.epoch)
-    reply = one.answer(request)
-    took = ("took", request.epoch, newest, votes) if isinstance(reply, Promised | Accepted) else None
-    op.heard(one.name(request.epoch), reply)
-    newer = reply.epoch if isinstance(reply, Newer) else None
+    newest, votes = one.newest_epoch().number, voter(one, request.epoch)
+    reply = one.handle(request)
+    took = ("took", request.epoch, newest, votes) if isinstance(reply, PromiseReply | AcceptedReply) else None
+    op.on_reply(one.id_in_epoch(request.epoch), reply)
+    newer = reply.epoch if isinstance(reply, StaleEpochReply) else None
     same = flat_acceptor(one)
     return other if same == other else same, flat_op(op, kept[-1]), op.outcome, newer, took
 
 
 def voter(one: Acceptor, epoch: int) -> bool:
     """Whether it is to vote in an epoch, and is ready to."""
-    there = one.installed and one.sealed is None and one.wants and one.epoch.number == epoch
-    return there and any(disk == one.name(epoch) for disk, _ in one.epoch.members)
+    there = one.installed and one.sealed_by is None and one.wants_membership and one.epoch.number == epoch
+    return there and any(disk == one.id_in_epoch(epoch) for disk, _ in one.epoch.members)
 
 
 def first(scene: Scene, k: int) -> Acceptor:
@@ -506,20 +513,22 @@
     disk = chr(ord("a") + k)
     seeds = tuple(address for _, address in scene.members) if scene.founding else ()
     founder = scene.founding and str(k) in seeds
-    made = start(acceptor_for(None, disk=disk, address=str(k), seeds=seeds, bootstrap=founder, voting=True))
+    made = start(
+        load_acceptor(None, new_member_id=disk, address=str(k), seeds=seeds, bootstrap=founder, voting=True)
+    )
     if not scene.founding and (disk, str(k)) in scene.members:
         made.epoch, made.installed = epoch_of(1, scene.members), True
         if scene.after and k < made.epoch.majority:
-            made.slots[MEMBERSHIP] = Slot(BEGUN, BEGUN, pack_members(scene.after))
+            made.slots[MEMBERSHIP_VERSION] = AcceptorSlot(BEGUN, BEGUN, encode_member_list(scene.after))
         if k in scene.taken:
-            made.slots[1] = Slot(TAKEN, TAKEN, X)
+            made.slots[1] = AcceptorSlot(TAKEN, TAKEN, X)
         if k in scene.old:
-            made.slots[1] = Slot(BEFORE, BEFORE, X)
+            made.slots[1] = AcceptorSlot(BEFORE, BEFORE, X)
         if k in scene.sealed:
-            made.sealed = epoch_of(2, scene.after)
+            made.sealed_by = epoch_of(2, scene.after)
     if k in scene.joined:
-        made.answer(Install(2, epoch_of(2, scene.after), Acceptor("").state()))
-        made.changed, made.meta = set(), False
+        made.handle(InstallRequest(2, epoch_of(2, scene.after), Acceptor("").export_state()))
+        made.changed_slots, made.metadata_changed = set(), False
     return made
 
 
@@ -534,18 +543,18 @@
 
 def flat_acceptor(one: Acceptor) -> Any:
     return (
-        one.disk,
+        one.member_id,
         one.address,
-        one.seat,
-        one.wants,
-        one.life,
+        one.founder_id,
+        one.wants_membership,
+        one.incarnation,
         (one.epoch.number, one.epoch.members),
         one.installed,
-        None if one.sealed is None else (one.sealed.number, one.sealed.members),
-        (one.held.version, one.held.content),
-        one.past(),
-        flat_slots((v, s.promised, s.accepted, s.content) for v, s in sorted(one.slots.items())),
-        (one.view.number, one.view.members),
+        None if one.sealed_by is None else (one.sealed_by.number, one.sealed_by.members),
+        (one.committed.version, one.committed.value),
+        one.digest_history(),
+        flat_slots((v, s.promised, s.accepted, s.value) for v, s in sorted(one.slots.items())),
+        (one.announced_epoch.number, one.announced_epoch.members),
     )
 
 
@@ -553,8 +562,8 @@
     return tuple([(v, tuple(p), tuple(a), c) for v, p, a, c in rows])
 
 
-def flat_state(state: State) -> Any:
-    return (state.held.version, state.held.content), state.history, flat_slots(state.slots)
+def flat_state(state: AcceptorState) -> Any:
+    return (state.committed.version, state.committed.value), state.history, flat_slots(state.slots)
 
 
 @lru_cache(4096)
@@ -566,9 +575,9 @@
     return [(v, Ballot(*p), Ballot(*a), c) for v, p, a, c in rows]
 
 
-def state_of(kept: Any) -> State:
+def state_of(kept: Any) -> AcceptorState:
     held, history, rows = kept
-    return State(Held(*held), history, tuple(slots_of(rows)))
+    return AcceptorState(CommittedValue(*held), history, tuple(slots_of(rows)))
 
 
 def acceptor(kept: Any) -> Acceptor:
@@ -582,9 +591,9 @@
         epoch_of(*epoch),
         installed,
         None if sealed is None else epoch_of(*sealed),
-        Held(*held),
+        CommittedValue(*held),
         dict(history),
-        {v: Slot(p, a, c) for v, p, a, c in slots_of(rows)},
+        {v: AcceptorSlot(p, a, c) for v, p, a, c in slots_of(rows)},
         epoch_of(*view),
     )
 
@@ -600,39 +609,48 @@
                 (op.epoch.number, op.epoch.members),
                 op.version,
                 tuple(op.ballot),
-                op.content,
+                op.value,
                 op.accepting,
-                tuple(sorted(op.accepts)),
-                tuple([(who, tuple(p.ballot), tuple(p.accepted), p.content) for who, p in promises]),
+                tuple(sorted(op.acceptances)),
+                tuple([(who, tuple(p.ballot), tuple(p.accepted), p.value) for who, p in promises]),
                 floor,
             )
-        case Change():
+        case Reconfiguration():
             if op.installing:  # the states matter as what they come to, merged
                 merged = op.request()
-                assert isinstance(merged, Install)
+                assert isinstance(merged, InstallRequest)
                 op.states = {"": merged.state}
             return (
                 "change",
                 (op.epoch.number, op.epoch.members),
-                (op.after.number, op.after.members),
+                (op.next_epoch.number, op.next_epoch.members),
                 op.installing,
                 tuple([(who, flat_state(state)) for who, state in sorted(op.states.items())]),
-                tuple(sorted(op.installed)),
+                tuple(sorted(op.installed_members)),
                 floor,
             )
-        case Reader():
+        case QuorumRead():
             seen = [
-                (who, s.epoch, s.votes, s.needs, s.version, s.disk, s.address, s.wants)
-                for who, s in sorted(op.seen.items())
+                (
+                    who,
+                    s.epoch,
+                    s.may_vote,
+                    s.highest_version,
+                    s.committed_version,
+                    s.member_id,
+                    s.address,
+                    s.wants_membership,
+                )
+                for who, s in sorted(op.replies.items())
             ]
             return "reader", (op.epoch.number, op.epoch.members), tuple(seen), floor
     return (
         "teacher",
         (op.epoch.number, op.epoch.members),
-        op.others,
-        (op.held.version, op.held.content),
+        op.other_members,
+        (op.committed.version, op.committed.value),
         op.history,
-        tuple(sorted(op.know)),
+        tuple(sorted(op.acknowledged)),
         floor,
     )
 
@@ -641,34 +659,34 @@
     match kept:
         case "proposer", epoch, version, ballot, content, accepting, accepts, promises, _:
             proposer = Proposer(epoch_of(*epoch), version, Ballot(*ballot), content)
-            proposer.accepting, proposer.accepts = accepting, set(accepts)
-            proposer.promises = {w: Promised(Ballot(*b), Ballot(*a), c) for w, b, a, c in promises}
+            proposer.accepting, proposer.acceptances = accepting, set(accepts)
+            proposer.promises = {w: PromiseReply(Ballot(*b), Ballot(*a), c) for w, b, a, c in promises}
             return proposer
         case "change", epoch, after, installing, states, installed, _:
-            change = Change(epoch_of(*epoch), epoch_of(*after))
-            change.installing, change.installed = installing, set(installed)
+            change = Reconfiguration(epoch_of(*epoch), epoch_of(*after))
+            change.installing, change.installed_members = installing, set(installed)
             change.states = {who: state_of(state) for who, state in states}
             return change
         case "reader", epoch, seen, _:
-            reader = Reader(epoch_of(*epoch))
-            reader.seen = {who: Seen(*rest) for who, *rest in seen}
+            reader = QuorumRead(epoch_of(*epoch))
+            reader.replies = {who: QueryReply(*rest) for who, *rest in seen}
             return reader
         case "teacher", epoch, others, held, history, know, _:
-            teacher = Teacher(epoch_of(*epoch), "", Held(*held), history)
-            teacher.others, teacher.know = others, set(know)
+            teacher = StateTransfer(epoch_of(*epoch), "", CommittedValue(*held), history)
+            teacher.other_members, teacher.acknowledged = others, set(know)
             return teacher
     return None
 
 
 def flat_request(request: Request) -> Any:
     match request:
-        case Prepare(epoch, version, ballot):
+        case PrepareRequest(epoch, version, ballot):
             return "prepare", epoch, version, tuple(ballot)
-        case Accept(epoch, version, ballot, content):
+        case AcceptRequest(epoch, version, ballot, content):
             return "accept", epoch, version, tuple(ballot), content
-        case Seal(epoch, after):
+        case SealRequest(epoch, after):
             return "seal", epoch, (after.number, after.members)
-        case Install(epoch, after, state):
+        case InstallRequest(epoch, after, state):
             return "install", epoch, (after.number, after.members), flat_state(state)
     raise ValueError(f"{request!r} changes nothing that lasts")
 
@@ -676,13 +694,13 @@
 def thaw_request(kept: Any) -> Request:
     match kept:
         case "prepare", epoch, version, ballot:
-            return Prepare(epoch, version, Ballot(*ballot))
+            return PrepareRequest(epoch, version, Ballot(*ballot))
         case "accept", epoch, version, ballot, content:
-            return Accept(epoch, version, Ballot(*ballot), content)
+            return AcceptRequest(epoch, version, Ballot(*ballot), content)
         case "install", epoch, after, state:
-            return Install(epoch, epoch_of(*after), state_of(state))
+            return InstallRequest(epoch, epoch_of(*after), state_of(state))
         case "seal", epoch, after:
-            return Seal(epoch, epoch_of(*after))
+            return SealRequest(epoch, epoch_of(*after))
     raise ValueError(f"no request: {kept!r}")
 
 
@@ -752,7 +770,7 @@
         return True
     known = epochs(world) or {}
     for epoch, version, content in world.chosen:
-        if version == MEMBERSHIP:
+        if version == MEMBERSHIP_VERSION:
             continue
         for number, members in known.items():
             if number < epoch:
@@ -791,7 +809,9 @@
 
 def proposed(world: World) -> bool:
     return all(
-        (epoch, content) in world.tried for epoch, version, content in world.chosen if version == MEMBERSHIP
+        (epoch, content) in world.tried
+        for epoch, version, content in world.chosen
+        if version == MEMBERSHIP_VERSION
     )
 
 
@@ -808,7 +828,7 @@
         return False  # it was sealed, and votes again
     rows = {version: (promised, accepted) for version, promised, accepted, _ in now[10]}
     for version, promised, accepted, _ in was[10]:
-        stays = now[5] == was[5] if version == MEMBERSHIP else now[8][0] < version
+        stays = now[5] == was[5] if version == MEMBERSHIP_VERSION else now[8][0] < version
         if stays and (version not in rows or rows[version][0] < promised or rows[version][1] < accepted):
             return False
     return True
@@ -827,12 +847,12 @@
 
 
 def founding(world: World) -> bool:
-    return all(epoch > 0 or version == MEMBERSHIP for epoch, version, _ in world.chosen)
+    return all(epoch > 0 or version == MEMBERSHIP_VERSION for epoch, version, _ in world.chosen)
 
 
 def tidy(world: World) -> bool:
     return all(
-        version == MEMBERSHIP or version > kept[8][0]
+        version == MEMBERSHIP_VERSION or version > kept[8][0]
         for kept in world.kept
         if kept is not None
         for version, *_ in kept[10]
--- a/meadowworks/modelcheck/models/replica.py
+++ b/meadowworks/modelcheck/models/replica.py
@@ -16,40 +16,40 @@
 from typing import Any
 
 from meadowworks.consensus.register import (
-    MEMBERSHIP,
-    NONE,
-    Accept,
-    Accepted,
+    MEMBERSHIP_VERSION,
+    NO_BALLOT,
+    AcceptedReply,
     Acceptor,
-    Change,
+    AcceptorSlot,
+    AcceptRequest,
+    CommittedValue,
     Epoch,
-    Held,
-    Installed,
-    Promised,
+    InstalledReply,
+    PromiseReply,
     Proposer,
+    QueryReply,
+    Reconfiguration,
     Request,
-    Sealed,
-    Seen,
-    Slot,
+    SealedReply,
 )
 from meadowworks.consensus.replica import (
-    SECOND,
-    Answer,
-    Ask,
-    Job,
+    SECOND_NS,
+    Committed,
+    CompleteOperation,
+    Operation,
+    Persist,
     Replica,
-    Rows,
-    Taken,
-    Tell,
-    Write,
-    acceptor_for,
-    pack_members,
+    SendReply,
+    SendRequest,
+    StateUpdate,
+    encode_member_list,
+    load_acceptor,
 )
 from meadowworks.modelcheck.model import Model, Property, Step
 from meadowworks.modelcheck.models.consensus import ABC, X, Y, disks, flat_acceptor, forward
 
 AB, BC = disks("a", "b"), disks("b", "c")
-NOW, FAR = 10 * SECOND, 99 * SECOND
+NOW, FAR = 10 * SECOND_NS, 99 * SECOND_NS
 Members = tuple[tuple[str, str], ...]
 
 
@@ -77,35 +77,37 @@
     """What is there after a loss of power, and the write that is on its way."""
 
     meta: dict[str, Any] | None = None
-    held: Held = Held()
+    held: CommittedValue = CommittedValue()
     history: dict[int, bytes] | None = None
-    slots: dict[int, Slot] | None = None
-    pending: Write | None = None
+    slots: dict[int, AcceptorSlot] | None = None
+    pending: Persist | None = None
 
-    def save(self, rows: Rows) -> None:
+    def save(self, rows: StateUpdate) -> None:
         self.history, self.slots = self.history or {}, self.slots or {}
-        if rows.meta is not None:
-            self.meta = dict(rows.meta)
-        if rows.held is not None:
-            self.held = rows.held
-            self.history = {v: d for v, d in {**self.history, **rows.history}.items() if v >= rows.floor}
+        if rows.metadata is not None:
+            self.meta = dict(rows.metadata)
+        if rows.committed is not None:
+            self.held = rows.committed
+            self.history = {
+                v: d for v, d in {**self.history, **rows.history}.items() if v >= rows.oldest_history_version
+            }
         for version, slot in rows.slots.items():
             if slot is None:
                 self.slots.pop(version, None)
             else:
-                self.slots[version] = Slot(slot.promised, slot.accepted, slot.content)
+                self.slots[version] = AcceptorSlot(slot.promised, slot.accepted, slot.value)
 
     def acceptor(self, address: str) -> Acceptor:
-        return acceptor_for(
+        return load_acceptor(
             self.meta,
-            disk="",
+            new_member_id="",
             address=address,
             seeds=(),
             bootstrap=False,
             voting=True,
-            held=self.held,
+            committed=self.held,
             history=self.history,
-            slots={v: Slot(s.promised, s.accepted, s.content) for v, s in (self.slots or {}).items()},
+            slots={v: AcceptorSlot(s.promised, s.accepted, s.value) for v, s in (self.slots or {}).items()},
         )
 
 
@@ -131,9 +133,9 @@
         self.crashes = scene.crashes
         self.acked: tuple[tuple[int, bytes], ...] = ()
         for k, disk in enumerate(self.disks):
-            made = Acceptor(chr(ord("a") + k), str(k), epoch=Epoch(1, scene.members), meta=True)
-            made.installed = made.epoch.has(made.disk)
-            disk.save(Replica(made, 1, half).collect())
+            made = Acceptor(chr(ord("a") + k), str(k), epoch=Epoch(1, scene.members), metadata_changed=True)
+            made.installed = made.epoch.has_member(made.member_id)
+            disk.save(Replica(made, 1, half).collect_update())
             assert disk.meta is not None
             disk.meta |= {"installed": made.installed, "life": 1}  # as it was written before any fault
             self.boxes.append(Replica(disk.acceptor(str(k)), 1, half))
@@ -163,16 +165,18 @@
         box = self.boxes[k]
         for j, other in enumerate(self.boxes):
             if j != k:  # it has its lease
-                box.met(NOW, NOW, other.acceptor.seen())
-        box.order(NOW, version * 1000 + content[0], version, content, FAR)
+                box.on_query_reply(NOW, NOW, other.acceptor.query_reply())
+        box.propose(NOW, version * 1000 + content[0], version, content, FAR)
         self.settle(k)
 
     def do_change(self, k: int) -> None:
         self.changes = tuple(j for j in self.changes if j != k)
         box = self.boxes[k]
-        if box.started and box.acceptor.votes():
-            box.begin(NOW, Job("members", MEMBERSHIP, pack_members(self.scene.after), FAR, []))
-            box.settle(NOW)
+        if box.started and box.acceptor.may_vote():
+            box.begin_operation(
+                NOW, Operation("members", MEMBERSHIP_VERSION, encode_member_list(self.scene.after), FAR, [])
+            )
+            box.flush(NOW)
         self.settle(k)
 
     def do_leave(self, k: int) -> None:
@@ -183,15 +187,15 @@
     def do_ask(self, place: int, life: int, question: int) -> None:
         found = next(s for s in self.sent if (s.place, s.life, s.question) == (place, life, question))
         self.sent.remove(found)
-        self.boxes[found.to].asked(NOW, (place, life, question), found.request)
+        self.boxes[found.to].on_request(NOW, (place, life, question), found.request)
         self.settle(found.to)
 
     def do_written(self, k: int) -> None:
         disk = self.disks[k]
         write, disk.pending = disk.pending, None
         assert write is not None
-        disk.save(write.rows)
-        self.boxes[k].written(NOW, write.mark)
+        disk.save(write.update)
+        self.boxes[k].on_persisted(NOW, write.write_id)
         self.settle(k)
 
     def do_crash(self, k: int) -> None:
@@ -207,40 +211,40 @@
         while waiting:
             k = waiting.popleft()
             box = self.boxes[k]
-            for effect in box.take():
+            for effect in box.take_effects():
                 match effect:
-                    case Write():
+                    case Persist():
                         assert self.disks[k].pending is None
                         self.disks[k].pending = effect
-                    case Ask(question, address, request):
-                        life = box.acceptor.life
+                    case SendRequest(question, address, request):
+                        life = box.acceptor.incarnation
                         meta = self.disks[k].meta
                         self.outcomes.append(("asked", life, meta["life"] if meta else 0))
                         self.sent.append(Sent(k, life, question, int(address), request))
-                    case Tell((place, life, question), who, reply):
+                    case SendReply((place, life, question), who, reply):
                         self.outcomes.append(("told", self.rests(k, reply)))
-                        if self.boxes[place].acceptor.life == life:
-                            self.boxes[place].heard(NOW, question, who, reply)
+                        if self.boxes[place].acceptor.incarnation == life:
+                            self.boxes[place].on_reply(NOW, question, who, reply)
                             waiting.append(place)
-                    case Answer(order, Taken()) if order >= 1000:
+                    case CompleteOperation(order, Committed()) if order >= 1000:
                         self.acked = tuple(sorted({*self.acked, (order // 1000, bytes([order % 1000]))}))
 
     def rests(self, k: int, reply: Any) -> bool:
         """Whether what a reply says is on the disk of who says it."""
         one = self.disks[k].acceptor("")
         match reply:
-            case Promised(ballot) | Accepted(ballot):
+            case PromiseReply(ballot) | AcceptedReply(ballot):
                 return one.epoch.number > ballot.epoch or any(
-                    (s.accepted if isinstance(reply, Accepted) else s.promised) >= ballot
-                    or one.held.version >= version > 0
-                    for version, s in [*one.slots.items(), (one.held.version, Slot())]
+                    (s.accepted if isinstance(reply, AcceptedReply) else s.promised) >= ballot
+                    or one.committed.version >= version > 0
+                    for version, s in [*one.slots.items(), (one.committed.version, AcceptorSlot())]
                 )
-            case Sealed(after):
-                return one.epoch.number >= after.number or one.sealed == after
-            case Installed(number):
+            case SealedReply(after):
+                return one.epoch.number >= after.number or one.sealed_by == after
+            case InstalledReply(number):
                 return one.epoch.number >= number and one.installed
-            case Seen():
-                return reply.version <= one.held.version
+            case QueryReply():
+                return reply.committed_version <= one.committed.version
         return True
 
     def freeze(self) -> Any:
@@ -261,7 +265,16 @@
         )
 
 
-IDLE = {"chance", "effects", "questions", "peers", "mine", "since", "turn_ns", "step_ns"}
+IDLE = {
+    "random_fraction",
+    "effects",
+    "pending_requests",
+    "peers",
+    "own_state",
+    "condition_since_ns",
+    "last_tick_ns",
+    "last_check_ns",
+}
 
 
 def plain(what: Any) -> Any:
@@ -303,9 +316,11 @@
         return True
     disks = [disk.acceptor("") for disk in world.disks]
     newest = max((d.epoch for d in disks if d.installed), key=lambda e: e.number)
-    group = [d for d in disks if d.installed and newest.has(d.disk) and d.epoch.number == newest.number]
+    group = [
+        d for d in disks if d.installed and newest.has_member(d.member_id) and d.epoch.number == newest.number
+    ]
     if len(group) < newest.majority:
-        group = [d for d in disks if d.installed and any(d.disk == n for n, _ in world.scene.members)]
+        group = [d for d in disks if d.installed and any(d.member_id == n for n, _ in world.scene.members)]
         newest = Epoch(1, world.scene.members)
     return all(
         any(finds(one, version, content) for one in some)
@@ -317,26 +332,26 @@
 def finds(one: Acceptor, version: int, content: bytes) -> bool:
     slot = one.slots.get(version)
     return (
-        one.held.version > version
-        or one.held == Held(version, content)
+        one.committed.version > version
+        or one.committed == CommittedValue(version, content)
         or slot is not None
-        and slot.accepted > NONE
-        and slot.content == content
+        and slot.accepted > NO_BALLOT
+        and slot.value == content
     )
 
 
 def one_ballot(world: World) -> bool:
     found: dict[Any, bytes] = {}
     taken = [
-        (version, slot.accepted, slot.content)
+        (version, slot.accepted, slot.value)
         for box in (*(b.acceptor for b in world.boxes), *(d.acceptor("") for d in world.disks))
         for version, slot in box.slots.items()
-        if slot.accepted > NONE
+        if slot.accepted > NO_BALLOT
     ]
     taken += [
-        (s.request.version, s.request.ballot, s.request.content)
+        (s.request.version, s.request.ballot, s.request.value)
         for s in world.sent
-        if isinstance(s.request, Accept)
+        if isinstance(s.request, AcceptRequest)
     ]
     return all(found.setdefault((version, ballot), content) == content for version, ballot, content in taken)
 
@@ -348,20 +363,20 @@
 def own_rests(world: World) -> bool:
     """What a job counts of its own acceptor's is on its disk."""
     for box, disk in zip(world.boxes, world.disks, strict=True):
-        one, me = disk.acceptor(""), box.acceptor.disk
-        for job in box.jobs.values():
-            match job.op:
+        one, me = disk.acceptor(""), box.acceptor.member_id
+        for job in box.operations.values():
+            match job.quorum_call:
                 case Proposer() as op:
-                    slot = one.slots.get(op.version) or Slot()
-                    past = one.held.version >= op.version > 0 or one.epoch.number > op.epoch.number
-                    if me in op.accepts and slot.accepted < op.ballot and not past:
+                    slot = one.slots.get(op.version) or AcceptorSlot()
+                    past = one.committed.version >= op.version > 0 or one.epoch.number > op.epoch.number
+                    if me in op.acceptances and slot.accepted < op.ballot and not past:
                         return False
                     if me in op.promises and slot.promised < op.ballot and not past:
                         return False
-                case Change() as op:
-                    if me in op.states and one.sealed is None and one.epoch.number < op.after.number:
+                case Reconfiguration() as op:
+                    if me in op.states and one.sealed_by is None and one.epoch.number < op.next_epoch.number:
                         return False
-                    if me in op.installed and one.epoch.number < op.after.number:
+                    if me in op.installed_members and one.epoch.number < op.next_epoch.number:
                         return False
     return True
 
@@ -377,7 +392,7 @@
 def whole(world: World) -> bool:
     """A disk on which everything is written holds what the memory does."""
     for box, disk in zip(world.boxes, world.disks, strict=True):
-        if disk.pending is None and not box.dirty():
+        if disk.pending is None and not box.has_unwritten_changes():
             memory, there = flat_acceptor(box.acceptor), flat_acceptor(disk.acceptor(box.acceptor.address))
             if memory[:3] + memory[4:11] != there[:3] + there[4:11]:
                 return False
--- a/meadowworks/simulation/control.py
+++ b/meadowworks/simulation/control.py
@@ -15,20 +15,29 @@
 from functools import partial
 from typing import Any
 
-from meadowworks.consensus.register import NONE, Accept, Acceptor, Ballot, Epoch, Held, Seen, digest
+from meadowworks.consensus.register import (
+    NO_BALLOT,
+    Acceptor,
+    AcceptRequest,
+    Ballot,
+    CommittedValue,
+    Epoch,
+    QueryReply,
+    digest,
+)
 from meadowworks.consensus.replica import (
-    LEASE_NS,
-    LEAVE,
-    Another,
-    Answer,
-    Ask,
-    InForce,
-    Note,
+    LEASE_DURATION_NS,
+    LEAVE_WAITER_ID,
+    Committed,
+    CompleteOperation,
+    Conflict,
+    LogEntry,
+    Persist,
     Replica,
-    Taken,
-    Tell,
-    Write,
-    acceptor_for,
+    SendReply,
+    SendRequest,
+    ValueCommitted,
+    load_acceptor,
 )
 from meadowworks.simulation.disks import SimulatedDisk, SimulatedStore
 from meadowworks.simulation.network import MS, SECOND, EventScheduler, Network
@@ -112,11 +121,11 @@
             if len(self.chosen[version]) == 2:
                 self.report_violation("confirmed_twice", f"{version} is {self.chosen[version]} ({source})")
 
-    def on_persisted(self, node: ControlPlaneNode, effect: Write) -> None:
+    def on_persisted(self, node: ControlPlaneNode, effect: Persist) -> None:
         """What is on a disk now."""
-        rows, name = effect.rows, node.replica.acceptor.disk
-        if rows.meta is not None:
-            self.epoch_of[name] = rows.meta["epoch"][0]
+        rows, name = effect.update, node.replica.acceptor.member_id
+        if rows.metadata is not None:
+            self.epoch_of[name] = rows.metadata["epoch"][0]
         for version, slot in rows.slots.items():
             if slot is None or not version or slot.accepted.epoch < 1:
                 continue
@@ -127,15 +136,15 @@
             if name in voters:
                 continue
             voters.add(name)
-            if epoch is not None and len([v for v in voters if epoch.has(v)]) == epoch.majority:
-                self.on_chosen(version, slot.content, node.address)
-        if rows.meta is not None and rows.meta["installed"]:
-            number, members = rows.meta["epoch"]
+            if epoch is not None and len([v for v in voters if epoch.has_member(v)]) == epoch.majority:
+                self.on_chosen(version, slot.value, node.address)
+        if rows.metadata is not None and rows.metadata["installed"]:
+            number, members = rows.metadata["epoch"]
             epoch = Epoch(number, tuple((d, a) for d, a in members))
             if self.members_of_epoch.setdefault(number, epoch.members) != epoch.members:
                 self.report_violation("confirmed_twice", f"epoch {number} has two sets of members")
             self.epochs[number] = epoch
-            if epoch.has(name) or number == 0:
+            if epoch.has_member(name) or number == 0:
                 self.installed_by[number].add(name)
             if len(self.installed_by[number]) >= epoch.majority and number > self.epoch_in_force:
                 self.epoch_in_force = number
@@ -149,7 +158,7 @@
         return 0
 
     def on_acknowledged(self, version: int, content: bytes, node: ControlPlaneNode) -> None:
-        held = node.replica.acceptor.held
+        held = node.replica.acceptor.committed
         if held.version == version:
             self.on_chosen(version, content, f"acknowledged by {node.address}")
         elif held.version < version:
@@ -178,37 +187,38 @@
         """How many of its epoch's members a signalbox may have heard of something that left later than
         `since`, and how many it needs."""
         acceptor = node.replica.acceptor
-        epoch, network = acceptor.newest(), self.scenario.network
+        epoch, network = acceptor.newest_epoch(), self.scenario.network
         heard = sum(
-            d in (acceptor.disk, acceptor.seat) or network.last_contact.get((a, node.address), -1) >= since
+            d in (acceptor.member_id, acceptor.founder_id)
+            or network.last_contact.get((a, node.address), -1) >= since
             for d, a in epoch.members
         )
         return heard, epoch.majority
 
     def check_lease(self, node: ControlPlaneNode) -> None:
         """What a junction or a caller would be told now."""
-        if not node.replica.sure(node.local_time()):
+        if not node.replica.holds_lease(node.local_time()):
             return
         now = self.scenario.scheduler.now
-        held = node.replica.acceptor.held
-        if held.version < self.newest_acknowledged(now - LEASE_NS) and not node.stale_reported:
+        held = node.replica.acceptor.committed
+        if held.version < self.newest_acknowledged(now - LEASE_DURATION_NS) and not node.stale_reported:
             node.stale_reported = True  # once a life
-            newest = self.newest_acknowledged(now - LEASE_NS)
+            newest = self.newest_acknowledged(now - LEASE_DURATION_NS)
             self.report_violation("old_served", f"{node.address} is sure of {held.version} < {newest}")
-        heard, need = self.count_contacts(node, now - LEASE_NS - 20 * MS)
+        heard, need = self.count_contacts(node, now - LEASE_DURATION_NS - 20 * MS)
         if heard < need and not node.minority_reported:
             node.minority_reported = True
             self.report_violation(
                 "served_without_majority", f"{node.address} is sure, heard {heard} of {need}"
             )
 
-    def on_read(self, node: ControlPlaneNode, started_ns: int, held: Held) -> None:
+    def on_read(self, node: ControlPlaneNode, started_ns: int, held: CommittedValue) -> None:
         if held.version < self.newest_acknowledged(started_ns):
             self.report_violation(
                 "old_served", f"{node.address} reads {held.version} < {self.newest_acknowledged(started_ns)}"
             )
         if held.version:
-            self.on_chosen(held.version, held.content, f"read at {node.address}")
+            self.on_chosen(held.version, held.value, f"read at {node.address}")
         heard, need = self.count_contacts(node, started_ns)
         if heard < need:
             self.report_violation("served_without_majority", f"{node.address} reads, heard {heard} of {need}")
@@ -216,8 +226,8 @@
 
 def accepted_ballot(acceptor: Acceptor, request: Any) -> Ballot:
     """Under which ballot an acceptor has accepted what a request asks for."""
-    slot = acceptor.slots.get(request.version) if isinstance(request, Accept) else None
-    return slot.accepted if slot else NONE
+    slot = acceptor.slots.get(request.version) if isinstance(request, AcceptRequest) else None
+    return slot.accepted if slot else NO_BALLOT
 
 
 class ControlPlaneNode:
@@ -237,7 +247,7 @@
         self.replica: Any = None
         self.store: Any = None
         self.deferred: list[Callable[[], None]] = []
-        self.pending_write: Write | None = None
+        self.pending_write: Persist | None = None
         self.timer_ns = 0
         self.callbacks: dict[int, Callable[[Any], None]] = {}
         self.held_pulls: list[tuple[int, int, Callable[[], None]]] = []
@@ -255,14 +265,15 @@
         self.stale_reported = self.minority_reported = False
         self.store = SimulatedStore(self.disk)
         stored = self.store.load()
-        acceptor = acceptor_for(
-            stored.meta, disk=f"{self.scenario.random.getrandbits(64):016x}", address=self.address,
+        acceptor = load_acceptor(
+            stored.metadata, new_member_id=f"{self.scenario.random.getrandbits(64):016x}",
+            address=self.address,
             seeds=self.scenario.seed_addresses, bootstrap=bootstrap, voting=self.voting,
-            held=stored.held, history=stored.history, slots=stored.slots,
+            committed=stored.committed, history=stored.history, slots=stored.slots,
         )  # fmt: skip
         self.replica = Replica(acceptor, self.scenario.tolerated_losses, self.scenario.random.random)
-        epoch, held = acceptor.epoch.number, acceptor.held.version
-        self.log(f"starts: disk {acceptor.disk[:4]} epoch {epoch} at {held}")
+        epoch, held = acceptor.epoch.number, acceptor.committed.version
+        self.log(f"starts: disk {acceptor.member_id[:4]} epoch {epoch} at {held}")
         self.replica.start(self.local_time())
         self.run_effects()
         self.pull_from_all()
@@ -283,7 +294,7 @@
         if self.pending_write is not None:
             self.disk.operations_left = self.scenario.random.randrange(14)
             try:
-                self.store.save(self.pending_write.rows)
+                self.store.save(self.pending_write.update)
             except sqlite3.Error:
                 pass
             else:
@@ -343,10 +354,10 @@
 
     def run_effects(self) -> None:
         time = self.scenario.scheduler
-        while effects := self.replica.take():
+        while effects := self.replica.take_effects():
             for effect in effects:
                 match effect:
-                    case Write():
+                    case Persist():
                         self.pending_write = effect
                         chance = self.scenario.random
                         slow = self.slow_disk or chance.random() < 0.02
@@ -355,28 +366,28 @@
                             int(wait * MS),
                             partial(self.deliver, self.incarnation, partial(self.persist, effect)),
                         )
-                    case Ask(question, address, request):
+                    case SendRequest(question, address, request):
                         self.send_request(question, address, request)
-                    case Tell((source, life, question), who, reply):
+                    case SendReply((source, life, question), who, reply):
                         self.send_reply(source, life, question, who, reply)
-                    case Answer(order, outcome):
+                    case CompleteOperation(order, outcome):
                         if (act := self.callbacks.pop(order, None)) is not None:
                             act(outcome)
-                    case InForce(held):
+                    case ValueCommitted(held):
                         self.scenario.checker.on_chosen(
-                            held.version, held.content, f"in force at {self.address}"
+                            held.version, held.value, f"in force at {self.address}"
                         )
                         self.log(f"in force: {held.version}")
-                    case Note(text):
+                    case LogEntry(text):
                         self.log(text)
         acceptor = self.replica.acceptor
         self.scenario.checker.check_lease(self)
-        state = acceptor.held.version, acceptor.epoch.number
+        state = acceptor.committed.version, acceptor.epoch.number
         waked = [p for p in self.held_pulls if p[0] < state[0] or p[1] < state[1]]
         self.held_pulls = [p for p in self.held_pulls if p not in waked]
         for poll in waked:
             poll[2]()
-        due = max(time.now + MS // 10, self.replica.due() - self.clock_offset_ns)
+        due = max(time.now + MS // 10, self.replica.next_tick_ns() - self.clock_offset_ns)
         if not self.timer_ns or due < self.timer_ns or self.timer_ns <= time.now:
             self.timer_ns = due
             time.call_at(due, partial(self.on_timer, self.incarnation, due))
@@ -389,14 +400,14 @@
         self.timer_ns = 0
         self.replica.tick(self.local_time())
 
-    def persist(self, effect: Write) -> None:
+    def persist(self, effect: Persist) -> None:
         if self.scenario.random.random() < self.scenario.write_failure_rate:
-            self.replica.unwritten(self.local_time(), effect.mark)
+            self.replica.on_persist_failed(self.local_time(), effect.write_id)
             return
-        self.store.save(effect.rows)
+        self.store.save(effect.update)
         self.pending_write = None
         self.scenario.checker.on_persisted(self, effect)
-        self.replica.written(self.local_time(), effect.mark)
+        self.replica.on_persisted(self.local_time(), effect.write_id)
         counts, acceptor = self.scenario.checker.counts, self.replica.acceptor
         counts.most_slots = max(counts.most_slots, len(acceptor.slots))
         counts.most_history = max(counts.most_history, len(acceptor.history))
@@ -405,7 +416,9 @@
     def send_request(self, request_id: int, address: str, request: Any) -> None:
         life, time = self.incarnation, self.scenario.scheduler
         found = self.scenario.nodes.get(address)
-        fail = partial(self.deliver, life, lambda: self.replica.failed(self.local_time(), request_id))
+        fail = partial(
+            self.deliver, life, lambda: self.replica.on_request_failed(self.local_time(), request_id)
+        )
         if found is None or not found.up:
             time.call_later(MS, fail)
             return
@@ -420,10 +433,10 @@
 
     def on_request(self, ticket: Any, request: Any) -> None:
         acceptor = self.replica.acceptor
-        over = acceptor.sealed is not None or acceptor.newest().number > request.epoch
+        over = acceptor.sealed_by is not None or acceptor.newest_epoch().number > request.epoch
         before = [accepted_ballot(acceptor, request)]
-        self.replica.asked(self.local_time(), ticket, request)
-        if over and accepted_ballot(acceptor, request) not in (*before, NONE):
+        self.replica.on_request(self.local_time(), ticket, request)
+        if over and accepted_ballot(acceptor, request) not in (*before, NO_BALLOT):
             self.scenario.checker.report_violation(
                 "led_with_old", f"{self.address} takes {request.version} late"
             )
@@ -433,7 +446,7 @@
 
         def arrive() -> None:
             asker.deliver(
-                incarnation, lambda: asker.replica.heard(asker.local_time(), request_id, who, reply)
+                incarnation, lambda: asker.replica.on_reply(asker.local_time(), request_id, who, reply)
             )
 
         self.scenario.network.send(self.address, source, arrive)
@@ -450,22 +463,22 @@
         if target.removed:
             return
         acceptor, left, open_ = self.replica.acceptor, self.local_time(), [True]
-        version, epoch = acceptor.held.version, acceptor.newest().number
+        version, epoch = acceptor.committed.version, acceptor.newest_epoch().number
 
         def again(wait: int) -> None:
             if open_:
                 open_.clear()
                 time.call_later(wait, partial(self.pull, incarnation, address))
 
-        def reply(seen: Seen, newer: Epoch | None, held: Held | None, history: Any) -> None:
+        def reply(seen: QueryReply, newer: Epoch | None, held: CommittedValue | None, history: Any) -> None:
             def act() -> None:
                 if not open_:
                     return  # the call was given up
                 if newer is not None:
-                    self.replica.told(self.local_time(), newer)
-                self.replica.met(self.local_time(), left, seen)
+                    self.replica.on_epoch(self.local_time(), newer)
+                self.replica.on_query_reply(self.local_time(), left, seen)
                 if held is not None:
-                    self.replica.learn(self.local_time(), held, history)
+                    self.replica.on_committed_value(self.local_time(), held, history)
                 again(10 * MS)
 
             self.deliver(incarnation, act)
@@ -474,8 +487,10 @@
             def act() -> None:
                 theirs = target.replica.acceptor
                 news = theirs.installed and theirs.epoch.number > epoch
-                held = theirs.held if theirs.held.version > version else None
-                sent = partial(reply, theirs.seen(), theirs.epoch if news else None, held, theirs.past())
+                held = theirs.committed if theirs.committed.version > version else None
+                sent = partial(
+                    reply, theirs.query_reply(), theirs.epoch if news else None, held, theirs.digest_history()
+                )
                 network.send(address, self.address, sent)
 
             if target.up and there == target.incarnation:
@@ -486,7 +501,7 @@
             if not target.up:
                 return
             theirs = target.replica.acceptor
-            if theirs.held.version > version or theirs.epoch.number > epoch:
+            if theirs.committed.version > version or theirs.epoch.number > epoch:
                 answer(there)
                 return
             poll = (version, epoch, partial(answer, there))
@@ -510,7 +525,7 @@
     def submit(self, version: int, content: bytes, on_outcome: Callable[[Any], None]) -> None:
         self.operation_count += 1
         self.callbacks[self.operation_count] = on_outcome
-        self.replica.order(
+        self.replica.propose(
             self.local_time(),
             self.operation_count,
             version,
@@ -523,7 +538,7 @@
         asked = self.scenario.scheduler.now
 
         def told(outcome: Any) -> None:
-            if isinstance(outcome, Held):
+            if isinstance(outcome, CommittedValue):
                 self.scenario.checker.on_read(self, asked, outcome)
 
         self.callbacks[self.operation_count] = told
@@ -540,10 +555,10 @@
         def gone(outcome: Any = None) -> None:
             if self.up and self.incarnation == life:
                 self.log(f"has left: {outcome}")
-                self.handed_over = isinstance(outcome, Taken)
+                self.handed_over = isinstance(outcome, Committed)
                 self.scenario.scheduler.call_later(0, partial(self.finish_shutdown, life))
 
-        self.callbacks[LEAVE] = gone
+        self.callbacks[LEAVE_WAITER_ID] = gone
 
         def act() -> None:
             self.replica.leave(self.local_time(), self.local_time() + grace_ns - 200 * MS)
@@ -612,18 +627,18 @@
 
         def told(outcome: Any) -> None:
             match outcome:
-                case Taken():
+                case Committed():
                     day.checker.on_acknowledged(self.version, self.content, box)
                     self.on_committed()
-                case Another():
+                case Conflict():
                     day.checker.on_conflict(self.version, self.content, box)
             if day.random.random() < self.reply_loss:
                 return
             match outcome:
-                case Taken() if self.acknowledged_ns is None:
+                case Committed() if self.acknowledged_ns is None:
                     self.acknowledged_ns = day.scheduler.now
                     day.checker.counts.acked += 1
-                case Another():
+                case Conflict():
                     self.rejected = True
             if self.is_finished():
                 waiting.clear()
@@ -749,7 +764,7 @@
                 continue
             self.checker.check_lease(box)
             box.checks_without_lease = (
-                box.checks_without_lease + 1 if calm and not box.replica.sure(box.local_time()) else 0
+                box.checks_without_lease + 1 if calm and not box.replica.holds_lease(box.local_time()) else 0
             )
             if box.checks_without_lease == 30:
                 self.checker.report_violation(
@@ -841,11 +856,15 @@
                 or node.leaving
             ):
                 return
-            held = node.replica.acceptor.held.version
+            held = node.replica.acceptor.committed.version
             newest = self.checker.newest_acknowledged(self.scheduler.now - SECOND)
             if held < newest:
                 self.checker.report_violation("never_level", f"{node.address} holds {held} < {newest}")
-            elif not node.replica.sure(node.local_time()) and node.voting and self.checker.epoch_in_force > 0:
+            elif (
+                not node.replica.holds_lease(node.local_time())
+                and node.voting
+                and self.checker.epoch_in_force > 0
+            ):
                 if again:  # a pull may have been lost
                     self.scheduler.call_later(300 * MS, partial(look, again - 1))
                 else:
@@ -881,7 +900,7 @@
             )
         self.scheduler.run_until(self.scheduler.now + SECOND)
         for box in self.voters():
-            held = box.replica.acceptor.held if box.up else None
+            held = box.replica.acceptor.committed if box.up else None
             if held is not None and held.version < newest:
                 self.checker.report_violation(
                     "acked_then_lost", f"{box.address} ends at {held.version} < {newest}"
--- a/meadowworks/simulation/disks.py
+++ b/meadowworks/simulation/disks.py
@@ -16,7 +16,7 @@
 
 import apsw
 
-from meadowworks.storage.sqlite_store import Disk
+from meadowworks.storage.sqlite_store import SqliteStore
 
 VFS_NAME = "played"
 
@@ -225,16 +225,16 @@
         self.connection.close()
 
 
-class SimulatedStore(Disk):
+class SimulatedStore(SqliteStore):
     """The product's disk over a medium."""
 
     def __init__(self, disk: SimulatedDisk) -> None:
         self.disk = disk
-        self.open(ApswConnection(disk.path))  # type: ignore[arg-type]
+        self.configure(ApswConnection(disk.path))  # type: ignore[arg-type]
 
     def abandon(self) -> None:
         """The process is gone (`Medium.killed` or `power_lost` came before): nothing is written any more."""
         self.disk.operations_left = 0  # sqlite would tidy up
         with contextlib.suppress(apsw.Error, PowerLostError):
-            self.db.close()
+            self.connection.close()
         self.disk.operations_left = -1
