--- a/meadowworks/storage/sqlite_store.py
+++ b/meadowworks/storage/sqlite_store.py
@@ -10,8 +10,8 @@
 
 import msgpack
 
-from meadowworks.consensus.register import Held, Slot, ballot
-from meadowworks.consensus.replica import Rows
+from meadowworks.consensus.register import AcceptorSlot, CommittedValue, decode_ballot
+from meadowworks.consensus.replica import StateUpdate
 
 SCHEMA = """
 CREATE TABLE IF NOT EXISTS meta (name TEXT PRIMARY KEY, value BLOB);
@@ -24,103 +24,113 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Stored:
+class StoredState:
     """What a disk holds. `meta`: an acceptor's own fields, as `Rows` has them; none if the disk is empty."""
 
-    meta: Mapping[str, Any] | None
-    held: Held
+    metadata: Mapping[str, Any] | None
+    committed: CommittedValue
     history: Mapping[int, bytes]
-    slots: Mapping[int, Slot]
+    slots: Mapping[int, AcceptorSlot]
 
 
-def pack(value: Any) -> bytes:
+def encode(value: Any) -> bytes:
     return msgpack.packb(value, use_bin_type=True)  # type: ignore[no-any-return]
 
 
-def unpack(value: bytes) -> Any:
+def decode(value: bytes) -> Any:
     return msgpack.unpackb(value, raw=False)
 
 
-class Disk:
+class SqliteStore:
     """The one user of a file; calls may come from one thread after another. Raises sqlite3.Error."""
 
-    def __init__(self, folder: str | Path) -> None:
-        path = Path(folder)
+    def __init__(self, directory: str | Path) -> None:
+        path = Path(directory)
         path.mkdir(parents=True, exist_ok=True)
-        self.open(sqlite3.connect(path / "timetable.db", check_same_thread=False, isolation_level=None))
+        self.configure(sqlite3.connect(path / "timetable.db", check_same_thread=False, isolation_level=None))
 
-    def open(self, db: sqlite3.Connection) -> None:
-        self.db = db
+    def configure(self, connection: sqlite3.Connection) -> None:
+        self.connection = connection
         # Exclusive before WAL: the index is then in the process and no memory is shared. FULL: a commit is
         # on the disk when it returns, by one sync.
-        self.db.execute("PRAGMA locking_mode=EXCLUSIVE")
-        self.db.execute("PRAGMA journal_mode=WAL")
-        self.db.execute("PRAGMA synchronous=FULL")
-        self.db.executescript(SCHEMA)
-
-    def load(self) -> Stored:
-        meta = {name: unpack(value) for name, value in self.db.execute("SELECT name, value FROM meta")}
+        self.connection.execute("PRAGMA locking_mode=EXCLUSIVE")
+        self.connection.execute("PRAGMA journal_mode=WAL")
+        self.connection.execute("PRAGMA synchronous=FULL")
+        self.connection.executescript(SCHEMA)
+
+    def load(self) -> StoredState:
+        meta = {
+            name: decode(value) for name, value in self.connection.execute("SELECT name, value FROM meta")
+        }
         slots = {
-            version: Slot(ballot(unpack(promised)), ballot(unpack(accepted)), bytes(content))
-            for version, promised, accepted, content in self.db.execute("SELECT * FROM slots")
+            version: AcceptorSlot(
+                decode_ballot(decode(promised)), decode_ballot(decode(accepted)), bytes(content)
+            )
+            for version, promised, accepted, content in self.connection.execute("SELECT * FROM slots")
         }
-        row = self.db.execute("SELECT version, content FROM held").fetchone()
-        held = Held(row[0], bytes(row[1])) if row else Held()
-        history = {v: bytes(d) for v, d in self.db.execute("SELECT version, digest FROM history")}
-        return Stored(meta or None, held, history, slots)
+        row = self.connection.execute("SELECT version, content FROM held").fetchone()
+        held = CommittedValue(row[0], bytes(row[1])) if row else CommittedValue()
+        history = {v: bytes(d) for v, d in self.connection.execute("SELECT version, digest FROM history")}
+        return StoredState(meta or None, held, history, slots)
 
-    def save(self, rows: Rows) -> None:
-        self.db.execute("BEGIN")
+    def save(self, update: StateUpdate) -> None:
+        self.connection.execute("BEGIN")
         try:
-            if rows.meta is not None:
-                self.db.executemany(
-                    "INSERT OR REPLACE INTO meta VALUES (?, ?)", [(k, pack(v)) for k, v in rows.meta.items()]
+            if update.metadata is not None:
+                self.connection.executemany(
+                    "INSERT OR REPLACE INTO meta VALUES (?, ?)",
+                    [(k, encode(v)) for k, v in update.metadata.items()],
+                )
+            if update.committed is not None:
+                self.connection.execute(
+                    "INSERT OR REPLACE INTO held VALUES (1, ?, ?)",
+                    (update.committed.version, update.committed.value),
+                )
+                self.connection.executemany(
+                    "INSERT OR REPLACE INTO history VALUES (?, ?)", update.history.items()
                 )
-            if rows.held is not None:
-                self.db.execute(
-                    "INSERT OR REPLACE INTO held VALUES (1, ?, ?)", (rows.held.version, rows.held.content)
+                self.connection.execute(
+                    "DELETE FROM history WHERE version < ?", (update.oldest_history_version,)
                 )
-                self.db.executemany("INSERT OR REPLACE INTO history VALUES (?, ?)", rows.history.items())
-                self.db.execute("DELETE FROM history WHERE version < ?", (rows.floor,))
-            for version, slot in rows.slots.items():
+            for version, slot in update.slots.items():
                 if slot is not None:
-                    self.db.execute(
+                    self.connection.execute(
                         "INSERT OR REPLACE INTO slots VALUES (?, ?, ?, ?)",
-                        (version, pack(slot.promised), pack(slot.accepted), slot.content),
+                        (version, encode(slot.promised), encode(slot.accepted), slot.value),
                     )
                 else:
-                    self.db.execute("DELETE FROM slots WHERE version = ?", (version,))
-            self.db.execute("COMMIT")
+                    self.connection.execute("DELETE FROM slots WHERE version = ?", (version,))
+            self.connection.execute("COMMIT")
         except BaseException:
-            if self.db.in_transaction:
-                self.db.execute("ROLLBACK")
+            if self.connection.in_transaction:
+                self.connection.execute("ROLLBACK")
             raise
 
-    def keep_lives(self, rows: dict[str, bytes]) -> None:
+    def save_backend_hints(self, rows: dict[str, bytes]) -> None:
         """Backends as last heard of, for a start after all controllers were lost at once: a hint, which the
         next beats confirm or not."""
-        with self.db:
-            self.db.execute("BEGIN")
-            self.db.execute("DELETE FROM lives")
-            self.db.executemany("INSERT INTO lives VALUES (?, ?)", rows.items())
+        with self.connection:
+            self.connection.execute("BEGIN")
+            self.connection.execute("DELETE FROM lives")
+            self.connection.executemany("INSERT INTO lives VALUES (?, ?)", rows.items())
 
-    def lives(self) -> dict[str, bytes]:
-        return dict(self.db.execute("SELECT ident, value FROM lives").fetchall())
+    def load_backend_hints(self) -> dict[str, bytes]:
+        return dict(self.connection.execute("SELECT ident, value FROM lives").fetchall())
 
-    def keep_fences(self, rows: Mapping[str, bytes], gone: Collection[str]) -> None:
+    def save_drain_records(self, rows: Mapping[str, bytes], removed: Collection[str]) -> None:
         """Lives that are draining or gone: what this has returned from is owed to whoever was told so."""
-        self.db.execute("BEGIN")
+        self.connection.execute("BEGIN")
         try:
-            self.db.executemany("DELETE FROM fences WHERE ident = ?", [(ident,) for ident in gone])
-            self.db.executemany("INSERT OR REPLACE INTO fences VALUES (?, ?)", list(rows.items()))
-            self.db.execute("COMMIT")
+            self.connection.executemany("DELETE FROM fences WHERE ident = ?", [(ident,) for ident in removed])
+            self.connection.executemany("INSERT OR REPLACE INTO fences VALUES (?, ?)", list(rows.items()))
+            self.connection.execute("COMMIT")
         except BaseException:
-            if self.db.in_transaction:
-                self.db.execute("ROLLBACK")
+            if self.connection.in_transaction:
+                self.connection.execute("ROLLBACK")
             raise
 
-    def fences(self) -> dict[str, bytes]:
-        return dict(self.db.execute("SELECT ident, value FROM fences").fetchall())
+    def load_drain_records(self) -> dict[str, bytes]:
+        return dict(self.connection.execute("SELECT ident, value FROM fences").fetchall())
 
     def close(self) -> None:
-        self.db.close()
+        self.connection.close()
--- a/tests/gateway/golden_product.py
+++ b/tests/gateway/golden_product.py
@@ -18,14 +18,14 @@
 from meadowworks.config.route_table import load_route_table as load_configuration
 from meadowworks.consensus import register
 from meadowworks.consensus.replica import (
-    Ask,
+    Persist,
     Replica,
-    Rows,
-    Tell,
-    Write,
-    acceptor_for,
-    pack_members,
-    unpack_members,
+    SendReply,
+    SendRequest,
+    StateUpdate,
+    decode_member_list,
+    encode_member_list,
+    load_acceptor,
 )
 from meadowworks.controlplane import config_service as office
 from meadowworks.controlplane import drain_service as fencing
@@ -44,7 +44,7 @@
 from meadowworks.runtime import node_settings
 from meadowworks.runtime.http_server import HttpServer, read_body, send_response
 from meadowworks.runtime.peer_client import PeerClient
-from meadowworks.storage.sqlite_store import Disk
+from meadowworks.storage.sqlite_store import SqliteStore
 
 __all__ = ["BACKENDS_PREFIX", "FIGURES_PREFIX", "PeerRecord", "SourceDelta", "load_configuration"]
 
@@ -52,54 +52,62 @@
 
 Ballot = register.Ballot
 Epoch = register.Epoch
-Held = register.Held
-Slot = register.Slot
-State = register.State
-NO_BALLOT = register.NONE
-NO_EPOCH = register.UNKNOWN
-
-Prepare = register.Prepare
-Accept = register.Accept
-Seal = register.Seal
-Install = register.Install
-Look = register.Look
-Fetch = register.Fetch
-Teach = register.Teach
-Seen = register.Seen
-Promised = register.Promised
-Accepted = register.Accepted
-Refused = register.Refused
-Past = register.Past
-Newer = register.Newer
-Sealed = register.Sealed
-Installed = register.Installed
-Outside = register.Outside
-Whole = register.Whole
+Held = register.CommittedValue
+Slot = register.AcceptorSlot
+State = register.AcceptorState
+NO_BALLOT = register.NO_BALLOT
+NO_EPOCH = register.UNKNOWN_EPOCH
+
+Prepare = register.PrepareRequest
+Accept = register.AcceptRequest
+Seal = register.SealRequest
+Install = register.InstallRequest
+Look = register.QueryRequest
+Fetch = register.SnapshotRequest
+Teach = register.LearnRequest
+Seen = register.QueryReply
+Promised = register.PromiseReply
+Accepted = register.AcceptedReply
+Refused = register.BallotRejectedReply
+Past = register.VersionDecidedReply
+Newer = register.StaleEpochReply
+Sealed = register.SealedReply
+Installed = register.InstalledReply
+Outside = register.NotAMemberReply
+Whole = register.SnapshotReply
 
 # What stands where in a message, by its name in the code: a message is told and read by place.
 FIELDS: dict[Any, tuple[str, ...]] = {
-    Ballot: ("epoch", "number", "who"),
+    Ballot: ("epoch", "number", "proposer_id"),
     Epoch: ("number", "members"),
-    Held: ("version", "content"),
-    Slot: ("promised", "accepted", "content"),
-    State: ("held", "history", "slots"),
+    Held: ("version", "value"),
+    Slot: ("promised", "accepted", "value"),
+    State: ("committed", "history", "slots"),
     Prepare: ("epoch", "version", "ballot"),
-    Accept: ("epoch", "version", "ballot", "content"),
-    Seal: ("epoch", "after"),
-    Install: ("epoch", "after", "state"),
+    Accept: ("epoch", "version", "ballot", "value"),
+    Seal: ("epoch", "next_epoch"),
+    Install: ("epoch", "next_epoch", "state"),
     Look: ("epoch",),
     Fetch: ("epoch",),
-    Teach: ("epoch", "held", "history"),
-    Seen: ("epoch", "votes", "needs", "version", "disk", "address", "wants"),
-    Promised: ("ballot", "accepted", "content"),
+    Teach: ("epoch", "committed", "history"),
+    Seen: (
+        "epoch",
+        "may_vote",
+        "highest_version",
+        "committed_version",
+        "member_id",
+        "address",
+        "wants_membership",
+    ),
+    Promised: ("ballot", "accepted", "value"),
     Accepted: ("ballot",),
     Refused: ("ballot",),
-    Past: ("held", "history"),
+    Past: ("committed", "history"),
     Newer: ("epoch",),
-    Sealed: ("after", "state"),
+    Sealed: ("next_epoch", "state"),
     Installed: ("epoch",),
     Outside: ("epoch",),
-    Whole: ("held", "history"),
+    Whole: ("committed", "history"),
     PeerRecord: ("name", "host", "port", "zone", "is_voter", "incarnation", "heartbeat"),
     SourceDelta: ("source", "is_snapshot", "latest_version", "changes"),
     post.PullRequest: (
@@ -123,10 +131,10 @@
         "decided_digests",
     ),
 }
-LETTER_KINDS = frozenset(register.READERS)
+LETTER_KINDS = frozenset(register.FIELD_DECODERS)
 content_digest = register.digest
-encode_members = pack_members  # the content of the version that says who votes next
-decode_members = unpack_members
+encode_members = encode_member_list  # the content of the version that says who votes next
+decode_members = decode_member_list
 
 # -- messages between controllers
 
@@ -145,11 +153,11 @@
 
 def encode_letter(letter: Any) -> bytes:
     """A request or reply of the agreement, as it lies compressed in the body of a call."""
-    return post.encode(register.pack(letter))
+    return post.encode(register.encode(letter))
 
 
 def decode_letter(body: bytes) -> Any:
-    return register.unpack(post.decode(body))
+    return register.decode(post.decode(body))
 
 
 def compressed_letter(letter: Any) -> bytes:
@@ -286,13 +294,13 @@
     """A stopped signalbox's disk, opened by the product."""
 
     def __init__(self, folder: Path) -> None:
-        self.disk = Disk(folder)
+        self.disk = SqliteStore(folder)
 
     def meta(self) -> Any:
-        return self.disk.load().meta
+        return self.disk.load().metadata
 
     def held(self) -> Any:
-        return self.disk.load().held
+        return self.disk.load().committed
 
     def history(self) -> dict[int, bytes]:
         return dict(self.disk.load().history)
@@ -301,10 +309,10 @@
         return dict(self.disk.load().slots)
 
     def lives(self) -> dict[str, Any]:
-        return fencing.decode_rows(self.disk.lives())
+        return fencing.decode_rows(self.disk.load_backend_hints())
 
     def fences(self) -> dict[str, Any]:
-        return fencing.decode_rows(self.disk.fences())
+        return fencing.decode_rows(self.disk.load_drain_records())
 
     def write(
         self,
@@ -313,13 +321,15 @@
         history: Mapping[int, bytes],
         slots: Mapping[int, Any],
     ) -> None:
-        self.disk.save(Rows(meta, held, history, 0, slots))
+        self.disk.save(StateUpdate(meta, held, history, 0, slots))
 
     def keep(self, lives: Mapping[str, Any], fences: Mapping[str, Any]) -> None:
         """Through the machines that hand rows to the disk."""
         beats = HeartbeatRegistry(lambda key, value: 1, 1000)
         beats.restore(0, dict(lives))
-        self.disk.keep_lives({ident: post.encode(value) for ident, value in beats.durable_values().items()})
+        self.disk.save_backend_hints(
+            {ident: post.encode(value) for ident, value in beats.durable_values().items()}
+        )
         held = DrainLog("source")
         for ident, value in fences.items():
             held.on_update(0, KeyUpdate("other", BACKENDS_PREFIX + ident, value))
@@ -327,19 +337,19 @@
         assert batch is not None or not fences
         if batch is not None:
             rows = {ident: post.encode(list(value)) for ident, value in batch.rows.items()}
-            self.disk.keep_fences(rows, batch.deleted)
+            self.disk.save_drain_records(rows, batch.deleted)
 
     def start(self, address: str) -> Any:
         """The machine of a signalbox that starts from this disk, its first write made. Its acceptor."""
         stored = self.disk.load()
-        acceptor = acceptor_for(
-            stored.meta,
-            disk="unused",
+        acceptor = load_acceptor(
+            stored.metadata,
+            new_member_id="unused",
             address=address,
             seeds=(),
             bootstrap=False,
             voting=True,
-            held=stored.held,
+            committed=stored.committed,
             history=stored.history,
             slots=stored.slots,
         )
@@ -350,17 +360,17 @@
 
     def request(self, letter: Any) -> Any:
         """The reply to another's request, once its write is made."""
-        self.replica.asked(0, "ticket", letter)
+        self.replica.on_request(0, "ticket", letter)
         return self.settle()
 
     def settle(self) -> Any:
         reply = None
-        while effects := self.replica.take():
+        while effects := self.replica.take_effects():
             for effect in effects:
-                if isinstance(effect, Write):
-                    self.disk.save(effect.rows)
-                    self.replica.written(0, effect.mark)
-                elif isinstance(effect, Tell):
+                if isinstance(effect, Persist):
+                    self.disk.save(effect.update)
+                    self.replica.on_persisted(0, effect.write_id)
+                elif isinstance(effect, SendReply):
                     reply = effect.reply
         return reply
 
@@ -401,7 +411,7 @@
 def identity(program: Any) -> tuple[str, str]:
     """The names of its life, and of its disk, which are drawn anew at each start."""
     service = getattr(program, "config_service", None)
-    return program.incarnation, service.replica.acceptor.disk if service else "none"
+    return program.incarnation, service.replica.acceptor.member_id if service else "none"
 
 
 def stop_signalbox(box: ControlPlaneServer) -> None:
@@ -416,7 +426,7 @@
     """The path and the body under which a signalbox sends a request."""
     recorder = Recorder()
     box.config_service.peer_client = lambda host, port: recorder  # type: ignore[assignment,return-value]
-    await box.config_service.send_request(Ask(question, address, request))
+    await box.config_service.send_request(SendRequest(question, address, request))
     (found,) = recorder.sent
     return found
 
@@ -460,7 +470,7 @@
     box: ControlPlaneServer, cards: list[Any], configuration: bytes, said: Mapping[str, Any]
 ) -> None:
     box.known_peers.merge(0, cards)
-    box.config_service.replica.learn(0, Held(7, configuration))
+    box.config_service.replica.on_committed_value(0, Held(7, configuration))
     for key, value in said.items():
         box.gossip.notify_update(KeyUpdate("source", key, value))
 
--- a/tests/gateway/test_agreement.py
+++ b/tests/gateway/test_agreement.py
@@ -8,28 +8,38 @@
 
 from meadowworks.consensus import register
 from meadowworks.consensus.register import (
-    NONE,
-    UNKNOWN,
+    NO_BALLOT,
+    UNKNOWN_EPOCH,
     Acceptor,
+    AcceptorSlot,
+    AcceptorState,
     Ballot,
-    Change,
     Chosen,
+    CommittedValue,
     Epoch,
-    Held,
-    Moved,
-    Outside,
-    Prepare,
-    Promised,
+    EpochChanged,
+    NotAMemberReply,
+    PrepareRequest,
+    PromiseReply,
     Proposer,
-    Read,
-    Sealed,
-    Slot,
-    State,
-    Teacher,
+    QuorumReadResult,
+    Reconfiguration,
+    SealedReply,
+    StateTransfer,
     digest,
-    members_after,
+    next_members,
+)
+from meadowworks.consensus.replica import (
+    LEAVE_WAITER_ID,
+    SECOND_NS,
+    Committed,
+    CompleteOperation,
+    Operation,
+    Persist,
+    Replica,
+    SendRequest,
+    load_acceptor,
 )
-from meadowworks.consensus.replica import LEAVE, SECOND, Answer, Ask, Job, Replica, Taken, Write, acceptor_for
 from meadowworks.gossip import messages as post
 from tests.gateway.test_state import mutants
 
@@ -39,16 +49,18 @@
 
 def member(disk: str, epoch: Epoch = ABC) -> Acceptor:
     address = dict((A, B, C, D, E))[disk]
-    return Acceptor(disk, address, epoch=epoch, installed=epoch.has(disk), life=1)
+    return Acceptor(disk, address, epoch=epoch, installed=epoch.has_member(disk), incarnation=1)
 
 
 def carry(op: Any, acceptors: list[Acceptor]) -> Any:
     """Asks those that are in reach, round after round, until there is an outcome or nothing moves."""
     for _ in range(4):
         request = op.request()
-        targets = {disk for disk, _ in op.targets()}
+        targets = {disk for disk, _ in op.unanswered_members()}
         for one in acceptors:
-            if one.name(request.epoch) in targets and op.heard(one.name(request.epoch), one.answer(request)):
+            if one.id_in_epoch(request.epoch) in targets and op.on_reply(
+                one.id_in_epoch(request.epoch), one.handle(request)
+            ):
                 break
         if op.outcome is not None:
             return op.outcome
@@ -56,26 +68,26 @@
 
 
 def proposer(acceptor: Acceptor, content: bytes | None, version: int = 6) -> Proposer:
-    job = Job("order", version, content, 0, [])
-    return Replica(acceptor, 1, lambda: 0.5).proposer(acceptor.newest(), version, job)
+    job = Operation("propose", version, content, 0, [])
+    return Replica(acceptor, 1, lambda: 0.5).new_proposer(acceptor.newest_epoch(), version, job)
 
 
 def test_a_ballot_is_not_used_twice_by_a_box_that_lost_power_before_its_own_write() -> None:
     p, b, c = (member(disk) for disk in "abc")
     first = proposer(p, b"X")
     for one in (b, c):
-        first.heard(one.disk, one.answer(first.request()))
-    b.answer(first.request())  # accepted at b alone; p's own write is never made, and power is lost
-    again = acceptor_for(
+        first.on_reply(one.member_id, one.handle(first.request()))
+    b.handle(first.request())  # accepted at b alone; p's own write is never made, and power is lost
+    again = load_acceptor(
         {
             "disk": "a",
             "seat": "",
             "life": 1,
-            "epoch": register.pack_epoch(ABC),
+            "epoch": register.encode_epoch(ABC),
             "installed": True,
             "sealed": None,
         },
-        disk="",
+        new_member_id="",
         address="h:0",
         seeds=(),
         bootstrap=False,
@@ -83,7 +95,7 @@
     )
     Replica(again, 1, lambda: 0.5).start(0)
     second = proposer(again, b"Y")
-    assert again.life == 2 and second.ballot != first.ballot
+    assert again.incarnation == 2 and second.ballot != first.ballot
     assert carry(second, [again, c]) == Chosen(6, b"Y")  # p acknowledges Y, and is lost for good
     finisher = proposer(b, None)
     found = carry(finisher, [b, c])
@@ -96,9 +108,11 @@
 @pytest.mark.parametrize("carried", [False, True])
 def test_no_two_majorities_stand_on_the_two_sides_of_a_cut_during_a_replacement(carried: bool) -> None:
     a, b, c = (member(disk) for disk in "abc")
-    d = acceptor_for(None, disk="d", address="h:3", seeds=(), bootstrap=False, voting=True)
+    d = load_acceptor(None, new_member_id="d", address="h:3", seeds=(), bootstrap=False, voting=True)
     if carried:  # d enters with a and b while a still runs
-        assert carry(Change(ABC, Epoch(2, (A, B, C, D))), [a, b, d]) == Moved(Epoch(2, (A, B, C, D)), False)
+        assert carry(Reconfiguration(ABC, Epoch(2, (A, B, C, D))), [a, b, d]) == EpochChanged(
+            Epoch(2, (A, B, C, D)), False
+        )
     sides = [
         carry(proposer(box, content), reached)
         for box, content, reached in (
@@ -138,168 +152,195 @@
     leaving: str,
     found: Any,
 ) -> None:
-    assert members_after(Epoch(3, members), tolerate, silent, candidates, leaving) == found
+    assert next_members(Epoch(3, members), tolerate, silent, candidates, leaving) == found
 
 
 def test_an_empty_disk_founds_at_the_first_start_alone_and_by_its_seat() -> None:
     seeds = ("h:0", "h:1", "h:2")
-    founder = acceptor_for(None, disk="x", address="h:1", seeds=seeds, bootstrap=True, voting=True)
+    founder = load_acceptor(None, new_member_id="x", address="h:1", seeds=seeds, bootstrap=True, voting=True)
+    assert (
+        founder.may_vote()
+        and founder.epoch.number == 0
+        and founder.id_in_epoch(0) == "@h:1"
+        and founder.id_in_epoch(1) == "x"
+    )
     assert (
-        founder.votes() and founder.epoch.number == 0 and founder.name(0) == "@h:1" and founder.name(1) == "x"
+        founder.epoch.members == (("@h:0", "h:0"), ("@h:1", "h:1"), ("@h:2", "h:2"))
+        and founder.metadata_changed
     )
-    assert founder.epoch.members == (("@h:0", "h:0"), ("@h:1", "h:1"), ("@h:2", "h:2")) and founder.meta
     ballot = Ballot(0, 1, "q")
-    assert founder.answer(Prepare(0, 0, ballot)) == Promised(ballot, NONE, b"")
-    assert founder.answer(Prepare(0, 1, ballot)) == Outside(0)  # no version before there are members
-    other = acceptor_for(None, disk="y", address="h:7", seeds=seeds, bootstrap=True, voting=True)
-    later = acceptor_for(None, disk="z", address="h:1", seeds=seeds, bootstrap=False, voting=True)
+    assert founder.handle(PrepareRequest(0, 0, ballot)) == PromiseReply(ballot, NO_BALLOT, b"")
+    assert founder.handle(PrepareRequest(0, 1, ballot)) == NotAMemberReply(
+        0
+    )  # no version before there are members
+    other = load_acceptor(None, new_member_id="y", address="h:7", seeds=seeds, bootstrap=True, voting=True)
+    later = load_acceptor(None, new_member_id="z", address="h:1", seeds=seeds, bootstrap=False, voting=True)
     for one in (other, later):
-        assert not one.votes() and isinstance(one.answer(Prepare(0, 0, ballot)), Outside)
-        assert isinstance(one.answer(register.Seal(0, ABC)), Outside)
-    assert later.epoch.number == UNKNOWN and later.name(0) == ""
+        assert not one.may_vote() and isinstance(one.handle(PrepareRequest(0, 0, ballot)), NotAMemberReply)
+        assert isinstance(one.handle(register.SealRequest(0, ABC)), NotAMemberReply)
+    assert later.epoch.number == UNKNOWN_EPOCH and later.id_in_epoch(0) == ""
 
 
 def test_a_request_under_another_epochs_ballot_is_not_voted_on() -> None:
     a = member("a")
     assert (
-        a.answer(Prepare(1, 3, Ballot(2, 1, "q"))) == Outside(1) == a.answer(Prepare(1, 3, Ballot(0, 9, "q")))
+        a.handle(PrepareRequest(1, 3, Ballot(2, 1, "q")))
+        == NotAMemberReply(1)
+        == a.handle(PrepareRequest(1, 3, Ballot(0, 9, "q")))
     )
     assert not a.slots
 
 
 def test_only_members_are_counted_each_once_and_under_its_own_ballot() -> None:
     op = proposer(member("a"), b"X")
-    said = Promised(op.ballot, NONE, b"")
-    assert not op.heard("x", said) and not op.heard("a", said) and not op.heard("a", said)
-    assert not op.heard("b", Promised(Ballot(1, 1, "z.1"), NONE, b"")) and not op.accepting
-    assert op.heard("b", said) and op.accepting
-    took = register.Accepted(op.ballot)
-    for who, reply in (("x", took), ("a", took), ("a", took), ("b", register.Accepted(Ballot(1, 9, "z.1")))):
-        assert not op.heard(who, reply)
-    assert not op.heard("c", said)  # late, of the first round
-    assert op.heard("c", took) and op.outcome == Chosen(6, b"X")
-    change, state = Change(ABC, Epoch(2, (B, C, D))), Acceptor("").state()
+    said = PromiseReply(op.ballot, NO_BALLOT, b"")
+    assert not op.on_reply("x", said) and not op.on_reply("a", said) and not op.on_reply("a", said)
+    assert not op.on_reply("b", PromiseReply(Ballot(1, 1, "z.1"), NO_BALLOT, b"")) and not op.accepting
+    assert op.on_reply("b", said) and op.accepting
+    took = register.AcceptedReply(op.ballot)
+    for who, reply in (
+        ("x", took),
+        ("a", took),
+        ("a", took),
+        ("b", register.AcceptedReply(Ballot(1, 9, "z.1"))),
+    ):
+        assert not op.on_reply(who, reply)
+    assert not op.on_reply("c", said)  # late, of the first round
+    assert op.on_reply("c", took) and op.outcome == Chosen(6, b"X")
+    change, state = Reconfiguration(ABC, Epoch(2, (B, C, D))), Acceptor("").export_state()
     for who in ("x", "a", "a"):
-        assert not change.heard(who, Sealed(Epoch(2, (B, C, D)), state))
-    assert change.heard("b", Sealed(Epoch(2, (B, C, D)), state)) and change.installing
+        assert not change.on_reply(who, SealedReply(Epoch(2, (B, C, D)), state))
+    assert change.on_reply("b", SealedReply(Epoch(2, (B, C, D)), state)) and change.installing
     for who in ("a", "x", "b", "b"):  # a is no member of the next epoch
-        assert not change.heard(who, register.Installed(2))
-    assert change.heard("d", register.Installed(2)) and change.outcome == Moved(Epoch(2, (B, C, D)), False)
+        assert not change.on_reply(who, register.InstalledReply(2))
+    assert change.on_reply("d", register.InstalledReply(2)) and change.outcome == EpochChanged(
+        Epoch(2, (B, C, D)), False
+    )
 
 
 def test_what_a_leaver_alone_holds_is_on_a_majority_of_the_others_when_it_ends() -> None:
     a, b, c = (member(disk) for disk in "abc")
     c.learn(4, b"four", {3: b"3" * 16}.items())
-    op = Teacher(ABC, "c", c.held, c.past())
-    asked = [disk for disk, _ in op.targets()]
+    op = StateTransfer(ABC, "c", c.committed, c.digest_history())
+    asked = [disk for disk, _ in op.unanswered_members()]
     assert asked == ["a", "b"]
-    assert not op.heard("a", a.answer(op.request())) and not op.heard("a", a.answer(op.request()))
-    assert not op.heard("c", c.answer(op.request())) and not op.heard("x", c.answer(op.request()))
-    assert op.heard("b", b.answer(op.request())) and op.outcome == Read(4, 4, "")
+    assert not op.on_reply("a", a.handle(op.request())) and not op.on_reply("a", a.handle(op.request()))
+    assert not op.on_reply("c", c.handle(op.request())) and not op.on_reply("x", c.handle(op.request()))
+    assert op.on_reply("b", b.handle(op.request())) and op.outcome == QuorumReadResult(4, 4, "")
     for one in (a, b):
-        assert one.held == Held(4, b"four") and one.history == {3: b"3" * 16, 4: digest(b"four")} and one.news
+        assert (
+            one.committed == CommittedValue(4, b"four")
+            and one.history == {3: b"3" * 16, 4: digest(b"four")}
+            and one.committed_changed
+        )
 
 
 def started(acceptor: Acceptor) -> Replica:
     replica = Replica(acceptor, 1, lambda: 0.5)
     replica.start(0)
-    (write,) = replica.take()
+    (write,) = replica.take_effects()
     assert (
-        isinstance(write, Write) and write.rows.meta is not None and write.rows.meta["life"] == acceptor.life
+        isinstance(write, Persist)
+        and write.update.metadata is not None
+        and write.update.metadata["life"] == acceptor.incarnation
     )
-    replica.written(0, write.mark)
+    replica.on_persisted(0, write.write_id)
     return replica
 
 
 def test_a_leaver_waits_until_the_epoch_without_it_has_a_majority() -> None:
     before, after = Epoch(1, (A, B, C, D)), Epoch(2, (A, B, C))
     replica = started(member("d", before))
-    replica.leave(0, 9 * SECOND)
-    replica.take()
-    (job,) = replica.jobs
-    question = max(number for number, (_, turn, _) in replica.questions.items() if turn)
-    replica.heard(1, question, "a", register.Newer(after))  # at one of three
-    replica.tick(SECOND)
-    asked = [effect for effect in replica.take() if isinstance(effect, Ask)]
-    assert {ask.address for ask in asked} == {"h:0", "h:1", "h:2"} and job in replica.jobs
+    replica.leave(0, 9 * SECOND_NS)
+    replica.take_effects()
+    (job,) = replica.operations
+    question = max(number for number, (_, turn, _) in replica.pending_requests.items() if turn)
+    replica.on_reply(1, question, "a", register.StaleEpochReply(after))  # at one of three
+    replica.tick(SECOND_NS)
+    asked = [effect for effect in replica.take_effects() if isinstance(effect, SendRequest)]
+    assert {ask.address for ask in asked} == {"h:0", "h:1", "h:2"} and job in replica.operations
     one, two, _ = asked
-    replica.heard(SECOND, one.question, "a", member("a", after).answer(one.request))
-    assert not any(isinstance(effect, Answer) for effect in replica.take())
-    replica.heard(SECOND, two.question, "b", member("b", after).answer(two.request))
-    assert Answer(LEAVE, Taken()) in replica.take()
+    replica.on_reply(SECOND_NS, one.request_id, "a", member("a", after).handle(one.request))
+    assert not any(isinstance(effect, CompleteOperation) for effect in replica.take_effects())
+    replica.on_reply(SECOND_NS, two.request_id, "b", member("b", after).handle(two.request))
+    assert CompleteOperation(LEAVE_WAITER_ID, Committed()) in replica.take_effects()
 
 
 def test_nothing_is_asked_before_the_life_is_on_the_disk() -> None:
     replica = Replica(member("d", Epoch(1, (A, B, C, D))), 1, lambda: 0.5)
     replica.start(0)
-    (write,) = replica.take()
-    assert isinstance(write, Write)
-    replica.leave(1, 9 * SECOND)
-    replica.tick(SECOND)
-    assert not any(isinstance(effect, Ask) for effect in replica.take())
-    replica.written(SECOND, write.mark)
-    replica.tick(2 * SECOND)
-    assert any(isinstance(effect, Ask) for effect in replica.take())
+    (write,) = replica.take_effects()
+    assert isinstance(write, Persist)
+    replica.leave(1, 9 * SECOND_NS)
+    replica.tick(SECOND_NS)
+    assert not any(isinstance(effect, SendRequest) for effect in replica.take_effects())
+    replica.on_persisted(SECOND_NS, write.write_id)
+    replica.tick(2 * SECOND_NS)
+    assert any(isinstance(effect, SendRequest) for effect in replica.take_effects())
 
 
 MESSAGES = [
-    Prepare(1, 2, Ballot(1, 3, "p")),
-    register.Accept(1, 2, Ballot(1, 3, "p"), b"c"),
-    register.Seal(1, ABC),
-    register.Install(1, ABC, State(Held(2, b"x"), ((1, b"d"),), ((3, Ballot(1, 1, "p"), NONE, b""),))),
-    register.Look(1),
-    register.Fetch(2),
-    register.Teach(1, Held(2, b"x"), ((1, b"d"), (2, b"e"))),
-    register.Seen(1, True, 3, 2, "d", "h:1", False),
-    Promised(Ballot(1, 1, "p"), NONE, b""),
-    register.Accepted(Ballot(1, 1, "p")),
-    register.Refused(Ballot(2, 1, "p")),
-    register.Past(Held(4, b"d"), ((4, b"d"),)),
-    register.Newer(ABC),
-    Sealed(ABC),
-    Sealed(ABC, State(Held(), (), ())),
-    register.Installed(2),
-    Outside(UNKNOWN),
-    register.Whole(Held(1, b"x"), ()),
+    PrepareRequest(1, 2, Ballot(1, 3, "p")),
+    register.AcceptRequest(1, 2, Ballot(1, 3, "p"), b"c"),
+    register.SealRequest(1, ABC),
+    register.InstallRequest(
+        1,
+        ABC,
+        AcceptorState(CommittedValue(2, b"x"), ((1, b"d"),), ((3, Ballot(1, 1, "p"), NO_BALLOT, b""),)),
+    ),
+    register.QueryRequest(1),
+    register.SnapshotRequest(2),
+    register.LearnRequest(1, CommittedValue(2, b"x"), ((1, b"d"), (2, b"e"))),
+    register.QueryReply(1, True, 3, 2, "d", "h:1", False),
+    PromiseReply(Ballot(1, 1, "p"), NO_BALLOT, b""),
+    register.AcceptedReply(Ballot(1, 1, "p")),
+    register.BallotRejectedReply(Ballot(2, 1, "p")),
+    register.VersionDecidedReply(CommittedValue(4, b"d"), ((4, b"d"),)),
+    register.StaleEpochReply(ABC),
+    SealedReply(ABC),
+    SealedReply(ABC, AcceptorState(CommittedValue(), (), ())),
+    register.InstalledReply(2),
+    NotAMemberReply(UNKNOWN_EPOCH),
+    register.SnapshotReply(CommittedValue(1, b"x"), ()),
 ]
 
 
 def test_every_request_and_reply_is_among_those_that_travel() -> None:
-    assert {type(message) for message in MESSAGES} == set(register.READERS)
+    assert {type(message) for message in MESSAGES} == set(register.FIELD_DECODERS)
 
 
 @pytest.mark.parametrize("message", MESSAGES)
 def test_requests_and_replies_travel_unchanged_and_mutants_are_refused_or_harmless(message: Any) -> None:
-    raw = post.decode(post.encode(register.pack(message)))
-    assert register.unpack(raw) == message
+    raw = post.decode(post.encode(register.encode(message)))
+    assert register.decode(raw) == message
     refused = total = 0
     for _, mutant in mutants(raw):
         total += 1
         try:
-            found = register.unpack(mutant)
+            found = register.decode(mutant)
         except post.DECODE_ERRORS:
             refused += 1
         else:
-            assert type(found).__name__ == mutant[0]
-            register.unpack(post.decode(post.encode(register.pack(found))))
+            assert register.WIRE_NAMES[type(found)] == mutant[0]
+            register.decode(post.decode(post.encode(register.encode(found))))
     assert refused > total / 2
     with pytest.raises(post.DECODE_ERRORS):
-        register.unpack(raw[:-1])
+        register.decode(raw[:-1])
 
 
 def test_an_acceptor_that_comes_back_where_it_was_keeps_its_seal_and_its_vote_on_the_members() -> None:
     after = Epoch(2, (B, C, D))
     a = member("a")
-    a.slots[0] = Slot(Ballot(1, 1, "q"), Ballot(1, 1, "q"), b"members")
+    a.slots[0] = AcceptorSlot(Ballot(1, 1, "q"), Ballot(1, 1, "q"), b"members")
     a.seal(1, after)
     meta = Replica(a, 1, lambda: 0.5)
-    a.meta = True
-    kept = meta.collect().meta
+    a.metadata_changed = True
+    kept = meta.collect_update().metadata
     for voting in (False, True):
-        back = acceptor_for(
-            kept, disk="", address="h:0", seeds=(), bootstrap=False, voting=voting, slots=a.slots
+        back = load_acceptor(
+            kept, new_member_id="", address="h:0", seeds=(), bootstrap=False, voting=voting, slots=a.slots
         )
         back.installed = False  # it was started with voting off before
-        reply = back.answer(register.Install(1, ABC, State(Held(), (), ())))
-        assert (reply == register.Installed(1)) is voting and not back.votes()
-        assert back.sealed == after and back.slots[0].accepted == Ballot(1, 1, "q")
+        reply = back.handle(register.InstallRequest(1, ABC, AcceptorState(CommittedValue(), (), ())))
+        assert (reply == register.InstalledReply(1)) is voting and not back.may_vote()
+        assert back.sealed_by == after and back.slots[0].accepted == Ballot(1, 1, "q")
--- a/tests/gateway/test_fleet.py
+++ b/tests/gateway/test_fleet.py
@@ -16,7 +16,7 @@
 
 from meadowworks.cli import main as commands
 from meadowworks.config.route_table import load_route_table
-from meadowworks.consensus.register import Ballot, Outside, Prepare
+from meadowworks.consensus.register import Ballot, NotAMemberReply, PrepareRequest
 from meadowworks.controlplane.server import ControlPlaneServer
 from meadowworks.forwarding.staleness import MAX_AGE_NS
 from meadowworks.local.backend import StubBackend
@@ -216,10 +216,10 @@
         shutil.rmtree(fleet.folder / "disk-0")
         await fleet.start(0, bootstrap=False)
         acceptor = fleet.nodes[0].config_service.replica.acceptor
-        request = Prepare(1, 9, Ballot(1, 1, "x"))  # it may not vote on what it knows nothing of
-        assert not acceptor.votes() and isinstance(acceptor.answer(request), Outside)
+        request = PrepareRequest(1, 9, Ballot(1, 1, "x"))  # it may not vote on what it knows nothing of
+        assert not acceptor.may_vote() and isinstance(acceptor.handle(request), NotAMemberReply)
         await until(
-            lambda: acceptor.votes() and fleet.nodes[0].api_server.server, "the empty disk has entered"
+            lambda: acceptor.may_vote() and fleet.nodes[0].api_server.server, "the empty disk has entered"
         )
         await until(lambda: fleet.nodes[0].holds_lease(), "it has its lease")
 
--- a/tests/gateway/test_golden_disks.py
+++ b/tests/gateway/test_golden_disks.py
@@ -143,9 +143,13 @@
     folder = copied(name, tmp_path / name)
     store = product.Store(folder)
     acceptor = store.start(meta["seat"].removeprefix("@") or "127.0.77.3:18083")
-    assert (acceptor.disk, acceptor.seat, acceptor.life) == (meta["disk"], meta["seat"], meta["life"] + 1)
+    assert (acceptor.member_id, acceptor.founder_id, acceptor.incarnation) == (
+        meta["disk"],
+        meta["seat"],
+        meta["life"] + 1,
+    )
     assert acceptor.epoch == epoch(meta["epoch"]) and acceptor.installed is meta["installed"]
-    assert acceptor.sealed == (epoch(meta["sealed"]) if meta["sealed"] else None)
+    assert acceptor.sealed_by == (epoch(meta["sealed"]) if meta["sealed"] else None)
     for question, answer in CONTENTS["exchanges"][name]:
         reply = store.request(product.decode_letter(bytes.fromhex(question)))
         assert product.encode_letter(reply).hex() == answer
--- a/tests/gateway/test_lab_control.py
+++ b/tests/gateway/test_lab_control.py
@@ -8,11 +8,11 @@
 import pytest
 
 from meadowworks.cli import main as commands
-from meadowworks.consensus.register import Held
-from meadowworks.consensus.replica import Rows
+from meadowworks.consensus.register import CommittedValue
+from meadowworks.consensus.replica import StateUpdate
 from meadowworks.simulation import campaign, drill, guards
 from meadowworks.simulation.disks import SimulatedDisk, SimulatedStore
-from meadowworks.storage.sqlite_store import Disk
+from meadowworks.storage.sqlite_store import SqliteStore
 
 
 @pytest.mark.parametrize("point", sorted(drill.SCENARIOS))
@@ -47,17 +47,20 @@
     assert not campaign.run_seeds(2, range(1), "", 1)[0].violations()
 
 
-def rows(version: int) -> Rows:
-    return Rows({"life": version}, Held(version, b"%d" % version), {version: b"d"}, 0, {})
+def rows(version: int) -> StateUpdate:
+    return StateUpdate({"life": version}, CommittedValue(version, b"%d" % version), {version: b"d"}, 0, {})
 
 
 @pytest.mark.parametrize("seed", range(20))
 def test_what_was_saved_outlives_a_loss_of_power_at_any_operation(seed: int) -> None:
     medium, saved = SimulatedDisk(random.Random(seed)), 0
     for life in range(6):
-        disk: Disk = SimulatedStore(medium)
-        assert disk.load().held.version in (saved, saved + 1)  # a save that was cut short may have been done
-        saved = disk.load().held.version
+        disk: SqliteStore = SimulatedStore(medium)
+        assert disk.load().committed.version in (
+            saved,
+            saved + 1,
+        )  # a save that was cut short may have been done
+        saved = disk.load().committed.version
         for _ in range(3):
             disk.save(rows(saved + 1))
             saved += 1
@@ -78,11 +81,11 @@
     for seed in range(10):
         medium = SimulatedDisk(random.Random(seed))
         disk = SimulatedStore(medium)
-        disk.db.execute("PRAGMA synchronous=OFF")
+        disk.connection.execute("PRAGMA synchronous=OFF")
         disk.save(rows(1))
         medium.lose_power()
         disk.abandon()
-        lost += SimulatedStore(medium).load().held.version == 0
+        lost += SimulatedStore(medium).load().committed.version == 0
         medium.remove()
     assert lost
 
--- a/tests/gateway/test_roster.py
+++ b/tests/gateway/test_roster.py
@@ -28,7 +28,7 @@
     RegistryFull,
     ZoneRedirects,
 )
-from meadowworks.storage.sqlite_store import Disk
+from meadowworks.storage.sqlite_store import SqliteStore
 from tests.gateway.helpers import SECOND, until
 
 
@@ -345,7 +345,7 @@
     """A signalbox's desk for backends over a real disk; `others` disks' receipts are given by hand."""
 
     def __init__(self, folder: Path, box: Box) -> None:
-        self.box, self.disk = box, Disk(folder)
+        self.box, self.disk = box, SqliteStore(folder)
         self.lease, self.zone = True, list[str]()
         self.fencing = DrainService(box.fences, self.disk, ThreadPoolExecutor(1), asyncio.ensure_future)
 
@@ -381,7 +381,7 @@
         desk.receipt(desk.box.news.sources["a.1"].latest_version)
         assert (await waiting).status == 200
         shutil.copytree(tmp_path / "d", tmp_path / "after")  # nothing is closed
-        again = Box("a", 2, decode_rows(Disk(tmp_path / "after").fences()))
+        again = Box("a", 2, decode_rows(SqliteStore(tmp_path / "after").load_drain_records()))
         again.beats.heartbeat(0, "i", beat("up", 1))
         assert again.lives.instances["i"].state == "draining"
 
@@ -391,20 +391,20 @@
 def test_a_disk_that_refuses_is_asked_again_and_nothing_is_acknowledged_before(tmp_path: Path) -> None:
     async def whole() -> None:
         desk = Desk(tmp_path / "d", Box("a"))
-        write, refusals = desk.disk.keep_fences, [True]
+        write, refusals = desk.disk.save_drain_records, [True]
 
-        def refuse(rows: Any, gone: Any) -> None:
+        def refuse(rows: Any, removed: Any) -> None:
             if refusals:
                 refusals.pop()
                 raise sqlite3.OperationalError("disk I/O error")
-            write(rows, gone)
+            write(rows, removed)
 
-        desk.disk.keep_fences = refuse  # type: ignore[method-assign]
+        desk.disk.save_drain_records = refuse  # type: ignore[method-assign]
         desk.receipt(99)
         waiting = asyncio.ensure_future(desk.beat("i", "draining", 1))
         await until(lambda: not refusals and desk.box.fences.write_in_flight is None, "it was refused")
-        assert not waiting.done() and not desk.disk.fences()
-        assert (await waiting).status == 200 and set(desk.disk.fences()) == {"i"}
+        assert not waiting.done() and not desk.disk.load_drain_records()
+        assert (await waiting).status == 200 and set(desk.disk.load_drain_records()) == {"i"}
 
     run(whole)
 
--- a/tests/gateway/test_state.py
+++ b/tests/gateway/test_state.py
@@ -16,8 +16,17 @@
 from meadowworks.config.route_table import load_route_table
 from meadowworks.config.validation import InvalidConfiguration, ValidConfiguration, validate_configuration
 from meadowworks.consensus import register
-from meadowworks.consensus.register import Accept, Acceptor, Ballot, Epoch, Held, Past, Prepare, Promised
-from meadowworks.consensus.replica import Replica, acceptor_for
+from meadowworks.consensus.register import (
+    Acceptor,
+    AcceptRequest,
+    Ballot,
+    CommittedValue,
+    Epoch,
+    PrepareRequest,
+    PromiseReply,
+    VersionDecidedReply,
+)
+from meadowworks.consensus.replica import Replica, load_acceptor
 from meadowworks.gossip import messages as post
 from meadowworks.gossip.peer_sampling import PEER_EXPIRY_NS, PartialView, PeerRecord
 from meadowworks.gossip.updates import MAX_TOMBSTONES, SOURCE_EXPIRY_NS, KeyUpdate, SourceDelta, UpdateStore
@@ -28,7 +37,7 @@
 from meadowworks.registry.heartbeats import CallAccepted, HeartbeatRegistry, InvalidCall
 from meadowworks.runtime import node_settings
 from meadowworks.runtime.errors import SettingsError
-from meadowworks.storage.sqlite_store import Disk
+from meadowworks.storage.sqlite_store import SqliteStore
 from tests.gateway.helpers import SECOND
 
 ODD: tuple[Any, ...] = (None, "", "x", -1, 0, 1.5, True, [], {}, "ff" * 9)
@@ -285,41 +294,43 @@
 
 
 def test_a_disk_holds_what_it_has_saved_through_a_loss_of_power(tmp_path: Path) -> None:
-    def acceptor(disk: Disk) -> Acceptor:
+    def acceptor(disk: SqliteStore) -> Acceptor:
         stored = disk.load()
-        return acceptor_for(
-            stored.meta,
-            disk="d",
+        return load_acceptor(
+            stored.metadata,
+            new_member_id="d",
             address="h:1",
             seeds=("h:1",),
             bootstrap=True,
             voting=True,
-            held=stored.held,
+            committed=stored.committed,
             history=stored.history,
             slots=stored.slots,
         )
 
-    disk = Disk(tmp_path / "d")
-    assert disk.load().meta is None
+    disk = SqliteStore(tmp_path / "d")
+    assert disk.load().metadata is None
     replica = Replica(acceptor(disk), 0, lambda: 0.5)
     found = replica.acceptor
-    found.install(Epoch(1, (("d", "h:1"),)), found.state())
-    found.answer(Prepare(1, 3, Ballot(1, 4, "p")))
-    found.answer(Accept(1, 3, Ballot(1, 4, "p"), b"three"))
-    disk.save(replica.collect())
+    found.install(Epoch(1, (("d", "h:1"),)), found.export_state())
+    found.handle(PrepareRequest(1, 3, Ballot(1, 4, "p")))
+    found.handle(AcceptRequest(1, 3, Ballot(1, 4, "p"), b"three"))
+    disk.save(replica.collect_update())
     shutil.copytree(tmp_path / "d", tmp_path / "after")  # as the power goes: what is on the disk, unclosed
     found.learn(3, b"three")
-    disk.save(replica.collect())
+    disk.save(replica.collect_update())
     shutil.copytree(tmp_path / "d", tmp_path / "later")
-    again = acceptor(Disk(tmp_path / "after"))
-    assert again.disk == "d" and again.votes() and again.epoch == found.epoch
-    assert again.answer(Prepare(1, 3, Ballot(1, 3, "q"))) == register.Refused(Ballot(1, 4, "p"))
-    promised = Promised(Ballot(1, 5, "q"), Ballot(1, 4, "p"), b"three")
-    assert again.answer(Prepare(1, 3, Ballot(1, 5, "q"))) == promised
-    later = acceptor(Disk(tmp_path / "later"))
-    assert later.held == Held(3, b"three") and not later.slots
+    again = acceptor(SqliteStore(tmp_path / "after"))
+    assert again.member_id == "d" and again.may_vote() and again.epoch == found.epoch
+    assert again.handle(PrepareRequest(1, 3, Ballot(1, 3, "q"))) == register.BallotRejectedReply(
+        Ballot(1, 4, "p")
+    )
+    promised = PromiseReply(Ballot(1, 5, "q"), Ballot(1, 4, "p"), b"three")
+    assert again.handle(PrepareRequest(1, 3, Ballot(1, 5, "q"))) == promised
+    later = acceptor(SqliteStore(tmp_path / "later"))
+    assert later.committed == CommittedValue(3, b"three") and not later.slots
     assert later.history == {3: register.digest(b"three")}
-    assert isinstance(later.answer(Prepare(1, 2, Ballot(1, 9, "q"))), Past)
+    assert isinstance(later.handle(PrepareRequest(1, 2, Ballot(1, 9, "q"))), VersionDecidedReply)
 
 
 def test_a_services_table_is_of_its_zone_by_capacity_and_what_drains_leaves_at_once() -> None:
@@ -394,10 +405,13 @@
     beats.heartbeat(0, "i", BEAT)
     beats.heartbeat(0, "j", BEAT)
     beats.leave(1, "j")
-    disk = Disk(tmp_path / "d")
-    disk.keep_lives({ident: post.encode(value) for ident, value in beats.durable_values().items()})
+    disk = SqliteStore(tmp_path / "d")
+    disk.save_backend_hints({ident: post.encode(value) for ident, value in beats.durable_values().items()})
     shutil.copytree(tmp_path / "d", tmp_path / "after")
-    rows = {ident: post.decode(value) for ident, value in Disk(tmp_path / "after").lives().items()}
+    rows = {
+        ident: post.decode(value)
+        for ident, value in SqliteStore(tmp_path / "after").load_backend_hints().items()
+    }
     assert set(rows) == {"i"}
     said.clear()
     later = HeartbeatRegistry(lambda key, value: said.update({key: value}) or 1, 1000)
