--- a/tests/gateway/golden_product.py
+++ b/tests/gateway/golden_product.py
@@ -514,7 +514,7 @@
     from meadowworks.simulation.control import ScenarioCounts
 
     nothing: tuple[ScenarioCounts, list[str], bool] = (ScenarioCounts(), [], True)
-    with patch.object(campaign, "run", lambda *words: nothing):
+    with patch.object(campaign, "run_seeds", lambda *words: nothing):
         yield
 
 
