--- a/meadowworks/__main__.py
+++ b/meadowworks/__main__.py
@@ -65,8 +65,8 @@
     loop.add_signal_handler(signal.SIGHUP, again)
     node = FleetController(config, module, lists, loop.call_at)
     index = config.known.index if config.known else None
-    discovery = DiscoveryClient(config.discovery, index, config.settings.ask_within_ns, lists, module)
-    door = Listener(module, config.zone_indices, config.settings.proxies, config.sockets)
+    discovery = DiscoveryClient(config.discovery, index, config.settings.list_refresh_ns, lists, module)
+    door = Listener(module, config.zone_indices, config.settings.proxy_count, config.sockets)
 
     async def listen() -> None:
         with await door.open_socket(config.host, config.port) as listening:
--- a/meadowworks/fleet/config.py
+++ b/meadowworks/fleet/config.py
@@ -60,9 +60,9 @@
         raise SettingsError("settings are missing from NODE_CONFIG")
     flat = flatten(nested)
     settings, zones, routes = read_settings(flat)
-    if settings.probes:
+    if settings.health_checks:
         raise SettingsError("limits.probes is set, but the protocol has no form for a probe")
-    if settings.slices:
+    if settings.slice_count:
         raise SettingsError("extra.slices is set, but the protocol has no form for slices")
     try:
         known = parse_endpoint_list(given["known"]) if given.get("known") else None
--- a/meadowworks/fleet/controller.py
+++ b/meadowworks/fleet/controller.py
@@ -33,7 +33,7 @@
 from meadowworks.fleet.streams import ProxyStreams
 from meadowworks.fleet.table_updates import TableUpdates
 from meadowworks.policy import Controller
-from meadowworks.policy.interface import EndpointEntry
+from meadowworks.policy.interface import AttemptReport, EndpointEntry
 
 SECOND_NS = 1_000_000_000
 EVENT_LOOP_TURNS = 4  # turns of the loop from a socket to this mailbox: what has come in joins the batch
@@ -151,19 +151,13 @@
                         self.now,
                         self.zone_indices[zone],
                         self.backends.index_by_name[backend],
-                        tries,
-                        bad,
-                        latency,
-                        covers,
-                        load,
+                        AttemptReport(tries, bad, latency, covers, load),
                     )
                 else:
                     count("reports passed over: unknown zone or backend")
-            case DemandReport(proxy, route, calls, dropped, covers):
+            case DemandReport(proxy, route, calls, _, covers):
                 if route in self.route_indices and proxy in self.streams.by_proxy:
-                    self.policy.on_demand_report(
-                        self.now, proxy, self.route_indices[route], calls, dropped, covers
-                    )
+                    self.policy.on_demand_report(self.now, proxy, self.route_indices[route], calls, covers)
                 else:
                     count("reports passed over: unknown route or proxy")
             case UpdateApplied(proxy, mark):
@@ -205,7 +199,7 @@
         self.policy.on_endpoints(self.now, how, entries)
 
     def send_updates(self) -> None:
-        for users, lines in self.streams.send_updates(self.policy.calls):
+        for users, lines in self.streams.send_updates(self.policy.call_rate):
             count("messages sent", users)
             count("lines sent", users * lines)
 
--- a/meadowworks/load_balancing/service.py
+++ b/meadowworks/load_balancing/service.py
@@ -13,7 +13,7 @@
 
 from meadowworks.fleet.names import NameIndex
 from meadowworks.policy import Controller
-from meadowworks.policy.interface import EndpointEntry, Route, Settings
+from meadowworks.policy.interface import AttemptReport, EndpointEntry, Route, Settings
 from meadowworks.registry.backends import BackendInstance
 from meadowworks.registry.heartbeats import DRAINING, UP
 
@@ -38,33 +38,33 @@
 def policy_settings(zones: int, target_ns: int, slow_start_ns: int) -> Settings:
     return Settings(
         routes=(Route(1.0, target_ns, False),),
-        zones=zones,
-        proxies=zones,
-        connections=0.0,
-        controllers=1,
-        by_zone=False,
-        subscribe=False,
-        ask_within_ns=SECOND,
-        only_draining_binds=True,
-        probes=False,
-        level_kind="share",
-        base_retry=1,
-        ejects=0,
-        report_ns=REPORT_INTERVAL_NS,
+        zone_count=zones,
+        proxy_count=zones,
+        backend_connections=0.0,
+        controller_count=1,
+        proxies_join_own_zone=False,
+        watches_list=False,
+        list_refresh_ns=SECOND,
+        removals_uncertain=True,
+        health_checks=False,
+        admission_unit="share",
+        base_retry_policy=1,
+        proxy_ejects_after=0,
+        report_interval_ns=REPORT_INTERVAL_NS,
         fixed_weights=True,
         channel_rate=UNLIMITED,
-        queue_cap=UNLIMITED,
-        head=1.0,
-        messages_most=0,
-        messages_over_ns=SECOND,
-        delay_most_ns=REPORT_INTERVAL_NS,
-        cold_share=0.1,
-        tip=1.0,
-        cold_ns=slow_start_ns,
-        slices=0,
-        exclusive=False,
-        lease_ns=0,
-        in_flight_ns=0,
+        queue_limit=UNLIMITED,
+        message_overhead=1.0,
+        message_limit=0,
+        message_window_ns=SECOND,
+        max_delay_ns=REPORT_INTERVAL_NS,
+        slow_start_share=0.1,
+        overload_factor=1.0,
+        slow_start_ns=slow_start_ns,
+        slice_count=0,
+        exclusive_slices=False,
+        slice_lease_ns=0,
+        max_in_flight_ns=0,
     )
 
 
@@ -134,8 +134,8 @@
 
     def set_latency_target(self, target_ns: int) -> None:
         """The time within which the operator wants this service's answers, as a new configuration says."""
-        old = self.controller.set
-        self.controller.set = replace(old, routes=(replace(old.routes[0], slo_ns=target_ns),))
+        old = self.controller.settings
+        self.controller.settings = replace(old, routes=(replace(old.routes[0], slo_ns=target_ns),))
 
     def acknowledge_marks(self, now: int) -> None:
         """Orders within one process are carried out at once."""
@@ -152,7 +152,7 @@
             if b.warm_at_ns and self.slow_start_ns == DEFAULT_SLOW_START_NS:
                 # The backends tell how long they are slow: that takes the place of the usual time.
                 self.slow_start_ns = b.warm_at_ns - b.first_seen_ns
-                self.controller.set = replace(self.controller.set, cold_ns=self.slow_start_ns)
+                self.controller.settings = replace(self.controller.settings, slow_start_ns=self.slow_start_ns)
             self.backend_states[b.instance_id] = b.state
             state = {UP: "ready", DRAINING: "draining"}.get(b.state, "gone")
             entries.append(
@@ -186,13 +186,15 @@
                     now,
                     zone,
                     place,
-                    m.attempts,
-                    m.failures,
-                    m.latency_ns,
-                    covers_ns,
-                    {} if m.queue_length < 0 else {"queue": m.queue_length},
+                    AttemptReport(
+                        m.attempts,
+                        m.failures,
+                        m.latency_ns,
+                        covers_ns,
+                        {} if m.queue_length < 0 else {"queue": m.queue_length},
+                    ),
                 )
-        self.controller.on_demand_report(now, zone, 0, requests, 0, covers_ns)
+        self.controller.on_demand_report(now, zone, 0, requests, covers_ns)
         self.reported_ns[zone] = now
 
     def record_response(self, size: int) -> None:
@@ -207,16 +209,16 @@
         return {
             "level": self.admission_ratio,
             "further tries allowed": bool(self.max_retries),
-            "asked": round(c.asking, 2),
-            "proven": round(c.proven, 2),
+            "asked": round(c.demand, 2),
+            "proven": round(c.proven_rate, 2),
             "zones": {
                 zone: {
-                    "view": round(view.calls, 2),
-                    "asked": round(view.asked, 2),
-                    "keeps": round(view.keep, 3),
-                    "waiting": round(view.crowd, 2),
-                    "jammed": view.jam,
-                    "calm": view.calm,
+                    "view": round(view.capacity, 2),
+                    "asked": round(view.admitted_rate, 2),
+                    "keeps": round(view.local_share, 3),
+                    "waiting": round(view.mean_queue, 2),
+                    "jammed": view.overloaded,
+                    "calm": view.latency_ok,
                     "figures_s": round((now - self.reported_ns[k]) / SECOND, 1)
                     if k in self.reported_ns
                     else None,
@@ -232,12 +234,13 @@
             },
             "held back": {
                 self.endpoint_ids.name_by_index[p]: {
-                    "rung": b.rung,
-                    "part": round(c.part(now, b), 3),
+                    "rung": b.ejection_step,
+                    "part": round(c.weight_factor(now, b), 3),
                     "ready": b.ready,
                 }
                 for p, b in c.backends.items()
-                if p in self.endpoint_ids.name_by_index and (b.rung or not b.ready or c.part(now, b) < 1)
+                if p in self.endpoint_ids.name_by_index
+                and (b.ejection_step or not b.ready or c.weight_factor(now, b) < 1)
             },
         }
 
--- a/meadowworks/modelcheck/models/policy.py
+++ b/meadowworks/modelcheck/models/policy.py
@@ -19,41 +19,41 @@
 from meadowworks.fleet.table_updates import TableUpdates
 from meadowworks.modelcheck.model import Model, Property, Step
 from meadowworks.policy import Controller
-from meadowworks.policy.interface import EndpointEntry, Route, Settings
+from meadowworks.policy.interface import AttemptReport, EndpointEntry, Route, Settings
 
 SECOND = 1_000_000_000
 ROUTES = (Route(2.0, SECOND, False), Route(1.0, SECOND, False))
 SETTINGS = Settings(
     routes=ROUTES,
-    zones=2,
-    proxies=2,
-    connections=0.0,
-    controllers=1,
-    by_zone=True,
-    subscribe=True,
-    ask_within_ns=8 * SECOND,
-    only_draining_binds=False,
-    probes=False,
-    level_kind="share",
-    base_retry=1,
-    ejects=5,
-    report_ns=SECOND,
+    zone_count=2,
+    proxy_count=2,
+    backend_connections=0.0,
+    controller_count=1,
+    proxies_join_own_zone=True,
+    watches_list=True,
+    list_refresh_ns=8 * SECOND,
+    removals_uncertain=False,
+    health_checks=False,
+    admission_unit="share",
+    base_retry_policy=1,
+    proxy_ejects_after=5,
+    report_interval_ns=SECOND,
     fixed_weights=True,
     channel_rate=30.0,
-    queue_cap=30.0,
-    head=3.0,
-    messages_most=6,
-    messages_over_ns=4 * SECOND,
-    delay_most_ns=SECOND // 4,
-    cold_share=0.3,
-    tip=2.5,
-    cold_ns=4 * SECOND,
-    slices=0,
-    exclusive=False,
-    lease_ns=SECOND,
-    in_flight_ns=SECOND,
+    queue_limit=30.0,
+    message_overhead=3.0,
+    message_limit=6,
+    message_window_ns=4 * SECOND,
+    max_delay_ns=SECOND // 4,
+    slow_start_share=0.3,
+    overload_factor=2.5,
+    slow_start_ns=4 * SECOND,
+    slice_count=0,
+    exclusive_slices=False,
+    slice_lease_ns=SECOND,
+    max_in_flight_ns=SECOND,
 )
-TICK = SETTINGS.report_ns // 2
+TICK = SETTINGS.report_interval_ns // 2
 BATCH = SECOND // 1000
 GRACE = BARE = 5 * SECOND // 2  # for lines to what drains, and without a line: what the settings would state
 STALL = 6  # ticks: longer than the grace
@@ -136,10 +136,10 @@
         self.backlog, self.backlog_ns = max(0.0, self.backlog - gone), self.now
         for users, parts in self.orders.take_messages():
             for proxy in users:
-                self.backlog += SETTINGS.head + sum(part.channel_lines() for part in parts)
+                self.backlog += SETTINGS.message_overhead + sum(part.channel_lines() for part in parts)
                 heads = self.heads[proxy]
                 heads.append(self.now)
-                while heads[0] <= self.now - SETTINGS.messages_over_ns:
+                while heads[0] <= self.now - SETTINGS.message_window_ns:
                     heads.popleft()
                 self.apply(proxy, parts)
         self.look()
@@ -162,7 +162,8 @@
     def look(self) -> None:
         """Notes since when a proxy lacks a line that it might have, by what the module has been told."""
         warm = self.told and any(
-            state == "ready" and self.now - since >= SETTINGS.cold_ns for state, since in self.listed.values()
+            state == "ready" and self.now - since >= SETTINGS.slow_start_ns
+            for state, since in self.listed.values()
         )
         for proxy, tables in self.holds.items():
             if warm and not all(tables):
@@ -174,8 +175,8 @@
 
     def narrow(self, proxy: int) -> bool:
         """Whether the caps leave no room for one more urgent message to a proxy: a tenth of them is kept."""
-        busy = len(self.heads[proxy]) >= SETTINGS.messages_most - 2
-        return busy or self.backlog > SETTINGS.queue_cap / 2 or self.now - self.stood_ns <= GRACE
+        busy = len(self.heads[proxy]) >= SETTINGS.message_limit - 2
+        return busy or self.backlog > SETTINGS.queue_limit / 2 or self.now - self.stood_ns <= GRACE
 
     # -- steps
 
@@ -187,7 +188,7 @@
             found += [("list", b, to) for to in LISTS[b] if to != state]
         found += [("start", 0), ("start", 1), ("report", 0), ("report", -1), ("report", -2)]
         found += [("ask", 2), ("ask", 200)]
-        for p in range(SETTINGS.proxies):
+        for p in range(SETTINGS.proxy_count):
             found.append(("leave", p) if p in self.holds else ("join", p))
         found.append(("channel",))
         return found
@@ -242,12 +243,14 @@
                 b = int(name[2:])
                 bad = 20 if ill in (b, -2) else 0
                 load = {"queue": 9.0} if ill == -2 else {}
-                self.module.on_backend_report(self.now, p, b, 20, bad, SECOND // 10, SECOND, load)
+                self.module.on_backend_report(
+                    self.now, p, b, AttemptReport(20, bad, SECOND // 10, SECOND, load)
+                )
 
     def do_ask(self, calls: int) -> None:
         for p in self.holds:
             for k in range(len(ROUTES)):
-                self.module.on_demand_report(self.now, p, k, calls, 0, SECOND)
+                self.module.on_demand_report(self.now, p, k, calls, SECOND)
 
     def do_join(self, p: int) -> None:
         self.holds[p], self.grants[p] = [{}, {}], [None, None]
@@ -277,12 +280,12 @@
         if self.frozen:
             return self.frozen
         module, did, self.outcomes = self.module, self.outcomes, []
-        module.set = None  # type: ignore[assignment]
+        module.settings = None  # type: ignore[assignment]
         try:
             self.frozen = pickle.dumps(self, pickle.HIGHEST_PROTOCOL)
             return self.frozen
         finally:
-            module.set, self.outcomes = SETTINGS, did
+            module.settings, self.outcomes = SETTINGS, did
 
     def key(self) -> bytes:
         return self.freeze()
@@ -290,7 +293,7 @@
 
 def thaw(state: bytes) -> World:
     world: World = pickle.loads(state)
-    world.module.set = SETTINGS
+    world.module.settings = SETTINGS
     return world
 
 
@@ -332,10 +335,10 @@
     """A line to a cold backend weighs no more than it can bear at its age, of its listed weight, as long as
     the caps leave room to say so."""
     for b, (_, since) in world.listed.items():
-        age = (world.now - since) / SETTINGS.cold_ns
+        age = (world.now - since) / SETTINGS.slow_start_ns
         if age >= 1:
             continue
-        bears = WEIGHT * (SETTINGS.cold_share + (1 - SETTINGS.cold_share) * age)
+        bears = WEIGHT * (SETTINGS.slow_start_share + (1 - SETTINGS.slow_start_share) * age)
         for proxy, tables in world.holds.items():
             if any(table.get(f"s-{b}", 0.0) > bears + ROOM for table in tables) and not world.narrow(proxy):
                 return False
@@ -343,17 +346,17 @@
 
 
 def queue_short(world: World) -> bool:
-    return world.backlog <= SETTINGS.queue_cap + ROOM
+    return world.backlog <= SETTINGS.queue_limit + ROOM
 
 
 def few_messages(world: World) -> bool:
-    return all(len(heads) <= SETTINGS.messages_most for heads in world.heads.values())
+    return all(len(heads) <= SETTINGS.message_limit for heads in world.heads.values())
 
 
 def tables_held(world: World) -> bool:
     """What a proxy holds is what the module believes it to hold."""
     for p, tables in world.holds.items():
-        if not world.module.proxies[p].bound:
+        if not world.module.proxies[p].assigned:
             continue
         for k, table in enumerate(tables):
             number = world.orders.assignments[p][k]
@@ -367,15 +370,17 @@
 
 
 def important_first(world: World) -> bool:
-    return all(not view.grants or view.grants[0][0] >= view.grants[1][0] for view in world.module.views)
+    return all(
+        not view.admissions or view.admissions[0][0] >= view.admissions[1][0] for view in world.module.views
+    )
 
 
 def under_budget(world: World) -> bool:
     """All that is let in stays under what the zone's estimate allows, but for the floor of each route."""
     for view in world.module.views:
-        if not view.grants or all(level >= 1 for level, _ in view.grants):
+        if not view.admissions or all(level >= 1 for level, _ in view.admissions):
             continue
-        highest = [level for level, _ in view.grants]
+        highest = [level for level, _ in view.admissions]
         if highest[1] > 0.1 + 0.025 and highest[0] < 1:
             return False  # the less important is let in beyond its floor while the other is cut
     return True
--- a/meadowworks/policy/admission.py
+++ b/meadowworks/policy/admission.py
@@ -1,70 +1,68 @@
-"""The design's fold: views by median into one estimate, and one level that keeps all grants under it."""
+"""Admission control: the median of the zones' views, and limits that keep all calls under it."""
 
-from collections import deque
 from statistics import median
 
-from meadowworks.policy.state import FRESH_NS, OPEN_RATE, WINDOW_NS
-from meadowworks.policy.zone_views import SLO_PART, ZoneViews
+from meadowworks.policy.state import SETTLING_NS, UNLIMITED_RATE
+from meadowworks.policy.zone_views import SLO_SHARE, ZoneViews
 
-TOLERANCE, LEAST_CUT, GAIN, CAP = 2.0, 0.5, 0.1, 2.0  # the design's (docs/design/): of a view
-PROVEN, PROVEN_CALM = 0.4, 0.8  # parts of the best throughput that a budget keeps; the latter in calm
-FLOOR, LEVEL_STEP, LINE_STEP = 0.1, 0.05, 0.1  # the least level; the least moves of a level and of a weight
+LATENCY_TOLERANCE, MIN_CUT, RECOVERY_GAIN, CAPACITY_CAP = 2.0, 0.5, 0.1, 2.0  # see docs/design/: of a view
+PROVEN_SHARE, CALM_PROVEN_SHARE = 0.4, 0.8  # parts of the best throughput that a budget keeps
+MIN_ADMISSION, ADMISSION_STEP, WEIGHT_STEP = 0.1, 0.05, 0.1  # least limit; least moves of a limit, a weight
 
 
 class AdmissionControl(ZoneViews):
-    def lowest(self, now: int, seen: deque[tuple[int, float]], value: float) -> float:
-        while seen and seen[-1][1] >= value:
-            seen.pop()
-        seen.append((now, value))
-        while seen[0][0] < now - WINDOW_NS:
-            seen.popleft()
-        return seen[0][1]
-
-    def estimate(self, now: int) -> list[float]:  # calls a second for each zone: the median of the views
+    def estimate_capacity(self, now: int) -> list[float]:
+        """Calls a second to admit in each zone: the median of the views; below 0 before any report."""
         for view in self.views:
-            view.lines = {p: line for p, line in view.lines.items() if line[2] > now}
-        total = sum(rate for view in self.views for rate, _, _ in view.lines.values())
+            view.good_rates = {p: rate for p, rate in view.good_rates.items() if rate[2] > now}
+        total = sum(rate for view in self.views for rate, _, _ in view.good_rates.values())
         for view in self.views:
-            good = sum(rate for rate, _, _ in view.lines.values())
-            if view.fresh and good > 0:
-                view.fresh = False
-                latency = sum(rate * lag for rate, lag, _ in view.lines.values()) / good
-                base = self.lowest(now, view.lows, latency)
-                cut = max(TOLERANCE * base, SLO_PART * self.slo_ns) / max(latency, 1)
-                view.calm = cut >= 1
-                old = view.calls if view.calls >= 0 else CAP * total
-                view.calls = min(CAP * total, old * min(1.0, max(LEAST_CUT, cut)) + GAIN * total)
-        # What was answered lately can be answered again: guards against a level that feeds on itself.
+            good = sum(rate for rate, _, _ in view.good_rates.values())
+            if view.has_news and good > 0:
+                view.has_news = False
+                latency = sum(rate * lag for rate, lag, _ in view.good_rates.values()) / good
+                base = view.least_latency.add(now, latency)
+                cut = max(LATENCY_TOLERANCE * base, SLO_SHARE * self.slo_ns) / max(latency, 1)
+                view.latency_ok = cut >= 1
+                old = view.capacity if view.capacity >= 0 else CAPACITY_CAP * total
+                new = old * min(1.0, max(MIN_CUT, cut)) + RECOVERY_GAIN * total
+                view.capacity = min(CAPACITY_CAP * total, new)
+        # What was answered lately can be answered again: guards against a limit that feeds on itself.
         weight = sum(b.weight for b in self.backends.values() if b.ready) + 1e-9
-        self.proven = -self.lowest(now, self.best, -total / weight) * weight
-        # Guards against one zone's jam that starves the calm ones, and their ease that feeds it.
-        heard = [v for v in self.views if v.calls >= 0]
-        torn = any(v.jam for v in heard) and any(v.calm and not v.jam for v in heard)
-        fold, budgets = median(v.calls for v in heard) if heard else -1.0, []
+        self.proven_rate = -self.best_rate.add(now, -total / weight) * weight
+        heard = [v for v in self.views if v.capacity >= 0]
+        if not heard:
+            return [-1.0] * len(self.views)
+        # Guards against one zone's overload that starves the calm ones, and their ease that feeds it.
+        torn = any(v.overloaded for v in heard) and any(v.latency_ok and not v.overloaded for v in heard)
+        all_calm, fold = all(v.latency_ok for v in self.views), median(v.capacity for v in heard)
+        budgets = []
         for view in self.views:
-            part = PROVEN_CALM if (view.calm if torn else all(v.calm for v in self.views)) else PROVEN
-            mine = (fold + view.calls) / 2 if torn and view.jam else max(fold, torn * view.calls)
-            budgets.append(max(mine, part * self.proven) if heard else -1.0)
+            share = CALM_PROVEN_SHARE if (view.latency_ok if torn else all_calm) else PROVEN_SHARE
+            mean = (fold + view.capacity) / 2
+            own = mean if torn and view.overloaded else max(fold, torn * view.capacity)
+            budgets.append(max(own, share * self.proven_rate))
         return budgets
 
-    def spend(self, now: int) -> None:
-        routes = self.set.routes
-        each = [[p.asked.get(k, (0.0, 0))[0] for p in self.proxies.values()] for k in range(len(routes))]
-        asked = [sum(rates) + 1e-9 for rates in each]
-        self.asking = sum(asked)
-        self.slo_ns = sum(a * r.slo_ns for a, r in zip(asked, routes, strict=True)) / self.asking
-        budgets = self.estimate(now)
-        if now - self.born_ns < FRESH_NS or min(budgets) < 0:
+    def update_admission(self, now: int) -> None:
+        """Admits routes by importance, each cut to its least limit before a more important one is."""
+        routes = self.settings.routes
+        rates = [[p.demand.get(k, (0.0, 0))[0] for p in self.proxies.values()] for k in range(len(routes))]
+        demands = [sum(each) + 1e-9 for each in rates]
+        self.demand = sum(demands)
+        self.slo_ns = sum(d * r.slo_ns for d, r in zip(demands, routes, strict=True)) / self.demand
+        budgets = self.estimate_capacity(now)
+        if now - self.started_ns < SETTLING_NS or min(budgets) < 0:
             return
         for view, left in zip(self.views, budgets, strict=True):
-            view.grants = [(1.0, 1)] * len(routes)
+            view.admissions = [(1.0, 1)] * len(routes)
             for importance in sorted({r.importance for r in routes}, reverse=True):
                 same = [k for k, r in enumerate(routes) if r.importance == importance]
-                calls = sum(asked[k] for k in same)
-                level = max(FLOOR, min(1.0, left / calls))
+                calls = sum(demands[k] for k in same)
+                level = max(MIN_ADMISSION, min(1.0, left / calls))
                 left = max(0.0, left - level * calls)
                 for k in same:
-                    view.grants[k] = round(level / LEVEL_STEP) * LEVEL_STEP, 1
-                    if self.set.level_kind == "rate":  # calls a second at each proxy
-                        most = float(f"{level * max(each[k], default=0.0):.1g}") + 1
-                        view.grants[k] = OPEN_RATE if level >= 1 else most, 1
+                    view.admissions[k] = round(level / ADMISSION_STEP) * ADMISSION_STEP, 1
+                    if self.settings.admission_unit == "rate":  # calls a second at each proxy
+                        most = float(f"{level * max(rates[k], default=0.0):.1g}") + 1
+                        view.admissions[k] = UNLIMITED_RATE if level >= 1 else most, 1
--- a/meadowworks/policy/control_channel.py
+++ b/meadowworks/policy/control_channel.py
@@ -1,56 +1,65 @@
-"""The channel to the proxies: what may be sent now, and what has left it."""
+"""The control channel to the proxies: what may be sent now, and what has been delivered."""
 
 from collections import deque
 from collections.abc import Sequence
 
-from meadowworks.policy.state import FRESH_NS, PACE_NS, SECOND, WINDOW_NS, ControllerState, Proxy
+from meadowworks.policy.records import Proxy
+from meadowworks.policy.state import SECOND_NS, SETTLING_NS, UPDATE_INTERVAL_NS, WINDOW_NS, ControllerState
 
-CHANNEL_TRUST, MARKS = (0.5, 0.33), 65536  # of its rate: by urgent orders; by the rest. Numbers of marks
-KEEP_DRAIN, KEEP_JOIN, KEEP_USUAL = 0.1, 0.3, 0.5  # parts of the caps that orders of a kind leave free
+RATE_SHARES = 0.5, 0.33  # of the channel's stated rate that urgent updates rely on; that the others do
+NONCE_COUNT = 65536
+RESERVE_URGENT, RESERVE_JOIN, RESERVE_ROUTINE = 0.1, 0.3, 0.5  # parts of the limits left free
 
 
 class ControlChannel(ControllerState):
-    def take(self, now: int, users: Sequence[Proxy], lines: int, keep: float, rest: int = -1) -> int:
-        """Takes room in queue and caps for lines to each user, and leaves some; with a rest, a part does."""
-        gone, self.queue_ns = (now - self.queue_ns) / SECOND * self.set.channel_rate, now
-        # Guards against a channel slower than stated: from a mark on that is overdue, all still waits.
-        self.marks = deque(m for m in self.marks if m[1] >= now - WINDOW_NS)
-        stuck = max((self.sent - before for _, due, before, _ in self.marks if due < now), default=0.0)
-        self.queue = [max(stuck, q - gone * t) for q, t in zip(self.queue, CHANNEL_TRUST, strict=True)]
-        fresh = [p for p in users if not p.sent or p.sent[-1] != now]  # others have a message in this reply
+    def reserve(self, now: int, users: Sequence[Proxy], lines: int, keep: float, rest: int = -1) -> int:
+        """Reserves room for lines to each user, or for a part of them and `rest`; returns for how many."""
+        settings = self.settings
+        drained = (now - self.queue_updated_ns) / SECOND_NS * settings.channel_rate
+        self.queue_updated_ns = now
+        # Guards against a channel slower than stated: from an overdue nonce on, everything still waits.
+        self.pending_nonces = deque(m for m in self.pending_nonces if m[1] >= now - WINDOW_NS)
+        overdue = (self.sent_lines - before for _, due, before, _ in self.pending_nonces if due < now)
+        stuck = max(overdue, default=0.0)
+        shares = zip(self.queued_lines, RATE_SHARES, strict=True)
+        self.queued_lines = [max(stuck, queued - drained * share) for queued, share in shares]
+        fresh = [p for p in users if not p.message_times or p.message_times[-1] != now]  # none in this batch
         for proxy in fresh:
-            while proxy.sent and proxy.sent[0] <= now - self.set.messages_over_ns:
-                proxy.sent.popleft()
-            if self.set.messages_most and len(proxy.sent) + 1 > self.set.messages_most * (1 - keep):
+            times = proxy.message_times
+            while times and times[0] <= now - settings.message_window_ns:
+                times.popleft()
+            if settings.message_limit and len(times) + 1 > settings.message_limit * (1 - keep):
                 return 0
         part, rest = rest >= 0, max(0, rest)
-        least = min(lines or rest, max(1, int(self.set.head)))  # fewer are not worth their heads
-        heads = self.set.head * len(fresh)
-        # Guards against ordinary orders that wait in the channel for longer than the next of their zone take
-        # to come, and all that is urgent behind them.
-        out = min(self.queue[1], self.sent - self.passed)
-        if keep == KEEP_USUAL and out and out + heads > PACE_NS / SECOND * self.set.channel_rate:
+        least = min(lines or rest, max(1, int(settings.message_overhead)))  # fewer are not worth a message
+        overhead = settings.message_overhead * len(fresh)
+        # Guards against routine updates that wait in the channel past the next, the urgent behind them.
+        out = min(self.queued_lines[1], self.sent_lines - self.delivered_lines)
+        interval_lines = UPDATE_INTERVAL_NS / SECOND_NS * settings.channel_rate
+        if keep == RESERVE_ROUTINE and out and out + overhead > interval_lines:
             return 0
         if users:
-            wait = stuck > 0 and now - self.marked_ns < FRESH_NS  # the next mark may be answered
-            kept = zip((keep, max(wait, KEEP_USUAL)), self.queue, strict=True)
-            most, usual = (int((self.set.queue_cap * (1 - k) - q - heads) / len(users)) for k, q in kept)
+            wait = stuck > 0 and now - self.nonce_sent_ns < SETTLING_NS  # the next nonce may be answered
+            kept = zip((keep, max(wait, RESERVE_ROUTINE)), self.queued_lines, strict=True)
+            most, usual = (int((settings.queue_limit * (1 - k) - q - overhead) / len(users)) for k, q in kept)
             rest = min(rest, max(0, usual - lines)) if lines <= most else most - lines
             if lines + rest < least or lines > most and not part:
                 return 0
-        cost = (lines + rest) * len(users) + heads + len(fresh)  # a mark each
-        if fresh and self.marked_ns != now:
-            self.marked_ns, self.mark = now, (self.mark + 1) % MARKS
-            due = now + int(cost / self.set.channel_rate * SECOND) + self.set.report_ns
-            self.marks.append((self.mark, due + self.set.delay_most_ns, self.sent, cost / len(fresh)))
-            self.host.request_ack(self.mark)
-        self.sent, self.queue = self.sent + cost, [q + cost for q in self.queue]
+        cost = (lines + rest) * len(users) + overhead + len(fresh)  # a nonce each
+        if fresh and self.nonce_sent_ns != now:
+            self.nonce_sent_ns, self.nonce = now, (self.nonce + 1) % NONCE_COUNT
+            due = now + int(cost / settings.channel_rate * SECOND_NS)
+            due += settings.report_interval_ns + settings.max_delay_ns
+            self.pending_nonces.append((self.nonce, due, self.sent_lines, cost / len(fresh)))
+            self.host.request_ack(self.nonce)
+        self.sent_lines, self.queued_lines = self.sent_lines + cost, [q + cost for q in self.queued_lines]
         for proxy in fresh:
-            proxy.sent.append(now)
+            proxy.message_times.append(now)
         return lines + rest
 
-    def on_ack(self, now: int, mark: int) -> None:
-        while any(m[0] == mark for m in self.marks):  # what was sent before has left the channel
-            _, _, self.passed, each = self.marks.popleft()
-            self.answering = mark, each
-        self.passed += self.answering[1] * (mark == self.answering[0])  # and so has this message
+    def on_ack(self, now: int, nonce: int) -> None:
+        """A proxy has applied the message with this nonce."""
+        while any(m[0] == nonce for m in self.pending_nonces):  # what was sent before has been delivered
+            _, _, self.delivered_lines, each = self.pending_nonces.popleft()
+            self.last_ack = nonce, each
+        self.delivered_lines += self.last_ack[1] * (nonce == self.last_ack[0])  # and so has this message
--- a/meadowworks/policy/interface.py
+++ b/meadowworks/policy/interface.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
-from typing import Protocol
+from typing import NamedTuple, Protocol
 
 
 @dataclass(frozen=True, slots=True)
@@ -17,39 +17,39 @@
 
     importance: float
     slo_ns: int
-    home_only: bool
+    own_zone_only: bool
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
     routes: tuple[Route, ...]
-    zones: int
-    proxies: int  # of all controllers
-    connections: float  # that the smallest backends accept; 0: not told
-    controllers: int
-    by_zone: bool  # proxies join a controller of their own zone; else they are dealt by chance
-    subscribe: bool
-    ask_within_ns: int
-    only_draining_binds: bool  # the list may be wrong about what is gone
-    probes: bool
-    level_kind: str  # share, rate or silent
-    base_retry: int
-    ejects: int  # a proxy avoids a backend after so many drops in a row; 0: never
-    report_ns: int
+    zone_count: int
+    proxy_count: int  # of all controllers
+    backend_connections: float  # that the smallest backends accept; 0: not told
+    controller_count: int
+    proxies_join_own_zone: bool  # proxies join a controller of their own zone; else they are dealt by chance
+    watches_list: bool
+    list_refresh_ns: int
+    removals_uncertain: bool  # the list may be wrong about what is gone
+    health_checks: bool
+    admission_unit: str  # share, rate or silent
+    base_retry_policy: int
+    proxy_ejects_after: int  # a proxy avoids a backend after so many drops in a row; 0: never
+    report_interval_ns: int
     fixed_weights: bool
     channel_rate: float
-    queue_cap: float
-    head: float
-    messages_most: int
-    messages_over_ns: int
-    delay_most_ns: int
-    cold_share: float
-    tip: float  # times what a cold backend can do that pushes it over
-    cold_ns: int
-    slices: int
-    exclusive: bool
-    lease_ns: int
-    in_flight_ns: int
+    queue_limit: float
+    message_overhead: float
+    message_limit: int
+    message_window_ns: int
+    max_delay_ns: int
+    slow_start_share: float
+    overload_factor: float  # times what a cold backend can do that pushes it over
+    slow_start_ns: int
+    slice_count: int
+    exclusive_slices: bool
+    slice_lease_ns: int
+    max_in_flight_ns: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -63,6 +63,16 @@
     weight: float
 
 
+class AttemptReport(NamedTuple):
+    """What proxies of one zone met at one backend within a period."""
+
+    attempts: int
+    failures: int
+    latency_ns: int  # mean of the successful ones
+    period_ns: int
+    load: dict[str, float]  # as the backend tells it; `queue`: calls that wait there
+
+
 class Host(Protocol):
     """What the module may do. Orders given while one event is handled travel together."""
 
--- a/meadowworks/policy/publisher.py
+++ b/meadowworks/policy/publisher.py
@@ -1,106 +1,122 @@
-"""Orders: tables brought to what is wanted, line by line as the channel allows; and slices, one by one."""
+"""Table updates: tables brought to their targets as the channel allows; and slices, one by one."""
 
-from meadowworks.policy.admission import LINE_STEP
-from meadowworks.policy.control_channel import KEEP_DRAIN, KEEP_JOIN, KEEP_USUAL
-from meadowworks.policy.state import PACE_NS, Pool, Proxy
+from functools import cache, partial
+
+from meadowworks.policy.admission import WEIGHT_STEP
+from meadowworks.policy.control_channel import RESERVE_JOIN, RESERVE_ROUTINE, RESERVE_URGENT
+from meadowworks.policy.records import Candidates, Proxy, WeightChange
+from meadowworks.policy.state import UPDATE_INTERVAL_NS
 from meadowworks.policy.weights import ZoneTables
 
 
 class TablePublisher(ZoneTables):
-    def update_tables(self, now: int) -> None:  # brings tables to what is wanted; what must go leaves at once
-        if self.set.slices:
+    def update_tables(self, now: int) -> None:
+        """Brings tables to their targets; what must go leaves at once."""
+        if self.settings.slice_count:
             return self.update_slices(now)
-        self.balance(now)
-        pools: dict[tuple[int, bool], Pool] = {}
-        bound: dict[tuple[int, int], list[Proxy]] = {}
-        for p in (proxy for proxy in self.proxies.values() if proxy.bound):
-            bound.setdefault((p.zone, p.split), []).append(p)
-        for cell in sorted(range(len(self.paced)), key=self.paced.__getitem__):  # none starves another
-            zone, split = divmod(cell, self.splits)
-            shut = self.shut(now, self.views[zone])
-            levels: dict[tuple[int, tuple[float, int]], int] = {}
-            todo: list[tuple[int, float, int, int, float]] = []  # rank, then the less the sooner; the line
-            for table, routes, home in self.cells[cell]:
-                for k, (level, retry) in enumerate(self.views[zone].grants):
-                    grant = level, 0 if self.views[zone].jam else retry  # further tries feed a jam
-                    if routes >> k & 1 and self.levels[table].get(k, (1.0, self.set.base_retry)) != grant:
-                        levels[table, grant] = levels.get((table, grant), 0) | 1 << k
-                if (zone, home) not in pools:
-                    pools[zone, home] = self.pool(now, zone, home)
-                have, want = self.tables[table], self.wanted(now, zone, split, pools[zone, home])
-                moved = {p: w for p, w in want.items() if abs(have.get(p, 0.0) - w) > LINE_STEP * w}
-                first = 2 if any(p in want for p in have) else 0
-                # Guards against a server that restarts under its name and keeps a warm one's weight: it is
-                # eased as soon as what drains leaves.
-                held = {p: have.get(p, 0.0) for p in moved}
-                eased = {p for p, w in moved.items() if held[p] > w and self.cold(now, self.backends[p])}
-                todo += [(min(first, 1) if p in eased else first, -abs(held[p] - w), table, p, w)
-                         for p, w in moved.items()]
-                off = [(p, w, self.backends[p]) for p, w in have.items() if p not in want]
-                # A cold one leaves at once where it may be pushed over; else it costs no message of its own.
-                todo += [(1 if not b.ready or self.cold(now, b) and (shut or w > b.weight * self.part(now, b))
-                          else 2, -w, table, p, 0.0) for p, w, b in off]
-            # Guards against an order larger than the channel: first a line before the last leaves, then what
-            # must leave (or is cold in a jam), levels, the greatest changes; more later.
-            todo.sort()
-            ahead = sum(rank < 2 for rank, *_ in todo)
-            users = bound.get((zone, split), [])
-            if not todo and not levels or users and not ahead and now - self.paced[cell] < PACE_NS:
-                continue
-            keep, rest = KEEP_DRAIN if ahead else KEEP_USUAL, len(todo) - ahead + len(levels)
-            fit = self.take(now, users, ahead, keep, rest)
-            self.paced[cell] = now if users and fit else self.paced[cell]
-            if fit >= ahead + len(levels):
-                fit -= len(levels)
-                for (table, grant), mask in levels.items():
-                    self.host.set_admission(table, mask, *grant)
-                    self.levels[table].update((k, grant) for k in range(mask.bit_length()) if mask >> k & 1)
-            for _, _, table, place, weight in todo[:fit]:
-                self.host.set_weight(table, place, weight)
-                self.tables[table][place] = weight
-                if not weight:
-                    del self.tables[table][place]
+        self.update_spillover(now)
+        candidates = cache(partial(self.candidates, now))
+        users: dict[tuple[int, int], list[Proxy]] = {}
+        for proxy in self.proxies.values():
+            if proxy.assigned:
+                users.setdefault((proxy.zone, proxy.subset), []).append(proxy)
+        for cell in sorted(range(len(self.last_update_ns)), key=self.last_update_ns.__getitem__):
+            self.update_cell(now, cell, candidates, users.get(divmod(cell, self.subset_count), []))
+
+    def update_cell(self, now: int, cell: int, candidates: Candidates, users: list[Proxy]) -> None:
+        """Updates the tables of a subset of a zone's proxies, as far as the channel allows."""
+        zone, subset = divmod(cell, self.subset_count)
+        limits: dict[tuple[int, tuple[float, int]], int] = {}
+        changes: list[WeightChange] = []
+        for table, routes, own_zone_only in self.subset_tables[cell]:
+            for k, (limit, retry) in enumerate(self.views[zone].admissions):
+                grant = limit, 0 if self.views[zone].overloaded else retry  # retries feed an overload
+                known = self.admissions[table].get(k, (1.0, self.settings.base_retry_policy))
+                if routes >> k & 1 and known != grant:
+                    limits[table, grant] = limits.get((table, grant), 0) | 1 << k
+            target = self.target_weights(now, zone, subset, candidates(zone, own_zone_only))
+            changes += self.weight_changes(now, zone, table, target)
+        # Guards against an update larger than the channel: the urgent, limits, the greatest changes first.
+        changes.sort()
+        urgent = sum(change.rank < 2 for change in changes)
+        waits = users and not urgent and now - self.last_update_ns[cell] < UPDATE_INTERVAL_NS
+        if not changes and not limits or waits:
+            return
+        reserve, rest = RESERVE_URGENT if urgent else RESERVE_ROUTINE, len(changes) - urgent + len(limits)
+        fit = self.reserve(now, users, urgent, reserve, rest)
+        self.last_update_ns[cell] = now if users and fit else self.last_update_ns[cell]
+        if fit >= urgent + len(limits):
+            fit -= len(limits)
+            for (table, grant), mask in limits.items():
+                self.host.set_admission(table, mask, *grant)
+                self.admissions[table].update((k, grant) for k in range(mask.bit_length()) if mask >> k & 1)
+        for _, _, table, index, weight in changes[:fit]:
+            self.host.set_weight(table, index, weight)
+            self.tables[table][index] = weight
+            if not weight:
+                del self.tables[table][index]
+
+    def weight_changes(self, now: int, zone: int, table: int, target: dict[int, float]) -> list[WeightChange]:
+        """How a table differs from its target; a lower rank goes first."""
+        have, blocked, found = self.tables[table], self.excludes_warming(now, self.views[zone]), []
+        first = 2 if any(p in target for p in have) else 0
+        for p, w in target.items():
+            held = have.get(p, 0.0)
+            if abs(held - w) > WEIGHT_STEP * w:
+                # Guards against a backend that restarts under its name and keeps a warm one's weight.
+                eased = held > w and self.is_warming(now, self.backends[p])
+                found.append(WeightChange(min(first, 1) if eased else first, -abs(held - w), table, p, w))
+        for p, w in have.items():
+            if p not in target:
+                # A warming one leaves at once where it may be overloaded; else it costs no message.
+                b = self.backends[p]
+                heavy = self.is_warming(now, b) and (blocked or w > b.weight * self.weight_factor(now, b))
+                found.append(WeightChange(1 if not b.ready or heavy else 2, -w, table, p, 0.0))
+        return found
 
     def assign_tables(self, now: int, number: int) -> None:
         proxy = self.proxies[number]
-        tables = self.cells[proxy.zone * self.splits + proxy.split]
-        if self.set.slices or proxy.bound or not any(self.tables[t] for t, _, _ in tables):
+        tables = self.subset_tables[proxy.zone * self.subset_count + proxy.subset]
+        if self.settings.slice_count or proxy.assigned or not any(self.tables[t] for t, _, _ in tables):
             return
-        lines = sum(1 + len(self.tables[t]) + len(self.levels[t]) for t, _, _ in tables)
-        if self.take(now, [proxy], lines, KEEP_JOIN):
-            proxy.bound = True
+        lines = sum(1 + len(self.tables[t]) + len(self.admissions[t]) for t, _, _ in tables)
+        if self.reserve(now, [proxy], lines, RESERVE_JOIN):
+            proxy.assigned = True
             for table, routes, _ in tables:
                 self.host.assign_table(routes if len(tables) > 1 else 0, number, table)
 
     def on_slice_assigned(self, now: int, number: int, on: bool) -> None:
-        self.slices.pop(number, None)
-        self.moving.pop(number, None)
+        self.slice_tables.pop(number, None)
+        self.slice_handovers.pop(number, None)
         if on:
-            self.slices[number] = {}
+            self.slice_tables[number] = {}
 
-    def on_slice_backend(self, now: int, number: int, place: int, weight: float) -> None:
-        self.slices.get(number, {})[place] = weight
+    def on_slice_backend(self, now: int, number: int, index: int, weight: float) -> None:
+        self.slice_tables.get(number, {})[index] = weight
 
-    def update_slices(self, now: int) -> None:  # an owner is followed only once its writes are done
+    def update_slices(self, now: int) -> None:
+        """Moves slices off what is not ready; an owner is followed only once its writes are done."""
         ready = [p for p, b in self.backends.items() if b.ready]
-        warm = [p for p in ready if not self.cold(now, self.backends[p])] or ready
-        for number, lines in self.slices.items():
-            bad, retry = [p for p in lines if p not in ready], min(self.set.base_retry, 1)
-            waits = self.set.exclusive and bad and now < self.moving.get(number, now + 1)
-            if not warm or lines and not bad or waits and number in self.moving:
+        warm = [p for p in ready if not self.is_warming(now, self.backends[p])] or ready
+        exclusive, retry = self.settings.exclusive_slices, min(self.settings.base_retry_policy, 1)
+        for number, table in self.slice_tables.items():
+            bad = [p for p in table if p not in ready]
+            waits = exclusive and bad and now < self.slice_handovers.get(number, now + 1)
+            if not warm or table and not bad or waits and number in self.slice_handovers:
                 continue
-            if not self.take(now, [*self.proxies.values()], len(bad) + 2, KEEP_DRAIN):
+            if not self.reserve(now, [*self.proxies.values()], len(bad) + 2, RESERVE_URGENT):
                 return
             if waits:  # first nothing goes to the former owner, later all to the next
-                self.moving[number] = now + self.set.lease_ns + self.set.in_flight_ns + self.set.delay_most_ns
+                pause = self.settings.slice_lease_ns + self.settings.max_in_flight_ns
+                self.slice_handovers[number] = now + pause + self.settings.max_delay_ns
                 self.host.set_admission(number, 0, 0.0, retry)
                 continue
-            if len(bad) == len(lines):
-                lines[place := warm[int(self.chance() * len(warm))]] = 1.0
-                self.host.set_weight(number, place, 1.0)
-            for place in bad:
-                del lines[place]
-                if not self.set.exclusive:
-                    self.host.set_weight(number, place, 0.0)
-            if self.moving.pop(number, None):
+            if len(bad) == len(table):
+                table[owner := warm[int(self.timers.random() * len(warm))]] = 1.0
+                self.host.set_weight(number, owner, 1.0)
+            for index in bad:
+                del table[index]
+                if not exclusive:
+                    self.host.set_weight(number, index, 0.0)
+            if self.slice_handovers.pop(number, None):
                 self.host.set_admission(number, 0, 1.0, retry)
--- a/meadowworks/policy/weights.py
+++ b/meadowworks/policy/weights.py
@@ -1,118 +1,143 @@
-"""Each zone's table: its own servers by capacity, others' where a guard below says so."""
+"""Each zone's tables: its own backends by capacity, others' where a guard below says so."""
 
-from meadowworks.policy.admission import PROVEN, AdmissionControl
-from meadowworks.policy.state import FRESH_NS, RUNGS, SECOND, Met, Pool, ZoneView
-from meadowworks.policy.zone_views import ILL, LEAST_QUEUE, LEAST_TRIES, SLO_PART
+from meadowworks.policy.admission import PROVEN_SHARE, AdmissionControl
+from meadowworks.policy.records import CandidatePool, ZoneLoad, ZoneView
+from meadowworks.policy.state import EJECTION_WEIGHTS, SECOND_NS, SETTLING_NS
+from meadowworks.policy.statistics import AttemptStats
+from meadowworks.policy.zone_views import MIN_ATTEMPTS, MIN_QUEUE, SLO_SHARE, UNHEALTHY_RATIO
 
-JAM, CALM = (0.08, 0.02), 3.0  # dropped share that jams a zone, and ends it; times as much if none is avoided
-SPILL_AT, SPILL_STEP, CROWD = 0.85, 0.1, 1.0  # part of its fair room, and calls waiting, to send some abroad
-NET, NET_MOST = 2.0, 0.25  # weight abroad beside cold servers, as a part of theirs, and of a table's
-# Part of what tips a cold server that its table may bring it, since calls come unevenly; a split's least.
-BEAR, LEAST_LINES, SPLIT_LEAST = 0.8, 3, 0.75
+OVERLOAD_RATIOS, NO_EJECTION_FACTOR = (0.08, 0.02), 3.0  # begin and end; times as much if none is avoided
+SPILL_RATIO, SPILL_STEP, SPILL_QUEUE = 0.85, 0.1, 1.0  # of its fair capacity, and mean queue, to spill over
+BACKUP_FACTOR, BACKUP_LIMIT = 2.0, 0.25  # remote weight beside warming backends: of theirs, of a table's
+LOAD_MARGIN, MIN_BACKENDS, SUBSET_MIN_SHARE = 0.8, 3, 0.75  # of what overloads, as calls come unevenly
 
 
 class ZoneTables(AdmissionControl):
-    def balance(self, now: int) -> None:
-        """Guards against a zone that loses servers, has cold or suspect ones, or meets far more calls."""
-        own = (now - self.born_ns >= FRESH_NS) / (self.set.controllers if self.set.by_zone else 1)
-        room, listed, asked = ([least] * self.set.zones for least in (0.0, 1e-9, 1e-9))
-        waits: list[list[float]] = [[] for _ in room]
-        cold, bear = [0.0] * len(room), [0.0] * len(room)  # of the room; what that can do
+    def update_spillover(self, now: int) -> None:
+        """Guards against a zone that loses backends, has warming or suspect ones, or meets far more calls."""
+        loads = self.zone_loads(now)
+        if not (capacity := sum(z.capacity for z in loads)):
+            return
+        listed, asked = sum(z.listed for z in loads), sum(z.asked for z in loads)
+        own = 1 / self.settings.controller_count if self.settings.proxies_join_own_zone else 1.0
+        known = (now - self.started_ns >= SETTLING_NS) * own
+        need = [known * z.asked / asked + (1 - known) * z.listed / listed for z in loads]
+        spare = [max(0.0, z.capacity / capacity - n) for z, n in zip(loads, need, strict=True)]
+        for zone, (view, load) in enumerate(zip(self.views, loads, strict=True)):
+            ratio = view.stats.failure_ratio(MIN_ATTEMPTS)
+            ratio = ratio / (1 if self.settings.proxy_ejects_after else NO_EJECTION_FACTOR)
+            if ratio > OVERLOAD_RATIOS[0] if not view.overloaded else ratio < OVERLOAD_RATIOS[1]:
+                view.overloaded = not view.overloaded
+                self.host.log(f"zone {zone}: {'' if view.overloaded else 'no longer '}overloaded")
+            view.peak_weight = max(view.peak_weight, load.listed)
+            # Guards against overloading a warming backend in an overload, unless the warming bear what may
+            # come: their part by weight, or that of the calls whose proxies may be avoiding the warm.
+            avoided = self.avoided_share(view, zone, load.squares / load.asked)
+            share = max(avoided, load.warming / max(load.capacity, 1e-9))
+            most = max(self.demand, PROVEN_SHARE * self.proven_rate) * view.peak_weight * share
+            bears = self.settings.overload_factor * load.bearable * self.proven_rate
+            view.warming_at_risk = view.overloaded and bears < most
+            self.spill_over(zone, loads, need[zone], spare)
+
+    def zone_loads(self, now: int) -> list[ZoneLoad]:
+        loads = [ZoneLoad() for _ in self.views]
         for b in (backend for backend in self.backends.values() if backend.ready):
-            listed[b.zone] += b.weight
-            room[b.zone] += (weight := b.weight * self.part(now, b))
-            waits[b.zone].append(max(0.0, b.queue))
-            cold[b.zone] += weight * (new := self.cold(now, b))
-            bear[b.zone] += weight * new / RUNGS[b.rung]
-        for view, queues in zip(self.views, waits, strict=True):
-            view.crowd, view.asked = sum(queues) / max(1, len(queues)), 0.0
-        hot = [0.0] * self.set.zones
+            load = loads[b.zone]
+            load.listed += b.weight
+            load.capacity += (weight := b.weight * self.weight_factor(now, b))
+            load.queues.append(max(0.0, b.queue_length))
+            load.warming += weight * (is_new := self.is_warming(now, b))
+            load.bearable += weight * is_new / EJECTION_WEIGHTS[b.ejection_step]
+        for view, load in zip(self.views, loads, strict=True):
+            view.mean_queue, view.admitted_rate = sum(load.queues) / max(1, len(load.queues)), 0.0
         for number, proxy in self.proxies.items():
-            asked[proxy.zone] += (rate := self.calls(number))
-            hot[proxy.zone] += rate * rate
-            view = self.views[proxy.zone]
-            levels = [min(1.0, level) for level, _ in view.grants]
-            view.asked += sum(levels[k] * r for k, (r, _) in proxy.asked.items()) or rate
-        if not sum(room):
+            load, view = loads[proxy.zone], self.views[proxy.zone]
+            load.asked += (rate := self.call_rate(number))
+            load.squares += rate * rate
+            limits = [min(1.0, limit) for limit, _ in view.admissions]
+            view.admitted_rate += sum(limits[k] * r for k, (r, _) in proxy.demand.items()) or rate
+        return loads
+
+    def spill_over(self, zone: int, loads: list[ZoneLoad], need: float, spare: list[float]) -> None:
+        """Decides how much of a zone's calls goes to the backends of others."""
+        view, capacity, kept = self.views[zone], loads[zone].capacity, self.views[zone].local_share
+        # Uneven calls alone, with none waiting, are the zone's own; a spill once begun ends later.
+        strained = view.mean_queue >= SPILL_QUEUE or not view.latency_ok or view.overloaded
+        short = strained or kept < 1.0 or capacity <= SPILL_RATIO * view.peak_weight
+        keep = capacity / sum(z.capacity for z in loads) / need
+        end = SPILL_RATIO + (SPILL_STEP if kept < 1.0 else 0.0)
+        keep = min(keep, SPILL_RATIO) if short and keep <= end else 1.0
+        # Guards against a zone that has room by its weight and none by its queues.
+        queue = max(SPILL_QUEUE, view.mean_queue)
+        free = [s / max(1.0, v.mean_queue / queue) for s, v in zip(spare, self.views, strict=True)]
+        rest = sum(free) - free[zone]
+        keep = 1 - (1 - keep) * rest / max(sum(spare) - spare[zone], 1e-9)
+        if abs(keep - kept) <= SPILL_STEP * kept and (keep < 1.0 or kept == 1.0):
             return
-        need = [own * asked[z] / sum(asked) + (1 - own) * listed[z] / sum(listed) for z in range(len(room))]
-        spare = [max(0.0, r / sum(room) - n) for r, n in zip(room, need, strict=True)]
-        for zone, view in enumerate(self.views):
-            share = view.met.bad / max(view.met.tries, LEAST_TRIES) / (1 if self.set.ejects else CALM)
-            if share > JAM[0] if not view.jam else share < JAM[1]:
-                view.jam = not view.jam
-                self.host.log(f"zone {zone} " + ("jammed" if view.jam else "no longer jammed"))
-            view.full = max(view.full, listed[zone])
-            # Guards against pushing over a cold server in a jam, unless the cold bear what may come: their
-            # part by weight, or that of the calls whose proxies may be avoiding the warm.
-            share = max(self.shunned(view, zone, hot[zone] / asked[zone]), cold[zone] / max(room[zone], 1e-9))
-            most = max(self.asking, PROVEN * self.proven) * view.full * share
-            view.frail = view.jam and self.set.tip * bear[zone] * self.proven < most
-            # Uneven calls alone, with none waiting, are the zone's own; a spill once begun ends later.
-            strained = view.crowd >= CROWD or not view.calm or view.jam
-            short = strained or view.keep < 1.0 or room[zone] <= SPILL_AT * view.full
-            keep = room[zone] / sum(room) / need[zone]
-            end = SPILL_AT + (SPILL_STEP if view.keep < 1.0 else 0.0)
-            keep = min(keep, SPILL_AT) if short and keep <= end else 1.0
-            # Guards against a zone that has room by its weight and none by its queues.
-            free = [s / max(1.0, self.views[z].crowd / max(CROWD, view.crowd)) for z, s in enumerate(spare)]
-            keep = 1 - (1 - keep) * (sum(free) - free[zone]) / max(sum(spare) - spare[zone], 1e-9)
-            if abs(keep - view.keep) <= SPILL_STEP * view.keep and (keep < 1.0 or view.keep == 1.0):
-                continue
-            self.host.log(f"zone {zone} " + ("keeps calls" if keep == 1.0 else "sends calls abroad"))
-            excess = room[zone] * (1 - keep) / max(keep, RUNGS[-1]) / max(sum(free) - free[zone], 1e-9)
-            view.keep = keep
-            view.abroad = [excess * s / max(r, 1e-9) for s, r in zip(free, room, strict=True)]
+        self.host.log(f"zone {zone}: " + ("keeps its calls" if keep == 1.0 else "spills over to other zones"))
+        excess = capacity * (1 - keep) / max(keep, EJECTION_WEIGHTS[-1]) / max(rest, 1e-9)
+        view.local_share = keep
+        view.remote_weights = [excess * s / max(z.capacity, 1e-9) for s, z in zip(free, loads, strict=True)]
 
-    def shunned(self, view: ZoneView, zone: int, rate: float) -> float:
-        """The part of a zone's calls that may go round its warm servers. A call's proxy has so many a second,
-        and avoids a server once `ejects` tries in a row have failed there, for a cold time at the longest."""
-        drops = min(1 - 1e-9, view.met.bad / max(view.met.tries, LEAST_TRIES))
-        in_row = drops ** self.set.ejects if self.set.ejects else 0.0
-        run = (1 - in_row) / (1 - drops)  # tries until so many in a row have failed, times in_row
-        cells = self.cells[zone * self.splits : (zone + 1) * self.splits]
-        lines = max(len(self.tables[table]) for cell in cells for table, _, _ in cell)
-        met = rate / max(1, lines) * self.set.cold_ns / SECOND * in_row
+    def avoided_share(self, view: ZoneView, zone: int, rate: float) -> float:
+        """The part of a zone's calls that may avoid its warm backends: its proxy has `rate` a second, and
+        avoids a backend where so many attempts in a row failed, for a slow start at the longest."""
+        ratio, ejects_after = view.stats.failure_ratio(MIN_ATTEMPTS), self.settings.proxy_ejects_after
+        ratio = min(1 - 1e-9, ratio)
+        in_row = ratio**ejects_after if ejects_after else 0.0
+        run = (1 - in_row) / (1 - ratio)  # attempts until so many in a row have failed, times in_row
+        cells = self.subset_tables[zone * self.subset_count : (zone + 1) * self.subset_count]
+        backends = max(len(self.tables[table]) for cell in cells for table, _, _ in cell)
+        met = rate / max(1, backends) * self.settings.slow_start_ns / SECOND_NS * in_row
         return met / (met + run)
 
-    def poor(self, zone: int, far: int) -> bool:  # guards against a slow or lossy link, not full servers
-        home, away = self.views[zone].ways.get(zone, Met()), self.views[zone].ways.get(far, Met())
-        told = min(home.tries, away.tries) >= LEAST_TRIES and self.views[far].crowd < LEAST_QUEUE
-        late = away.spent / max(away.tries - away.bad, 1) - home.spent / max(home.tries - home.bad, 1)
-        return told and (away.bad / away.tries - home.bad / home.tries > ILL or late > SLO_PART * self.slo_ns)
+    def is_poor_link(self, zone: int, remote: int) -> bool:
+        """Guards against a slow or lossy link, not against full backends."""
+        stats = self.views[zone].stats_by_zone
+        here, there = stats.get(zone, AttemptStats()), stats.get(remote, AttemptStats())
+        if min(here.attempts, there.attempts) < MIN_ATTEMPTS or self.views[remote].mean_queue >= MIN_QUEUE:
+            return False
+        late, usual = (s.latency_sum / max(s.attempts - s.failures, 1) for s in (there, here))
+        excess = there.failures / there.attempts - here.failures / here.attempts
+        return excess > UNHEALTHY_RATIO or late - usual > SLO_SHARE * self.slo_ns
 
-    def pool(self, now: int, zone: int, home: bool) -> Pool:
-        far = {z for z in range(self.set.zones) if z != zone and self.poor(zone, z)}
-        all_ready = {p: b for p, b in self.backends.items() if b.ready and (b.zone == zone or not home)}
-        ready = {p: b for p, b in all_ready.items() if b.zone not in far} or all_ready
-        weights = {p: max(b.weight, 1e-3) * self.part(now, b) for p, b in ready.items()}
-        warm = {p: b for p, b in ready.items() if not self.cold(now, b)}
-        ready = warm if warm and self.shut(now, self.views[zone]) else ready
-        own = {p: b for p, b in ready.items() if b.zone == zone} or ready
-        return Pool(ready, own, warm, weights, sum(weights[p] for p in own))
+    def candidates(self, now: int, zone: int, own_zone_only: bool) -> CandidatePool:
+        poor = {z for z in range(self.settings.zone_count) if z != zone and self.is_poor_link(zone, z)}
+        found = {p: b for p, b in self.backends.items() if b.ready and (b.zone == zone or not own_zone_only)}
+        ready = {p: b for p, b in found.items() if b.zone not in poor} or found
+        weights = {p: max(b.weight, 1e-3) * self.weight_factor(now, b) for p, b in ready.items()}
+        warm = {p: b for p, b in ready.items() if not self.is_warming(now, b)}
+        ready = warm if warm and self.excludes_warming(now, self.views[zone]) else ready
+        local = {p: b for p, b in ready.items() if b.zone == zone} or ready
+        return CandidatePool(ready, local, warm, weights, sum(weights[p] for p in local))
 
-    def wanted(self, now: int, zone: int, split: int, pool: Pool) -> dict[int, float]:
-        view, ready, own, weights = self.views[zone], pool.ready, pool.own, pool.weights
-        # Guards against more connections than servers accept: its own, and of the next ones to its share.
-        lines: dict[int, float] = {}
-        share = SPLIT_LEAST * pool.whole / self.splits
-        for p in sorted(own, key=lambda p: ((own[p].split - split) % self.splits, p)):
-            if own[p].split == split or len(lines) < LEAST_LINES or sum(lines.values()) < share:
-                lines[p] = weights[p]
-        if view.keep < 1.0 and len(own) < len(ready):
-            lines.update((p, weights[p] * (min(1.0, a) if self.cold(now, b) else a)) for p, b in ready.items()
-                         if b.zone != zone and b.split == split and (a := view.abroad[b.zone]) > 0)
-        # Guards against pushing over a cold server when the warm ones beside it go off at one stroke, and
-        # where a table's servers are too few for its calls: some go abroad, however busy it is there.
-        total, frail = sum(lines.values()), sum(w for p, w in lines.items() if self.cold(now, ready[p]))
-        net = {p: weights[p] for p, b in pool.warm.items()
-               if b.split == split and (p not in lines or p not in own)}
-        most, lack = sum(net.values()), min(NET * frail, NET_MOST * total)
-        lack -= sum(lines[p] for p in lines if p not in own)
-        if frail and self.proven > 0:
-            bear = BEAR * self.set.tip * -self.best[0][1]  # calls a second at a weight of 1
-            lack = max(lack, min(most, view.asked / self.splits / bear - total))
-        return lines | {p: lines.get(p, 0.0) + lack * w / most for p, w in net.items() if lack > 0}
+    def target_weights(self, now: int, zone: int, subset: int, pool: CandidatePool) -> dict[int, float]:
+        """What the table of a subset of a zone's proxies is to hold."""
+        view, local, weights = self.views[zone], pool.local, pool.weights
+        # Guards against more connections than backends accept: its own, and of the next ones to its share.
+        table: dict[int, float] = {}
+        share = SUBSET_MIN_SHARE * pool.local_weight / self.subset_count
+        for p in sorted(local, key=lambda p: ((local[p].subset - subset) % self.subset_count, p)):
+            if local[p].subset == subset or len(table) < MIN_BACKENDS or sum(table.values()) < share:
+                table[p] = weights[p]
+        if view.local_share < 1.0 and len(local) < len(pool.ready):
+            for p, b in pool.ready.items():
+                factor = view.remote_weights[b.zone] if b.zone != zone and b.subset == subset else 0.0
+                if factor > 0:
+                    table[p] = weights[p] * (min(1.0, factor) if self.is_warming(now, b) else factor)
+        # Guards against overloading a warming backend when the warm ones beside it go off at one stroke, and
+        # where a table's backends are too few for its calls: some spill over, however busy it is there.
+        total = sum(table.values())
+        frail = sum(w for p, w in table.items() if self.is_warming(now, pool.ready[p]))
+        others = [p for p, b in pool.warm.items() if b.subset == subset and not (p in table and p in local)]
+        backups = {p: weights[p] for p in others}
+        most, lack = sum(backups.values()), min(BACKUP_FACTOR * frail, BACKUP_LIMIT * total)
+        lack -= sum(table[p] for p in table if p not in pool.local)
+        if frail and self.proven_rate > 0:
+            bears = LOAD_MARGIN * self.settings.overload_factor * -self.best_rate.value  # at a weight of 1
+            lack = max(lack, min(most, view.admitted_rate / self.subset_count / bears - total))
+        return table | {p: table.get(p, 0.0) + lack * w / most for p, w in backups.items() if lack > 0}
 
-    def shut(self, now: int, view: ZoneView) -> bool:  # to cold servers: they are heard of too late
-        return view.frail or now - self.blind_ns < FRESH_NS
+    def excludes_warming(self, now: int, view: ZoneView) -> bool:
+        """Whether tables name no warming backend: what happens to it would be reported too late."""
+        return view.warming_at_risk or now - self.stalled_ns < SETTLING_NS
--- a/meadowworks/simulation/cost.py
+++ b/meadowworks/simulation/cost.py
@@ -17,7 +17,7 @@
 from meadowworks.config.route_table import Route as Route_
 from meadowworks.config.route_table import RouteTable
 from meadowworks.policy import Controller
-from meadowworks.policy.interface import EndpointEntry, Route, Settings
+from meadowworks.policy.interface import AttemptReport, EndpointEntry, Route, Settings
 
 SECOND = 1_000_000_000
 SIZES = ((50, 20), (640, 120))
@@ -36,33 +36,33 @@
     routes = (Route(2.0, 2 * SECOND, False), Route(1.0, SECOND, False), Route(2.0, SECOND, False))
     return Settings(
         routes=routes,
-        zones=2,
-        proxies=proxies,
-        connections=46.0,
-        controllers=1,
-        by_zone=True,
-        subscribe=True,
-        ask_within_ns=10 * SECOND,
-        only_draining_binds=False,
-        probes=False,
-        level_kind="share",
-        base_retry=0,
-        ejects=5,
-        report_ns=SECOND // 2,
+        zone_count=2,
+        proxy_count=proxies,
+        backend_connections=46.0,
+        controller_count=1,
+        proxies_join_own_zone=True,
+        watches_list=True,
+        list_refresh_ns=10 * SECOND,
+        removals_uncertain=False,
+        health_checks=False,
+        admission_unit="share",
+        base_retry_policy=0,
+        proxy_ejects_after=5,
+        report_interval_ns=SECOND // 2,
         fixed_weights=True,
         channel_rate=1e6,
-        queue_cap=1e7,
-        head=10.0,
-        messages_most=0,
-        messages_over_ns=10 * SECOND,
-        delay_most_ns=SECOND // 2,
-        cold_share=0.3,
-        tip=2.5,
-        cold_ns=15 * SECOND,
-        slices=0,
-        exclusive=False,
-        lease_ns=SECOND,
-        in_flight_ns=SECOND,
+        queue_limit=1e7,
+        message_overhead=10.0,
+        message_limit=0,
+        message_window_ns=10 * SECOND,
+        max_delay_ns=SECOND // 2,
+        slow_start_share=0.3,
+        overload_factor=2.5,
+        slow_start_ns=15 * SECOND,
+        slice_count=0,
+        exclusive_slices=False,
+        slice_lease_ns=SECOND,
+        max_in_flight_ns=SECOND,
     )
 
 
@@ -80,9 +80,11 @@
         now += SECOND // 4
         start = process_time()
         for b in range(backends):
-            module.on_backend_report(now, b % 2, b, 5, 0, SECOND // 5, SECOND // 2, {"queue": 0.0})
+            module.on_backend_report(
+                now, b % 2, b, AttemptReport(5, 0, SECOND // 5, SECOND // 2, {"queue": 0.0})
+            )
         for p in range(proxies):
-            module.on_demand_report(now, p, turn % 3, 2, 0, SECOND)
+            module.on_demand_report(now, p, turn % 3, 2, SECOND)
         report += (process_time() - start) / (backends + proxies)
         start = process_time()
         module.tick(now)
--- a/meadowworks/simulation/fleet.py
+++ b/meadowworks/simulation/fleet.py
@@ -109,7 +109,7 @@
         self.broken: list[tuple[str, float]] = []
         self.counts: defaultdict[str, float] = defaultdict(float)
         power = sum(s.power for s in self.servers.values())
-        weights = [0.3 + 1.7 * self.chance() for _ in range(settings.proxies)]
+        weights = [0.3 + 1.7 * self.chance() for _ in range(settings.proxy_count)]
         self.proxies = [
             Proxy(
                 p,
@@ -121,9 +121,14 @@
             for p, w in enumerate(weights)
         ]
         self.seats = [Seat(k, zones[k % len(zones)]) for k in range(controllers)]
-        cost = settings.proxies * (settings.head + servers / len(zones) + 2) / settings.channel_rate / speed
+        cost = (
+            settings.proxy_count
+            * (settings.message_overhead + servers / len(zones) + 2)
+            / settings.channel_rate
+            / speed
+        )
         # What cannot be put off fits, with all proxies at one controller.
-        self.grace_ns = int((1.5 + cost) * SECOND) + settings.delay_most_ns
+        self.grace_ns = int((1.5 + cost) * SECOND) + settings.max_delay_ns
         for seat in self.seats:
             seat.known = self.whole()
             self.start(seat)
@@ -225,28 +230,28 @@
             for item in p.stream.drain()
             if isinstance(item, UpdateMessage)
         ]
-        calls = seat.node.policy.calls
+        calls = seat.node.policy.call_rate
         for proxy, message in sorted(told, key=lambda t: (-calls(t[0].number), t[0].number)):
             self.send(seat, proxy, message)
 
     # -- the channel
 
     def send(self, seat: Seat, proxy: Proxy, message: UpdateMessage) -> None:
-        lines = self.settings.head + self.cost(message.data)
+        lines = self.settings.message_overhead + self.cost(message.data)
         takes_ns = int(lines / self.settings.channel_rate / self.speed * SECOND)
         seat.free_ns = max(seat.free_ns, self.now) + takes_ns
         seat.queue.append((seat.free_ns, lines))
         while seat.queue[0][0] <= self.now:
             seat.queue.popleft()
-        if sum(lines for _, lines in seat.queue) > self.settings.queue_cap:
+        if sum(lines for _, lines in seat.queue) > self.settings.queue_limit:
             self.breaks("queue")
-        since = self.now - self.settings.messages_over_ns
+        since = self.now - self.settings.message_window_ns
         proxy.messages = [t for t in proxy.messages if t > since] + [self.now]
-        if self.settings.messages_most and len(proxy.messages) > self.settings.messages_most:
+        if self.settings.message_limit and len(proxy.messages) > self.settings.message_limit:
             self.breaks("messages")
         self.counts["messages"] += 1
         self.counts["lines"] += lines
-        wait_ns = seat.free_ns - self.now + self.settings.delay_most_ns // 2
+        wait_ns = seat.free_ns - self.now + self.settings.max_delay_ns // 2
         self.at(wait_ns, self.arrive, seat, proxy, proxy.stream, message.data)
 
     def cost(self, text: bytes) -> int:
@@ -400,13 +405,13 @@
                 met = self.seats[proxy.at].met.setdefault((proxy.zone, name), [0.0, 0.0, 0.0, self.now])
                 met[0], met[1], met[2] = met[0] + part, met[1] + part * bad, latency
         for seat in self.seats:
-            if seat.node and self.now - seat.reported_ns >= self.settings.report_ns:
+            if seat.node and self.now - seat.reported_ns >= self.settings.report_interval_ns:
                 self.report(seat)
         self.hold()
 
     def report(self, seat: Seat) -> None:
         """As many lines as a controller is given, the oldest first; the rest adds up."""
-        seat.reported_ns, left = self.now, int(self.intake * self.settings.report_ns / SECOND)
+        seat.reported_ns, left = self.now, int(self.intake * self.settings.report_interval_ns / SECOND)
         for key in sorted(seat.met, key=lambda key: (seat.met[key][3], key))[: left // 2]:
             tries, bad, latency, since = seat.met[key]
             if tries >= 1:
@@ -418,13 +423,13 @@
                     whole,
                     min(whole, round(bad)),
                     int(latency),
-                    max(self.settings.report_ns, int(self.now - since)),
+                    max(self.settings.report_interval_ns, int(self.now - since)),
                     load,
                 )
                 self.at(HEARD_LATE_NS, self.put, seat, item, True)
         for proxy in sorted(seat.asked, key=lambda p: (seat.asked[p][-1], p))[: left // 2]:
             *calls, since = seat.asked.pop(proxy)
-            covers = max(self.settings.report_ns, int(self.now - since))
+            covers = max(self.settings.report_interval_ns, int(self.now - since))
             for name, count in zip(self.routes, calls, strict=True):
                 self.at(
                     HEARD_LATE_NS, self.put, seat, DemandReport(proxy, name, round(count), 0, covers), True
@@ -456,7 +461,7 @@
             if any(policy > 1 for _, policy in proxy.grants):
                 self.breaks("twice")
         for server in self.servers.values():
-            if server.pushed > self.settings.tip * SLACK:
+            if server.pushed > self.settings.overload_factor * SLACK:
                 self.breaks("cold")
                 server.pushed = 0.0
 
--- a/meadowworks/simulation/servers.py
+++ b/meadowworks/simulation/servers.py
@@ -33,11 +33,13 @@
 
     def can(self, now: int) -> float:
         """Calls a second at its age: from the cold share evenly to all."""
-        age = (now - self.since_ns) / self.settings.cold_ns if self.since_ns else 1.0
-        return self.power * min(1.0, self.settings.cold_share + (1 - self.settings.cold_share) * age)
+        age = (now - self.since_ns) / self.settings.slow_start_ns if self.since_ns else 1.0
+        return self.power * min(
+            1.0, self.settings.slow_start_share + (1 - self.settings.slow_start_share) * age
+        )
 
     def cold(self, now: int) -> bool:
-        return bool(self.since_ns) and now - self.since_ns < self.settings.cold_ns
+        return bool(self.since_ns) and now - self.since_ns < self.settings.slow_start_ns
 
     def take(self, now: int, calls: float, step_ns: int) -> tuple[float, int]:
         """The part of the calls that it turns away, and how long the others take, in nanoseconds."""
--- a/meadowworks/simulator_adapter/wire.py
+++ b/meadowworks/simulator_adapter/wire.py
@@ -9,7 +9,7 @@
 from meadowworks.fleet.names import ENDPOINT_STATES, NameIndex
 from meadowworks.fleet.settings import SettingsError, read_settings
 from meadowworks.policy import Controller
-from meadowworks.policy.interface import EndpointEntry
+from meadowworks.policy.interface import AttemptReport, EndpointEntry
 
 UPDATE_KINDS = {"diff": "changes", "snapshot": "whole", "disk": "disk", "error": "error"}
 EVENT_VALUE_COUNTS = {  # values after the name; a row of two figures gives the least and the most
@@ -187,16 +187,13 @@
                 host.parse_load(v[8]),
             )
             tries, bad, latency, covers = int(v[4]), int(v[5]), int(v[6]) * 1000, int(v[7]) * 1000
-            return lambda now: module.on_backend_report(now, zone, backend, tries, bad, latency, covers, load)
-        case "DEMAND":
-            proxy, route, calls, dropped, covers = (
-                int(v[2]),
-                host.routes[v[3]],
-                int(v[4]),
-                int(v[5]),
-                int(v[6]) * 1000,
+            return lambda now: module.on_backend_report(
+                now, zone, backend, AttemptReport(tries, bad, latency, covers, load)
             )
-            return lambda now: module.on_demand_report(now, proxy, route, calls, dropped, covers)
+        case "DEMAND":
+            proxy, route, calls, covers = int(v[2]), host.routes[v[3]], int(v[4]), int(v[6]) * 1000
+            int(v[5])  # the calls that were dropped: checked, and not needed
+            return lambda now: module.on_demand_report(now, proxy, route, calls, covers)
         case "INSTALLED":
             mark = int(v[3])
             return lambda now: module.on_ack(now, mark)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -17,39 +17,39 @@
 from aiohttp import web
 
 from meadowworks.policy import Controller
-from meadowworks.policy.interface import EndpointEntry, Route, Settings
+from meadowworks.policy.interface import AttemptReport, EndpointEntry, Route, Settings
 
 SECOND = 1_000_000_000
 ROUTES = (Route(2.0, SECOND, False), Route(1.0, SECOND, False), Route(2.0, SECOND, False))
 SETTINGS = Settings(
     routes=ROUTES,
-    zones=2,
-    proxies=40,
-    connections=0.0,
-    controllers=1,
-    by_zone=True,
-    subscribe=True,
-    ask_within_ns=10 * SECOND,
-    only_draining_binds=False,
-    probes=False,
-    level_kind="share",
-    base_retry=1,
-    ejects=5,
-    report_ns=SECOND // 2,
+    zone_count=2,
+    proxy_count=40,
+    backend_connections=0.0,
+    controller_count=1,
+    proxies_join_own_zone=True,
+    watches_list=True,
+    list_refresh_ns=10 * SECOND,
+    removals_uncertain=False,
+    health_checks=False,
+    admission_unit="share",
+    base_retry_policy=1,
+    proxy_ejects_after=5,
+    report_interval_ns=SECOND // 2,
     fixed_weights=True,
     channel_rate=800.0,
-    queue_cap=1600.0,
-    head=10.0,
-    messages_most=20,
-    messages_over_ns=10 * SECOND,
-    delay_most_ns=SECOND // 3,
-    cold_share=0.3,
-    tip=2.5,
-    cold_ns=15 * SECOND,
-    slices=0,
-    exclusive=False,
-    lease_ns=2 * SECOND,
-    in_flight_ns=2 * SECOND,
+    queue_limit=1600.0,
+    message_overhead=10.0,
+    message_limit=20,
+    message_window_ns=10 * SECOND,
+    max_delay_ns=SECOND // 3,
+    slow_start_share=0.3,
+    overload_factor=2.5,
+    slow_start_ns=15 * SECOND,
+    slice_count=0,
+    exclusive_slices=False,
+    slice_lease_ns=2 * SECOND,
+    max_in_flight_ns=2 * SECOND,
 )
 
 
@@ -79,7 +79,7 @@
                 sent = self.heads.setdefault(p, [])
                 if not sent or sent[-1] != self.now:
                     sent.append(self.now)
-                    self.lines.append((self.now, self.settings.head))
+                    self.lines.append((self.now, self.settings.message_overhead))
                 self.lines.append((self.now, lines))
 
     def log(self, line: str) -> None:
@@ -157,15 +157,17 @@
         """A second in which so many calls of each route come to each bound proxy."""
         for p in self.bound:
             for route in range(len(self.settings.routes)):
-                self.module.on_demand_report(self.now, p, route, calls, 0, SECOND)
+                self.module.on_demand_report(self.now, p, route, calls, SECOND)
 
     def report(self, bad: dict[int, float], latency: int = SECOND // 10, tries: int = 20) -> None:
         """A period in which each backend of each zone's table met so many tries of the zone's proxies."""
         for table, lines in list(self.tables.items()):
             for b in sorted(lines):
                 dropped = round(tries * bad.get(b, 0))
-                zone, period = table % self.settings.zones, self.settings.report_ns
-                self.module.on_backend_report(self.now, zone, b, tries, dropped, latency, period, {})
+                zone, period = table % self.settings.zone_count, self.settings.report_interval_ns
+                self.module.on_backend_report(
+                    self.now, zone, b, AttemptReport(tries, dropped, latency, period, {})
+                )
 
 
 def entry(
@@ -177,10 +179,10 @@
 def started(settings: Settings = SETTINGS, per_zone: int = 3, proxies: int = 4) -> Fleet:
     """A fleet some seconds into a quiet day: backends 0.. in zones in turn, proxies bound."""
     fleet = Fleet(settings)
-    listed = [entry(k, k % settings.zones) for k in range(per_zone * settings.zones)]
+    listed = [entry(k, k % settings.zone_count) for k in range(per_zone * settings.zone_count)]
     fleet.module.on_endpoints(fleet.now, "disk", listed)
     for p in range(proxies):
-        fleet.join(p, p % settings.zones)
+        fleet.join(p, p % settings.zone_count)
     fleet.run(1)
     fleet.module.on_endpoints(fleet.now, "whole", listed)
     fleet.run(8)
--- a/tests/test_check.py
+++ b/tests/test_check.py
@@ -302,19 +302,23 @@
         6,
         (("list", 0, "ready"), ("list", 0, "draining"), ("leave", 0), ("join", 0)),
         module.drains_first,
-        ("on_proxy_joined", "not (b := self.backends[p]).ready or", "(b := self.backends[p]) and"),
+        (
+            "on_proxy_joined",
+            "not b.ready or ",
+            "",
+        ),
     ),
     (
         6,
         (("list", 0, "ready"), ("start", 0), ("leave", 0), ("join", 0)),
         module.cold_spared,
-        ("on_proxy_joined", "or self.cold(now, b) and w > b.weight * self.part(now, b)", ""),
+        ("on_proxy_joined", "or self.is_too_heavy(now, b, w)", ""),
     ),
     (
         3,
         (("leave", 1), ("list", 1, "ready"), ("start", 1), ("tick",)),
         module.cold_spared,
-        ("wanted", "(min(1.0, a) if self.cold(now, b) else a)", "a"),
+        ("target_weights", "(min(1.0, factor) if self.is_warming(now, b) else factor)", "factor"),
     ),
 )
 
@@ -336,6 +340,6 @@
 
 def test_what_is_forgotten_before_it_is_looked_at_again_stops_nobody() -> None:
     world = module.quiet()
-    world.module.later(world.now, lambda: world.module.retain(99, True))
+    world.module.timers.schedule(world.now, lambda: world.module.retain(99, True))
     world.take_step(("tick",))
     assert 99 not in world.module.backends
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -18,12 +18,12 @@
 ZONES, ROUTES = ("east", "west"), ("look", "book")
 FLEET = replace(
     SETTINGS,
-    proxies=60,
-    controllers=3,
-    base_retry=0,
-    queue_cap=4000.0,
-    cold_ns=12 * SECOND,
-    cold_share=0.15,
+    proxy_count=60,
+    controller_count=3,
+    base_retry_policy=0,
+    queue_limit=4000.0,
+    slow_start_ns=12 * SECOND,
+    slow_start_share=0.15,
     routes=SETTINGS.routes[:2],
 )
 
@@ -47,7 +47,7 @@
 
 def herd() -> Fleet:
     """A release, and seven in ten proxies are gone at once and come back."""
-    made = fleet(0.6, speed=0.5, queue_cap=1400.0)
+    made = fleet(0.6, speed=0.5, queue_limit=1400.0)
     for k, server in enumerate(list(made.servers.values())[:6]):
         made.at(k * SECOND // 2, made.replace, server, 4 * SECOND, 2 * SECOND)
     for wave in (1, 3, 5):
@@ -59,7 +59,7 @@
 
 def zone() -> Fleet:
     """A zone is lost for 5 s and comes back cold."""
-    made = fleet(0.8, cold_share=0.06)
+    made = fleet(0.8, slow_start_share=0.06)
 
     def lose() -> None:
         for server in made.here("east"):
@@ -140,17 +140,17 @@
         roll,
         "queue",
         "what cannot be put off finds the channel full",
-        "take",
-        "int((self.set.queue_cap * (1 - k) - q - heads) / len(users)) for k",
+        "reserve",
+        "int((settings.queue_limit * (1 - k) - q - overhead) / len(users)) for k",
         "1 << 20 for k",
     ),
     (
         herd,
         "drain",
         "what drains waits with the rest",
-        "update_tables",
-        "(1 if not b.ready or self.cold(now, b) and (shut or w > b.weight * self.part(now, b))",
-        "(2 if False",
+        "weight_changes",
+        "(1 if not b.ready or heavy else 2",
+        "(2",
     ),
     (
         zone,
@@ -165,23 +165,23 @@
         "drain",
         "who is absent from a whole list stays",
         "on_endpoints",
-        "if place not in named]",
+        "if index not in named]",
         "if False]",
     ),
     (
         join,
         "cold",
         "a new server enters at its whole weight",
-        "part",
-        "RUNGS[backend.rung] * (1.0 if step == RAMP[-1] else RAMP_PART * least if step else ENTRY)",
-        "RUNGS[backend.rung]",
+        "weight_factor",
+        "ramp = 1.0 if step == RAMP_STEPS[-1] else RAMP_MARGIN * least if step else ENTRY_SHARE",
+        "ramp = 1.0",
     ),
     (
         crowd,
         "calls",
         "a list call that failed is made again at once",
         "on_endpoints",
-        "wait = min(ASK_MOST, ASK_PART * 2**self.failures) * self.set.ask_within_ns",
+        "wait = min(MAX_RETRY, FIRST_RETRY * 2**self.failed_list_calls) * self.settings.list_refresh_ns",
         "wait = 0",
     ),
     (
@@ -189,7 +189,7 @@
         "list",
         "a list call that failed is not made again",
         "on_endpoints",
-        "self.later(now + int(wait * (0.5 + self.chance())), partial(self.host.watch_list, True))",
+        "self.timers.schedule(retry_ns, partial(self.host.watch_list, True))",
         "None",
     ),
 )
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -142,7 +142,12 @@
     assert flat["extra.home_only"] == "false,false" and flat["extra.by_zone"] == "true"
     found, zones, routes = read_settings(flat)
     assert zones == {"east": 0, "west": 1} and routes == {"look": 0, "book": 1}
-    assert found.by_zone and found.subscribe and not found.probes and found.report_ns == 500_000_000
+    assert (
+        found.proxies_join_own_zone
+        and found.watches_list
+        and not found.health_checks
+        and found.report_interval_ns == 500_000_000
+    )
 
 
 def test_a_full_mailbox_drops_its_oldest_reports_and_nothing_else() -> None:
@@ -400,7 +405,7 @@
         node = controller.FleetController(
             config, Mailbox[ControllerEvent](9), Mailbox[DiscoveryCommand](9), at
         )
-        due, wait = node.timer_due_ns, config.settings.report_ns
+        due, wait = node.timer_due_ns, config.settings.report_interval_ns
         node.now = due + 1000  # a little late: the next is counted from when this one was due
         node.set_timer(wait)
         assert node.timer_due_ns == due + wait
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -7,8 +7,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from meadowworks.policy.state import RUNGS
-from meadowworks.policy.weights import LEAST_LINES
+from meadowworks.policy.interface import AttemptReport
+from meadowworks.policy.state import EJECTION_WEIGHTS
+from meadowworks.policy.weights import MIN_BACKENDS
 from tests.helpers import ROUTES, SECOND, SETTINGS, Fleet, entry, started
 
 STEP = st.one_of(
@@ -41,13 +42,13 @@
             fleet.report(dict(enumerate(step[1])), step[2] * SECOND // 10)
         elif step[0] == "wait":
             fleet.run(step[1] / 2)
-        assert fleet.backlog(0.5) <= SETTINGS.queue_cap
+        assert fleet.backlog(0.5) <= SETTINGS.queue_limit
         for sent in fleet.heads.values():
-            assert sum(t > fleet.now - SETTINGS.messages_over_ns for t in sent) <= SETTINGS.messages_most
+            assert sum(t > fleet.now - SETTINGS.message_window_ns for t in sent) <= SETTINGS.message_limit
         assert all(0 <= level <= 1 and retry <= 1 for level, retry in fleet.levels.values())
     fleet.run(2)  # within the grace and the limit of the first rule everything must be in order
     ready = {b for b, (how, _) in state.items() if how == "ready"}
-    warm = {b for b in ready if fleet.now - state[b][1] >= SETTINGS.cold_ns}
+    warm = {b for b in ready if fleet.now - state[b][1] >= SETTINGS.slow_start_ns}
     for proxy in fleet.bound:
         for route in range(len(SETTINGS.routes)):
             open_to = fleet.pick(proxy, route) or fleet.held.get(proxy, set())
@@ -80,7 +81,7 @@
         fleet.module.on_endpoints(fleet.now, "error", [])
         failed = fleet.now
         fleet.run(6)
-        assert 0 < fleet.tracks[-1] - failed <= SETTINGS.ask_within_ns * 0.65
+        assert 0 < fleet.tracks[-1] - failed <= SETTINGS.list_refresh_ns * 0.65
 
 
 def test_a_new_server_enters_at_a_tenth_and_rises() -> None:
@@ -97,9 +98,9 @@
     for _ in range(4):
         fleet.report({2: 0.9})
         fleet.run(1)
-    assert fleet.tables[0][2] == 2.0 * RUNGS[-1]
+    assert fleet.tables[0][2] == 2.0 * EJECTION_WEIGHTS[-1]
     fleet.run(11)
-    assert 2.0 * RUNGS[-1] < fleet.tables[0][2] < 2.0
+    assert 2.0 * EJECTION_WEIGHTS[-1] < fleet.tables[0][2] < 2.0
     fleet.run(30)
     assert fleet.tables[0][2] == 2.0
 
@@ -111,7 +112,7 @@
             for b in range(6):
                 late = 3 * SECOND if b == 2 else SECOND // 10
                 fleet.module.on_backend_report(
-                    fleet.now, b % 2, b, 20, 0, late, SECOND // 2, {"queue": queue}
+                    fleet.now, b % 2, b, AttemptReport(20, 0, late, SECOND // 2, {"queue": queue})
                 )
             fleet.run(1)
         assert (fleet.tables[0][2] < 2.0) == (queue > 0)
@@ -185,7 +186,7 @@
 
 def test_a_slice_gets_a_ready_backend_and_an_owner_is_followed_only_after_its_writes() -> None:
     for exclusive in (False, True):
-        fleet = Fleet(replace(SETTINGS, slices=4, exclusive=exclusive))
+        fleet = Fleet(replace(SETTINGS, slice_count=4, exclusive_slices=exclusive))
         fleet.module.on_endpoints(fleet.now, "disk", [entry(0, 0), entry(1, 1)])
         fleet.module.on_slice_assigned(fleet.now, 2, True)
         fleet.module.on_slice_backend(fleet.now, 2, 0, 1.0)
@@ -199,7 +200,7 @@
 
 
 def test_a_route_confined_to_its_zone_has_a_table_never_filled_from_outside() -> None:
-    confined = (replace(ROUTES[0], home_only=True), *ROUTES[1:])
+    confined = (replace(ROUTES[0], own_zone_only=True), *ROUTES[1:])
     fleet = started(replace(SETTINGS, routes=confined))
     fleet.module.on_endpoints(fleet.now, "changes", [entry(b, 0, "gone") for b in (0, 2)])
     fleet.run(2)
@@ -207,7 +208,7 @@
 
 
 def test_levels_are_rates_where_the_site_says_so() -> None:
-    fleet = started(replace(SETTINGS, level_kind="rate"))
+    fleet = started(replace(SETTINGS, admission_unit="rate"))
     for k in range(8):
         fleet.ask(100)
         fleet.report({}, latency=(4 if k else 1) * SECOND)
@@ -233,7 +234,7 @@
             for b in range(6):
                 bad = 8 if b == 2 else 0
                 fleet.module.on_backend_report(
-                    fleet.now, b % 2, b, 20, bad, SECOND // 10, SECOND // 2, {"queue": queue}
+                    fleet.now, b % 2, b, AttemptReport(20, bad, SECOND // 10, SECOND // 2, {"queue": queue})
                 )
             fleet.run(1)
         assert (fleet.tables[0][2] < 2.0) == eased
@@ -244,7 +245,7 @@
         fleet = started()
         for k in range(5):
             for p in fleet.bound:
-                fleet.module.on_demand_report(fleet.now, p, 0, 10 if p % 2 else 100, 0, SECOND)
+                fleet.module.on_demand_report(fleet.now, p, 0, 10 if p % 2 else 100, SECOND)
             fleet.report({}, latency=3 * SECOND if late and k else SECOND // 10)
             fleet.run(1)
         assert (set(fleet.tables[0]) == {0, 2, 4}) != late
@@ -259,15 +260,15 @@
     start = fleet.now
     for _ in range(60):
         fleet.run(0.5)
-        assert fleet.backlog(0.5) <= SETTINGS.queue_cap
-    heads = sum(n for when, n in fleet.lines if when > start and n == SETTINGS.head)
+        assert fleet.backlog(0.5) <= SETTINGS.queue_limit
+    heads = sum(n for when, n in fleet.lines if when > start and n == SETTINGS.message_overhead)
     assert sum(n for when, n in fleet.lines if when > start) >= 2 * heads  # no trickle that is mostly heads
     assert len(fleet.pick(0, 0)) == 35  # the excess goes abroad, to as many as there are
 
 
 def test_what_a_list_calls_gone_stays_while_it_answers_where_only_draining_binds() -> None:
     for probes in (True, False):
-        fleet = started(replace(SETTINGS, only_draining_binds=True, probes=probes))
+        fleet = started(replace(SETTINGS, removals_uncertain=True, health_checks=probes))
         whole = [entry(4, 0, "draining"), *(entry(b, b % 2) for b in (1, 3, 5))]
         fleet.module.on_endpoints(fleet.now, "whole", whole)
         fleet.module.on_endpoints(fleet.now, "changes", [entry(9, 0, "gone")])
@@ -291,10 +292,10 @@
         for b in range(6):
             bad, late = (14, 3 * SECOND) if b == 2 else (0, SECOND // 10)
             fleet.module.on_backend_report(
-                fleet.now, b % 2, b, 20, bad, late, SECOND // 2, {"queue": 9.0 * (b == 2)}
+                fleet.now, b % 2, b, AttemptReport(20, bad, late, SECOND // 2, {"queue": 9.0 * (b == 2)})
             )
         fleet.run(1)
-    assert fleet.tables[0][2] == 2.0 * RUNGS[1]
+    assert fleet.tables[0][2] == 2.0 * EJECTION_WEIGHTS[1]
 
 
 def test_no_calls_go_along_a_poor_way_while_the_far_servers_are_idle() -> None:
@@ -305,7 +306,9 @@
         for _ in range(6):
             for b in (1, 3, 5, 0):
                 bad, load = 5 * (b > 0), {"queue": queue}
-                fleet.module.on_backend_report(fleet.now, 0, b, 20, bad, SECOND // 10, SECOND // 2, load)
+                fleet.module.on_backend_report(
+                    fleet.now, 0, b, AttemptReport(20, bad, SECOND // 10, SECOND // 2, load)
+                )
             fleet.run(1)
         assert (fleet.pick(0, 0) == {0}) == (queue == 0.0)
 
@@ -316,7 +319,9 @@
         fleet.ask(100)
         for b in range(6):
             bad, late = (16, 2 * SECOND) if b % 2 and k else (0, SECOND // 10)
-            fleet.module.on_backend_report(fleet.now, b % 2, b, 100, 5 * bad, late, SECOND // 2, {})
+            fleet.module.on_backend_report(
+                fleet.now, b % 2, b, AttemptReport(100, 5 * bad, late, SECOND // 2, {})
+            )
         fleet.run(1)
     assert fleet.levels[1, 0][0] < fleet.levels.get((0, 0), (1.0, 1))[0]
 
@@ -332,13 +337,13 @@
 
 def test_what_others_proxies_ask_goes_as_ours_where_they_are_dealt_by_chance() -> None:
     for by_zone in (True, False):
-        fleet = started(replace(SETTINGS, controllers=4, by_zone=by_zone))
+        fleet = started(replace(SETTINGS, controller_count=4, proxies_join_own_zone=by_zone))
         for _ in range(4):
             for p in fleet.bound:
-                fleet.module.on_demand_report(fleet.now, p, 0, 10 if p % 2 else 20, 0, SECOND)
+                fleet.module.on_demand_report(fleet.now, p, 0, 10 if p % 2 else 20, SECOND)
             for b in range(6):
                 fleet.module.on_backend_report(
-                    fleet.now, b % 2, b, 20, 0, SECOND // 10, SECOND // 2, {"queue": 1.5}
+                    fleet.now, b % 2, b, AttemptReport(20, 0, SECOND // 10, SECOND // 2, {"queue": 1.5})
                 )
             fleet.run(1)
         assert (set(fleet.tables[0]) == {0, 2, 4}) == by_zone
@@ -352,7 +357,7 @@
             fleet.now, "changes", [entry(b, b % 2, weight=2.0 + k % 3) for b in range(40)]
         )
         fleet.run(0.5)
-        assert fleet.backlog(0.33) <= SETTINGS.queue_cap
+        assert fleet.backlog(0.33) <= SETTINGS.queue_limit
 
 
 def test_a_cold_server_leaves_a_jammed_table_though_the_channel_is_busy() -> None:
@@ -372,21 +377,21 @@
     fleet = started(proxies=40)
     for turn in range(40):  # each proxy has a call every 4 s; lines cover but the last of that time
         for p in range(turn % 8, 40, 8):
-            fleet.module.on_demand_report(fleet.now, p, 0, 1, 0, SECOND)
+            fleet.module.on_demand_report(fleet.now, p, 0, 1, SECOND)
         fleet.run(0.5)
-    asked = sum(p.asked[0][0] for p in fleet.module.proxies.values())
+    asked = sum(p.demand[0][0] for p in fleet.module.proxies.values())
     assert 0.8 < asked / 10 < 1.25
     fleet.run(8)
-    assert sum(p.asked[0][0] for p in fleet.module.proxies.values()) < 0.05 * asked
+    assert sum(p.demand[0][0] for p in fleet.module.proxies.values()) < 0.05 * asked
 
 
 def test_more_proxies_than_servers_accept_connections_are_split_and_none_is_left_without() -> None:
-    crowd = replace(SETTINGS, proxies=150, connections=35.0, queue_cap=5100.0)
+    crowd = replace(SETTINGS, proxy_count=150, backend_connections=35.0, queue_limit=5100.0)
     fleet = started(crowd, per_zone=15, proxies=150)
     fleet.run(20)  # joins wait for room in the channel
     named = [sum(b in fleet.pick(p, 0) for p in fleet.bound) for b in range(30)]
     assert max(named) <= 35 and min(named) > 0
-    assert all(len(fleet.pick(p, 0)) >= LEAST_LINES for p in fleet.bound)
+    assert all(len(fleet.pick(p, 0)) >= MIN_BACKENDS for p in fleet.bound)
     mine = fleet.pick(0, 0)
     fleet.module.on_endpoints(fleet.now, "changes", [entry(b, 0, "draining") for b in mine])
     assert fleet.pick(0, 0) and not fleet.pick(0, 0) & mine
@@ -418,8 +423,8 @@
     fleet.report({})
     fleet.ask(20)
     fleet.run(0.5)
-    view, asked = fleet.module.views[0], dict(fleet.module.proxies[0].asked)
-    lines = dict(view.lines)
+    view, asked = fleet.module.views[0], dict(fleet.module.proxies[0].demand)
+    lines = dict(view.good_rates)
     for latency, covers, tries, queue in (
         (10**21, SECOND, 9, 0.0),
         (SECOND, 10**21, 9, 0.0),
@@ -427,15 +432,17 @@
         (SECOND, SECOND, 10**12, 0.0),
         (SECOND, SECOND, 9, 1e30),
     ):
-        fleet.module.on_backend_report(fleet.now, 0, 0, tries, 0, latency, covers, {"queue": queue})
+        fleet.module.on_backend_report(
+            fleet.now, 0, 0, AttemptReport(tries, 0, latency, covers, {"queue": queue})
+        )
     for covers, calls in ((10**21, 9), (0, 9), (SECOND, 10**12)):
-        fleet.module.on_demand_report(fleet.now, 0, 0, calls, 0, covers)
-    assert view.lines == lines and fleet.module.proxies[0].asked == asked
-    assert fleet.module.backends[0].queue < 1e30
+        fleet.module.on_demand_report(fleet.now, 0, 0, calls, covers)
+    assert view.good_rates == lines and fleet.module.proxies[0].demand == asked
+    assert fleet.module.backends[0].queue_length < 1e30
 
 
 def test_a_channel_that_all_but_stops_is_noticed_by_marks_that_do_not_come_back() -> None:
-    fleet = started(replace(SETTINGS, queue_cap=5100.0), per_zone=20, proxies=60)
+    fleet = started(replace(SETTINGS, queue_limit=5100.0), per_zone=20, proxies=60)
     fleet.run(8)
     assert fleet.marks
     fleet.answers, start = False, len(fleet.lines)
@@ -445,7 +452,7 @@
         )
         fleet.run(0.5)
     held = sum(lines for _, lines in fleet.lines[start:])
-    assert held <= 0.6 * fleet.settings.queue_cap  # what can wait does, once the first mark is overdue
+    assert held <= 0.6 * fleet.settings.queue_limit  # what can wait does, once the first mark is overdue
     fleet.module.on_endpoints(fleet.now, "changes", [entry(0, 0, "draining")])
     assert 0 not in fleet.pick(0, 0)  # what must leave goes
     fleet.answers = True
@@ -466,7 +473,7 @@
 
 def test_a_zone_that_restarts_as_a_whole_serves_in_a_jam_as_soon_as_it_bears_all_calls() -> None:
     for share, soon in ((0.3, True), (0.02, False)):  # of its capacity at the start
-        fleet = started(replace(SETTINGS, cold_share=share), per_zone=8, proxies=8)
+        fleet = started(replace(SETTINGS, slow_start_share=share), per_zone=8, proxies=8)
         fleet.ask(10)
         for _ in range(8):
             fleet.report({}, tries=30)
@@ -478,7 +485,7 @@
             fleet.report({b: 0.5 for b in range(0, 16, 2)}, tries=30)
             fleet.ask(10)
             fleet.run(0.5)
-        assert any("jammed" in line for line in fleet.records)
+        assert any("overloaded" in line for line in fleet.records)
         assert any(b % 2 == 0 for b in fleet.tables[0]) == soon  # long before the cold time is over
 
 
@@ -490,11 +497,11 @@
         for _ in range(8):
             for b in range(1, 12, 2):
                 fleet.module.on_backend_report(
-                    fleet.now, 1, b, 20, 0, SECOND // 10, SECOND // 2, {"queue": queue}
+                    fleet.now, 1, b, AttemptReport(20, 0, SECOND // 10, SECOND // 2, {"queue": queue})
                 )
             fleet.ask(10)
             fleet.run(0.5)
-        kept.append(fleet.module.views[0].keep)
+        kept.append(fleet.module.views[0].local_share)
     assert kept[0] < 0.85 and kept[1] > 1 - (1 - kept[0]) / 4
 
 
@@ -516,7 +523,7 @@
     fleet.module.on_endpoints(fleet.now, "changes", [entry(0, 0, since=fleet.now)])
     for _ in range(8):
         fleet.run(0.5)
-        assert fleet.tables[0].get(1, 0.0) <= 0.2 + 1e-9 or fleet.now - 110 * SECOND > SETTINGS.cold_ns
+        assert fleet.tables[0].get(1, 0.0) <= 0.2 + 1e-9 or fleet.now - 110 * SECOND > SETTINGS.slow_start_ns
 
 
 def test_calls_that_draining_servers_turn_away_are_no_jam() -> None:
@@ -526,27 +533,27 @@
         for _ in range(6):  # proxies are told one after the other, and send there till then
             for b in range(0, 12, 2):
                 fleet.module.on_backend_report(
-                    fleet.now, 0, b, 20, 18 * (b < 4), SECOND // 10, SECOND // 2, {}
+                    fleet.now, 0, b, AttemptReport(20, 18 * (b < 4), SECOND // 10, SECOND // 2, {})
                 )
             fleet.run(0.5)
-        assert any("jammed" in line for line in fleet.records) == (state == "ready")
+        assert any("overloaded" in line for line in fleet.records) == (state == "ready")
 
 
 def test_a_jam_keeps_cold_servers_out_only_where_proxies_call_often_enough_to_avoid_the_warm() -> None:
     for calls, named in ((1, True), (40, False)):  # a second, of each route at each proxy
-        fleet = started(replace(SETTINGS, proxies=80, queue_cap=5100.0), per_zone=12, proxies=40)
+        fleet = started(replace(SETTINGS, proxy_count=80, queue_limit=5100.0), per_zone=12, proxies=40)
         fleet.run(8)
         fleet.module.on_endpoints(fleet.now, "changes", [entry(b, 0, since=fleet.now) for b in range(24, 36)])
         for _ in range(6):
             fleet.ask(calls)
             fleet.report({b: 0.6 for b in range(24)}, tries=3 * calls)
             fleet.run(0.5)
-        assert any("jammed" in line for line in fleet.records)
+        assert any("overloaded" in line for line in fleet.records)
         assert any(b >= 24 for b in fleet.tables[0]) == named
 
 
 def test_ordinary_orders_wait_for_the_last_and_a_drain_waits_for_few() -> None:
-    crowd = replace(SETTINGS, proxies=80, queue_cap=20000.0, base_retry=0)
+    crowd = replace(SETTINGS, proxy_count=80, queue_limit=20000.0, base_retry_policy=0)
     for slow in (False, True):  # a channel at a tenth of its stated rate: marks come back late
         fleet = started(crowd, per_zone=20, proxies=80)
         fleet.answers, start = not slow, len(fleet.lines)
@@ -561,7 +568,7 @@
 
 
 def test_the_way_of_trying_again_goes_with_the_first_table_and_costs_no_message_later() -> None:
-    fleet = started(replace(SETTINGS, base_retry=0))
+    fleet = started(replace(SETTINGS, base_retry_policy=0))
     assert {grant for grant in fleet.levels.values()} == {(1.0, 1)}
     assert all(len(sent) == 1 for sent in fleet.heads.values())
 
@@ -576,13 +583,13 @@
             for b in sorted(lines):  # as many calls as before are answered, abroad by servers that queue
                 queue = {"queue": 9.0 * (turn > 6) * (b % 2)}
                 fleet.module.on_backend_report(
-                    fleet.now, table, b, 120 // len(lines), 0, SECOND // 5, SECOND // 2, queue
+                    fleet.now, table, b, AttemptReport(120 // len(lines), 0, SECOND // 5, SECOND // 2, queue)
                 )
         fleet.ask(20)
         fleet.run(0.5)
     left = fleet.tables[0]
-    asked, bears = fleet.module.views[0].asked, -fleet.module.best[0][1]  # at a weight of 1
-    assert 0 < asked / sum(left.values()) < SETTINGS.tip * bears and left[12] > 0
+    asked, bears = fleet.module.views[0].admitted_rate, -fleet.module.best_rate.value  # at a weight of 1
+    assert 0 < asked / sum(left.values()) < SETTINGS.overload_factor * bears and left[12] > 0
 
 
 def test_drops_that_have_all_but_faded_stop_no_decision() -> None:
@@ -592,7 +599,7 @@
         fleet.report({})
         fleet.run(1)
     fleet.module.on_endpoints(fleet.now, "changes", [entry(0, 0, "draining")])
-    assert 0 < fleet.module.views[0].met.bad < 1e-62 and 0 not in fleet.pick(0, 0)
+    assert 0 < fleet.module.views[0].stats.failures < 1e-62 and 0 not in fleet.pick(0, 0)
 
 
 def test_a_cold_server_of_little_weight_leaves_at_the_usual_pace_and_a_heavy_one_at_once() -> None:
@@ -601,7 +608,7 @@
         fleet.module.on_endpoints(fleet.now, "changes", [entry(1, 1, since=fleet.now)])
         fleet.run(3)
         fleet.module.tables[0][1] = fleet.tables[0][1] = weight  # abroad, and the way there is poor now
-        fleet.module.paced[0] = fleet.now
+        fleet.module.last_update_ns[0] = fleet.now
         fleet.module.update_tables(fleet.now)
         assert (1 in fleet.tables[0]) == waits
         fleet.run(2)
@@ -611,11 +618,11 @@
 def test_each_answer_to_a_mark_tells_that_one_message_has_left_the_channel() -> None:
     fleet = started(proxies=8)
     fleet.answers = False
-    before = fleet.module.sent
-    assert fleet.module.passed == before
+    before = fleet.module.sent_lines
+    assert fleet.module.delivered_lines == before
     fleet.module.on_endpoints(fleet.now, "changes", [entry(0, 0, "draining")])  # four proxies of one zone
     for answers in range(4):
-        left = before + (fleet.module.sent - before) * answers / 4
-        assert abs(fleet.module.passed - left) < 1e-6 and fleet.module.sent > before
+        left = before + (fleet.module.sent_lines - before) * answers / 4
+        assert abs(fleet.module.delivered_lines - left) < 1e-6 and fleet.module.sent_lines > before
         fleet.module.on_ack(fleet.now, fleet.marks[-1])
-    assert abs(fleet.module.passed - fleet.module.sent) < 1e-6
+    assert abs(fleet.module.delivered_lines - fleet.module.sent_lines) < 1e-6
