--- /dev/null
+++ b/meadowworks/consensus/quorum_read.py
@@ -0,0 +1,51 @@
+"""A linearizable read: a majority of the members says what it holds."""
+
+from __future__ import annotations
+
+from meadowworks.consensus.messages import QueryReply, QueryRequest, Reply, StaleEpochReply
+from meadowworks.consensus.outcomes import EpochChanged, QuorumReadResult
+from meadowworks.consensus.values import Epoch
+
+
+class QuorumRead:
+    """Asks a majority of an epoch's members what they hold.
+
+    Whatever was acknowledged before the first request left is not above the outcome's `highest_version`.
+    """
+
+    def __init__(self, epoch: Epoch) -> None:
+        self.epoch = epoch
+        self.replies: dict[str, QueryReply] = {}
+        self.outcome: EpochChanged | QuorumReadResult | None = None
+
+    def request(self) -> QueryRequest:
+        """The only request of a read."""
+        return QueryRequest(self.epoch.number)
+
+    def unanswered_members(self) -> list[tuple[str, str]]:
+        """Members that have not answered, with their addresses."""
+        return [(d, a) for d, a in self.epoch.members if d not in self.replies]
+
+    def on_reply(self, member_id: str, reply: Reply) -> bool:
+        """Takes in a member's reply.
+
+        :returns: whether the outcome is there.
+        """
+        if self.outcome is not None:
+            return False
+        match reply:
+            case StaleEpochReply(epoch):
+                self.outcome = EpochChanged(epoch, False)
+                return True
+            case QueryReply(epoch=number, may_vote=True) if number == self.epoch.number:
+                return self.epoch.has_member(member_id) and self._on_query_reply(member_id, reply)
+        return False
+
+    def _on_query_reply(self, member_id: str, reply: QueryReply) -> bool:
+        self.replies[member_id] = reply
+        if len(self.replies) < self.epoch.majority:
+            return False
+        newest = max(self.replies.values(), key=lambda r: r.committed_version)
+        highest_version = max(r.highest_version for r in self.replies.values())
+        self.outcome = QuorumReadResult(highest_version, newest.committed_version, newest.address)
+        return True
--- a/meadowworks/consensus/replica.py
+++ b/meadowworks/consensus/replica.py
@@ -16,35 +16,37 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from meadowworks.consensus.register import (
-    MEMBERSHIP_VERSION,
-    NO_BALLOT,
-    UNKNOWN_EPOCH,
-    Acceptor,
-    AcceptorSlot,
-    Ballot,
-    Chosen,
-    CommittedValue,
-    Epoch,
-    EpochChanged,
+from meadowworks.consensus.acceptor import Acceptor
+from meadowworks.consensus.membership import decode_member_list, encode_member_list, next_members
+from meadowworks.consensus.messages import (
     InstallRequest,
-    Proposer,
     QueryReply,
-    QuorumRead,
-    QuorumReadResult,
-    Reconfiguration,
     Reply,
     Request,
-    RetryWithHigherBallot,
     SnapshotReply,
     SnapshotRequest,
     StaleEpochReply,
-    StateTransfer,
+)
+from meadowworks.consensus.metadata import acceptor_metadata
+from meadowworks.consensus.outcomes import (
+    Chosen,
+    EpochChanged,
+    QuorumReadResult,
+    RetryWithHigherBallot,
     Superseded,
-    decode_epoch,
+)
+from meadowworks.consensus.proposer import Proposer
+from meadowworks.consensus.quorum_read import QuorumRead
+from meadowworks.consensus.reconfiguration import Reconfiguration
+from meadowworks.consensus.state_transfer import StateTransfer
+from meadowworks.consensus.values import (
+    MEMBERSHIP_VERSION,
+    NO_BALLOT,
+    AcceptorSlot,
+    Ballot,
+    CommittedValue,
+    Epoch,
     digest,
-    encode_epoch,
-    next_members,
 )
 
 MILLISECOND_NS, SECOND_NS = 1_000_000, 1_000_000_000
@@ -67,7 +69,6 @@
 STALL_THRESHOLD_NS = (
     SECOND_NS  # a tick that is later than this: this process stood still, and knows nobody's silence
 )
-NOTHING_COMMITTED = CommittedValue()
 LEAVE_WAITER_ID = -1  # the order under which `leave` reports
 
 
@@ -770,16 +771,9 @@
 
     # -- the order of writes and sends
 
-    def has_unwritten_changes(self) -> bool:
-        return (
-            bool(self.acceptor.changed_slots)
-            or self.acceptor.metadata_changed
-            or self.acceptor.committed_changed
-        )
-
     def defer_until_written(self, item: Any) -> None:
         """Something that rests on all that the acceptor has come to hold: it waits for the write of that."""
-        if self.has_unwritten_changes():
+        if self.acceptor.has_unwritten_changes():
             self.awaiting_write.append((self.last_write_id + 1, item))
         elif self.write_in_flight:
             self.awaiting_write.append((self.write_in_flight, item))
@@ -800,7 +794,7 @@
                     operation = self.operations.get(operation_id)
                     if operation is not None and operation.round_number == round_number:
                         self.on_operation_reply(now_ns, operation_id, operation, member_id, reply)
-        if self.has_unwritten_changes() and not self.write_in_flight:
+        if self.acceptor.has_unwritten_changes() and not self.write_in_flight:
             self.last_write_id += 1
             self.write_in_flight, self.update_in_flight = self.last_write_id, self.collect_update()
             self.effects.append(Persist(self.last_write_id, self.update_in_flight))
@@ -808,16 +802,7 @@
     def collect_update(self) -> StateUpdate:
         """What has changed since the last write, as a copy."""
         acceptor = self.acceptor
-        meta = None
-        if acceptor.metadata_changed:
-            meta = {
-                "disk": acceptor.member_id,
-                "seat": acceptor.founder_id,
-                "life": acceptor.incarnation,
-                "epoch": encode_epoch(acceptor.epoch),
-                "installed": acceptor.installed,
-                "sealed": None if acceptor.sealed_by is None else encode_epoch(acceptor.sealed_by),
-            }
+        metadata = acceptor_metadata(acceptor) if acceptor.metadata_changed else None
         slots = {
             v: AcceptorSlot(s.promised, s.accepted, s.value) if (s := acceptor.slots.get(v)) else None
             for v in acceptor.changed_slots
@@ -830,7 +815,7 @@
         self.persisted_history_versions = set(acceptor.history)
         held = acceptor.committed if acceptor.committed_changed else None
         acceptor.changed_slots, acceptor.metadata_changed, acceptor.committed_changed = set(), False, False
-        return StateUpdate(meta, held, added, min(acceptor.history, default=0), slots)
+        return StateUpdate(metadata, held, added, min(acceptor.history, default=0), slots)
 
     def status(self, now_ns: int) -> dict[str, Any]:
         acceptor, at = self.acceptor, self.known_as_of_ns(now_ns)
@@ -845,53 +830,3 @@
             "version": f"{acceptor.committed.version:08x}",
             "undecided": [f"{v:08x}" for v in sorted(acceptor.slots) if v],
         }
-
-
-def encode_member_list(members: tuple[tuple[str, str], ...]) -> bytes:
-    """As the content of a register: equal for equal sets."""
-    return "\n".join(f"{disk} {address}" for disk, address in sorted(members)).encode()
-
-
-def decode_member_list(value: bytes) -> tuple[tuple[str, str], ...]:
-    rows = [line.partition(" ") for line in value.decode().splitlines()]
-    return tuple((disk, address) for disk, _, address in rows)
-
-
-def load_acceptor(
-    metadata: Mapping[str, Any] | None,
-    *,
-    new_member_id: str,
-    address: str,
-    seeds: tuple[str, ...],
-    bootstrap: bool,
-    voting: bool,
-    committed: CommittedValue = NOTHING_COMMITTED,
-    history: Mapping[int, bytes] | None = None,
-    slots: Mapping[int, AcceptorSlot] | None = None,
-) -> Acceptor:
-    """The acceptor of a disk as it is at a start. `meta` is what the disk holds; none if it is empty, then
-    `disk` is its name from now on. `address` and `seeds` are of the port for signalboxes among themselves."""
-    if metadata is not None:
-        sealed = metadata["sealed"]
-        return Acceptor(
-            str(metadata["disk"]),
-            address,
-            str(metadata["seat"]),
-            voting,
-            int(metadata["life"]),
-            decode_epoch(metadata["epoch"]),
-            bool(metadata["installed"]) and voting,
-            None if sealed is None else decode_epoch(sealed),
-            committed,
-            dict(history or {}),
-            dict(slots or {}),
-        )
-    epoch, seat = Epoch(UNKNOWN_EPOCH), ""
-    founder = bootstrap and address in seeds
-    if bootstrap:
-        # All are told the same seeds at the first start: they are the members of epoch 0, by their seats.
-        epoch = Epoch(0, tuple(sorted((f"@{seed}", seed) for seed in seeds)))
-        seat = f"@{address}" if founder else ""
-    return Acceptor(
-        new_member_id, address, seat, voting, epoch=epoch, installed=founder, metadata_changed=True
-    )
--- a/meadowworks/controlplane/config_service.py
+++ b/meadowworks/controlplane/config_service.py
@@ -13,8 +13,9 @@
 from typing import Any
 from uuid import uuid4
 
-from meadowworks.consensus import register
-from meadowworks.consensus.register import CommittedValue, Reply, Request
+from meadowworks.consensus import codec
+from meadowworks.consensus.messages import Reply, Request
+from meadowworks.consensus.metadata import load_acceptor
 from meadowworks.consensus.replica import (
     LEAVE_WAITER_ID,
     CompleteOperation,
@@ -25,8 +26,8 @@
     SendRequest,
     Undecided,
     ValueCommitted,
-    load_acceptor,
 )
+from meadowworks.consensus.values import CommittedValue
 from meadowworks.gossip import messages as post
 from meadowworks.runtime import logging as logs
 from meadowworks.runtime.errors import RequestError
@@ -208,7 +209,7 @@
 
 async def encode_message(message: Request | Reply) -> bytes:
     """A large body is compressed off the loop."""
-    body = post.encode(register.encode(message))
+    body = post.encode(codec.encode(message))
     if len(body) <= INLINE_COMPRESSION_MAX_BYTES:
         return zlib.compress(body, 6)
     return await asyncio.get_running_loop().run_in_executor(None, zlib.compress, body, 6)
@@ -216,7 +217,7 @@
 
 def decode_message(body: bytes) -> Any:
     try:
-        return register.decode(post.decode(zlib.decompress(body)))
+        return codec.decode(post.decode(zlib.decompress(body)))
     except zlib.error as trouble:
         raise post.MalformedMessageError(f"no letter: {trouble}") from None
 
--- a/meadowworks/controlplane/server.py
+++ b/meadowworks/controlplane/server.py
@@ -13,7 +13,7 @@
 from typing import Any
 from uuid import uuid4
 
-from meadowworks.consensus.register import CommittedValue
+from meadowworks.consensus.values import CommittedValue
 from meadowworks.controlplane.api import BackendsResource, ConfigResource, build_routes
 from meadowworks.controlplane.config_service import ConfigService
 from meadowworks.controlplane.drain_service import DrainService, decode_rows
--- a/meadowworks/gossip/messages.py
+++ b/meadowworks/gossip/messages.py
@@ -15,7 +15,8 @@
 from meadowworks.gossip.updates import SourceDelta
 
 if TYPE_CHECKING:  # a junction speaks no letters: their import would be a tenth of its start
-    from meadowworks.consensus.register import DigestHistory, Epoch, QueryReply
+    from meadowworks.consensus.messages import QueryReply
+    from meadowworks.consensus.values import DigestHistory, Epoch
 
 DECODE_ERRORS = (
     TypeError,
@@ -96,11 +97,11 @@
     def encode_consensus_fields(self) -> list[Any]:
         if self.acceptor_state is None and self.epoch is None:
             return [None, None, []]
-        from meadowworks.consensus import register
+        from meadowworks.consensus import codec
 
         return [
-            None if self.acceptor_state is None else register.encode(self.acceptor_state),
-            None if self.epoch is None else register.encode_epoch(self.epoch),
+            None if self.acceptor_state is None else codec.encode(self.acceptor_state),
+            None if self.epoch is None else codec.encode_epoch(self.epoch),
             [list(one) for one in self.decided_digests],
         ]
 
@@ -123,12 +124,13 @@
     """Raises ValueError, TypeError or KeyError."""
     if seen is None and epoch is None and history == []:
         return None, None, ()
-    from meadowworks.consensus import register
+    from meadowworks.consensus import codec
+    from meadowworks.consensus.messages import QueryReply
 
-    found = None if seen is None else register.decode(seen)
-    if not (found is None or isinstance(found, register.QueryReply)):
+    found = None if seen is None else codec.decode(seen)
+    if not (found is None or isinstance(found, QueryReply)):
         raise ValueError("not what a disk says of itself")
-    return found, None if epoch is None else register.decode_epoch(epoch), register.decode_history(history)
+    return found, None if epoch is None else codec.decode_epoch(epoch), codec.decode_history(history)
 
 
 def decode_pull_request(body: bytes) -> PullRequest:
--- a/meadowworks/modelcheck/models/consensus.py
+++ b/meadowworks/modelcheck/models/consensus.py
@@ -18,43 +18,43 @@
 from itertools import combinations
 from typing import Any
 
-from meadowworks.consensus.register import (
-    MEMBERSHIP_VERSION,
+from meadowworks.consensus.acceptor import Acceptor
+from meadowworks.consensus.membership import decode_member_list, encode_member_list
+from meadowworks.consensus.messages import (
     AcceptedReply,
-    Acceptor,
-    AcceptorSlot,
-    AcceptorState,
     AcceptRequest,
-    Ballot,
-    Chosen,
-    CommittedValue,
-    Epoch,
-    EpochChanged,
     InstallRequest,
     LearnRequest,
     PrepareRequest,
     PromiseReply,
-    Proposer,
     QueryReply,
-    QuorumRead,
-    QuorumReadResult,
-    Reconfiguration,
     Request,
-    RetryWithHigherBallot,
     SealRequest,
     SnapshotReply,
     SnapshotRequest,
     StaleEpochReply,
-    StateTransfer,
+)
+from meadowworks.consensus.metadata import load_acceptor
+from meadowworks.consensus.outcomes import (
+    Chosen,
+    EpochChanged,
+    QuorumReadResult,
+    RetryWithHigherBallot,
     Superseded,
-    digest,
 )
-from meadowworks.consensus.replica import (
-    Operation,
-    Replica,
-    decode_member_list,
-    encode_member_list,
-    load_acceptor,
+from meadowworks.consensus.proposer import Proposer
+from meadowworks.consensus.quorum_read import QuorumRead
+from meadowworks.consensus.reconfiguration import Reconfiguration
+from meadowworks.consensus.replica import Operation, Replica
+from meadowworks.consensus.state_transfer import StateTransfer
+from meadowworks.consensus.values import (
+    MEMBERSHIP_VERSION,
+    AcceptorSlot,
+    AcceptorState,
+    Ballot,
+    CommittedValue,
+    Epoch,
+    digest,
 )
 from meadowworks.modelcheck.model import Model, Property, Step
 
--- a/meadowworks/modelcheck/models/replica.py
+++ b/meadowworks/modelcheck/models/replica.py
@@ -15,23 +15,20 @@
 from itertools import combinations
 from typing import Any
 
-from meadowworks.consensus.register import (
-    MEMBERSHIP_VERSION,
-    NO_BALLOT,
+from meadowworks.consensus.acceptor import Acceptor
+from meadowworks.consensus.membership import encode_member_list
+from meadowworks.consensus.messages import (
     AcceptedReply,
-    Acceptor,
-    AcceptorSlot,
     AcceptRequest,
-    CommittedValue,
-    Epoch,
     InstalledReply,
     PromiseReply,
-    Proposer,
     QueryReply,
-    Reconfiguration,
     Request,
     SealedReply,
 )
+from meadowworks.consensus.metadata import load_acceptor
+from meadowworks.consensus.proposer import Proposer
+from meadowworks.consensus.reconfiguration import Reconfiguration
 from meadowworks.consensus.replica import (
     SECOND_NS,
     Committed,
@@ -42,9 +39,8 @@
     SendReply,
     SendRequest,
     StateUpdate,
-    encode_member_list,
-    load_acceptor,
 )
+from meadowworks.consensus.values import MEMBERSHIP_VERSION, NO_BALLOT, AcceptorSlot, CommittedValue, Epoch
 from meadowworks.modelcheck.model import Model, Property, Step
 from meadowworks.modelcheck.models.consensus import ABC, X, Y, disks, flat_acceptor, forward
 
@@ -392,7 +388,7 @@
 def whole(world: World) -> bool:
     """A disk on which everything is written holds what the memory does."""
     for box, disk in zip(world.boxes, world.disks, strict=True):
-        if disk.pending is None and not box.has_unwritten_changes():
+        if disk.pending is None and not box.acceptor.has_unwritten_changes():
             memory, there = flat_acceptor(box.acceptor), flat_acceptor(disk.acceptor(box.acceptor.address))
             if memory[:3] + memory[4:11] != there[:3] + there[4:11]:
                 return False
--- a/meadowworks/modelcheck/seeded_faults/consensus.py
+++ b/meadowworks/modelcheck/seeded_faults/consensus.py
@@ -5,7 +5,11 @@
 from meadowworks.modelcheck.fault import SeededFault
 from meadowworks.modelcheck.model import NO_EXCEPTION
 
-REGISTER, REPLICA = "meadowworks.consensus.register:", "meadowworks.consensus.replica:"
+PACKAGE = "meadowworks.consensus."
+ACCEPTOR, PROPOSER = PACKAGE + "acceptor:Acceptor.", PACKAGE + "proposer:Proposer."
+RECONFIGURATION = PACKAGE + "reconfiguration:Reconfiguration."
+QUORUM_READ, STATE_TRANSFER = PACKAGE + "quorum_read:QuorumRead.", PACKAGE + "state_transfer:StateTransfer."
+METADATA, REPLICA = PACKAGE + "metadata:", PACKAGE + "replica:Replica."
 CONTENT = ("one content", "lasts")
 CONSENSUS_FAULTS = (
     *(
@@ -13,7 +17,7 @@
         for name, at, was, now, breaks, starts in (
             (
                 "a ballot below the promised one is accepted",
-                REGISTER + "Acceptor.handle",
+                ACCEPTOR + "vote",
                 "if request.ballot < slot.promised:",
                 "if False:",
                 (*CONTENT, "never back"),
@@ -21,7 +25,7 @@
             ),
             (
                 "what is accepted is not promised",
-                REGISTER + "Acceptor.handle",
+                ACCEPTOR + "vote",
                 "slot.promised = request.ballot",
                 "slot.promised = request.ballot if isinstance(request, Prepare) else slot.promised",
                 ("never back", *CONTENT),
@@ -29,7 +33,7 @@
             ),
             (
                 "what was accepted before is not taken over",
-                REGISTER + "Proposer.on_reply",
+                PROPOSER + "_on_promise",
                 "if best.accepted > NO_BALLOT:",
                 "if False:",
                 CONTENT,
@@ -37,7 +41,7 @@
             ),
             (
                 "of what was accepted before the lowest is taken over",
-                REGISTER + "Proposer.on_reply",
+                PROPOSER + "_on_promise",
                 "max(self.promises.values(), key=lambda p: p.accepted)",
                 "min(self.promises.values(), key=lambda p: p.accepted)",
                 CONTENT,
@@ -45,7 +49,7 @@
             ),
             (
                 "a ballot's number goes before its epoch",
-                REGISTER + "Proposer.on_reply",
+                PROPOSER + "_on_promise",
                 "key=lambda p: p.accepted)",
                 "key=lambda p: p.accepted[1:])",
                 CONTENT,
@@ -53,7 +57,7 @@
             ),
             (
                 "a number goes before its epoch when states are merged",
-                REGISTER + "Acceptor.merge_state",
+                ACCEPTOR + "merge_state",
                 "if accepted > slot.accepted:",
                 "if accepted[1:] > slot.accepted[1:]:",
                 CONTENT,
@@ -61,7 +65,7 @@
             ),
             (
                 "less than a majority promises",
-                REGISTER + "Proposer.on_reply",
+                PROPOSER + "_on_promise",
                 "if len(self.promises) < self.epoch.majority:",
                 "if len(self.promises) < self.epoch.majority - 1:",
                 CONTENT,
@@ -69,7 +73,7 @@
             ),
             (
                 "less than a majority accepts",
-                REGISTER + "Proposer.on_reply",
+                PROPOSER + "_on_accepted",
                 "if len(self.acceptances) < self.epoch.majority:",
                 "if len(self.acceptances) < self.epoch.majority - 1:",
                 ("one content",),
@@ -77,7 +81,7 @@
             ),
             (
                 "a version that is settled is voted on",
-                REGISTER + "Acceptor.handle",
+                ACCEPTOR + "vote",
                 "if MEMBERSHIP_VERSION < request.version <= self.committed.version:",
                 "if False:",
                 (*CONTENT, "tidy"),
@@ -85,7 +89,7 @@
             ),
             (
                 "requests of an epoch that is over are heard",
-                REGISTER + "Acceptor.handle",
+                ACCEPTOR + "vote",
                 "if request.epoch < self.newest_epoch().number:",
                 "if False:",
                 ("newer deaf to older",),
@@ -93,7 +97,7 @@
             ),
             (
                 "requests of an epoch it is not in are heard",
-                REGISTER + "Acceptor.handle",
+                ACCEPTOR + "vote",
                 "request.epoch != self.epoch.number or not",
                 "not",
                 ("voters alone", *CONTENT),
@@ -101,7 +105,7 @@
             ),
             (
                 "requests are heard by who is not installed",
-                REGISTER + "Acceptor.handle",
+                ACCEPTOR + "vote",
                 "or not self.installed or",
                 "or",
                 ("voters alone",),
@@ -109,7 +113,7 @@
             ),
             (
                 "a sealed disk goes on",
-                REGISTER + "Acceptor.handle",
+                ACCEPTOR + "vote",
                 "if self.sealed_by is not None:",
                 "if False:",
                 ("voters alone", *CONTENT),
@@ -117,7 +121,7 @@
             ),
             (
                 "versions are agreed on before the members are",
-                REGISTER + "Acceptor.handle",
+                ACCEPTOR + "vote",
                 "if request.version != MEMBERSHIP_VERSION and request.epoch == 0:",
                 "if False:",
                 ("founding",),
@@ -125,7 +129,7 @@
             ),
             (
                 "a seal is not kept",
-                REGISTER + "Acceptor.seal",
+                ACCEPTOR + "seal",
                 "self.sealed_by, self.metadata_changed = next_epoch, True",
                 "pass",
                 ("one content", "lasts"),
@@ -133,7 +137,7 @@
             ),
             (
                 "a disk of an older epoch is sealed for the newer",
-                REGISTER + "Acceptor.seal",
+                ACCEPTOR + "seal",
                 "if self.epoch.number != epoch or not self.installed:",
                 "if not self.installed:",
                 ("lasts", "one content", NO_EXCEPTION),
@@ -141,7 +145,7 @@
             ),
             (
                 "an empty disk is installed under another's name",
-                REGISTER + "Acceptor.install",
+                ACCEPTOR + "install",
                 "if not next_epoch.has_member(self.member_id) or",
                 "if",
                 ("members vote",),
@@ -149,7 +153,7 @@
             ),
             (
                 "an acceptor goes back to an older epoch",
-                REGISTER + "Acceptor.install",
+                ACCEPTOR + "install",
                 "or next_epoch.number < self.newest_epoch().number:",
                 "or False:",
                 ("never back", "newer deaf to older"),
@@ -157,7 +161,7 @@
             ),
             (
                 "who is told not to vote is installed",
-                REGISTER + "Acceptor.install",
+                ACCEPTOR + "install",
                 "if not self.installed and not self.wants_membership:",
                 "if False:",
                 ("members vote",),
@@ -165,7 +169,7 @@
             ),
             (
                 "installed again where it was, a disk loses its seal",
-                REGISTER + "Acceptor.install",
+                ACCEPTOR + "install",
                 "if next_epoch.number > self.epoch.number:",
                 "if True:",
                 ("never back",),
@@ -173,7 +177,7 @@
             ),
             (
                 "the register of members goes on in the next epoch",
-                REGISTER + "Acceptor.install",
+                ACCEPTOR + "install",
                 "if self.slots.pop(MEMBERSHIP_VERSION, None):",
                 "if False:",
                 ("proposed",),
@@ -181,7 +185,7 @@
             ),
             (
                 "a member is installed empty",
-                REGISTER + "Acceptor.install",
+                ACCEPTOR + "install",
                 "self.merge_state(state)",
                 "pass",
                 ("lasts", "one content"),
@@ -189,7 +193,7 @@
             ),
             (
                 "what is undecided is not handed on",
-                REGISTER + "Acceptor.merge_state",
+                ACCEPTOR + "merge_state",
                 "if accepted > slot.accepted:",
                 "if False:",
                 ("lasts", "one content"),
@@ -197,7 +201,7 @@
             ),
             (
                 "of two states the first counts",
-                REGISTER + "Acceptor.merge_state",
+                ACCEPTOR + "merge_state",
                 "if accepted > slot.accepted:",
                 "if slot.accepted == NONE:",
                 ("lasts", "one content"),
@@ -205,7 +209,7 @@
             ),
             (
                 "what is settled is undecided again",
-                REGISTER + "Acceptor.merge_state",
+                ACCEPTOR + "merge_state",
                 "if version <= self.committed.version:",
                 "if False:",
                 ("tidy",),
@@ -213,7 +217,7 @@
             ),
             (
                 "the newest epoch heard of is the last one heard of",
-                REGISTER + "Acceptor.on_epoch",
+                ACCEPTOR + "on_epoch",
                 "if epoch.number <= self.newest_epoch().number:",
                 "if False:",
                 ("never back",),
@@ -221,7 +225,7 @@
             ),
             (
                 "less than a majority is sealed",
-                REGISTER + "Reconfiguration.on_reply",
+                RECONFIGURATION + "_on_sealed",
                 "if len(self.states) < self.epoch.majority:",
                 "if len(self.states) < self.epoch.majority - 1:",
                 CONTENT,
@@ -229,7 +233,7 @@
             ),
             (
                 "one of the sealed states is installed",
-                REGISTER + "Reconfiguration.request",
+                RECONFIGURATION + "request",
                 "for state in self.states.values():",
                 "for state in [*self.states.values()][:1]:",
                 ("lasts", "one content"),
@@ -237,7 +241,7 @@
             ),
             (
                 "an older version takes the newer one's place",
-                REGISTER + "Acceptor.learn",
+                ACCEPTOR + "learn",
                 "if version <= self.committed.version:",
                 "if version == self.committed.version:",
                 ("never back", "lasts"),
@@ -245,7 +249,7 @@
             ),
             (
                 "undecided versions above the one learnt are forgotten",
-                REGISTER + "Acceptor.learn",
+                ACCEPTOR + "learn",
                 "if MEMBERSHIP_VERSION < v <= version]",
                 "if MEMBERSHIP_VERSION < v]",
                 ("never back", "lasts"),
@@ -253,7 +257,7 @@
             ),
             (
                 "the register of members is forgotten with a version",
-                REGISTER + "Acceptor.learn",
+                ACCEPTOR + "learn",
                 "if MEMBERSHIP_VERSION < v <= version]",
                 "if v <= version]",
                 ("never back",),
@@ -261,7 +265,7 @@
             ),
             (
                 "a version is learnt and its content is not that",
-                REGISTER + "Acceptor.learn",
+                ACCEPTOR + "learn",
                 "known[version] = digest(value)",
                 "known[version] = digest(self.committed.value)",
                 ("true",),
@@ -269,7 +273,7 @@
             ),
             (
                 "what is undecided is not spoken of",
-                REGISTER + "Acceptor.query_reply",
+                ACCEPTOR + "query_reply",
                 "max(self.committed.version, self.highest_undecided_version()),",
                 "self.committed.version,",
                 ("not old", "handed over"),
@@ -277,7 +281,7 @@
             ),
             (
                 "of two undecided versions the lower is spoken of",
-                REGISTER + "Acceptor.highest_undecided_version",
+                ACCEPTOR + "highest_undecided_version",
                 "return max(",
                 "return min(",
                 ("not old",),
@@ -285,7 +289,7 @@
             ),
             (
                 "less than a majority is read",
-                REGISTER + "QuorumRead.on_reply",
+                QUORUM_READ + "_on_query_reply",
                 "if len(self.replies) < self.epoch.majority:",
                 "if len(self.replies) < self.epoch.majority - 1:",
                 ("not old",),
@@ -293,7 +297,7 @@
             ),
             (
                 "the least of what was read counts",
-                REGISTER + "QuorumRead.on_reply",
+                QUORUM_READ + "_on_query_reply",
                 "max(r.highest_version for r in self.replies.values())",
                 "min(r.highest_version for r in self.replies.values())",
                 ("not old",),
@@ -301,7 +305,7 @@
             ),
             (
                 "a sealed disk is read",
-                REGISTER + "QuorumRead.on_reply",
+                QUORUM_READ + "on_reply",
                 "epoch=number, may_vote=True",
                 "epoch=number",
                 ("not old",),
@@ -309,15 +313,15 @@
             ),
             (
                 "a disk of an older epoch is read for the newer",
-                REGISTER + "QuorumRead.on_reply",
-                "if number == self.epoch.number and",
-                "if",
+                QUORUM_READ + "on_reply",
+                "if number == self.epoch.number:",
+                "if True:",
                 ("not old",),
                 (27,),
             ),
             (
                 "a leaver ends when one other has been told",
-                REGISTER + "StateTransfer.on_reply",
+                STATE_TRANSFER + "on_reply",
                 "if len(self.acknowledged) < min(self.epoch.majority, len(self.other_members)):",
                 "if not self.acknowledged:",
                 ("handed over",),
@@ -325,7 +329,7 @@
             ),
             (
                 "a ballot does not have the life in its name",
-                REPLICA + "Replica.new_proposer",
+                REPLICA + "new_proposer",
                 "{self.acceptor.member_id}.{self.acceptor.incarnation}",
                 "{self.acceptor.member_id}",
                 ("one ballot", "one content"),
@@ -333,7 +337,7 @@
             ),
             (
                 "a ballot does not have the disk in its name",
-                REPLICA + "Replica.new_proposer",
+                REPLICA + "new_proposer",
                 "{self.acceptor.member_id}.{self.acceptor.incarnation}",
                 "{self.acceptor.incarnation}",
                 ("one ballot", "one content"),
@@ -341,7 +345,7 @@
             ),
             (
                 "a number is used again in one life",
-                REPLICA + "Replica.new_proposer",
+                REPLICA + "new_proposer",
                 "slot.promised.number if slot else 0) + 1",
                 "slot.promised.number if slot else 0) or 1",
                 ("one ballot", "one content"),
@@ -349,7 +353,7 @@
             ),
             (
                 "a start is no new life",
-                REPLICA + "Replica.start",
+                REPLICA + "start",
                 "self.acceptor.incarnation += 1",
                 "pass",
                 ("one ballot", "one content"),
@@ -357,7 +361,7 @@
             ),
             (
                 "the life on the disk is not read",
-                REPLICA + "load_acceptor",
+                METADATA + "load_acceptor",
                 'int(metadata["life"]),',
                 "0,",
                 ("one ballot", "never back"),
@@ -365,7 +369,7 @@
             ),
             (
                 "the seal on the disk is not read",
-                REPLICA + "load_acceptor",
+                METADATA + "load_acceptor",
                 "None if sealed is None else decode_epoch(sealed),",
                 "None,",
                 ("never back",),
@@ -373,7 +377,7 @@
             ),
             (
                 "who is told not to vote does",
-                REPLICA + "load_acceptor",
+                METADATA + "load_acceptor",
                 'bool(metadata["installed"]) and voting,',
                 'bool(metadata["installed"]),',
                 ("members vote", "voters alone"),
@@ -381,7 +385,7 @@
             ),
             (
                 "an empty disk founds again",
-                REPLICA + "load_acceptor",
+                METADATA + "_new_acceptor",
                 "if bootstrap:",
                 "if founder := address in seeds:",
                 ("one set",),
--- a/meadowworks/modelcheck/seeded_faults/replica.py
+++ b/meadowworks/modelcheck/seeded_faults/replica.py
@@ -4,15 +4,16 @@
 
 from meadowworks.modelcheck.fault import SeededFault
 
-REGISTER, REPLICA = "meadowworks.consensus.register:", "meadowworks.consensus.replica:"
-ACCEPTOR, BOX = REGISTER + "Acceptor.", REPLICA + "Replica."
+PACKAGE = "meadowworks.consensus."
+ACCEPTOR, PROPOSER = PACKAGE + "acceptor:Acceptor.", PACKAGE + "proposer:Proposer."
+METADATA, REPLICA = PACKAGE + "metadata:", PACKAGE + "replica:Replica."
 REPLICA_FAULTS = (
     *(
         SeededFault(name, "replica", at, was, now, breaks, start_indices=starts)
         for name, at, was, now, breaks, starts in (
             (
                 "a reply leaves before its write",
-                BOX + "on_request",
+                REPLICA + "on_request",
                 'self.defer_until_written(("tell", ticket, member_id, self.handle_request(now_ns, request)))',
                 'self.ready.append(("tell", ticket, member_id, self.handle_request(now_ns, request)))',
                 ("told rests on the disk",),
@@ -20,7 +21,7 @@
             ),
             (
                 "an own answer counts before its write",
-                BOX + "send_round",
+                REPLICA + "send_round",
                 "self.defer_until_written(own)",
                 "self.ready.append(own)",
                 ("own rests on the disk",),
@@ -28,15 +29,15 @@
             ),
             (
                 "what is not yet handed out to be written is not waited for",
-                BOX + "defer_until_written",
-                "if self.has_unwritten_changes():",
+                REPLICA + "defer_until_written",
+                "if self.acceptor.has_unwritten_changes():",
                 "if False:",
                 ("told rests on the disk", "own rests on the disk"),
                 (),
             ),
             (
                 "a write on its way is not waited for",
-                BOX + "defer_until_written",
+                REPLICA + "defer_until_written",
                 "elif self.write_in_flight:",
                 "elif False:",
                 ("told rests on the disk", "own rests on the disk"),
@@ -44,7 +45,7 @@
             ),
             (
                 "any write opens all gates",
-                BOX + "on_persisted",
+                REPLICA + "on_persisted",
                 "while self.awaiting_write and self.awaiting_write[0][0] <= write_id:",
                 "while self.awaiting_write:",
                 ("told rests on the disk", "own rests on the disk"),
@@ -52,7 +53,7 @@
             ),
             (
                 "what waits for the next write is let go by the last",
-                BOX + "defer_until_written",
+                REPLICA + "defer_until_written",
                 "self.awaiting_write.append((self.last_write_id + 1, item))",
                 "self.awaiting_write.append((self.last_write_id, item))",
                 ("told rests on the disk", "own rests on the disk", "lasts"),
@@ -60,7 +61,7 @@
             ),
             (
                 "a job asks before the life is on the disk",
-                BOX + "begin_attempt",
+                REPLICA + "begin_attempt",
                 "if not self.started:",
                 "if False:",
                 ("life first",),
@@ -68,7 +69,7 @@
             ),
             (
                 "a start does not wait for its write",
-                BOX + "start",
+                REPLICA + "start",
                 'self.defer_until_written(("started",))',
                 "self.started = True",
                 ("life first", "one ballot"),
@@ -76,7 +77,7 @@
             ),
             (
                 "a new life is not written",
-                BOX + "start",
+                REPLICA + "start",
                 "self.acceptor.metadata_changed = True",
                 "pass",
                 ("life first",),
@@ -84,7 +85,7 @@
             ),
             (
                 "a ballot has the life alone in its name",
-                BOX + "new_proposer",
+                REPLICA + "new_proposer",
                 "{self.acceptor.member_id}.{self.acceptor.incarnation}",
                 "{self.acceptor.incarnation}",
                 ("one ballot",),
@@ -92,7 +93,7 @@
             ),
             (
                 "a write leaves the life out",
-                BOX + "collect_update",
+                METADATA + "acceptor_metadata",
                 '"life": acceptor.incarnation,',
                 '"life": 0,',
                 ("never back",),
@@ -100,7 +101,7 @@
             ),
             (
                 "another's content is acknowledged as the own",
-                BOX + "on_operation_reply",
+                REPLICA + "on_operation_reply",
                 "Committed() if value == operation.value else Conflict()",
                 "Committed()",
                 ("one content",),
@@ -108,7 +109,7 @@
             ),
             (
                 "an acknowledgement does not wait for a majority",
-                REGISTER + "Proposer.on_reply",
+                PROPOSER + "_on_accepted",
                 "if len(self.acceptances) < self.epoch.majority:",
                 "if False:",
                 ("lasts",),
@@ -116,7 +117,7 @@
             ),
             (
                 "what was promised or accepted is not written",
-                ACCEPTOR + "handle",
+                ACCEPTOR + "vote",
                 "self.changed_slots.add(request.version)",
                 "pass",
                 ("told rests on the disk", "own rests on the disk", "whole"),
@@ -172,7 +173,7 @@
             ),
             (
                 "a write holds no slots",
-                BOX + "collect_update",
+                REPLICA + "collect_update",
                 "for v in acceptor.changed_slots",
                 "for v in ()",
                 ("told rests on the disk", "own rests on the disk", "whole"),
@@ -180,7 +181,7 @@
             ),
             (
                 "a write leaves the seal out",
-                BOX + "collect_update",
+                METADATA + "acceptor_metadata",
                 "None if acceptor.sealed_by is None else encode_epoch(acceptor.sealed_by)",
                 "None",
                 ("told rests on the disk", "own rests on the disk", "whole"),
@@ -188,7 +189,7 @@
             ),
             (
                 "a write does not say who is installed",
-                BOX + "collect_update",
+                METADATA + "acceptor_metadata",
                 '"installed": acceptor.installed,',
                 '"installed": False,',
                 ("never back", "whole"),
--- a/meadowworks/simulation/control.py
+++ b/meadowworks/simulation/control.py
@@ -15,16 +15,9 @@
 from functools import partial
 from typing import Any
 
-from meadowworks.consensus.register import (
-    NO_BALLOT,
-    Acceptor,
-    AcceptRequest,
-    Ballot,
-    CommittedValue,
-    Epoch,
-    QueryReply,
-    digest,
-)
+from meadowworks.consensus.acceptor import Acceptor
+from meadowworks.consensus.messages import AcceptRequest, QueryReply
+from meadowworks.consensus.metadata import load_acceptor
 from meadowworks.consensus.replica import (
     LEASE_DURATION_NS,
     LEAVE_WAITER_ID,
@@ -37,8 +30,8 @@
     SendReply,
     SendRequest,
     ValueCommitted,
-    load_acceptor,
 )
+from meadowworks.consensus.values import NO_BALLOT, Ballot, CommittedValue, Epoch, digest
 from meadowworks.simulation.disks import SimulatedDisk, SimulatedStore
 from meadowworks.simulation.network import MS, SECOND, EventScheduler, Network
 
--- a/meadowworks/simulation/guards.py
+++ b/meadowworks/simulation/guards.py
@@ -11,32 +11,38 @@
 from typing import Any
 from unittest import mock
 
-from meadowworks.consensus import register, replica
-from meadowworks.consensus.register import (
-    MEMBERSHIP_VERSION,
-    NO_BALLOT,
+from meadowworks.consensus import replica
+from meadowworks.consensus.acceptor import Acceptor
+from meadowworks.consensus.membership import next_members
+from meadowworks.consensus.messages import (
     AcceptedReply,
-    Acceptor,
-    AcceptorSlot,
-    AcceptorState,
-    Ballot,
+    AcceptRequest,
     BallotRejectedReply,
-    CommittedValue,
-    Epoch,
     InstalledReply,
     NotAMemberReply,
     PrepareRequest,
     PromiseReply,
-    Proposer,
     QueryReply,
-    QuorumRead,
-    QuorumReadResult,
-    Reconfiguration,
     Reply,
     SealedReply,
+    StaleEpochReply,
     VersionDecidedReply,
 )
+from meadowworks.consensus.metadata import load_acceptor
+from meadowworks.consensus.outcomes import EpochChanged, QuorumReadResult
+from meadowworks.consensus.proposer import Proposer
+from meadowworks.consensus.quorum_read import QuorumRead
+from meadowworks.consensus.reconfiguration import Reconfiguration
 from meadowworks.consensus.replica import Committed, CompleteOperation, Conflict, Replica
+from meadowworks.consensus.values import (
+    MEMBERSHIP_VERSION,
+    NO_BALLOT,
+    AcceptorSlot,
+    AcceptorState,
+    Ballot,
+    CommittedValue,
+    Epoch,
+)
 from meadowworks.simulation import control, disks
 
 NEVER_NS = 1 << 60
@@ -79,11 +85,11 @@
     whole = Acceptor.handle
 
     def answer(self: Acceptor, request: Any) -> Reply:
-        if not isinstance(request, PrepareRequest | register.AcceptRequest):
+        if not isinstance(request, PrepareRequest | AcceptRequest):
             return whole(self, request)
         if "epoch" not in without:
             if request.epoch < self.newest_epoch().number:
-                return register.StaleEpochReply(self.newest_epoch())
+                return StaleEpochReply(self.newest_epoch())
             if request.epoch != self.epoch.number or request.ballot.epoch != request.epoch:
                 return NotAMemberReply(self.epoch.number)
         if not self.installed:
@@ -148,7 +154,7 @@
         and self.next_epoch.has_member(who)
         and self.outcome is None
     ):
-        self.outcome = register.EpochChanged(self.next_epoch, False)
+        self.outcome = EpochChanged(self.next_epoch, False)
         return True
     return CHANGE_ON_REPLY(self, who, reply)
 
@@ -160,7 +166,7 @@
     return ACCEPTOR_FOR(meta, **{**given, "new_member_id": given["address"].replace(".", "")})
 
 
-ACCEPTOR_FOR = replica.load_acceptor
+ACCEPTOR_FOR = load_acceptor
 
 
 def install_when_notified(self: Acceptor, epoch: Epoch) -> bool:
@@ -194,7 +200,7 @@
 def members_without_minimum(
     epoch: Epoch, tolerate: int, silent: Any, candidates: Any, leaving: str = ""
 ) -> tuple[tuple[str, str], ...] | None:
-    return register.next_members(epoch, 0, silent, candidates, leaving)
+    return next_members(epoch, 0, silent, candidates, leaving)
 
 
 def never_reconfigure(self: Replica, now: int, silent: list[str]) -> Any:
--- a/meadowworks/storage/sqlite_store.py
+++ b/meadowworks/storage/sqlite_store.py
@@ -10,8 +10,9 @@
 
 import msgpack
 
-from meadowworks.consensus.register import AcceptorSlot, CommittedValue, decode_ballot
+from meadowworks.consensus.codec import decode_ballot
 from meadowworks.consensus.replica import StateUpdate
+from meadowworks.consensus.values import AcceptorSlot, CommittedValue
 
 SCHEMA = """
 CREATE TABLE IF NOT EXISTS meta (name TEXT PRIMARY KEY, value BLOB);
--- a/tests/gateway/golden_product.py
+++ b/tests/gateway/golden_product.py
@@ -16,17 +16,11 @@
 
 from meadowworks.cli import main as commands
 from meadowworks.config.route_table import load_route_table as load_configuration
-from meadowworks.consensus import register
-from meadowworks.consensus.replica import (
-    Persist,
-    Replica,
-    SendReply,
-    SendRequest,
-    StateUpdate,
-    decode_member_list,
-    encode_member_list,
-    load_acceptor,
-)
+from meadowworks.consensus import codec, values
+from meadowworks.consensus import messages as consensus_messages
+from meadowworks.consensus.membership import decode_member_list, encode_member_list
+from meadowworks.consensus.metadata import load_acceptor
+from meadowworks.consensus.replica import Persist, Replica, SendReply, SendRequest, StateUpdate
 from meadowworks.controlplane import config_service as office
 from meadowworks.controlplane import drain_service as fencing
 from meadowworks.controlplane.server import ControlPlaneServer
@@ -50,31 +44,31 @@
 
 # -- typed values of the agreement on versions and members
 
-Ballot = register.Ballot
-Epoch = register.Epoch
-Held = register.CommittedValue
-Slot = register.AcceptorSlot
-State = register.AcceptorState
-NO_BALLOT = register.NO_BALLOT
-NO_EPOCH = register.UNKNOWN_EPOCH
-
-Prepare = register.PrepareRequest
-Accept = register.AcceptRequest
-Seal = register.SealRequest
-Install = register.InstallRequest
-Look = register.QueryRequest
-Fetch = register.SnapshotRequest
-Teach = register.LearnRequest
-Seen = register.QueryReply
-Promised = register.PromiseReply
-Accepted = register.AcceptedReply
-Refused = register.BallotRejectedReply
-Past = register.VersionDecidedReply
-Newer = register.StaleEpochReply
-Sealed = register.SealedReply
-Installed = register.InstalledReply
-Outside = register.NotAMemberReply
-Whole = register.SnapshotReply
+Ballot = values.Ballot
+Epoch = values.Epoch
+Held = values.CommittedValue
+Slot = values.AcceptorSlot
+State = values.AcceptorState
+NO_BALLOT = values.NO_BALLOT
+NO_EPOCH = values.UNKNOWN_EPOCH
+
+Prepare = consensus_messages.PrepareRequest
+Accept = consensus_messages.AcceptRequest
+Seal = consensus_messages.SealRequest
+Install = consensus_messages.InstallRequest
+Look = consensus_messages.QueryRequest
+Fetch = consensus_messages.SnapshotRequest
+Teach = consensus_messages.LearnRequest
+Seen = consensus_messages.QueryReply
+Promised = consensus_messages.PromiseReply
+Accepted = consensus_messages.AcceptedReply
+Refused = consensus_messages.BallotRejectedReply
+Past = consensus_messages.VersionDecidedReply
+Newer = consensus_messages.StaleEpochReply
+Sealed = consensus_messages.SealedReply
+Installed = consensus_messages.InstalledReply
+Outside = consensus_messages.NotAMemberReply
+Whole = consensus_messages.SnapshotReply
 
 # What stands where in a message, by its name in the code: a message is told and read by place.
 FIELDS: dict[Any, tuple[str, ...]] = {
@@ -131,8 +125,8 @@
         "decided_digests",
     ),
 }
-LETTER_KINDS = frozenset(register.FIELD_DECODERS)
-content_digest = register.digest
+LETTER_KINDS = frozenset(codec.FIELD_DECODERS)
+content_digest = values.digest
 encode_members = encode_member_list  # the content of the version that says who votes next
 decode_members = decode_member_list
 
@@ -153,11 +147,11 @@
 
 def encode_letter(letter: Any) -> bytes:
     """A request or reply of the agreement, as it lies compressed in the body of a call."""
-    return post.encode(register.encode(letter))
+    return post.encode(codec.encode(letter))
 
 
 def decode_letter(body: bytes) -> Any:
-    return register.decode(post.decode(body))
+    return codec.decode(post.decode(body))
 
 
 def compressed_letter(letter: Any) -> bytes:
--- a/tests/gateway/test_agreement.py
+++ b/tests/gateway/test_agreement.py
@@ -6,29 +6,32 @@
 
 import pytest
 
-from meadowworks.consensus import register
-from meadowworks.consensus.register import (
-    NO_BALLOT,
-    UNKNOWN_EPOCH,
-    Acceptor,
-    AcceptorSlot,
-    AcceptorState,
-    Ballot,
-    Chosen,
-    CommittedValue,
-    Epoch,
-    EpochChanged,
+from meadowworks.consensus import codec
+from meadowworks.consensus.acceptor import Acceptor
+from meadowworks.consensus.membership import next_members
+from meadowworks.consensus.messages import (
+    AcceptedReply,
+    AcceptRequest,
+    BallotRejectedReply,
+    InstalledReply,
+    InstallRequest,
+    LearnRequest,
     NotAMemberReply,
     PrepareRequest,
     PromiseReply,
-    Proposer,
-    QuorumReadResult,
-    Reconfiguration,
+    QueryReply,
+    QueryRequest,
     SealedReply,
-    StateTransfer,
-    digest,
-    next_members,
+    SealRequest,
+    SnapshotReply,
+    SnapshotRequest,
+    StaleEpochReply,
+    VersionDecidedReply,
 )
+from meadowworks.consensus.metadata import load_acceptor
+from meadowworks.consensus.outcomes import Chosen, EpochChanged, QuorumReadResult
+from meadowworks.consensus.proposer import Proposer
+from meadowworks.consensus.reconfiguration import Reconfiguration
 from meadowworks.consensus.replica import (
     LEAVE_WAITER_ID,
     SECOND_NS,
@@ -38,7 +41,17 @@
     Persist,
     Replica,
     SendRequest,
-    load_acceptor,
+)
+from meadowworks.consensus.state_transfer import StateTransfer
+from meadowworks.consensus.values import (
+    NO_BALLOT,
+    UNKNOWN_EPOCH,
+    AcceptorSlot,
+    AcceptorState,
+    Ballot,
+    CommittedValue,
+    Epoch,
+    digest,
 )
 from meadowworks.gossip import messages as post
 from tests.gateway.test_state import mutants
@@ -83,7 +96,7 @@
             "disk": "a",
             "seat": "",
             "life": 1,
-            "epoch": register.encode_epoch(ABC),
+            "epoch": codec.encode_epoch(ABC),
             "installed": True,
             "sealed": None,
         },
@@ -177,7 +190,7 @@
     later = load_acceptor(None, new_member_id="z", address="h:1", seeds=seeds, bootstrap=False, voting=True)
     for one in (other, later):
         assert not one.may_vote() and isinstance(one.handle(PrepareRequest(0, 0, ballot)), NotAMemberReply)
-        assert isinstance(one.handle(register.SealRequest(0, ABC)), NotAMemberReply)
+        assert isinstance(one.handle(SealRequest(0, ABC)), NotAMemberReply)
     assert later.epoch.number == UNKNOWN_EPOCH and later.id_in_epoch(0) == ""
 
 
@@ -197,12 +210,12 @@
     assert not op.on_reply("x", said) and not op.on_reply("a", said) and not op.on_reply("a", said)
     assert not op.on_reply("b", PromiseReply(Ballot(1, 1, "z.1"), NO_BALLOT, b"")) and not op.accepting
     assert op.on_reply("b", said) and op.accepting
-    took = register.AcceptedReply(op.ballot)
+    took = AcceptedReply(op.ballot)
     for who, reply in (
         ("x", took),
         ("a", took),
         ("a", took),
-        ("b", register.AcceptedReply(Ballot(1, 9, "z.1"))),
+        ("b", AcceptedReply(Ballot(1, 9, "z.1"))),
     ):
         assert not op.on_reply(who, reply)
     assert not op.on_reply("c", said)  # late, of the first round
@@ -212,8 +225,8 @@
         assert not change.on_reply(who, SealedReply(Epoch(2, (B, C, D)), state))
     assert change.on_reply("b", SealedReply(Epoch(2, (B, C, D)), state)) and change.installing
     for who in ("a", "x", "b", "b"):  # a is no member of the next epoch
-        assert not change.on_reply(who, register.InstalledReply(2))
-    assert change.on_reply("d", register.InstalledReply(2)) and change.outcome == EpochChanged(
+        assert not change.on_reply(who, InstalledReply(2))
+    assert change.on_reply("d", InstalledReply(2)) and change.outcome == EpochChanged(
         Epoch(2, (B, C, D)), False
     )
 
@@ -255,7 +268,7 @@
     replica.take_effects()
     (job,) = replica.operations
     question = max(number for number, (_, turn, _) in replica.pending_requests.items() if turn)
-    replica.on_reply(1, question, "a", register.StaleEpochReply(after))  # at one of three
+    replica.on_reply(1, question, "a", StaleEpochReply(after))  # at one of three
     replica.tick(SECOND_NS)
     asked = [effect for effect in replica.take_effects() if isinstance(effect, SendRequest)]
     assert {ask.address for ask in asked} == {"h:0", "h:1", "h:2"} and job in replica.operations
@@ -281,51 +294,51 @@
 
 MESSAGES = [
     PrepareRequest(1, 2, Ballot(1, 3, "p")),
-    register.AcceptRequest(1, 2, Ballot(1, 3, "p"), b"c"),
-    register.SealRequest(1, ABC),
-    register.InstallRequest(
+    AcceptRequest(1, 2, Ballot(1, 3, "p"), b"c"),
+    SealRequest(1, ABC),
+    InstallRequest(
         1,
         ABC,
         AcceptorState(CommittedValue(2, b"x"), ((1, b"d"),), ((3, Ballot(1, 1, "p"), NO_BALLOT, b""),)),
     ),
-    register.QueryRequest(1),
-    register.SnapshotRequest(2),
-    register.LearnRequest(1, CommittedValue(2, b"x"), ((1, b"d"), (2, b"e"))),
-    register.QueryReply(1, True, 3, 2, "d", "h:1", False),
+    QueryRequest(1),
+    SnapshotRequest(2),
+    LearnRequest(1, CommittedValue(2, b"x"), ((1, b"d"), (2, b"e"))),
+    QueryReply(1, True, 3, 2, "d", "h:1", False),
     PromiseReply(Ballot(1, 1, "p"), NO_BALLOT, b""),
-    register.AcceptedReply(Ballot(1, 1, "p")),
-    register.BallotRejectedReply(Ballot(2, 1, "p")),
-    register.VersionDecidedReply(CommittedValue(4, b"d"), ((4, b"d"),)),
-    register.StaleEpochReply(ABC),
+    AcceptedReply(Ballot(1, 1, "p")),
+    BallotRejectedReply(Ballot(2, 1, "p")),
+    VersionDecidedReply(CommittedValue(4, b"d"), ((4, b"d"),)),
+    StaleEpochReply(ABC),
     SealedReply(ABC),
     SealedReply(ABC, AcceptorState(CommittedValue(), (), ())),
-    register.InstalledReply(2),
+    InstalledReply(2),
     NotAMemberReply(UNKNOWN_EPOCH),
-    register.SnapshotReply(CommittedValue(1, b"x"), ()),
+    SnapshotReply(CommittedValue(1, b"x"), ()),
 ]
 
 
 def test_every_request_and_reply_is_among_those_that_travel() -> None:
-    assert {type(message) for message in MESSAGES} == set(register.FIELD_DECODERS)
+    assert {type(message) for message in MESSAGES} == set(codec.FIELD_DECODERS)
 
 
 @pytest.mark.parametrize("message", MESSAGES)
 def test_requests_and_replies_travel_unchanged_and_mutants_are_refused_or_harmless(message: Any) -> None:
-    raw = post.decode(post.encode(register.encode(message)))
-    assert register.decode(raw) == message
+    raw = post.decode(post.encode(codec.encode(message)))
+    assert codec.decode(raw) == message
     refused = total = 0
     for _, mutant in mutants(raw):
         total += 1
         try:
-            found = register.decode(mutant)
+            found = codec.decode(mutant)
         except post.DECODE_ERRORS:
             refused += 1
         else:
-            assert register.WIRE_NAMES[type(found)] == mutant[0]
-            register.decode(post.decode(post.encode(register.encode(found))))
+            assert codec.WIRE_NAMES[type(found)] == mutant[0]
+            codec.decode(post.decode(post.encode(codec.encode(found))))
     assert refused > total / 2
     with pytest.raises(post.DECODE_ERRORS):
-        register.decode(raw[:-1])
+        codec.decode(raw[:-1])
 
 
 def test_an_acceptor_that_comes_back_where_it_was_keeps_its_seal_and_its_vote_on_the_members() -> None:
@@ -341,6 +354,6 @@
             kept, new_member_id="", address="h:0", seeds=(), bootstrap=False, voting=voting, slots=a.slots
         )
         back.installed = False  # it was started with voting off before
-        reply = back.handle(register.InstallRequest(1, ABC, AcceptorState(CommittedValue(), (), ())))
-        assert (reply == register.InstalledReply(1)) is voting and not back.may_vote()
+        reply = back.handle(InstallRequest(1, ABC, AcceptorState(CommittedValue(), (), ())))
+        assert (reply == InstalledReply(1)) is voting and not back.may_vote()
         assert back.sealed_by == after and back.slots[0].accepted == Ballot(1, 1, "q")
--- a/tests/gateway/test_fleet.py
+++ b/tests/gateway/test_fleet.py
@@ -16,7 +16,8 @@
 
 from meadowworks.cli import main as commands
 from meadowworks.config.route_table import load_route_table
-from meadowworks.consensus.register import Ballot, NotAMemberReply, PrepareRequest
+from meadowworks.consensus.messages import NotAMemberReply, PrepareRequest
+from meadowworks.consensus.values import Ballot
 from meadowworks.controlplane.server import ControlPlaneServer
 from meadowworks.forwarding.staleness import MAX_AGE_NS
 from meadowworks.local.backend import StubBackend
--- a/tests/gateway/test_lab_control.py
+++ b/tests/gateway/test_lab_control.py
@@ -8,8 +8,8 @@
 import pytest
 
 from meadowworks.cli import main as commands
-from meadowworks.consensus.register import CommittedValue
 from meadowworks.consensus.replica import StateUpdate
+from meadowworks.consensus.values import CommittedValue
 from meadowworks.simulation import campaign, drill, guards
 from meadowworks.simulation.disks import SimulatedDisk, SimulatedStore
 from meadowworks.storage.sqlite_store import SqliteStore
--- a/tests/gateway/test_state.py
+++ b/tests/gateway/test_state.py
@@ -15,18 +15,17 @@
 from meadowworks.cli.operations import differences
 from meadowworks.config.route_table import load_route_table
 from meadowworks.config.validation import InvalidConfiguration, ValidConfiguration, validate_configuration
-from meadowworks.consensus import register
-from meadowworks.consensus.register import (
-    Acceptor,
+from meadowworks.consensus.acceptor import Acceptor
+from meadowworks.consensus.messages import (
     AcceptRequest,
-    Ballot,
-    CommittedValue,
-    Epoch,
+    BallotRejectedReply,
     PrepareRequest,
     PromiseReply,
     VersionDecidedReply,
 )
-from meadowworks.consensus.replica import Replica, load_acceptor
+from meadowworks.consensus.metadata import load_acceptor
+from meadowworks.consensus.replica import Replica
+from meadowworks.consensus.values import Ballot, CommittedValue, Epoch, digest
 from meadowworks.gossip import messages as post
 from meadowworks.gossip.peer_sampling import PEER_EXPIRY_NS, PartialView, PeerRecord
 from meadowworks.gossip.updates import MAX_TOMBSTONES, SOURCE_EXPIRY_NS, KeyUpdate, SourceDelta, UpdateStore
@@ -322,14 +321,12 @@
     shutil.copytree(tmp_path / "d", tmp_path / "later")
     again = acceptor(SqliteStore(tmp_path / "after"))
     assert again.member_id == "d" and again.may_vote() and again.epoch == found.epoch
-    assert again.handle(PrepareRequest(1, 3, Ballot(1, 3, "q"))) == register.BallotRejectedReply(
-        Ballot(1, 4, "p")
-    )
+    assert again.handle(PrepareRequest(1, 3, Ballot(1, 3, "q"))) == BallotRejectedReply(Ballot(1, 4, "p"))
     promised = PromiseReply(Ballot(1, 5, "q"), Ballot(1, 4, "p"), b"three")
     assert again.handle(PrepareRequest(1, 3, Ballot(1, 5, "q"))) == promised
     later = acceptor(SqliteStore(tmp_path / "later"))
     assert later.committed == CommittedValue(3, b"three") and not later.slots
-    assert later.history == {3: register.digest(b"three")}
+    assert later.history == {3: digest(b"three")}
     assert isinstance(later.handle(PrepareRequest(1, 2, Ballot(1, 9, "q"))), VersionDecidedReply)
 
 
