--- a/meadowworks/config/incremental_json.py
+++ b/meadowworks/config/incremental_json.py
@@ -8,15 +8,15 @@
 
 import json
 import re
-from collections.abc import Callable, Generator
+from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Any, TypeVar
+from typing import Any
+
+from meadowworks.runtime.steps import Steps
 
 WINDOW_CHARS = 4096  # characters that are read in one go
 VALUES_PER_STEP = 16  # parts between two steps
 MAX_DEPTH = 900  # of lists and tables in each other; `json.loads` ends near 1,000
-T = TypeVar("T")
-Steps = Generator[None, None, T]
 
 scan_value: Callable[[str, int], tuple[Any, int]] = json.JSONDecoder().scan_once  # type: ignore[attr-defined]
 match_whitespace = re.compile(r"[ \t\n\r]*").match
@@ -32,15 +32,6 @@
     transform: Callable[[Any], Any] | None
 
 
-def run_to_completion(steps: Steps[T]) -> T:
-    """The outcome of all steps, one after the other."""
-    while True:
-        try:
-            next(steps)
-        except StopIteration as done:
-            return done.value  # type: ignore[no-any-return]
-
-
 def parse_steps(
     body: bytes, path: tuple[str | None, ...] = (), transform: Callable[[Any], Any] | None = None
 ) -> Steps[Any]:
--- a/meadowworks/config/route_table.py
+++ b/meadowworks/config/route_table.py
@@ -6,7 +6,8 @@
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
-from meadowworks.config.incremental_json import Steps, parse_steps, run_to_completion
+from meadowworks.config.incremental_json import parse_steps
+from meadowworks.runtime.steps import Steps, run_to_completion
 
 MAX_TARGET_OVER_DEADLINE_MS = 60_000  # a target may lie less than a minute over its route's deadline
 MAX_PLAIN_NUMBER = 1e15  # figures above it are left to the schema
--- a/meadowworks/config/validation.py
+++ b/meadowworks/config/validation.py
@@ -7,7 +7,7 @@
 
 from marshmallow import EXCLUDE, Schema, ValidationError, fields, validate
 
-from meadowworks.config.incremental_json import Steps, parse_steps, run_to_completion
+from meadowworks.config.incremental_json import parse_steps
 from meadowworks.config.route_table import (
     MAX_TARGET_OVER_DEADLINE_MS,
     ROUTES_PATH,
@@ -17,6 +17,7 @@
     parse_plain_route,
     route_compactor,
 )
+from meadowworks.runtime.steps import Steps, run_to_completion
 
 VERSION_FORMAT = validate.Regexp(r"^[0-9a-f]{8}$", error="is not eight hexadecimal digits")
 NON_EMPTY = validate.Length(min=1)
--- a/meadowworks/controlplane/server.py
+++ b/meadowworks/controlplane/server.py
@@ -28,7 +28,8 @@
 from meadowworks.registry.heartbeats import BACKEND_KEY_PREFIX as BACKENDS
 from meadowworks.registry.heartbeats import HeartbeatRegistry
 from meadowworks.runtime import logging as logs
-from meadowworks.runtime.cooperative import compress_steps, decompress_steps, run_cooperatively
+from meadowworks.runtime.compression import compress_steps, decompress_steps
+from meadowworks.runtime.cooperative import run_cooperatively
 from meadowworks.runtime.errors import RequestError, SettingsError
 from meadowworks.runtime.http_server import BodyError, HttpServer, RequestLimits, read_body, send_response
 from meadowworks.runtime.node_settings import NodeSettings, load_settings
--- a/meadowworks/proxy/server.py
+++ b/meadowworks/proxy/server.py
@@ -46,13 +46,15 @@
 from meadowworks.registry.backends import BackendDirectory, BackendInstance
 from meadowworks.registry.heartbeats import DRAINING
 from meadowworks.runtime import logging as logs
-from meadowworks.runtime.cooperative import Steps, decompress_steps, run_cooperatively
+from meadowworks.runtime.compression import decompress_steps
+from meadowworks.runtime.cooperative import run_cooperatively
 from meadowworks.runtime.errors import InvariantError, RequestError, SettingsError
 from meadowworks.runtime.http_connection import ClientConnection, Response
 from meadowworks.runtime.http_server import BodyError, HttpServer, read_body, send_response
 from meadowworks.runtime.node_settings import NodeSettings, load_settings
 from meadowworks.runtime.peer_client import PeerClient
 from meadowworks.runtime.process import BackgroundTasks, now_ns, run_program
+from meadowworks.runtime.steps import Steps
 
 MS, SECOND = 1_000_000, 1_000_000_000
 LONG_POLL_MS, PULL_TIMEOUT_S = 1000, 1.6
--- a/meadowworks/simulation/pauses.py
+++ b/meadowworks/simulation/pauses.py
@@ -26,7 +26,8 @@
 from meadowworks.controlplane.server import ControlPlaneServer
 from meadowworks.local.system import SystemLayout, build_configuration, free_ports
 from meadowworks.proxy.server import ProxyServer
-from meadowworks.runtime.cooperative import compress_steps, decompress_steps, run_cooperatively
+from meadowworks.runtime.compression import compress_steps, decompress_steps
+from meadowworks.runtime.cooperative import run_cooperatively
 from meadowworks.runtime.node_settings import parse_settings
 from meadowworks.simulation.forward import reached_ctl
 
--- a/tests/gateway/test_long.py
+++ b/tests/gateway/test_long.py
@@ -15,7 +15,7 @@
 from marshmallow import ValidationError
 
 from meadowworks.config import incremental_json, validation
-from meadowworks.config.incremental_json import parse_steps, run_to_completion
+from meadowworks.config.incremental_json import parse_steps
 from meadowworks.config.route_table import load_route_table, load_route_table_steps
 from meadowworks.config.validation import (
     ConfigurationSchema,
@@ -27,7 +27,9 @@
     validation_steps,
 )
 from meadowworks.runtime import cooperative
-from meadowworks.runtime.cooperative import compress_steps, decompress_steps, run_cooperatively
+from meadowworks.runtime.compression import compress_steps, decompress_steps
+from meadowworks.runtime.cooperative import run_cooperatively
+from meadowworks.runtime.steps import run_to_completion
 from tests.gateway.test_state import mutants
 
 ROUTE = {"name": "a", "prefix": "/a/", "type": "safe", "deadlineMs": 900, "targetMs": 200.5, "prio": 1}
