--- a/meadowworks/controlplane/server.py
+++ b/meadowworks/controlplane/server.py
@@ -31,10 +31,13 @@
 from meadowworks.runtime.compression import compress_steps, decompress_steps
 from meadowworks.runtime.cooperative import run_cooperatively
 from meadowworks.runtime.errors import RequestError, SettingsError
-from meadowworks.runtime.http_server import BodyError, HttpServer, RequestLimits, read_body, send_response
+from meadowworks.runtime.http_server import HttpServer
 from meadowworks.runtime.node_settings import NodeSettings, load_settings
 from meadowworks.runtime.peer_client import PeerClient
 from meadowworks.runtime.process import BackgroundTasks, now_ns, run_program
+from meadowworks.runtime.request_body import BodyError, read_body
+from meadowworks.runtime.response_writer import send_response
+from meadowworks.runtime.server_connection import RequestLimits
 from meadowworks.storage.sqlite_store import SqliteStore
 
 PULL_WAIT_MS, PULL_TIMEOUT_S = 500, 1.5  # that a pull may be held back, and is waited for
--- a/meadowworks/local/backend.py
+++ b/meadowworks/local/backend.py
@@ -10,7 +10,9 @@
 
 from meadowworks.runtime.errors import RequestError
 from meadowworks.runtime.http_connection import connect
-from meadowworks.runtime.http_server import HttpServer, read_body, send_response
+from meadowworks.runtime.http_server import HttpServer
+from meadowworks.runtime.request_body import read_body
+from meadowworks.runtime.response_writer import send_response
 
 MAX_ACK_BYTES = 4096  # bytes of an answer: a larger one acknowledges nothing
 
--- a/meadowworks/proxy/server.py
+++ b/meadowworks/proxy/server.py
@@ -50,10 +50,12 @@
 from meadowworks.runtime.cooperative import run_cooperatively
 from meadowworks.runtime.errors import InvariantError, RequestError, SettingsError
 from meadowworks.runtime.http_connection import ClientConnection, Response
-from meadowworks.runtime.http_server import BodyError, HttpServer, read_body, send_response
+from meadowworks.runtime.http_server import HttpServer
 from meadowworks.runtime.node_settings import NodeSettings, load_settings
 from meadowworks.runtime.peer_client import PeerClient
 from meadowworks.runtime.process import BackgroundTasks, now_ns, run_program
+from meadowworks.runtime.request_body import BodyError, read_body
+from meadowworks.runtime.response_writer import send_response
 from meadowworks.runtime.steps import Steps
 
 MS, SECOND = 1_000_000, 1_000_000_000
@@ -162,7 +164,7 @@
         if self.route_table is not None and table.version <= self.route_table.version:
             return
         self.route_table = table
-        limits = self.http_server.state.limits
+        limits = self.http_server.limits
         limits.max_header_bytes, limits.header_timeout_s = (
             table.max_header_bytes,
             table.header_timeout_ms / 1000,
--- a/meadowworks/runtime/peer_client.py
+++ b/meadowworks/runtime/peer_client.py
@@ -11,7 +11,7 @@
 
 from meadowworks.runtime.errors import RequestError
 from meadowworks.runtime.http_connection import ClientConnection, connect
-from meadowworks.runtime.http_server import CALL_ID_HEADER, INCARNATION_HEADER
+from meadowworks.runtime.server_connection import CALL_ID_HEADER, INCARNATION_HEADER
 
 CONNECT_TIMEOUT_S = 0.25  # a machine without power is silent: the next one is asked
 MAX_REPLY_BYTES = 64 << 20
--- a/meadowworks/simulation/forward.py
+++ b/meadowworks/simulation/forward.py
@@ -22,7 +22,8 @@
 )
 from meadowworks.runtime.errors import RequestError
 from meadowworks.runtime.http_connection import ClientConnection, connect
-from meadowworks.runtime.http_server import HttpServer, send_response
+from meadowworks.runtime.http_server import HttpServer
+from meadowworks.runtime.response_writer import send_response
 
 TURNS = 4
 HEADERS = [(b"host", b"local.example"), (b"x-request-id", b"q"), (b"x-deadline-ms", b"1500")]
--- a/tests/gateway/golden_product.py
+++ b/tests/gateway/golden_product.py
@@ -42,8 +42,10 @@
 from meadowworks.registry.heartbeats import BACKEND_KEY_PREFIX as BACKENDS_PREFIX
 from meadowworks.registry.heartbeats import HeartbeatRegistry
 from meadowworks.runtime import node_settings
-from meadowworks.runtime.http_server import HttpServer, read_body, send_response
+from meadowworks.runtime.http_server import HttpServer
 from meadowworks.runtime.peer_client import PeerClient
+from meadowworks.runtime.request_body import read_body
+from meadowworks.runtime.response_writer import send_response
 from meadowworks.storage.sqlite_store import SqliteStore
 
 __all__ = ["BACKENDS_PREFIX", "FIGURES_PREFIX", "PeerRecord", "SourceDelta", "load_configuration"]
--- a/tests/gateway/test_callers.py
+++ b/tests/gateway/test_callers.py
@@ -14,9 +14,11 @@
 from meadowworks.proxy.upstream_attempt import AttemptResult, UpstreamRequest, send_attempt
 from meadowworks.runtime.errors import RequestError
 from meadowworks.runtime.http_connection import ClientConnection
-from meadowworks.runtime.http_server import HttpServer, read_body, send_response
+from meadowworks.runtime.http_server import HttpServer
 from meadowworks.runtime.peer_client import PeerClient
 from meadowworks.runtime.process import now_ns
+from meadowworks.runtime.request_body import read_body
+from meadowworks.runtime.response_writer import send_response
 from tests.gateway.helpers import SECOND, Raw, backend, until
 
 # What a controller that is called says to the first question, piece by piece; None ends the connection.
--- a/tests/gateway/test_door.py
+++ b/tests/gateway/test_door.py
@@ -10,7 +10,10 @@
 from hypothesis import strategies as st
 
 from meadowworks.forwarding.memory_budget import MemoryBudget
-from meadowworks.runtime.http_server import BodyError, HttpServer, RequestLimits, read_body, send_response
+from meadowworks.runtime.http_server import HttpServer
+from meadowworks.runtime.request_body import BodyError, read_body
+from meadowworks.runtime.response_writer import send_response
+from meadowworks.runtime.server_connection import RequestLimits
 
 OK = b"GET /a HTTP/1.1\r\nHost: h\r\n\r\n"
 CASES = {
--- a/tests/gateway/test_ends.py
+++ b/tests/gateway/test_ends.py
@@ -24,8 +24,10 @@
 from meadowworks.proxy.upstream_attempt import UpstreamRequest, send_attempt
 from meadowworks.runtime import node_settings
 from meadowworks.runtime.http_connection import ClientConnection, connect
-from meadowworks.runtime.http_server import HttpConnection, HttpServer, RequestLimits, send_response
+from meadowworks.runtime.http_server import HttpServer
 from meadowworks.runtime.process import BackgroundTasks, now_ns
+from meadowworks.runtime.response_writer import send_response
+from meadowworks.runtime.server_connection import HttpConnection, RequestLimits
 from tests.gateway.helpers import SECOND, Raw, ask, backend, until
 from tests.gateway.test_fleet import ROUTES, Fleet, fleet  # noqa: F401  # the fixture
 
@@ -99,7 +101,7 @@
         made.gate.set()
         reader, writer = await made.open()
         for idle_s in (10.0, 30.0, 20.0):
-            made.door.state.limits.idle_timeout_s = idle_s
+            made.door.limits.idle_timeout_s = idle_s
             writer.write(ASK % 1)
             await reader.readuntil(b"\r\n\r\nx")
             end = made.caller().timeout_keep_alive_task
--- a/tests/gateway/test_start.py
+++ b/tests/gateway/test_start.py
@@ -18,7 +18,8 @@
 import asyncio
 import meadowworks.proxy.server, meadowworks.controlplane.server
 from marshmallow import Schema, ValidationError, fields
-from meadowworks.runtime.http_server import HttpServer, send_response
+from meadowworks.runtime.http_server import HttpServer
+from meadowworks.runtime.response_writer import send_response
 from meadowworks.runtime.http_connection import connect
 
 async def app(scope, receive, send):
