--- a/meadowworks/runtime/node_settings.py
+++ b/meadowworks/runtime/node_settings.py
@@ -1,7 +1,4 @@
-"""What the platform tells a process at its start: the settings file, read and checked.
-
-Source: the users' page on how the system is run. Unknown fields pass; a field of the wrong type does not.
-"""
+"""What the platform tells a process at its start: the settings file, read and checked."""
 
 from __future__ import annotations
 
@@ -10,105 +7,30 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
 
-from marshmallow import EXCLUDE, Schema, ValidationError, fields, validate
+from marshmallow import ValidationError
 
+from meadowworks.runtime.address import Address
 from meadowworks.runtime.errors import SettingsError
+from meadowworks.runtime.node_settings_schema import ServiceBounds, SettingsFile, SettingsFileSchema
+from meadowworks.runtime.schema_support import first_error
 
 SETTINGS_FILE_VARIABLE = "MEADOWWORKS_NODE_FILE"
-
-
-class LenientSchema(Schema):
-    class Meta:
-        unknown = EXCLUDE
-
-
-def parse_address(text: str) -> tuple[str, int]:
-    """`ip:port`. Raises ValidationError."""
-    host, colon, port = text.rpartition(":")
-    if not colon or not host or not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
-        raise ValidationError(f"{text!r} is no address with a port")
-    return host, int(port)
-
-
-class AddressField(fields.String):
-    def _deserialize(self, value: Any, attr: str | None, data: Any, **kwargs: Any) -> Any:
-        return parse_address(super()._deserialize(value, attr, data, **kwargs))
-
-
-class LimitsSchema(LenientSchema):
-    memMb = fields.Float(load_default=300.0)
-    maxFds = fields.Integer(load_default=1024)
-
-
-class SelfSchema(LenientSchema):
-    node = fields.String(required=True, validate=validate.Length(min=1))
-    serves = fields.List(fields.String(), required=True)
-    ip = fields.String(required=True)
-    zone = fields.String(required=True)
-    voting = fields.Boolean(required=True)
-    bootstrap = fields.Boolean(required=True)
-    datadir = fields.String(required=True, allow_none=True)
-    limits = fields.Nested(LimitsSchema, load_default=lambda: {"memMb": 300.0, "maxFds": 1024})
-
-
-class NetworkSchema(LenientSchema):
-    bind = fields.Dict(keys=fields.String(), values=AddressField(), required=True)
-    portRange = fields.List(fields.Integer(), required=True, validate=validate.Length(equal=2))
-    seeds = fields.List(AddressField(), required=True)
-    zones = fields.Dict(keys=fields.String(), values=fields.String(), required=True)
-
-
-class InfraSchema(LenientSchema):
-    heartbeatMs = fields.Integer(required=True, validate=validate.Range(min=1))
-
-
-class TolerateSchema(LenientSchema):
-    nodes = fields.Integer(load_default=0, validate=validate.Range(min=0))
-
-
-class BoundsSchema(LenientSchema):
-    contactMs = fields.Float(load_default=3000.0)
-    ackMs = fields.Float(load_default=4000.0)
-    drainMs = fields.Float(load_default=2000.0)
-    graceS = fields.Float(load_default=6.0)
-    applyMs = fields.Float(load_default=2000.0)
-    retryRatio = fields.Float(load_default=0.2)
-    retryWindowS = fields.Float(load_default=10.0)
-    retrySlack = fields.Float(load_default=0.0)
-
-
-class TermsSchema(LenientSchema):
-    tolerate = fields.Nested(TolerateSchema, load_default=lambda: {"nodes": 0})
-    bounds = fields.Nested(BoundsSchema, load_default=lambda: BoundsSchema().load({}))
-
-
-class NodeSettingsSchema(LenientSchema):
-    self = fields.Nested(SelfSchema, required=True)
-    network = fields.Nested(NetworkSchema, required=True)
-    infra = fields.Nested(InfraSchema, required=True)
-    terms = fields.Nested(TermsSchema, load_default=lambda: TermsSchema().load({}))
-
-
-@dataclass(frozen=True, slots=True)
-class ServiceBounds:
-    """Milliseconds and seconds as the names say."""
-
-    contact_ms: float
-    ack_ms: float
-    drain_ms: float
-    grace_s: float
-    apply_ms: float
-    retry_ratio: float
-    retry_window_s: float
-    retry_slack: float
+# What a role needs of `network.bind`; `edge` is a proxy, `ctl` a node of the control plane.
+REQUIRED_ADDRESSES = {"edge": ("http", "readyz"), "ctl": ("ctl",)}
 
 
 @dataclass(frozen=True, slots=True)
 class NodeSettings:
-    """A settings file that makes sense. `inner` is the first port that controllers use among themselves;
-    `tolerate` how many voting machines may be lost at once."""
+    """A consistent settings file.
+
+    :ivar roles: what the node serves, `edge` or `ctl`.
+    :ivar data_dir: where the node keeps its state; None if it has no disk.
+    :ivar bind: addresses to listen on, by what is served there.
+    :ivar peer_port: the port that the programs call each other at, on every node.
+    :ivar seeds: nodes of the control plane, where a new node asks first.
+    :ivar tolerated_failures: how many voting nodes may be lost at once.
+    """
 
     node: str
     roles: tuple[str, ...]
@@ -119,9 +41,9 @@
     data_dir: str | None
     max_fds: int
     memory_mb: float
-    bind: Mapping[str, tuple[str, int]]
+    bind: Mapping[str, Address]
     peer_port: int
-    seeds: tuple[tuple[str, int], ...]
+    seeds: tuple[Address, ...]
     zones: tuple[str, ...]
     region_by_zone: Mapping[str, str]
     heartbeat_ms: int
@@ -129,67 +51,74 @@
     bounds: ServiceBounds
 
 
-def first_error(messages: Any, at: str = "") -> str:
-    if isinstance(messages, dict):
-        key, inner = next(iter(messages.items()))
-        return first_error(inner, f"{at}.{key}" if at else str(key))
-    return f"{at}: {messages[0] if isinstance(messages, list) else messages}"
+def load_settings(environ: Mapping[str, str] = os.environ) -> NodeSettings:
+    """Read the settings file that the environment names.
+
+    :raises SettingsError: if it is missing, unreadable or inconsistent.
+    """
+    path = environ.get(SETTINGS_FILE_VARIABLE)
+    if not path:
+        raise SettingsError(f"{SETTINGS_FILE_VARIABLE} is not set: it names the settings file")
+    try:
+        return parse_settings(Path(path).read_bytes())
+    except OSError as error:
+        raise SettingsError(f"the settings file {path} cannot be read: {error.strerror}") from None
 
 
 def parse_settings(text: str | bytes) -> NodeSettings:
-    """Raises BadSettings with one sentence that names the field."""
+    """Read the text of a settings file.
+
+    :raises SettingsError: with one sentence that names the field.
+    """
     try:
-        nested = json.loads(text)
-    except ValueError as trouble:
-        raise SettingsError(f"the settings are no JSON: {trouble}") from None
-    if not isinstance(nested, dict):
+        document = json.loads(text)
+    except ValueError as error:
+        raise SettingsError(f"the settings are no JSON: {error}") from None
+    if not isinstance(document, dict):
         raise SettingsError("the settings are no table")
     try:
-        found = NodeSettingsSchema().load(nested)
-    except ValidationError as trouble:
-        raise SettingsError(f"settings: {first_error(trouble.messages)}") from None
-    me, net, bounds = found["self"], found["network"], found["terms"]["bounds"]
-    if me["zone"] not in net["zones"]:
-        raise SettingsError(f"settings: self.zone: {me['zone']!r} is none of network.zones")
-    for what, name in (("edge", "http"), ("edge", "readyz"), ("ctl", "ctl")):
-        if what in me["serves"] and name not in net["bind"]:
-            raise SettingsError(f"settings: network.bind: {name} is missing, which {what} needs")
+        found: SettingsFile = SettingsFileSchema().load(document)
+    except ValidationError as error:
+        raise SettingsError(f"settings: {first_error(error.messages)}") from None
+    _check_consistency(found)
+    return _node_settings(found)
+
+
+def _check_consistency(found: SettingsFile) -> None:
+    """Check what the schema can't see.
+
+    :raises SettingsError: with one sentence that names the field.
+    """
+    identity, network = found.identity, found.network
+    if identity.zone not in network.region_by_zone:
+        raise SettingsError(f"settings: self.zone: {identity.zone!r} is none of network.zones")
+    for role, names in REQUIRED_ADDRESSES.items():
+        if role not in identity.roles:
+            continue
+        for name in names:
+            if name not in network.bind:
+                raise SettingsError(f"settings: network.bind: {name} is missing, which {role} needs")
+
+
+def _node_settings(found: SettingsFile) -> NodeSettings:
+    """What the programs use of the file."""
+    identity, network, terms = found.identity, found.network, found.terms
     return NodeSettings(
-        node=me["node"],
-        roles=tuple(me["serves"]),
-        ip=me["ip"],
-        zone=me["zone"],
-        voting=me["voting"],
-        bootstrap=me["bootstrap"],
-        data_dir=me["datadir"],
-        max_fds=me["limits"]["maxFds"],
-        memory_mb=me["limits"]["memMb"],
-        bind=net["bind"],
-        peer_port=net["portRange"][0],
-        seeds=tuple(net["seeds"]),
-        zones=tuple(net["zones"]),
-        region_by_zone=net["zones"],
-        heartbeat_ms=found["infra"]["heartbeatMs"],
-        tolerated_failures=found["terms"]["tolerate"]["nodes"],
-        bounds=ServiceBounds(
-            bounds["contactMs"],
-            bounds["ackMs"],
-            bounds["drainMs"],
-            bounds["graceS"],
-            bounds["applyMs"],
-            bounds["retryRatio"],
-            bounds["retryWindowS"],
-            bounds["retrySlack"],
-        ),
+        node=identity.node,
+        roles=tuple(identity.roles),
+        ip=identity.ip,
+        zone=identity.zone,
+        voting=identity.voting,
+        bootstrap=identity.bootstrap,
+        data_dir=identity.data_dir,
+        max_fds=identity.limits.max_fds,
+        memory_mb=identity.limits.memory_mb,
+        bind=network.bind,
+        peer_port=network.port_range[0],
+        seeds=tuple(network.seeds),
+        zones=tuple(network.region_by_zone),
+        region_by_zone=network.region_by_zone,
+        heartbeat_ms=found.heartbeat_ms,
+        tolerated_failures=terms.tolerated_failures,
+        bounds=terms.bounds,
     )
-
-
-def load_settings(environ: Mapping[str, str] = os.environ) -> NodeSettings:
-    """Raises BadSettings."""
-    path = environ.get(SETTINGS_FILE_VARIABLE)
-    if not path:
-        raise SettingsError(f"{SETTINGS_FILE_VARIABLE} is not set: it names the settings file")
-    try:
-        return parse_settings(Path(path).read_bytes())
-    except OSError as trouble:
-        raise SettingsError(f"the settings file {path} cannot be read: {trouble.strerror}") from None
--- /dev/null
+++ b/meadowworks/runtime/node_settings_schema.py
@@ -0,0 +1,195 @@
+"""The marshmallow schema of the settings file.
+
+Source: the users' page on how the system is run. Unknown fields pass; a field of the wrong type does not.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from dataclasses import dataclass
+from typing import Any
+
+from marshmallow import ValidationError, fields, post_load, validate
+
+from meadowworks.runtime.address import Address
+from meadowworks.runtime.schema_support import LenientSchema
+
+DEFAULT_MEMORY_MB = 300.0  # the page's, for a machine whose settings name no limits
+DEFAULT_MAX_FDS = 1024
+
+
+@dataclass(frozen=True, slots=True)
+class ServiceBounds:
+    """What the operator has been promised, as times in milliseconds or seconds as the names say.
+
+    :ivar retry_ratio: retries a request, at most, over `retry_window_s` and beside `retry_slack` of them.
+    """
+
+    contact_ms: float
+    ack_ms: float
+    drain_ms: float
+    grace_s: float
+    apply_ms: float
+    retry_ratio: float
+    retry_window_s: float
+    retry_slack: float
+
+
+@dataclass(frozen=True, slots=True)
+class Identity:
+    """`self` of the settings file: what this node is."""
+
+    node: str
+    roles: list[str]
+    ip: str
+    zone: str
+    voting: bool
+    bootstrap: bool
+    data_dir: str | None
+    limits: Limits
+
+
+@dataclass(frozen=True, slots=True)
+class Limits:
+    """`self.limits`: what this node may use."""
+
+    memory_mb: float = DEFAULT_MEMORY_MB
+    max_fds: int = DEFAULT_MAX_FDS
+
+
+@dataclass(frozen=True, slots=True)
+class Network:
+    """`network`: the addresses of this node and of others."""
+
+    bind: Mapping[str, Address]
+    port_range: list[int]
+    seeds: list[Address]
+    region_by_zone: Mapping[str, str]
+
+
+@dataclass(frozen=True, slots=True)
+class Terms:
+    """`terms`: what the system has to bear and to keep to."""
+
+    tolerated_failures: int
+    bounds: ServiceBounds
+
+
+@dataclass(frozen=True, slots=True)
+class SettingsFile:
+    """The whole file."""
+
+    identity: Identity
+    network: Network
+    heartbeat_ms: int
+    terms: Terms
+
+
+class AddressField(fields.String):
+    """`ip:port`, as an `Address`."""
+
+    def _deserialize(self, value: Any, attr: str | None, data: Any, **kwargs: Any) -> Any:
+        try:
+            return Address.parse(super()._deserialize(value, attr, data, **kwargs))
+        except ValueError as error:
+            if isinstance(error, ValidationError):
+                raise
+            raise ValidationError(str(error)) from None
+
+
+class LimitsSchema(LenientSchema):
+    """`self.limits`."""
+
+    memory_mb = fields.Float(data_key="memMb", load_default=DEFAULT_MEMORY_MB)
+    max_fds = fields.Integer(data_key="maxFds", load_default=DEFAULT_MAX_FDS)
+
+    @post_load
+    def _build(self, data: dict[str, Any], **_: Any) -> Limits:
+        return Limits(**data)
+
+
+class IdentitySchema(LenientSchema):
+    """`self`."""
+
+    node = fields.String(required=True, validate=validate.Length(min=1))
+    roles = fields.List(fields.String(), data_key="serves", required=True)
+    ip = fields.String(required=True)
+    zone = fields.String(required=True)
+    voting = fields.Boolean(required=True)
+    bootstrap = fields.Boolean(required=True)
+    data_dir = fields.String(data_key="datadir", required=True, allow_none=True)
+    limits = fields.Nested(LimitsSchema, load_default=Limits)
+
+    @post_load
+    def _build(self, data: dict[str, Any], **_: Any) -> Identity:
+        return Identity(**data)
+
+
+class NetworkSchema(LenientSchema):
+    """`network`."""
+
+    bind = fields.Dict(keys=fields.String(), values=AddressField(), required=True)
+    port_range = fields.List(
+        fields.Integer(), data_key="portRange", required=True, validate=validate.Length(equal=2)
+    )
+    seeds = fields.List(AddressField(), required=True)
+    region_by_zone = fields.Dict(
+        keys=fields.String(), values=fields.String(), data_key="zones", required=True
+    )
+
+    @post_load
+    def _build(self, data: dict[str, Any], **_: Any) -> Network:
+        return Network(**data)
+
+
+class InfraSchema(LenientSchema):
+    """`infra`."""
+
+    heartbeat_ms = fields.Integer(data_key="heartbeatMs", required=True, validate=validate.Range(min=1))
+
+
+class TolerateSchema(LenientSchema):
+    """`terms.tolerate`."""
+
+    nodes = fields.Integer(load_default=0, validate=validate.Range(min=0))
+
+
+class BoundsSchema(LenientSchema):
+    """`terms.bounds`."""
+
+    contact_ms = fields.Float(data_key="contactMs", load_default=3000.0)
+    ack_ms = fields.Float(data_key="ackMs", load_default=4000.0)
+    drain_ms = fields.Float(data_key="drainMs", load_default=2000.0)
+    grace_s = fields.Float(data_key="graceS", load_default=6.0)
+    apply_ms = fields.Float(data_key="applyMs", load_default=2000.0)
+    retry_ratio = fields.Float(data_key="retryRatio", load_default=0.2)
+    retry_window_s = fields.Float(data_key="retryWindowS", load_default=10.0)
+    retry_slack = fields.Float(data_key="retrySlack", load_default=0.0)
+
+    @post_load
+    def _build(self, data: dict[str, Any], **_: Any) -> ServiceBounds:
+        return ServiceBounds(**data)
+
+
+class TermsSchema(LenientSchema):
+    """`terms`."""
+
+    tolerate = fields.Nested(TolerateSchema, load_default=lambda: TolerateSchema().load({}))
+    bounds = fields.Nested(BoundsSchema, load_default=lambda: BoundsSchema().load({}))
+
+    @post_load
+    def _build(self, data: dict[str, Any], **_: Any) -> Terms:
+        return Terms(data["tolerate"]["nodes"], data["bounds"])
+
+
+class SettingsFileSchema(LenientSchema):
+    """The whole file."""
+
+    identity = fields.Nested(IdentitySchema, data_key="self", required=True)
+    network = fields.Nested(NetworkSchema, required=True)
+    infra = fields.Nested(InfraSchema, required=True)
+    terms = fields.Nested(TermsSchema, load_default=lambda: TermsSchema().load({}))
+
+    @post_load
+    def _build(self, data: dict[str, Any], **_: Any) -> SettingsFile:
+        return SettingsFile(data["identity"], data["network"], data["infra"]["heartbeat_ms"], data["terms"])
