--- a/meadowworks/config/incremental_json.py
+++ b/meadowworks/config/incremental_json.py
@@ -1,7 +1,7 @@
-"""JSON read in steps, so that whoever drives them may do other work between two. No I/O, no clock.
+"""JSON read in steps, so that a large configuration does not hold the event loop. No I/O, no clock.
 
 The value is the one that `json.loads` makes of the same bytes. What ends within a window is read by the
-library in one go; a longer list or table is walked element by element.
+library at once; a longer array or object is walked element by element.
 """
 
 from __future__ import annotations
@@ -10,106 +10,187 @@
 import re
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Any
+from typing import Any, TypeAlias
 
 from meadowworks.runtime.steps import Steps
 
-WINDOW_CHARS = 4096  # characters that are read in one go
-VALUES_PER_STEP = 16  # parts between two steps
-MAX_DEPTH = 900  # of lists and tables in each other; `json.loads` ends near 1,000
+WINDOW_CHARS = 4096  # that the library reads at once: some ten microseconds
+VALUES_PER_STEP = 16  # that are read between two steps: some hundred microseconds
+MAX_DEPTH = 900  # of arrays and objects in each other; `json.loads` ends near 1,000
 
-scan_value: Callable[[str, int], tuple[Any, int]] = json.JSONDecoder().scan_once  # type: ignore[attr-defined]
-match_whitespace = re.compile(r"[ \t\n\r]*").match
+JsonValue: TypeAlias = Any  # what `json.loads` returns
+Transform: TypeAlias = Callable[[JsonValue], Any]
+Path: TypeAlias = tuple[str | None, ...]
+
+_scan_value: Callable[[str, int], tuple[JsonValue, int]] = json.JSONDecoder().scan_once  # type: ignore[attr-defined]
+_match_whitespace = re.compile(r"[ \t\n\r]*").match
+
+
+def parse_steps(body: bytes, path: Path = (), transform: Transform | None = None) -> Steps[JsonValue]:
+    """Read the value of a JSON text.
+
+    :param path: of the arrays whose elements are transformed: keys from the outermost in, None for a place in
+        an array.
+    :param transform: applied to the elements of an array at `path` that is walked. Those of an array which
+        fits a window remain as they are.
+    :raises ValueError: if the text is not JSON.
+    :raises RecursionError: if it is nested too deep.
+    """
+    text = body.decode(json.detect_encoding(body), "surrogatepass")
+    return (yield from _Parser(text, path, transform).steps())
 
 
 @dataclass(slots=True)
-class OpenContainer:
-    """A list or table that is being walked; `key` is where in a table the next value goes."""
+class _OpenContainer:
+    """An array or object that is being walked.
+
+    :ivar closing: the character that ends it.
+    :ivar key: where in an object the next value goes; None in an array.
+    :ivar transform: applied to the elements of an array.
+    """
 
     container: Any
     closing: str
     key: str | None
-    transform: Callable[[Any], Any] | None
+    transform: Transform | None
 
-
-def parse_steps(
-    body: bytes, path: tuple[str | None, ...] = (), transform: Callable[[Any], Any] | None = None
-) -> Steps[Any]:
-    """The value of a JSON text. Raises ValueError, or RecursionError where it is too deep.
-
-    Elements of a list that is walked at `path` (keys from the outermost in, None for a place in a list) are
-    passed through `leaf`; those of one that fits a window are not, and remain as they are."""
-    text = body.decode(json.detect_encoding(body), "surrogatepass")
-    at, parts = skip_whitespace(text, 0), 0
-    frames: list[OpenContainer] = []
-    while True:
-        found = read_within_window(text, at)
-        if found is None:
-            if len(frames) >= MAX_DEPTH:
-                raise RecursionError("too deep")
-            table = text[at] == "{"
-            passed = transform if not table and path and tuple(f.key for f in frames) == path else None
-            frame = OpenContainer({} if table else [], "}" if table else "]", None, passed)
-            at = skip_whitespace(text, at + 1)
-            if text[at : at + 1] != frame.closing:
-                if table:
-                    frame.key, at = read_key(text, at)
-                frames.append(frame)
-                continue
-            found = frame.container, at + 1
-        value, at = found
-        while frames:  # the value goes where it belongs, and with it each list or table that it ends
-            frame = frames[-1]
-            if frame.key is not None:
-                frame.container[frame.key] = value
-            else:
-                frame.container.append(value if frame.transform is None else frame.transform(value))
-            at = skip_whitespace(text, at)
-            mark = text[at : at + 1]
-            if mark == ",":
-                at = skip_whitespace(text, at + 1)
-                if frame.key is not None:
-                    frame.key, at = read_key(text, at)
-                break
-            if mark != frame.closing:
-                raise ValueError("neither a comma nor an end")
-            value, at = frames.pop().container, at + 1
+    def add(self, value: JsonValue) -> None:
+        """Put a value into its place."""
+        if self.key is not None:
+            self.container[self.key] = value
         else:
-            if skip_whitespace(text, at) != len(text):
-                raise ValueError("more behind its end")
-            return value
-        parts += 1
-        if parts % VALUES_PER_STEP == 0:
-            yield
-
+            self.container.append(value if self.transform is None else self.transform(value))
 
-def skip_whitespace(text: str, at: int) -> int:
-    return match_whitespace(text, at).end() if text[at : at + 1] in (" ", "\t", "\n", "\r") else at  # type: ignore[union-attr]
 
+class _Parser:
+    """Reads one text.
 
-def read_key(text: str, at: int) -> tuple[str, int]:
-    """A table's key, and where its value begins."""
-    if text[at : at + 1] != '"':
-        raise ValueError("a key is no string")
-    key, at = scan_value(text, at)
-    at = skip_whitespace(text, at)
-    if text[at : at + 1] != ":":
-        raise ValueError("a key without a value")
-    return key, skip_whitespace(text, at + 1)
+    `_position` is where the next token begins, `_value` the newest complete value.
+    """
 
+    def __init__(self, text: str, path: Path, transform: Transform | None) -> None:
+        self._text = text
+        self._path = path
+        self._transform = transform
+        self._position = 0
+        self._value: JsonValue = None
+        self._open: list[_OpenContainer] = []  # from the outermost in
 
-def read_within_window(text: str, at: int) -> tuple[Any, int] | None:
-    """The value at a place and where it ends; None for a list or table that ends beyond the window."""
+    def steps(self) -> Steps[JsonValue]:
+        """Read the whole text."""
+        self._skip_whitespace()
+        values = 0
+        while True:
+            if not self._read_value():
+                continue
+            if self._place_value():
+                return self._value
+            values += 1
+            if values % VALUES_PER_STEP == 0:
+                yield
+
+    def _read_value(self) -> bool:
+        """Read a value, or the beginning of an array or object that ends beyond the window.
+
+        :returns: whether the value is complete.
+        """
+        found = _read_within_window(self._text, self._position)
+        if found is not None:
+            self._value, self._position = found
+            return True
+        container = self._open_container()
+        self._skip_whitespace()
+        if self._next_character() == container.closing:
+            self._position += 1
+            self._value = container.container
+            return True
+        if container.closing == "}":
+            container.key = self._read_key()
+        self._open.append(container)
+        return False
+
+    def _open_container(self) -> _OpenContainer:
+        """Begin to walk an array or object.
+
+        :raises RecursionError: if it is nested too deep.
+        """
+        if len(self._open) >= MAX_DEPTH:
+            raise RecursionError("arrays and objects are nested too deep")
+        is_object = self._text[self._position] == "{"
+        self._position += 1
+        if is_object:
+            return _OpenContainer({}, "}", None, None)
+        at_path = bool(self._path) and tuple(container.key for container in self._open) == self._path
+        return _OpenContainer([], "]", None, self._transform if at_path else None)
+
+    def _place_value(self) -> bool:
+        """Put the value where it belongs, and with it each array or object that it ends.
+
+        :returns: whether the document is complete; then `_value` is the document's.
+        :raises ValueError: if neither a comma nor an end follows.
+        """
+        while self._open:
+            innermost = self._open[-1]
+            innermost.add(self._value)
+            self._skip_whitespace()
+            character = self._next_character()
+            if character == ",":
+                self._position += 1
+                self._skip_whitespace()
+                if innermost.key is not None:
+                    innermost.key = self._read_key()
+                return False
+            if character != innermost.closing:
+                raise ValueError("neither a comma nor an end follows a value")
+            self._position += 1
+            self._value = self._open.pop().container
+        self._skip_whitespace()
+        if self._position != len(self._text):
+            raise ValueError("something follows the value")
+        return True
+
+    def _read_key(self) -> str:
+        """Read an object's key, up to where its value begins.
+
+        :raises ValueError: if there is none, or no colon behind it.
+        """
+        if self._next_character() != '"':
+            raise ValueError("a key is no string")
+        key, self._position = _scan_value(self._text, self._position)
+        self._skip_whitespace()
+        if self._next_character() != ":":
+            raise ValueError("a key has no value")
+        self._position += 1
+        self._skip_whitespace()
+        return str(key)
+
+    def _next_character(self) -> str:
+        """The character at the position; empty at the end."""
+        return self._text[self._position : self._position + 1]
+
+    def _skip_whitespace(self) -> None:
+        if self._next_character() in (" ", "\t", "\n", "\r"):
+            found = _match_whitespace(self._text, self._position)
+            assert found is not None  # the pattern matches nothing, too
+            self._position = found.end()
+
+
+def _read_within_window(text: str, position: int) -> tuple[JsonValue, int] | None:
+    """Read a value by the library.
+
+    :returns: the value and where it ends; None for an array or object that ends beyond the window.
+    :raises ValueError: if there is no value.
+    """
+    is_container = text[position : position + 1] in ("{", "[")
     try:
-        if text[at : at + 1] not in ("{", "["):
-            return scan_value(text, at)  # a window could cut a number short
-        window = text[at : at + WINDOW_CHARS]
-        value, end = scan_value(window, 0)
-        return value, at + end
+        if not is_container:
+            return _scan_value(text, position)  # a window could cut a number short
+        value, end = _scan_value(text[position : position + WINDOW_CHARS], 0)
+        return value, position + end
     except StopIteration:
-        trouble = "no value"
-    except ValueError as found:
-        trouble = str(found)
-    if text[at : at + 1] in ("{", "[") and at + WINDOW_CHARS < len(text):
+        message = "there is no value"
+    except ValueError as error:
+        message = str(error)
+    if is_container and position + WINDOW_CHARS < len(text):
         return None
-    raise ValueError(trouble)
+    raise ValueError(message)
--- a/meadowworks/config/route_table.py
+++ b/meadowworks/config/route_table.py
@@ -1,28 +1,60 @@
-"""A configuration in force: routes looked up by host and path."""
+"""A version of the operator's configuration in force: routes looked up by host and path."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
-from typing import Any, NamedTuple
+from typing import Any, NamedTuple, TypeAlias
 
-from meadowworks.config.incremental_json import parse_steps
+from meadowworks.config.incremental_json import JsonValue, parse_steps
 from meadowworks.runtime.steps import Steps, run_to_completion
 
-MAX_TARGET_OVER_DEADLINE_MS = 60_000  # a target may lie less than a minute over its route's deadline
-MAX_PLAIN_NUMBER = 1e15  # figures above it are left to the schema
-NUMBER_TYPES = (int, float)
+# The page's bound: a latency target lies less than a minute above its route's deadline.
+MAX_TARGET_OVER_DEADLINE_MS = 60_000
+MAX_PLAIN_NUMBER = 1e15  # below it every integer is exact as a float; larger ones are left to the schema
+NUMBER_TYPES = (int, float)  # by `type`, since a bool is an int, too
 ROUTE_TYPES = ("safe", "unsafe")
-ROUTES_PER_STEP = 64  # routes between two steps
-ROUTES_PATH = ("vhosts", None, "prefixes")  # where a configuration's routes stand
+ROUTES_PER_STEP = 64  # that are put into a table between two steps: some hundred microseconds
+ROUTES_PATH = ("vhosts", None, "prefixes")  # where the routes stand in the configuration's JSON
 
 
-WeightedServices = tuple[tuple[str, float], ...]
-WeightedServicesCache = dict[WeightedServices, WeightedServices]  # equal ones are kept once
+class WeightedService(NamedTuple):
+    """A service that requests of a route go to, and its part of them."""
+
+    name: str
+    weight: float
+
+
+WeightedServices: TypeAlias = tuple[WeightedService, ...]
+
+
+class WeightedServicesCache:
+    """Keeps equal services of many routes once: most of a large configuration's routes share a few."""
+
+    def __init__(self) -> None:
+        self._by_name: dict[str, WeightedServices] = {}
+        self._splits: dict[WeightedServices, WeightedServices] = {}
+
+    def single(self, name: str) -> WeightedServices:
+        """Return the services of a route to one service."""
+        services = self._by_name.get(name)
+        if services is None:
+            services = self._by_name[name] = (WeightedService(name, 1.0),)
+        return services
+
+    def split(self, services: WeightedServices) -> WeightedServices:
+        """Return the services of a route to several."""
+        return self._splits.setdefault(services, services)
 
 
 class Route(NamedTuple):
-    """One route. `split` holds services with their weights, in the configuration's order."""
+    """One route.
+
+    :ivar safe: whether its requests may run twice.
+    :ivar max_attempts: of one request, the first and its retries.
+    :ivar weighted_services: in the configuration's order.
+    :ivar prefix: of the paths that go this way; begins with a slash.
+    """
 
     name: str
     safe: bool
@@ -34,142 +66,165 @@
     prefix: str = ""
 
     def pick_service(self, chance: float) -> str:
-        """The service that a request goes to; `chance` is from 0 up to, not with, 1."""
+        """Return the service that a request goes to.
+
+        :param chance: from 0 up to, but without, 1; evenly distributed over requests.
+        """
         if len(self.weighted_services) == 1:
-            return self.weighted_services[0][0]
-        point = chance * sum(weight for _, weight in self.weighted_services)
+            return self.weighted_services[0].name
+        point = chance * sum(service.weight for service in self.weighted_services)
         for name, weight in self.weighted_services:
             point -= weight
             if point < 0:
                 return name
-        return next(name for name, weight in reversed(self.weighted_services) if weight > 0)
+        return next(service.name for service in reversed(self.weighted_services) if service.weight > 0)
+
+
+@dataclass(frozen=True, slots=True)
+class RouteTable:
+    """A version of the configuration. Times in milliseconds, sizes in bytes.
+
+    :ivar routes_by_host: by host in lower case, then by prefix.
+    :ivar max_connections: by service: what each of its backends takes; 0 for no limit.
+    :ivar health_paths: by service.
+    :ivar latency_targets_ms: by service: the longest of the routes to it.
+    """
+
+    version: int
+    routes_by_host: dict[str, dict[str, Route]]
+    max_connections: dict[str, int] = field(default_factory=dict)
+    health_paths: dict[str, str] = field(default_factory=dict)
+    max_header_bytes: int = 16384
+    max_body_bytes: int = 1 << 20
+    header_timeout_ms: float = 3000
+    idle_timeout_ms: float = 15000
+    latency_targets_ms: dict[str, float] = field(default_factory=dict)
+
+    def find_route(self, host: str, path: str) -> Route | None:
+        """Return the host's route with the longest prefix of the path.
+
+        :param host: as in the request; its case and its port do not matter.
+        """
+        routes = self.routes_by_host.get(host.partition(":")[0].lower())
+        if not routes:
+            return None
+        end = len(path)
+        while (end := path.rfind("/", 0, end)) >= 0:
+            if route := routes.get(path[: end + 1]):
+                return route
+        return None
 
 
-def parse_plain_route(raw: Any, splits: WeightedServicesCache) -> Route | None:
-    """A route of the usual form, which makes sense but for the names of its services. None for any other:
-    that one is read by `check.RouteFields`, which says what is wrong, or takes `"2"` for 2."""
+# -- routes of the plain form
+
+
+def parse_plain_route(raw: JsonValue, cache: WeightedServicesCache) -> Route | None:
+    """Read a route of the plain form, which is consistent except for the names of its services.
+
+    :returns: None for any other, which `schema.RouteSchema` reads: it says what is wrong, or takes "2" for 2.
+    """
     try:
         name, prefix, kind = raw["name"], raw["prefix"], raw["type"]
         deadline, target = raw["deadlineMs"], raw["targetMs"]
-        prio, tries = raw.get("prio", 0), raw.get("tries", 1)
+        priority, max_attempts = raw.get("prio", 0), raw.get("tries", 1)
     except (KeyError, TypeError):
         return None
     if not (type(name) is str and name and type(prefix) is str and prefix[:1] == "/"):
         return None
-    if kind not in ROUTE_TYPES or type(prio) is not int or type(tries) is not int or tries < 1:
+    if kind not in ROUTE_TYPES or type(priority) is not int:
         return None
-    if type(deadline) not in NUMBER_TYPES or type(target) not in NUMBER_TYPES:
+    if type(max_attempts) is not int or max_attempts < 1:
         return None
-    if not (0 < deadline < MAX_PLAIN_NUMBER and 0 <= target < deadline + MAX_TARGET_OVER_DEADLINE_MS):
+    if not _are_plain_times(deadline, target):
         return None
-    if (shares := parse_plain_split(raw)) is None:
+    if (services := _parse_plain_services(raw, cache)) is None:
         return None
-    split = splits.setdefault(shares, shares)
-    return Route(name, kind == "safe", float(deadline), float(target), prio, tries, split, prefix)
+    return Route(
+        name, kind == "safe", float(deadline), float(target), priority, max_attempts, services, prefix
+    )
+
 
+def route_compactor() -> Callable[[JsonValue], Any]:
+    """Return what turns the plain routes of a text into `Route`s as they are read, and leaves the others."""
+    cache = WeightedServicesCache()
+    return lambda raw: parse_plain_route(raw, cache) or raw
 
-def parse_plain_split(raw: dict[str, Any]) -> WeightedServices | None:
-    """The services of a route of the usual form: one, or a split that has weight."""
+
+def _are_plain_times(deadline: JsonValue, target: JsonValue) -> bool:
+    if type(deadline) not in NUMBER_TYPES or type(target) not in NUMBER_TYPES:
+        return False
+    return bool(0 < deadline < MAX_PLAIN_NUMBER and 0 <= target < deadline + MAX_TARGET_OVER_DEADLINE_MS)
+
+
+def _parse_plain_services(raw: dict[str, JsonValue], cache: WeightedServicesCache) -> WeightedServices | None:
+    """Read the services of a route of the plain form: one, or a split that has weight."""
     if "split" not in raw:
-        svc = raw.get("svc")
-        return ((svc, 1.0),) if type(svc) is str else None
+        name = raw.get("svc")
+        return cache.single(name) if type(name) is str else None
     if "svc" in raw or type(raw["split"]) is not list:
         return None
-    shares = []
+    services = []
     for share in raw["split"]:
         if type(share) is not dict:
             return None
-        svc, weight = share.get("svc"), share.get("weight", -1)
-        if (
-            type(svc) is not str
-            or not svc
-            or type(weight) not in NUMBER_TYPES
-            or not 0 <= weight < MAX_PLAIN_NUMBER
-        ):
+        name, weight = share.get("svc"), share.get("weight", -1)
+        if type(name) is not str or not name:
             return None
-        shares.append((svc, float(weight)))
-    return tuple(shares) if sum(weight for _, weight in shares) > 0 else None
-
-
-def route_compactor() -> Callable[[Any], Any]:
-    """What turns the routes of one text into `Route`s as they are read, and leaves what is none."""
-    splits: WeightedServicesCache = {}
-    return lambda raw: parse_plain_route(raw, splits) or raw
-
-
-@dataclass(frozen=True, slots=True)
-class RouteTable:
-    """A version of the configuration. Times in milliseconds, sizes in bytes."""
+        if type(weight) not in NUMBER_TYPES or not 0 <= weight < MAX_PLAIN_NUMBER:
+            return None
+        services.append(WeightedService(name, float(weight)))
+    has_weight = sum(service.weight for service in services) > 0
+    return cache.split(tuple(services)) if has_weight else None
 
-    version: int
-    routes_by_host: dict[str, dict[str, Route]]
-    max_connections: dict[str, int] = field(default_factory=dict)  # connections that a backend of it takes
-    health_paths: dict[str, str] = field(default_factory=dict)
-    max_header_bytes: int = 16384
-    max_body_bytes: int = 1 << 20
-    header_timeout_ms: float = 3000
-    idle_timeout_ms: float = 15000
-    latency_targets_ms: dict[str, float] = field(
-        default_factory=dict
-    )  # the longest of a service that a route names
 
-    def find_route(self, host: str, path: str) -> Route | None:
-        """The route of the host with the longest prefix that begins the path."""
-        routes = self.routes_by_host.get(host.partition(":")[0].lower())
-        if not routes:
-            return None
-        end = len(path)
-        while (end := path.rfind("/", 0, end)) >= 0:
-            if route := routes.get(path[: end + 1]):
-                return route
-        return None
+# -- the whole table
 
 
 def load_route_table(body: bytes) -> RouteTable:
-    """A configuration that has been checked."""
+    """Load a valid configuration."""
     return run_to_completion(load_route_table_steps(body))
 
 
 def load_route_table_steps(body: bytes) -> Steps[RouteTable]:
-    """The same in steps, for what would take long."""
-    raw = yield from parse_steps(body, ROUTES_PATH, route_compactor())
-    hosts: dict[str, dict[str, Route]] = {}
-    targets: dict[str, float] = {}
-    splits: WeightedServicesCache = {}
-    for host in raw["vhosts"]:
-        routes = hosts.setdefault(host["host"].lower(), {})
-        for number, r in enumerate(host["prefixes"]):
-            route = r if type(r) is Route else parse_plain_route(r, splits) or parse_route(r)
+    """Load a valid configuration in steps, for one that is large."""
+    document = yield from parse_steps(body, ROUTES_PATH, route_compactor())
+    routes_by_host: dict[str, dict[str, Route]] = {}
+    latency_targets_ms: dict[str, float] = {}
+    cache = WeightedServicesCache()
+    for host in document["vhosts"]:
+        routes = routes_by_host.setdefault(host["host"].lower(), {})
+        for number, raw in enumerate(host["prefixes"]):
+            route = raw if type(raw) is Route else parse_plain_route(raw, cache) or _parse_any_route(raw)
             routes[route.prefix] = route
-            for name, _ in route.weighted_services:
-                if targets.get(name, -1.0) < route.target_ms:
-                    targets[name] = route.target_ms
+            for service in route.weighted_services:
+                if latency_targets_ms.get(service.name, -1.0) < route.target_ms:
+                    latency_targets_ms[service.name] = route.target_ms
             if number % ROUTES_PER_STEP == 0:
                 yield
-    limits = raw["limits"]
+    limits, services = document["limits"], document["svcs"]
     return RouteTable(
-        int(raw["ver"], 16),
-        hosts,
-        {s["name"]: int(s.get("maxConns", 0)) for s in raw["svcs"]},
-        {s["name"]: s.get("healthPath", "/") for s in raw["svcs"]},
-        limits["maxHeaderBytes"],
-        limits["maxBodyBytes"],
-        limits["headerTimeoutMs"],
-        limits["idleTimeoutMs"],
-        targets,
+        version=int(document["ver"], 16),
+        routes_by_host=routes_by_host,
+        max_connections={service["name"]: int(service.get("maxConns", 0)) for service in services},
+        health_paths={service["name"]: service.get("healthPath", "/") for service in services},
+        max_header_bytes=limits["maxHeaderBytes"],
+        max_body_bytes=limits["maxBodyBytes"],
+        header_timeout_ms=limits["headerTimeoutMs"],
+        idle_timeout_ms=limits["idleTimeoutMs"],
+        latency_targets_ms=latency_targets_ms,
     )
 
 
-def parse_route(raw: dict[str, Any]) -> Route:
-    """One that the schema took all the same."""
+def _parse_any_route(raw: dict[str, JsonValue]) -> Route:
+    """Read a route that is valid, but not of the plain form."""
     split = raw.get("split") or [{"svc": raw["svc"], "weight": 1}]
     return Route(
-        raw["name"],
-        raw["type"] == "safe",
-        float(raw["deadlineMs"]),
-        float(raw["targetMs"]),
-        int(raw.get("prio", 0)),
-        int(raw.get("tries", 1)),
-        tuple((s["svc"], float(s["weight"])) for s in split),
-        raw["prefix"],
+        name=raw["name"],
+        safe=raw["type"] == "safe",
+        deadline_ms=float(raw["deadlineMs"]),
+        target_ms=float(raw["targetMs"]),
+        priority=int(raw.get("prio", 0)),
+        max_attempts=int(raw.get("tries", 1)),
+        weighted_services=tuple(WeightedService(share["svc"], float(share["weight"])) for share in split),
+        prefix=raw["prefix"],
     )
--- a/meadowworks/config/validation.py
+++ b/meadowworks/config/validation.py
@@ -1,13 +1,19 @@
-"""Reads a configuration and says whether it makes sense. Source: the users' page on the protocol."""
+"""Whether the operator's configuration makes sense, and if not, the first reason why.
+
+`schema.ConfigurationSchema` describes a configuration. It reads the outermost object, and each service, host
+and route that has not the plain form: reading 52,000 plain routes by it would take seconds. Its errors are
+reported first, in its order of fields; then what it can't see.
+"""
 
 from __future__ import annotations
 
+from collections.abc import Iterable
 from dataclasses import dataclass
 from typing import Any
 
-from marshmallow import EXCLUDE, Schema, ValidationError, fields, validate
+from marshmallow import ValidationError, fields
 
-from meadowworks.config.incremental_json import parse_steps
+from meadowworks.config.incremental_json import JsonValue, parse_steps
 from meadowworks.config.route_table import (
     MAX_TARGET_OVER_DEADLINE_MS,
     ROUTES_PATH,
@@ -17,209 +23,201 @@
     parse_plain_route,
     route_compactor,
 )
+from meadowworks.config.schema import (
+    ConfigurationSchema,
+    HostSchema,
+    RouteDefinition,
+    RouteSchema,
+    ServiceSchema,
+)
+from meadowworks.runtime.schema_support import first_error
 from meadowworks.runtime.steps import Steps, run_to_completion
 
-VERSION_FORMAT = validate.Regexp(r"^[0-9a-f]{8}$", error="is not eight hexadecimal digits")
-NON_EMPTY = validate.Length(min=1)
-
-
-class LenientSchema(Schema):
-    class Meta:
-        unknown = EXCLUDE
-
-
-class WeightedServiceSchema(LenientSchema):
-    svc = fields.String(required=True, validate=NON_EMPTY)
-    weight = fields.Float(required=True, validate=validate.Range(min=0))
-
-
-class RouteSchema(LenientSchema):
-    name = fields.String(required=True, validate=NON_EMPTY)
-    prefix = fields.String(
-        required=True, validate=validate.Regexp(r"^/", error="does not begin with a slash")
-    )
-    type = fields.String(required=True, validate=validate.OneOf(["safe", "unsafe"]))
-    deadlineMs = fields.Float(required=True, validate=validate.Range(min=0, min_inclusive=False))
-    targetMs = fields.Float(required=True, validate=validate.Range(min=0))
-    prio = fields.Integer(load_default=0)
-    svc = fields.String()
-    split = fields.List(fields.Nested(WeightedServiceSchema), validate=validate.Length(min=1))
-    tries = fields.Integer(load_default=1, validate=validate.Range(min=1))
-
-
-class HostSchema(LenientSchema):
-    host = fields.String(required=True, validate=NON_EMPTY)
-    prefixes = fields.List(fields.Nested(RouteSchema), required=True)
-
-
-class ServiceSchema(LenientSchema):
-    name = fields.String(required=True, validate=NON_EMPTY)
-    healthPath = fields.String(load_default="/")
-    maxConns = fields.Integer(load_default=0, validate=validate.Range(min=0))
-
-
-class LimitsSchema(LenientSchema):
-    maxHeaderBytes = fields.Integer(required=True, validate=validate.Range(min=1))
-    maxBodyBytes = fields.Integer(required=True, validate=validate.Range(min=0))
-    headerTimeoutMs = fields.Float(required=True, validate=validate.Range(min=1))
-    idleTimeoutMs = fields.Float(required=True, validate=validate.Range(min=1))
-
-
-class ConfigurationSchema(LenientSchema):
-    ver = fields.String(required=True, validate=VERSION_FORMAT)
-    svcs = fields.List(fields.Nested(ServiceSchema), required=True)
-    limits = fields.Nested(LimitsSchema, required=True)
-    vhosts = fields.List(fields.Nested(HostSchema), required=True)
+CONFIGURATION_SCHEMA = ConfigurationSchema()
+SERVICE_FIELD = fields.Nested(ServiceSchema)
+HOST_FIELD = fields.Nested(HostSchema)
+ROUTE_FIELD = fields.Nested(RouteSchema)
+FIELD_KEYS = [field.data_key or name for name, field in CONFIGURATION_SCHEMA.fields.items()]
+LARGE_LISTS = ("svcs", "vhosts")  # whose elements are read one by one
 
 
 @dataclass(frozen=True, slots=True)
 class InvalidConfiguration:
-    """Why a configuration is not taken; one short sentence."""
+    """Why a configuration is refused, in one short sentence."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class ValidConfiguration:
-    version: int
-
-
-def first_error(messages: Any, at: str = "") -> str:
-    if isinstance(messages, dict) and messages:
-        key, inner = next(iter(messages.items()))
-        return first_error(inner, f"{at}.{key}" if at else str(key))
-    return f"{at}: {messages[0] if isinstance(messages, list) and messages else messages}"
-
+    """A configuration that may be taken, and the number of its version."""
 
-CONFIGURATION_SCHEMA = ConfigurationSchema()
-
-
-def element_field(owner: fields.Field[Any]) -> fields.Field[Any]:
-    """The field of a list's elements."""
-    assert isinstance(owner, fields.List)
-    return owner.inner
+    version: int
 
 
-SERVICE_FIELD, HOST_FIELD = (
-    element_field(CONFIGURATION_SCHEMA.fields["svcs"]),
-    element_field(CONFIGURATION_SCHEMA.fields["vhosts"]),
-)
-ROUTE_FIELD = element_field(HostSchema().fields["prefixes"])
+class _SchemaError(Exception):
+    """An element is not as the schema says; the message is the sentence for the operator."""
 
 
 def validate_configuration(body: bytes) -> ValidConfiguration | InvalidConfiguration:
-    """Whether a configuration, as JSON, may be taken; the number of its version if so."""
+    """Say whether a configuration, as JSON, may be taken."""
     return run_to_completion(validation_steps(body))
 
 
 def validation_steps(body: bytes) -> Steps[ValidConfiguration | InvalidConfiguration]:
-    """The same in steps, for what would take long.
-
-    `Whole` describes a configuration. It reads the outermost table, and each service, host and route that has
-    not the usual form: reading 52,000 routes of the usual form by it would take seconds. Its verdict comes
-    first, by its order of fields; then what it can't see."""
+    """Say whether a configuration may be taken, in steps, for one that is large."""
     try:
-        nested = yield from parse_steps(body, ROUTES_PATH, route_compactor())
+        document = yield from parse_steps(body, ROUTES_PATH, route_compactor())
     except (ValueError, RecursionError):
         return InvalidConfiguration("it cannot be read whole")
-    head = nested
-    if isinstance(nested, dict):
-        head = {k: [] if k in ("svcs", "vhosts") and isinstance(v, list) else v for k, v in nested.items()}
     try:
-        found = CONFIGURATION_SCHEMA.load(head)
-        trouble = {}
-    except ValidationError as raised:
-        trouble = raised.messages if isinstance(raised.messages, dict) else {"": raised.messages}
-    if not isinstance(nested, dict):
-        return InvalidConfiguration(first_error(trouble))
-    services: set[str] = set()
-    second: InvalidConfiguration | None = None  # the first thing wrong that the schema can't see
-    for field in CONFIGURATION_SCHEMA.fields:
-        if field in trouble:
-            return InvalidConfiguration(first_error({field: trouble[field]}))
-        if field == "svcs":
-            for number, service in enumerate(nested["svcs"]):
-                try:
-                    name: str = plain_service_name(service) or SERVICE_FIELD.deserialize(service)["name"]
-                except ValidationError as raised:
-                    return InvalidConfiguration(first_error({field: {number: raised.messages}}))
-                if name in services and second is None:
-                    second = InvalidConfiguration("a service stands there twice")
-                services.add(name)
-                if number % ROUTES_PER_STEP == 0:
-                    yield
-    places: dict[str, set[str]] = {}
-    names: set[str] = set()
-    splits: WeightedServicesCache = {}
-    for number, host in enumerate(nested["vhosts"]):
-        try:
-            if not is_plain_host(host):
-                HOST_FIELD.deserialize({**host, "prefixes": []} if has_prefix_list(host) else host)
-        except ValidationError as raised:
-            return InvalidConfiguration(first_error({"vhosts": {number: raised.messages}}))
-        prefixes: list[Any] = host["prefixes"]
-        taken = places.setdefault(host["host"].lower(), set())
-        for at in range(len(prefixes)):
-            raw, prefixes[at] = prefixes[at], None  # let go bit by bit: all at once would take long too
-            route = raw if type(raw) is Route else parse_plain_route(raw, splits)
-            why = None
-            if route is None:
-                try:
-                    loaded = ROUTE_FIELD.deserialize(raw)
-                except ValidationError as raised:
-                    return InvalidConfiguration(
-                        first_error({"vhosts": {number: {"prefixes": {at: raised.messages}}}})
-                    )
-                name, prefix, why = loaded["name"], loaded["prefix"], route_error(loaded, services)
+        return (yield from _DocumentValidator(document).steps())
+    except _SchemaError as error:
+        return InvalidConfiguration(str(error))
+
+
+class _DocumentValidator:
+    """Validates one document, whose plain routes have been read already, and takes it apart as it goes.
+
+    :raises _SchemaError: from its steps, at the first element that is not as the schema says.
+    """
+
+    def __init__(self, document: JsonValue) -> None:
+        self._document = document
+        self._services: set[str] = set()
+        self._route_names: set[str] = set()
+        self._prefixes_by_host: dict[str, set[str]] = {}
+        self._cache = WeightedServicesCache()
+        self._inconsistency: str | None = None  # the first, which counts if the schema finds nothing wrong
+
+    def steps(self) -> Steps[ValidConfiguration | InvalidConfiguration]:
+        """Check everything, in the order in which errors are reported."""
+        errors = self._outline_errors()
+        if not isinstance(self._document, dict):
+            raise _SchemaError(first_error(errors))
+        for key in FIELD_KEYS:
+            if key in errors:
+                raise _SchemaError(first_error(errors[key], key))
+            if key == "svcs":
+                yield from self._check_services()
+        yield from self._check_hosts()
+        if self._inconsistency is not None:
+            return InvalidConfiguration(self._inconsistency)
+        return ValidConfiguration(int(self._document["ver"], 16))
+
+    def _outline_errors(self) -> dict[Any, Any]:
+        """What the schema finds in the outermost object, without the elements of the large lists."""
+        outline = self._document
+        if isinstance(outline, dict):
+            outline = {
+                key: [] if key in LARGE_LISTS and isinstance(value, list) else value
+                for key, value in outline.items()
+            }
+        errors: dict[Any, Any] = CONFIGURATION_SCHEMA.validate(outline)
+        return errors
+
+    def _check_services(self) -> Steps[None]:
+        for number, raw in enumerate(self._document["svcs"]):
+            name = _plain_service_name(raw) or _load(SERVICE_FIELD, raw, f"svcs.{number}")["name"]
+            if name in self._services:
+                self._note("a service stands there twice")
+            self._services.add(name)
+            if number % ROUTES_PER_STEP == 0:
+                yield
+
+    def _check_hosts(self) -> Steps[None]:
+        for number, host in enumerate(self._document["vhosts"]):
+            path = f"vhosts.{number}"
+            if not _is_plain_host(host):
+                _load(HOST_FIELD, {**host, "prefixes": []} if _has_list_of_prefixes(host) else host, path)
+            prefixes_in_use = self._prefixes_by_host.setdefault(host["host"].lower(), set())
+            yield from self._check_routes(host["prefixes"], prefixes_in_use, f"{path}.prefixes")
+
+    def _check_routes(self, raws: list[JsonValue], prefixes_in_use: set[str], path: str) -> Steps[None]:
+        for number in range(len(raws)):
+            raw, raws[number] = (
+                raws[number],
+                None,
+            )  # released one by one: all at once would hold the loop, too
+            route = raw if type(raw) is Route else parse_plain_route(raw, self._cache)
+            if route is not None:
+                error = _unknown_service_error((s.name for s in route.weighted_services), self._services)
+                self._note_route(route.name, route.prefix, prefixes_in_use, error)
             else:
-                name, prefix = route.name, route.prefix
-                why = unknown_service_error([svc for svc, _ in route.weighted_services], services)
-            if second is None:
-                if why:
-                    second = InvalidConfiguration(f"route {name}: {why}")
-                elif prefix in taken or name in names:
-                    second = InvalidConfiguration(f"route {name}: its name or its place is another's too")
-                taken.add(prefix)
-                names.add(name)
-            if at % ROUTES_PER_STEP == 0 or route is None:
+                loaded: RouteDefinition = _load(ROUTE_FIELD, raw, f"{path}.{number}")
+                error = route_error(loaded, self._services)
+                self._note_route(loaded.name, loaded.prefix, prefixes_in_use, error)
+            if number % ROUTES_PER_STEP == 0 or route is None:
                 yield
-    return second or ValidConfiguration(int(found["ver"], 16))
 
+    def _note_route(self, name: str, prefix: str, prefixes_in_use: set[str], error: str | None) -> None:
+        """Note what is inconsistent about a route: by itself, or beside those before it."""
+        if self._inconsistency is not None:
+            return
+        if error is not None:
+            self._note(f"route {name}: {error}")
+        elif prefix in prefixes_in_use or name in self._route_names:
+            self._note(f"route {name}: its name or its place is another's too")
+        prefixes_in_use.add(prefix)
+        self._route_names.add(name)
 
-def plain_service_name(raw: Any) -> str | None:
-    """The name of a service of the usual form."""
-    if type(raw) is not dict:
-        return None
-    name, path, most = raw.get("name"), raw.get("healthPath", "/"), raw.get("maxConns", 0)
-    sound = type(name) is str and name and type(path) is str and type(most) is int and most >= 0
-    return name if sound else None
+    def _note(self, inconsistency: str) -> None:
+        if self._inconsistency is None:
+            self._inconsistency = inconsistency
 
 
-def is_plain_host(raw: Any) -> bool:
-    """Whether a host has the usual form, its routes left out."""
-    return has_prefix_list(raw) and type(raw.get("host")) is str and bool(raw["host"])
+def route_error(route: RouteDefinition, services: set[str]) -> str | None:
+    """Say what is inconsistent about a route that is as the schema says, if anything is.
 
-
-def has_prefix_list(raw: Any) -> bool:
-    return type(raw) is dict and type(raw.get("prefixes")) is list
+    :param services: the names of the configuration's services.
+    """
+    if (route.service is None) == (route.split is None):
+        return "it wants a service or a split"
+    split = route.split or []
+    names = [route.service] if route.service is not None else [share.name for share in split]
+    if error := _unknown_service_error(names, services):
+        return error
+    if split and not sum(share.weight for share in split) > 0:
+        return "its split has no weight"
+    if route.target_ms >= route.deadline_ms + MAX_TARGET_OVER_DEADLINE_MS:
+        return "its targetMs lies a minute or more over its deadlineMs"
+    return None
 
 
-def unknown_service_error(named: list[str], services: set[str]) -> str | None:
-    for name in named:
+def _unknown_service_error(names: Iterable[str], services: set[str]) -> str | None:
+    for name in names:
         if name not in services:
             return f"service {name} is unknown"
     return None
 
 
-def route_error(route: dict[str, Any], services: set[str]) -> str | None:
-    split = route.get("split")
-    if ("svc" in route) == (split is not None):
-        return "it wants a service or a split"
-    named = [share["svc"] for share in split] if split else [route["svc"]]
-    if why := unknown_service_error(named, services):
-        return why
-    if split and not sum(share["weight"] for share in split) > 0:
-        return "its split has no weight"
-    if route["targetMs"] >= route["deadlineMs"] + MAX_TARGET_OVER_DEADLINE_MS:
-        return "its targetMs lies a minute or more over its deadlineMs"
-    return None
+def _load(field: fields.Nested, raw: JsonValue, path: str) -> Any:
+    """Read an element by its schema.
+
+    :raises _SchemaError: with one sentence that names the field.
+    """
+    try:
+        return field.deserialize(raw)
+    except ValidationError as error:
+        raise _SchemaError(first_error(error.messages, path)) from None
+
+
+def _plain_service_name(raw: JsonValue) -> str | None:
+    """Return the name of a service of the plain form."""
+    if type(raw) is not dict:
+        return None
+    name, health_path, max_connections = raw.get("name"), raw.get("healthPath", "/"), raw.get("maxConns", 0)
+    if type(name) is not str or type(health_path) is not str:
+        return None
+    if type(max_connections) is not int or max_connections < 0:
+        return None
+    return name or None
+
+
+def _is_plain_host(raw: JsonValue) -> bool:
+    """Whether a host has the plain form, its routes left out."""
+    return _has_list_of_prefixes(raw) and type(raw.get("host")) is str and bool(raw["host"])
+
+
+def _has_list_of_prefixes(raw: JsonValue) -> bool:
+    return type(raw) is dict and type(raw.get("prefixes")) is list
--- a/meadowworks/simulation/cost.py
+++ b/meadowworks/simulation/cost.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from meadowworks.config.route_table import Route as Route_
-from meadowworks.config.route_table import RouteTable
+from meadowworks.config.route_table import RouteTable, WeightedService
 from meadowworks.policy import Controller
 from meadowworks.policy.interface import EndpointEntry, Route, Settings
 
@@ -94,7 +94,7 @@
     """Microseconds for finding the first and the newest of so many routes of one host: by the table of host
     and prefix, and the plain way, which looks at each."""
     prefixes = [f"/p{k}/" if k % 2 else f"/p{k}/q/" for k in range(many)]
-    rows = {p: Route_(p, True, 1000, 200, 0, 2, (("s", 1.0),)) for p in prefixes}
+    rows = {p: Route_(p, True, 1000, 200, 0, 2, (WeightedService("s", 1.0),)) for p in prefixes}
     table = RouteTable(1, {"h": rows})
     paths = [prefixes[0] + "a/b/c", prefixes[-1] + "a/b/c"] * 500
 
--- a/tests/gateway/test_long.py
+++ b/tests/gateway/test_long.py
@@ -17,11 +17,10 @@
 from meadowworks.config import incremental_json, validation
 from meadowworks.config.incremental_json import parse_steps
 from meadowworks.config.route_table import load_route_table, load_route_table_steps
+from meadowworks.config.schema import ConfigurationSchema
 from meadowworks.config.validation import (
-    ConfigurationSchema,
     InvalidConfiguration,
     ValidConfiguration,
-    first_error,
     route_error,
     validate_configuration,
     validation_steps,
@@ -29,6 +28,7 @@
 from meadowworks.runtime import cooperative
 from meadowworks.runtime.compression import compress_steps, decompress_steps
 from meadowworks.runtime.cooperative import run_cooperatively
+from meadowworks.runtime.schema_support import first_error
 from meadowworks.runtime.steps import run_to_completion
 from tests.gateway.test_state import mutants
 
@@ -60,21 +60,21 @@
         found = ConfigurationSchema().load(nested)
     except ValidationError as trouble:
         return InvalidConfiguration(first_error(trouble.messages))
-    services = [s["name"] for s in found["svcs"]]
+    services = [s["name"] for s in found["services"]]
     if len(set(services)) < len(services):
         return InvalidConfiguration("a service stands there twice")
     seen: set[tuple[str, str]] = set()
     names: set[str] = set()
-    for host in found["vhosts"]:
+    for host in found["hosts"]:
         for route in host["prefixes"]:
             if why := route_error(route, set(services)):
-                return InvalidConfiguration(f"route {route['name']}: {why}")
-            place = (host["host"].lower(), route["prefix"])
-            if place in seen or route["name"] in names:
-                return InvalidConfiguration(f"route {route['name']}: its name or its place is another's too")
+                return InvalidConfiguration(f"route {route.name}: {why}")
+            place = (host["host"].lower(), route.prefix)
+            if place in seen or route.name in names:
+                return InvalidConfiguration(f"route {route.name}: its name or its place is another's too")
             seen.add(place)
-            names.add(route["name"])
-    return ValidConfiguration(int(found["ver"], 16))
+            names.add(route.name)
+    return ValidConfiguration(int(found["version"], 16))
 
 
 ODD: tuple[Any, ...] = (
@@ -247,4 +247,4 @@
         assert found == ValidConfiguration(12) and turns <= 2  # what is done within a slice waits for nobody
 
     asyncio.run(whole())
-    assert validation.CONFIGURATION_SCHEMA.fields.keys() == {"ver", "svcs", "limits", "vhosts"}
+    assert validation.FIELD_KEYS == ["ver", "svcs", "limits", "vhosts"]
