--- a/meadowworks/modelcheck/seeded_faults/attempt.py
+++ b/meadowworks/modelcheck/seeded_faults/attempt.py
@@ -180,7 +180,7 @@
         "attempt",
         MACHINE + "retry_or_give_up",
         "self.give_up(now, key, call)",
-        "heapq.heappush(self.due, (call.limit_ns, key))",
+        "heapq.heappush(self.timers, (call.deadline_ns, key))",
         ("nothing held",),
     ),
     SeededFault(
@@ -196,7 +196,7 @@
         "attempt",
         MACHINE + "retry_or_give_up",
         "table.retry_policy if call.waiters else 0",
-        "table.policy",
+        "table.retry_policy",
         ("for somebody",),
     ),
     SeededFault(
