--- /dev/null
+++ b/meadowworks/consensus/operation_runner.py
@@ -0,0 +1,357 @@
+"""How operations are carried through: attempts, rounds of requests, and what each outcome leads to."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from meadowworks.consensus.acceptor import Acceptor
+from meadowworks.consensus.effects import (
+    Committed,
+    CompleteOperation,
+    Conflict,
+    Effect,
+    LogEntry,
+    OperationOutcome,
+    SendRequest,
+    ValueCommitted,
+)
+from meadowworks.consensus.lease import LeaseTracker
+from meadowworks.consensus.membership import decode_member_list, encode_member_list
+from meadowworks.consensus.membership_monitor import MembershipMonitor
+from meadowworks.consensus.messages import Reply, Request, SnapshotReply, SnapshotRequest
+from meadowworks.consensus.operations import Operation, OperationKind, QuorumCall
+from meadowworks.consensus.outcomes import (
+    Chosen,
+    EpochChanged,
+    QuorumReadResult,
+    RetryWithHigherBallot,
+    Superseded,
+)
+from meadowworks.consensus.proposer import Proposer
+from meadowworks.consensus.quorum_read import QuorumRead
+from meadowworks.consensus.reconfiguration import Reconfiguration
+from meadowworks.consensus.state_transfer import StateTransfer
+from meadowworks.consensus.timing import (
+    MAX_BACKOFF_NS,
+    RECONFIGURATION_TIMEOUT_NS,
+    RESEND_INTERVAL_NS,
+)
+from meadowworks.consensus.values import (
+    MEMBERSHIP_VERSION,
+    NO_BALLOT,
+    Ballot,
+    CommittedValue,
+    DigestHistory,
+    Epoch,
+    digest,
+)
+from meadowworks.consensus.write_queue import OwnReply, WriteQueue
+
+MAX_PENDING_REQUESTS = 4096  # beyond these the oldest are forgotten, as if no reply came
+
+
+class OperationRunner:
+    """Carries operations through, by requests to the members' acceptors and to the own one."""
+
+    def __init__(
+        self, acceptor: Acceptor, tolerated_failures: int, random_fraction: Callable[[], float]
+    ) -> None:
+        self.acceptor = acceptor
+        self.tolerated_failures, self.random_fraction = tolerated_failures, random_fraction
+        self.effects: list[Effect] = []
+        self.writes = WriteQueue(acceptor)
+        self.lease = LeaseTracker(acceptor)
+        self.membership = MembershipMonitor(acceptor, self.lease, tolerated_failures)
+        self.operations: dict[int, Operation] = {}
+        self.pending_requests: dict[int, tuple[int, int, str]] = {}  # operation id, round, member id
+        self.last_id = 0  # of operations and of requests
+        self.last_ballot_number = 0
+        self.started = self.leaving = False
+
+    # -- attempts
+
+    def begin_operation(self, now_ns: int, operation: Operation) -> None:
+        """Begins an operation with its first attempt."""
+        self.last_id += 1
+        self.operations[self.last_id] = operation
+        self.begin_attempt(now_ns, self.last_id, operation)
+
+    def begin_attempt(self, now_ns: int, operation_id: int, operation: Operation) -> None:
+        """Begins an attempt, or ends the operation if there is nothing to do any more."""
+        epoch = self.acceptor.newest_epoch()
+        operation.round_number += 1
+        if not self.started:  # a ballot may not leave before its incarnation is on the disk
+            return operation.wait_until(now_ns + RESEND_INTERVAL_NS)
+        match operation.kind:
+            case OperationKind.MEMBERS:
+                call = self._membership_call(epoch, operation)
+                if call is None:  # the members have changed meanwhile
+                    return self.complete_operation(operation_id, None)
+                operation.quorum_call = call
+            case OperationKind.PROPOSE | OperationKind.FINISH:
+                if epoch.number < 1:
+                    return operation.wait_until(now_ns + RESEND_INTERVAL_NS)
+                if operation.version <= self.acceptor.committed.version:
+                    outcome = self.outcome_of(operation.version, operation.value or b"")
+                    return self.complete_operation(operation_id, outcome)
+                operation.quorum_call = self.new_proposer(epoch, operation.version, operation)
+            case OperationKind.LEAVE:
+                operation.quorum_call = self._leave_call(epoch, operation)
+            case OperationKind.READ:
+                operation.quorum_call = QuorumRead(epoch)
+        return self.send_round(now_ns, operation_id, operation)
+
+    def _membership_call(self, epoch: Epoch, operation: Operation) -> QuorumCall | None:
+        if (previous := operation.previous_epoch) is not None:
+            members = decode_member_list(operation.value or b"")
+            return Reconfiguration(previous, Epoch(previous.number + 1, members))
+        if self.acceptor.epoch.number != epoch.number or not self.acceptor.may_vote():
+            return None
+        return self.new_proposer(epoch, MEMBERSHIP_VERSION, operation)
+
+    def _leave_call(self, epoch: Epoch, operation: Operation) -> QuorumCall:
+        """With members to spare the next epoch is one without this replica; else its state is handed over."""
+        if len(epoch.members) <= 2 * self.tolerated_failures + 1 or not self.acceptor.may_vote():
+            return QuorumRead(epoch)
+        others = tuple((d, a) for d, a in epoch.members if d != self.acceptor.member_id)
+        operation.value = operation.value or encode_member_list(others)
+        return self.new_proposer(epoch, MEMBERSHIP_VERSION, operation)
+
+    def new_proposer(self, epoch: Epoch, version: int, operation: Operation) -> Proposer:
+        """A proposer under a ballot that this replica has never used."""
+        slot = self.acceptor.slots.get(version)
+        self.last_ballot_number = (
+            max(self.last_ballot_number, operation.min_ballot_number, slot.promised.number if slot else 0) + 1
+        )
+        proposer_id = f"{self.acceptor.member_id}.{self.acceptor.incarnation}"
+        ballot = Ballot(epoch.number, self.last_ballot_number, proposer_id)
+        return Proposer(epoch, version, ballot, operation.value)
+
+    def back_off(self, now_ns: int, operation: Operation) -> None:
+        """Ends an attempt; the next one begins after a time drawn at random, longer each time."""
+        operation.round_number += 1
+        operation.wait_until(now_ns + int(operation.backoff_ns * (0.5 + self.random_fraction())))
+        operation.backoff_ns = min(MAX_BACKOFF_NS, 2 * operation.backoff_ns)
+
+    def complete_operation(self, operation_id: int, outcome: OperationOutcome | None) -> None:
+        """Ends an operation and tells who waits for it; without an outcome nobody does."""
+        operation = self.operations.pop(operation_id)
+        for waiter_id in operation.waiter_ids:
+            if outcome is not None:
+                self.effects.append(CompleteOperation(waiter_id, outcome))
+
+    def complete_reconfiguration(self, now_ns: int, previous_epoch: Epoch, next_epoch: Epoch) -> None:
+        """Carries through a change of members that another replica has had chosen."""
+        if any(o.kind is OperationKind.MEMBERS for o in self.operations.values()):
+            return
+        operation = Operation(
+            OperationKind.MEMBERS,
+            MEMBERSHIP_VERSION,
+            encode_member_list(next_epoch.members),
+            now_ns + RECONFIGURATION_TIMEOUT_NS,
+            [],
+            previous_epoch=previous_epoch,
+        )
+        self.begin_operation(now_ns, operation)
+
+    # -- rounds
+
+    def send_round(self, now_ns: int, operation_id: int, operation: Operation) -> None:
+        """Sends the round's request to the members that have not answered it."""
+        call = operation.quorum_call
+        assert call is not None
+        operation.due_ns = now_ns + RESEND_INTERVAL_NS
+        request = call.request()
+        for member_id, address in call.unanswered_members():
+            if member_id == self.acceptor.id_in_epoch(request.epoch):
+                reply = self.handle_request(now_ns, request)
+                self.writes.defer(OwnReply(operation_id, operation.round_number, member_id, reply))
+            else:
+                self.send_request(operation_id, operation.round_number, member_id, address, request)
+
+    def send_request(
+        self, operation_id: int, round_number: int, member_id: str, address: str, request: Request
+    ) -> None:
+        """Sends a request whose reply counts for a round of an operation."""
+        self.last_id += 1
+        self.pending_requests[self.last_id] = operation_id, round_number, member_id
+        while len(self.pending_requests) > MAX_PENDING_REQUESTS:
+            del self.pending_requests[next(iter(self.pending_requests))]
+        self.effects.append(SendRequest(self.last_id, address, request))
+
+    def handle_request(self, now_ns: int, request: Request) -> Reply:
+        """The own acceptor's reply. It may have joined an epoch by it, or learnt a newer version."""
+        epoch, version = self.acceptor.epoch.number, self.acceptor.committed.version
+        reply = self.acceptor.handle(request)
+        if self.acceptor.committed.version > version:
+            self.effects.append(ValueCommitted(self.acceptor.committed))
+            self.lease.on_value_committed()
+        if self.acceptor.epoch.number > epoch:
+            self.on_epoch_joined(now_ns)
+        return reply
+
+    # -- replies and outcomes
+
+    def on_operation_reply(
+        self, now_ns: int, operation_id: int, operation: Operation, member_id: str, reply: Reply
+    ) -> None:
+        """A member's reply to a request of the present round."""
+        if isinstance(reply, SnapshotReply):
+            self.record_committed(reply.committed, reply.history)
+            if operation.quorum_call is None:
+                self.begin_attempt(now_ns, operation_id, operation)
+            return
+        call = operation.quorum_call
+        if call is None or not call.on_reply(member_id, reply):
+            return
+        if call.outcome is None:
+            operation.round_number += 1
+            self.send_round(now_ns, operation_id, operation)
+            return
+        match call.outcome:
+            case Chosen(version, value) if version == MEMBERSHIP_VERSION:
+                self._on_members_chosen(now_ns, operation_id, operation, call.epoch, value)
+            case Chosen(version, value):
+                self._on_chosen(now_ns, operation_id, operation, CommittedValue(version, value))
+            case Superseded(committed, history):
+                self._on_superseded(now_ns, operation_id, operation, committed, history)
+            case RetryWithHigherBallot(ballot):
+                self._on_ballot_rejected(now_ns, operation_id, operation, ballot)
+            case EpochChanged():
+                self._on_epoch_changed(now_ns, operation_id, operation, call.epoch, call.outcome)
+            case QuorumReadResult():
+                self._on_quorum_read(now_ns, operation_id, operation, call.outcome)
+
+    def _on_members_chosen(
+        self, now_ns: int, operation_id: int, operation: Operation, epoch: Epoch, value: bytes
+    ) -> None:
+        operation.previous_epoch, operation.value = epoch, value
+        operation.begin_call(Reconfiguration(epoch, Epoch(epoch.number + 1, decode_member_list(value))))
+        self.send_round(now_ns, operation_id, operation)
+
+    def _on_chosen(
+        self, now_ns: int, operation_id: int, operation: Operation, chosen: CommittedValue
+    ) -> None:
+        self.record_committed(chosen, ())
+        if operation.kind is OperationKind.PROPOSE:
+            outcome = Committed() if chosen.value == operation.value else Conflict()
+            self.complete_operation(operation_id, outcome)
+        elif operation.kind is OperationKind.FINISH:
+            self.complete_operation(operation_id, None)
+        else:
+            self.begin_attempt(now_ns, operation_id, operation)
+
+    def _on_superseded(
+        self,
+        now_ns: int,
+        operation_id: int,
+        operation: Operation,
+        committed: CommittedValue,
+        history: DigestHistory,
+    ) -> None:
+        self.record_committed(committed, history)
+        if operation.kind is OperationKind.PROPOSE:
+            self.complete_operation(operation_id, self.outcome_of(operation.version, operation.value or b""))
+        elif operation.kind is OperationKind.FINISH:
+            self.complete_operation(operation_id, None)
+        else:
+            self.begin_attempt(now_ns, operation_id, operation)
+
+    def _on_ballot_rejected(
+        self, now_ns: int, operation_id: int, operation: Operation, ballot: Ballot
+    ) -> None:
+        if ballot == NO_BALLOT and operation.kind in (OperationKind.FINISH, OperationKind.MEMBERS):
+            self.complete_operation(operation_id, None)  # there is nothing to finish
+            return
+        operation.min_ballot_number = max(operation.min_ballot_number, ballot.number)
+        self.back_off(now_ns, operation)
+
+    def _on_epoch_changed(
+        self, now_ns: int, operation_id: int, operation: Operation, epoch: Epoch, changed: EpochChanged
+    ) -> None:
+        if changed.reconfiguration_pending:
+            self.complete_reconfiguration(now_ns, epoch, changed.epoch)
+        else:
+            self.on_epoch(now_ns, changed.epoch)
+        if operation.kind is OperationKind.MEMBERS:
+            self.complete_operation(operation_id, None)
+            return
+        if operation.kind is OperationKind.LEAVE:  # its next attempt is for the members as they are then
+            operation.previous_epoch, operation.value = None, None
+        self.back_off(now_ns, operation)
+
+    def _on_quorum_read(
+        self, now_ns: int, operation_id: int, operation: Operation, result: QuorumReadResult
+    ) -> None:
+        acceptor, call = self.acceptor, operation.quorum_call
+        assert call is not None
+        if operation.kind is OperationKind.LEAVE and not call.epoch.has_member(acceptor.member_id):
+            self.log("this replica has left: the new members are installed")
+            self.complete_operation(operation_id, Committed())
+        elif isinstance(call, StateTransfer):
+            self.log(f"version {call.committed.version:08x} is on a majority of the other members' disks")
+            self.complete_operation(operation_id, Committed())
+        elif result.highest_version <= acceptor.committed.version:
+            if operation.kind is OperationKind.LEAVE:
+                self._transfer_state(now_ns, operation_id, operation)
+            else:
+                self.complete_operation(operation_id, acceptor.committed)
+        elif result.committed_version > acceptor.committed.version and result.address != acceptor.address:
+            self._fetch_snapshot(now_ns, operation_id, operation, result.address)
+        else:  # a version was accepted and may have been acknowledged: finish it first
+            operation.value = None
+            operation.begin_call(
+                self.new_proposer(acceptor.newest_epoch(), result.highest_version, operation)
+            )
+            self.send_round(now_ns, operation_id, operation)
+
+    def _transfer_state(self, now_ns: int, operation_id: int, operation: Operation) -> None:
+        acceptor = self.acceptor
+        transfer = StateTransfer(
+            acceptor.newest_epoch(), acceptor.member_id, acceptor.committed, acceptor.digest_history()
+        )
+        operation.begin_call(transfer)
+        if not transfer.other_members:
+            self.complete_operation(operation_id, Committed())
+            return
+        self.send_round(now_ns, operation_id, operation)
+
+    def _fetch_snapshot(self, now_ns: int, operation_id: int, operation: Operation, address: str) -> None:
+        operation.round_number += 1
+        operation.wait_until(now_ns + RESEND_INTERVAL_NS)
+        request = SnapshotRequest(self.acceptor.newest_epoch().number)
+        self.send_request(operation_id, operation.round_number, "", address, request)
+
+    def outcome_of(self, version: int, value: bytes) -> Committed | Conflict:
+        """How a proposal of a value ends whose version is not above the one committed here."""
+        committed = self.acceptor.committed
+        if version == committed.version:
+            return Committed() if value == committed.value else Conflict()
+        known = self.acceptor.history.get(version)
+        return Committed() if known is None or known == digest(value) else Conflict()
+
+    # -- what is known
+
+    def record_committed(self, committed: CommittedValue, history: DigestHistory) -> None:
+        """A value is known to be chosen."""
+        if self.acceptor.learn(committed.version, committed.value, history):
+            self.effects.append(ValueCommitted(self.acceptor.committed))
+        self.lease.on_value_committed()
+
+    def on_epoch(self, now_ns: int, epoch: Epoch) -> None:
+        """An epoch is in force somewhere."""
+        if epoch.number > 0 and self.acceptor.on_epoch(epoch):
+            self.membership.on_new_epoch(now_ns)
+            self.lease.on_new_epoch()
+            self.log(f"epoch {epoch.number} has {len(epoch.members)} members")
+
+    def on_epoch_joined(self, now_ns: int) -> None:
+        """This replica has become a member of an epoch."""
+        self.membership.on_new_epoch(now_ns)
+        epoch = self.acceptor.epoch
+        self.log(f"a member of epoch {epoch.number}, of {len(epoch.members)}")
+        self.lease.on_new_epoch()
+
+    def log(self, message: str) -> None:
+        """Has a line logged."""
+        self.effects.append(LogEntry(message))
--- a/meadowworks/controlplane/api.py
+++ b/meadowworks/controlplane/api.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 from meadowworks.config.validation import InvalidConfiguration, validation_steps
-from meadowworks.consensus.replica import Conflict, Undecided
+from meadowworks.consensus.effects import Conflict, Undecided
 from meadowworks.controlplane.config_service import ConfigService
 from meadowworks.controlplane.drain_service import DrainService
 from meadowworks.registry.heartbeats import (
--- a/meadowworks/controlplane/config_service.py
+++ b/meadowworks/controlplane/config_service.py
@@ -14,19 +14,19 @@
 from uuid import uuid4
 
 from meadowworks.consensus import codec
-from meadowworks.consensus.messages import Reply, Request
-from meadowworks.consensus.metadata import load_acceptor
-from meadowworks.consensus.replica import (
-    LEAVE_WAITER_ID,
+from meadowworks.consensus.effects import (
     CompleteOperation,
     LogEntry,
     Persist,
-    Replica,
     SendReply,
     SendRequest,
     Undecided,
     ValueCommitted,
 )
+from meadowworks.consensus.messages import Reply, Request
+from meadowworks.consensus.metadata import load_acceptor
+from meadowworks.consensus.operations import LEAVE_WAITER_ID
+from meadowworks.consensus.replica import Replica
 from meadowworks.consensus.values import CommittedValue
 from meadowworks.gossip import messages as post
 from meadowworks.runtime import logging as logs
--- a/meadowworks/modelcheck/models/consensus.py
+++ b/meadowworks/modelcheck/models/consensus.py
@@ -35,6 +35,7 @@
     StaleEpochReply,
 )
 from meadowworks.consensus.metadata import load_acceptor
+from meadowworks.consensus.operations import Operation, OperationKind
 from meadowworks.consensus.outcomes import (
     Chosen,
     EpochChanged,
@@ -45,7 +46,7 @@
 from meadowworks.consensus.proposer import Proposer
 from meadowworks.consensus.quorum_read import QuorumRead
 from meadowworks.consensus.reconfiguration import Reconfiguration
-from meadowworks.consensus.replica import Operation, Replica
+from meadowworks.consensus.replica import Replica
 from meadowworks.consensus.state_transfer import StateTransfer
 from meadowworks.consensus.values import (
     MEMBERSHIP_VERSION,
@@ -56,6 +57,7 @@
     Epoch,
     digest,
 )
+from meadowworks.consensus.write_queue import WriteQueue
 from meadowworks.modelcheck.model import Model, Property, Step
 
 Members = tuple[tuple[str, str], ...]
@@ -275,7 +277,7 @@
     def proposer(self, home: int, epoch: Epoch, version: int, content: bytes | None) -> Proposer:
         replica = Replica(self.at(home), 1, lambda: 0.5)
         replica.last_ballot_number = self.numbers[home]
-        made = replica.new_proposer(epoch, version, Operation("propose", version, content, 0, []))
+        made = replica.new_proposer(epoch, version, Operation(OperationKind.PROPOSE, version, content, 0, []))
         self.numbers[home] = replica.last_ballot_number
         return made
 
@@ -439,7 +441,7 @@
         self.numbers[k] = 0
         old = self.at(k)
         old.metadata_changed = True
-        meta = Replica(old, 1, lambda: 0.5).collect_update().metadata
+        meta = WriteQueue(old).collect_update().metadata
         self.made[k] = start(
             load_acceptor(
                 meta,
--- a/meadowworks/modelcheck/models/replica.py
+++ b/meadowworks/modelcheck/models/replica.py
@@ -12,10 +12,19 @@
 from collections import deque
 from collections.abc import Iterable
 from dataclasses import dataclass, fields, is_dataclass
+from enum import Enum
 from itertools import combinations
 from typing import Any
 
 from meadowworks.consensus.acceptor import Acceptor
+from meadowworks.consensus.effects import (
+    Committed,
+    CompleteOperation,
+    Persist,
+    SendReply,
+    SendRequest,
+    StateUpdate,
+)
 from meadowworks.consensus.membership import encode_member_list
 from meadowworks.consensus.messages import (
     AcceptedReply,
@@ -27,20 +36,13 @@
     SealedReply,
 )
 from meadowworks.consensus.metadata import load_acceptor
+from meadowworks.consensus.operations import Operation, OperationKind
 from meadowworks.consensus.proposer import Proposer
 from meadowworks.consensus.reconfiguration import Reconfiguration
-from meadowworks.consensus.replica import (
-    SECOND_NS,
-    Committed,
-    CompleteOperation,
-    Operation,
-    Persist,
-    Replica,
-    SendReply,
-    SendRequest,
-    StateUpdate,
-)
+from meadowworks.consensus.replica import Replica
+from meadowworks.consensus.timing import SECOND_NS
 from meadowworks.consensus.values import MEMBERSHIP_VERSION, NO_BALLOT, AcceptorSlot, CommittedValue, Epoch
+from meadowworks.consensus.write_queue import WriteQueue
 from meadowworks.modelcheck.model import Model, Property, Step
 from meadowworks.modelcheck.models.consensus import ABC, X, Y, disks, flat_acceptor, forward
 
@@ -131,7 +133,7 @@
         for k, disk in enumerate(self.disks):
             made = Acceptor(chr(ord("a") + k), str(k), epoch=Epoch(1, scene.members), metadata_changed=True)
             made.installed = made.epoch.has_member(made.member_id)
-            disk.save(Replica(made, 1, half).collect_update())
+            disk.save(WriteQueue(made).collect_update())
             assert disk.meta is not None
             disk.meta |= {"installed": made.installed, "life": 1}  # as it was written before any fault
             self.boxes.append(Replica(disk.acceptor(str(k)), 1, half))
@@ -170,7 +172,10 @@
         box = self.boxes[k]
         if box.started and box.acceptor.may_vote():
             box.begin_operation(
-                NOW, Operation("members", MEMBERSHIP_VERSION, encode_member_list(self.scene.after), FAR, [])
+                NOW,
+                Operation(
+                    OperationKind.MEMBERS, MEMBERSHIP_VERSION, encode_member_list(self.scene.after), FAR, []
+                ),
             )
             box.flush(NOW)
         self.settle(k)
@@ -263,6 +268,8 @@
 
 IDLE = {
     "random_fraction",
+    "_acceptor",  # is the replica's, which is looked at
+    "_lease",
     "effects",
     "pending_requests",
     "peers",
@@ -276,6 +283,8 @@
 def plain(what: Any) -> Any:
     """As numbers, words and tuples. What time alone would use is left out: time stands still."""
     match what:
+        case Enum():
+            return plain(what.value)
         case None | bool() | int() | str() | bytes():
             return what
         case list() | deque() | tuple():
--- a/meadowworks/modelcheck/seeded_faults/consensus.py
+++ b/meadowworks/modelcheck/seeded_faults/consensus.py
@@ -10,6 +10,7 @@
 RECONFIGURATION = PACKAGE + "reconfiguration:Reconfiguration."
 QUORUM_READ, STATE_TRANSFER = PACKAGE + "quorum_read:QuorumRead.", PACKAGE + "state_transfer:StateTransfer."
 METADATA, REPLICA = PACKAGE + "metadata:", PACKAGE + "replica:Replica."
+RUNNER = PACKAGE + "operation_runner:OperationRunner."
 CONTENT = ("one content", "lasts")
 CONSENSUS_FAULTS = (
     *(
@@ -27,7 +28,7 @@
                 "what is accepted is not promised",
                 ACCEPTOR + "vote",
                 "slot.promised = request.ballot",
-                "slot.promised = request.ballot if isinstance(request, Prepare) else slot.promised",
+                "slot.promised = request.ballot if isinstance(request, PrepareRequest) else slot.promised",
                 ("never back", *CONTENT),
                 (0, 5),
             ),
@@ -203,7 +204,7 @@
                 "of two states the first counts",
                 ACCEPTOR + "merge_state",
                 "if accepted > slot.accepted:",
-                "if slot.accepted == NONE:",
+                "if slot.accepted == NO_BALLOT:",
                 ("lasts", "one content"),
                 (26,),
             ),
@@ -329,7 +330,7 @@
             ),
             (
                 "a ballot does not have the life in its name",
-                REPLICA + "new_proposer",
+                RUNNER + "new_proposer",
                 "{self.acceptor.member_id}.{self.acceptor.incarnation}",
                 "{self.acceptor.member_id}",
                 ("one ballot", "one content"),
@@ -337,7 +338,7 @@
             ),
             (
                 "a ballot does not have the disk in its name",
-                REPLICA + "new_proposer",
+                RUNNER + "new_proposer",
                 "{self.acceptor.member_id}.{self.acceptor.incarnation}",
                 "{self.acceptor.incarnation}",
                 ("one ballot", "one content"),
@@ -345,7 +346,7 @@
             ),
             (
                 "a number is used again in one life",
-                REPLICA + "new_proposer",
+                RUNNER + "new_proposer",
                 "slot.promised.number if slot else 0) + 1",
                 "slot.promised.number if slot else 0) or 1",
                 ("one ballot", "one content"),
--- a/meadowworks/modelcheck/seeded_faults/replica.py
+++ b/meadowworks/modelcheck/seeded_faults/replica.py
@@ -6,7 +6,8 @@
 
 PACKAGE = "meadowworks.consensus."
 ACCEPTOR, PROPOSER = PACKAGE + "acceptor:Acceptor.", PACKAGE + "proposer:Proposer."
-METADATA, REPLICA = PACKAGE + "metadata:", PACKAGE + "replica:Replica."
+METADATA, WRITE_QUEUE = PACKAGE + "metadata:", PACKAGE + "write_queue:WriteQueue."
+REPLICA, RUNNER = PACKAGE + "replica:Replica.", PACKAGE + "operation_runner:OperationRunner."
 REPLICA_FAULTS = (
     *(
         SeededFault(name, "replica", at, was, now, breaks, start_indices=starts)
@@ -14,30 +15,30 @@
             (
                 "a reply leaves before its write",
                 REPLICA + "on_request",
-                'self.defer_until_written(("tell", ticket, member_id, self.handle_request(now_ns, request)))',
-                'self.ready.append(("tell", ticket, member_id, self.handle_request(now_ns, request)))',
+                "self.writes.defer(",
+                "self.writes.ready.append(",
                 ("told rests on the disk",),
                 (),
             ),
             (
                 "an own answer counts before its write",
-                REPLICA + "send_round",
-                "self.defer_until_written(own)",
-                "self.ready.append(own)",
+                RUNNER + "send_round",
+                "self.writes.defer(",
+                "self.writes.ready.append(",
                 ("own rests on the disk",),
                 (),
             ),
             (
                 "what is not yet handed out to be written is not waited for",
-                REPLICA + "defer_until_written",
-                "if self.acceptor.has_unwritten_changes():",
+                WRITE_QUEUE + "defer",
+                "if self._acceptor.has_unwritten_changes():",
                 "if False:",
                 ("told rests on the disk", "own rests on the disk"),
                 (),
             ),
             (
                 "a write on its way is not waited for",
-                REPLICA + "defer_until_written",
+                WRITE_QUEUE + "defer",
                 "elif self.write_in_flight:",
                 "elif False:",
                 ("told rests on the disk", "own rests on the disk"),
@@ -45,7 +46,7 @@
             ),
             (
                 "any write opens all gates",
-                REPLICA + "on_persisted",
+                WRITE_QUEUE + "on_persisted",
                 "while self.awaiting_write and self.awaiting_write[0][0] <= write_id:",
                 "while self.awaiting_write:",
                 ("told rests on the disk", "own rests on the disk"),
@@ -53,7 +54,7 @@
             ),
             (
                 "what waits for the next write is let go by the last",
-                REPLICA + "defer_until_written",
+                WRITE_QUEUE + "defer",
                 "self.awaiting_write.append((self.last_write_id + 1, item))",
                 "self.awaiting_write.append((self.last_write_id, item))",
                 ("told rests on the disk", "own rests on the disk", "lasts"),
@@ -61,7 +62,7 @@
             ),
             (
                 "a job asks before the life is on the disk",
-                REPLICA + "begin_attempt",
+                RUNNER + "begin_attempt",
                 "if not self.started:",
                 "if False:",
                 ("life first",),
@@ -70,7 +71,7 @@
             (
                 "a start does not wait for its write",
                 REPLICA + "start",
-                'self.defer_until_written(("started",))',
+                "self.writes.defer(Started())",
                 "self.started = True",
                 ("life first", "one ballot"),
                 (),
@@ -85,7 +86,7 @@
             ),
             (
                 "a ballot has the life alone in its name",
-                REPLICA + "new_proposer",
+                RUNNER + "new_proposer",
                 "{self.acceptor.member_id}.{self.acceptor.incarnation}",
                 "{self.acceptor.incarnation}",
                 ("one ballot",),
@@ -101,8 +102,8 @@
             ),
             (
                 "another's content is acknowledged as the own",
-                REPLICA + "on_operation_reply",
-                "Committed() if value == operation.value else Conflict()",
+                RUNNER + "_on_chosen",
+                "Committed() if chosen.value == operation.value else Conflict()",
                 "Committed()",
                 ("one content",),
                 (6,),
@@ -173,7 +174,7 @@
             ),
             (
                 "a write holds no slots",
-                REPLICA + "collect_update",
+                WRITE_QUEUE + "collect_update",
                 "for v in acceptor.changed_slots",
                 "for v in ()",
                 ("told rests on the disk", "own rests on the disk", "whole"),
--- a/meadowworks/simulation/control.py
+++ b/meadowworks/simulation/control.py
@@ -16,21 +16,21 @@
 from typing import Any
 
 from meadowworks.consensus.acceptor import Acceptor
-from meadowworks.consensus.messages import AcceptRequest, QueryReply
-from meadowworks.consensus.metadata import load_acceptor
-from meadowworks.consensus.replica import (
-    LEASE_DURATION_NS,
-    LEAVE_WAITER_ID,
+from meadowworks.consensus.effects import (
     Committed,
     CompleteOperation,
     Conflict,
     LogEntry,
     Persist,
-    Replica,
     SendReply,
     SendRequest,
     ValueCommitted,
 )
+from meadowworks.consensus.messages import AcceptRequest, QueryReply
+from meadowworks.consensus.metadata import load_acceptor
+from meadowworks.consensus.operations import LEAVE_WAITER_ID
+from meadowworks.consensus.replica import Replica
+from meadowworks.consensus.timing import LEASE_DURATION_NS
 from meadowworks.consensus.values import NO_BALLOT, Ballot, CommittedValue, Epoch, digest
 from meadowworks.simulation.disks import SimulatedDisk, SimulatedStore
 from meadowworks.simulation.network import MS, SECOND, EventScheduler, Network
--- a/meadowworks/simulation/guards.py
+++ b/meadowworks/simulation/guards.py
@@ -11,9 +11,11 @@
 from typing import Any
 from unittest import mock
 
-from meadowworks.consensus import replica
+from meadowworks.consensus import membership_monitor, replica
 from meadowworks.consensus.acceptor import Acceptor
+from meadowworks.consensus.effects import Committed, CompleteOperation, Conflict, Undecided
 from meadowworks.consensus.membership import next_members
+from meadowworks.consensus.membership_monitor import MembershipMonitor
 from meadowworks.consensus.messages import (
     AcceptedReply,
     AcceptRequest,
@@ -29,11 +31,13 @@
     VersionDecidedReply,
 )
 from meadowworks.consensus.metadata import load_acceptor
+from meadowworks.consensus.operations import LEAVE_WAITER_ID
 from meadowworks.consensus.outcomes import EpochChanged, QuorumReadResult
 from meadowworks.consensus.proposer import Proposer
 from meadowworks.consensus.quorum_read import QuorumRead
 from meadowworks.consensus.reconfiguration import Reconfiguration
-from meadowworks.consensus.replica import Committed, CompleteOperation, Conflict, Replica
+from meadowworks.consensus.replica import Replica
+from meadowworks.consensus.timing import MEMBER_SILENCE_TIMEOUT_NS
 from meadowworks.consensus.values import (
     MEMBERSHIP_VERSION,
     NO_BALLOT,
@@ -43,6 +47,7 @@
     CommittedValue,
     Epoch,
 )
+from meadowworks.consensus.write_queue import WriteQueue
 from meadowworks.simulation import control, disks
 
 NEVER_NS = 1 << 60
@@ -76,7 +81,7 @@
     )
 
 
-def reply_before_write(self: Replica, what: Any) -> None:
+def reply_before_write(self: WriteQueue, what: Any) -> None:
     self.ready.append(what)
 
 
@@ -181,19 +186,19 @@
 
 def leave_at_once(self: Replica, now: int, until_ns: int) -> None:
     self.leaving, self.acceptor.wants_membership = True, False
-    self.effects.append(CompleteOperation(replica.LEAVE_WAITER_ID, Committed()))
+    self.effects.append(CompleteOperation(LEAVE_WAITER_ID, Committed()))
 
 
-def candidates_of_any_age(self: Replica, now: int) -> dict[str, str]:
+def candidates_of_any_age(self: MembershipMonitor, now: int) -> dict[str, str]:
     found = {
         disk: peer.last_reply.address
-        for disk, peer in self.peers.items()
+        for disk, peer in self._lease.peers.items()
         if peer.last_reply.wants_membership
-        and now - peer.last_reply_ns < replica.MEMBER_SILENCE_TIMEOUT_NS
-        and not self.acceptor.epoch.has_member(disk)
+        and now - peer.last_reply_ns < MEMBER_SILENCE_TIMEOUT_NS
+        and not self._acceptor.epoch.has_member(disk)
     }
-    if self.acceptor.wants_membership and not self.acceptor.epoch.has_member(self.acceptor.member_id):
-        found[self.acceptor.member_id] = self.acceptor.address
+    if self._acceptor.wants_membership and not self._acceptor.epoch.has_member(self._acceptor.member_id):
+        found[self._acceptor.member_id] = self._acceptor.address
     return found
 
 
@@ -203,11 +208,11 @@
     return next_members(epoch, 0, silent, candidates, leaving)
 
 
-def never_reconfigure(self: Replica, now: int, silent: list[str]) -> Any:
-    return None if self.acceptor.epoch.number > 0 else REPLICA_WANTED(self, now, silent)
+def never_reconfigure(self: MembershipMonitor, now: int, silent: list[str]) -> Any:
+    return None if self._acceptor.epoch.number > 0 else MONITOR_DESIRED_MEMBERS(self, now, silent)
 
 
-REPLICA_WANTED = Replica.desired_members
+MONITOR_DESIRED_MEMBERS = MembershipMonitor.desired_members
 
 
 # -- what is said outside
@@ -269,7 +274,7 @@
 
 
 def timeout_is_conflict(self: Replica, number: int, outcome: Any) -> None:
-    REPLICA_END(self, number, Conflict() if isinstance(outcome, replica.Undecided) else outcome)
+    REPLICA_END(self, number, Conflict() if isinstance(outcome, Undecided) else outcome)
 
 
 REPLICA_END = Replica.complete_operation
@@ -290,7 +295,7 @@
     Guard("life-in-ballot", "a ballot names the life that made it", 2,
           patches_of(Replica, new_proposer=ballot_without_incarnation)),
     Guard("write-before-reply", "no reply leaves before its write", 2,
-          patches_of(Replica, defer_until_written=reply_before_write)),
+          patches_of(WriteQueue, defer=reply_before_write)),
     Guard("sync", "a write is synced before it counts", 2,
           patches_of(disks.SimulatedStore, configure=open_without_sync)),
     Guard("promise", "a lower ballot is refused", 2,
@@ -319,15 +324,15 @@
     Guard("hand-over", "a leaver is out, and its copies elsewhere, before it ends", 3,
           patches_of(Replica, leave=leave_at_once)),
     Guard("leaver-stays-out", "a candidate has spoken since the epoch began", 3,
-          patches_of(Replica, membership_candidates=candidates_of_any_age)),
+          patches_of(MembershipMonitor, membership_candidates=candidates_of_any_age)),
     Guard("never-below-2t+1", "silence takes nobody out below it", 3,
-          patches_of(replica, next_members=members_without_minimum)),
+          patches_of(membership_monitor, next_members=members_without_minimum)),
     Guard("replace", "an empty disk that is there takes a lost one's place", 3,
-          patches_of(Replica, desired_members=never_reconfigure)),
+          patches_of(MembershipMonitor, desired_members=never_reconfigure)),
     Guard("bring", "who missed a change is installed later", 3,
           patches_of(Replica, install_lagging_members=do_nothing)),
     Guard("finish", "what is undecided is finished", 1,
-          patches_of(replica, FINISH_DELAY_NS=NEVER_NS, FINISH_DELAY_DEGRADED_NS=NEVER_NS)),
+          patches_of(membership_monitor, FINISH_DELAY_NS=NEVER_NS, FINISH_DELAY_DEGRADED_NS=NEVER_NS)),
     Guard("resend", "a request without reply goes again", 3,
           patches_of(Replica, send_round=drive_once)),
     Guard("lease", "sure only with a majority heard", 1,
--- a/meadowworks/storage/sqlite_store.py
+++ b/meadowworks/storage/sqlite_store.py
@@ -11,7 +11,7 @@
 import msgpack
 
 from meadowworks.consensus.codec import decode_ballot
-from meadowworks.consensus.replica import StateUpdate
+from meadowworks.consensus.effects import StateUpdate
 from meadowworks.consensus.values import AcceptorSlot, CommittedValue
 
 SCHEMA = """
--- a/tests/gateway/golden_product.py
+++ b/tests/gateway/golden_product.py
@@ -18,9 +18,10 @@
 from meadowworks.config.route_table import load_route_table as load_configuration
 from meadowworks.consensus import codec, values
 from meadowworks.consensus import messages as consensus_messages
+from meadowworks.consensus.effects import Persist, SendReply, SendRequest, StateUpdate
 from meadowworks.consensus.membership import decode_member_list, encode_member_list
 from meadowworks.consensus.metadata import load_acceptor
-from meadowworks.consensus.replica import Persist, Replica, SendReply, SendRequest, StateUpdate
+from meadowworks.consensus.replica import Replica
 from meadowworks.controlplane import config_service as office
 from meadowworks.controlplane import drain_service as fencing
 from meadowworks.controlplane.server import ControlPlaneServer
--- a/tests/gateway/test_agreement.py
+++ b/tests/gateway/test_agreement.py
@@ -8,6 +8,7 @@
 
 from meadowworks.consensus import codec
 from meadowworks.consensus.acceptor import Acceptor
+from meadowworks.consensus.effects import Committed, CompleteOperation, Persist, SendRequest
 from meadowworks.consensus.membership import next_members
 from meadowworks.consensus.messages import (
     AcceptedReply,
@@ -29,20 +30,13 @@
     VersionDecidedReply,
 )
 from meadowworks.consensus.metadata import load_acceptor
+from meadowworks.consensus.operations import LEAVE_WAITER_ID, Operation, OperationKind
 from meadowworks.consensus.outcomes import Chosen, EpochChanged, QuorumReadResult
 from meadowworks.consensus.proposer import Proposer
 from meadowworks.consensus.reconfiguration import Reconfiguration
-from meadowworks.consensus.replica import (
-    LEAVE_WAITER_ID,
-    SECOND_NS,
-    Committed,
-    CompleteOperation,
-    Operation,
-    Persist,
-    Replica,
-    SendRequest,
-)
+from meadowworks.consensus.replica import Replica
 from meadowworks.consensus.state_transfer import StateTransfer
+from meadowworks.consensus.timing import SECOND_NS
 from meadowworks.consensus.values import (
     NO_BALLOT,
     UNKNOWN_EPOCH,
@@ -81,7 +75,7 @@
 
 
 def proposer(acceptor: Acceptor, content: bytes | None, version: int = 6) -> Proposer:
-    job = Operation("propose", version, content, 0, [])
+    job = Operation(OperationKind.PROPOSE, version, content, 0, [])
     return Replica(acceptor, 1, lambda: 0.5).new_proposer(acceptor.newest_epoch(), version, job)
 
 
@@ -348,7 +342,7 @@
     a.seal(1, after)
     meta = Replica(a, 1, lambda: 0.5)
     a.metadata_changed = True
-    kept = meta.collect_update().metadata
+    kept = meta.writes.collect_update().metadata
     for voting in (False, True):
         back = load_acceptor(
             kept, new_member_id="", address="h:0", seeds=(), bootstrap=False, voting=voting, slots=a.slots
--- a/tests/gateway/test_lab_control.py
+++ b/tests/gateway/test_lab_control.py
@@ -8,7 +8,7 @@
 import pytest
 
 from meadowworks.cli import main as commands
-from meadowworks.consensus.replica import StateUpdate
+from meadowworks.consensus.effects import StateUpdate
 from meadowworks.consensus.values import CommittedValue
 from meadowworks.simulation import campaign, drill, guards
 from meadowworks.simulation.disks import SimulatedDisk, SimulatedStore
--- a/tests/gateway/test_state.py
+++ b/tests/gateway/test_state.py
@@ -314,10 +314,10 @@
     found.install(Epoch(1, (("d", "h:1"),)), found.export_state())
     found.handle(PrepareRequest(1, 3, Ballot(1, 4, "p")))
     found.handle(AcceptRequest(1, 3, Ballot(1, 4, "p"), b"three"))
-    disk.save(replica.collect_update())
+    disk.save(replica.writes.collect_update())
     shutil.copytree(tmp_path / "d", tmp_path / "after")  # as the power goes: what is on the disk, unclosed
     found.learn(3, b"three")
-    disk.save(replica.collect_update())
+    disk.save(replica.writes.collect_update())
     shutil.copytree(tmp_path / "d", tmp_path / "later")
     again = acceptor(SqliteStore(tmp_path / "after"))
     assert again.member_id == "d" and again.may_vote() and again.epoch == found.epoch
