--- a/meadowworks/consensus/acceptor.py
+++ b/meadowworks/consensus/acceptor.py
@@ -35,6 +35,8 @@
     HISTORY_LENGTH,
     MEMBERSHIP_VERSION,
     NO_BALLOT,
+    NO_EPOCH,
+    NOTHING_COMMITTED,
     AcceptorSlot,
     AcceptorState,
     CommittedValue,
@@ -61,13 +63,13 @@
     founder_id: str = ""
     wants_membership: bool = True
     incarnation: int = 0
-    epoch: Epoch = Epoch()
+    epoch: Epoch = NO_EPOCH
     installed: bool = False
     sealed_by: Epoch | None = None
-    committed: CommittedValue = CommittedValue()
+    committed: CommittedValue = NOTHING_COMMITTED
     history: dict[int, bytes] = field(default_factory=dict)
     slots: dict[int, AcceptorSlot] = field(default_factory=dict)
-    announced_epoch: Epoch = Epoch()
+    announced_epoch: Epoch = NO_EPOCH
     changed_slots: set[int] = field(default_factory=set)
     metadata_changed: bool = False  # all but slots and values
     committed_changed: bool = False  # the committed value and the history
--- a/meadowworks/consensus/values.py
+++ b/meadowworks/consensus/values.py
@@ -54,6 +54,9 @@
         return any(name == member_id for name, _ in self.members)
 
 
+NO_EPOCH = Epoch()
+
+
 @dataclass(slots=True)
 class AcceptorSlot:
     """What an acceptor has promised and accepted for one version that may be undecided."""
--- a/meadowworks/storage/__init__.py
+++ b/meadowworks/storage/__init__.py
@@ -1,1 +1,1 @@
-"""What lasts: a box of the timetable's register on `sqlite3`."""
+"""What a control-plane replica keeps on its disk: its acceptor, hints about backends, records of drains."""
--- a/meadowworks/storage/sqlite_store.py
+++ b/meadowworks/storage/sqlite_store.py
@@ -1,19 +1,29 @@
-"""An acceptor on disk. What `save` has returned from is there after a loss of power."""
+"""The durable state of a control-plane replica, in one SQLite file.
+
+Every method that writes has the change on the disk when it returns: it is there after a loss of power. A disk
+that is full or refuses raises `sqlite3.Error` ("database or disk is full", "disk I/O error"). The transaction
+is then rolled back, what was there before stays, and the caller may try again; a replica answers nothing
+meanwhile that would rest on the write. The names of the file, the tables and their columns are those of the
+first release, so that an installation starts from its disks.
+"""
 
 from __future__ import annotations
 
 import sqlite3
-from collections.abc import Collection, Mapping
+from collections.abc import Collection, Iterator, Mapping
+from contextlib import contextmanager
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
+from types import TracebackType
+from typing import Any, NamedTuple, Self
 
 import msgpack
 
 from meadowworks.consensus.codec import decode_ballot
 from meadowworks.consensus.effects import StateUpdate
-from meadowworks.consensus.values import AcceptorSlot, CommittedValue
+from meadowworks.consensus.values import NOTHING_COMMITTED, AcceptorSlot, CommittedValue
 
+FILE_NAME = "timetable.db"
 SCHEMA = """
 CREATE TABLE IF NOT EXISTS meta (name TEXT PRIMARY KEY, value BLOB);
 CREATE TABLE IF NOT EXISTS held (one INTEGER PRIMARY KEY, version INTEGER, content BLOB);
@@ -24,9 +34,31 @@
 """
 
 
+class SlotRow(NamedTuple):
+    """A row of `slots`; the ballots are msgpack."""
+
+    version: int
+    promised: bytes
+    accepted: bytes
+    content: bytes
+
+    @classmethod
+    def of(cls, version: int, slot: AcceptorSlot) -> Self:
+        """The row in which a slot is kept."""
+        return cls(version, _encode(slot.promised), _encode(slot.accepted), slot.value)
+
+    def slot(self) -> AcceptorSlot:
+        """The slot that is kept in the row."""
+        promised, accepted = decode_ballot(_decode(self.promised)), decode_ballot(_decode(self.accepted))
+        return AcceptorSlot(promised, accepted, bytes(self.content))
+
+
 @dataclass(frozen=True, slots=True)
 class StoredState:
-    """What a disk holds. `meta`: an acceptor's own fields, as `Rows` has them; none if the disk is empty."""
+    """An acceptor as a disk holds it.
+
+    `metadata`: its own fields, as `consensus.metadata` has them; none if the disk is empty.
+    """
 
     metadata: Mapping[str, Any] | None
     committed: CommittedValue
@@ -34,104 +66,131 @@
     slots: Mapping[int, AcceptorSlot]
 
 
-def encode(value: Any) -> bytes:
-    return msgpack.packb(value, use_bin_type=True)  # type: ignore[no-any-return]
-
-
-def decode(value: bytes) -> Any:
-    return msgpack.unpackb(value, raw=False)
+class SqliteStore:
+    """The one user of a directory's file.
 
+    Calls may come from one thread after another, never from two at once. Every method raises `sqlite3.Error`
+    if the disk refuses.
+    """
 
-class SqliteStore:
-    """The one user of a file; calls may come from one thread after another. Raises sqlite3.Error."""
+    connection: sqlite3.Connection
 
     def __init__(self, directory: str | Path) -> None:
         path = Path(directory)
         path.mkdir(parents=True, exist_ok=True)
-        self.configure(sqlite3.connect(path / "timetable.db", check_same_thread=False, isolation_level=None))
+        self.configure(sqlite3.connect(path / FILE_NAME, check_same_thread=False, isolation_level=None))
+
+    def __enter__(self) -> Self:
+        return self
+
+    def __exit__(
+        self,
+        exception_type: type[BaseException] | None,
+        exception: BaseException | None,
+        traceback: TracebackType | None,
+    ) -> None:
+        self.close()
 
     def configure(self, connection: sqlite3.Connection) -> None:
+        """Takes a connection for its own, and makes the tables that are missing."""
         self.connection = connection
-        # Exclusive before WAL: the index is then in the process and no memory is shared. FULL: a commit is
-        # on the disk when it returns, by one sync.
+        # Exclusive before WAL: the index of the log is then in the process, and no memory is shared.
         self.connection.execute("PRAGMA locking_mode=EXCLUSIVE")
         self.connection.execute("PRAGMA journal_mode=WAL")
+        # A commit is on the disk when it returns, by one sync.
         self.connection.execute("PRAGMA synchronous=FULL")
         self.connection.executescript(SCHEMA)
 
+    def close(self) -> None:
+        """Closes the file. What was written stays written."""
+        self.connection.close()
+
+    # -- the acceptor
+
     def load(self) -> StoredState:
-        meta = {
-            name: decode(value) for name, value in self.connection.execute("SELECT name, value FROM meta")
-        }
-        slots = {
-            version: AcceptorSlot(
-                decode_ballot(decode(promised)), decode_ballot(decode(accepted)), bytes(content)
-            )
-            for version, promised, accepted, content in self.connection.execute("SELECT * FROM slots")
-        }
+        """The acceptor as it was last saved."""
+        rows = self.connection.execute("SELECT name, value FROM meta")
+        metadata = {name: _decode(value) for name, value in rows}
+        rows = self.connection.execute("SELECT version, promised, accepted, content FROM slots")
+        slots = {row.version: row.slot() for row in map(SlotRow._make, rows)}
         row = self.connection.execute("SELECT version, content FROM held").fetchone()
-        held = CommittedValue(row[0], bytes(row[1])) if row else CommittedValue()
-        history = {v: bytes(d) for v, d in self.connection.execute("SELECT version, digest FROM history")}
-        return StoredState(meta or None, held, history, slots)
+        committed = CommittedValue(row[0], bytes(row[1])) if row else NOTHING_COMMITTED
+        rows = self.connection.execute("SELECT version, digest FROM history")
+        history = {version: bytes(value_digest) for version, value_digest in rows}
+        return StoredState(metadata or None, committed, history, slots)
 
     def save(self, update: StateUpdate) -> None:
-        self.connection.execute("BEGIN")
-        try:
+        """Writes what an acceptor has changed, all of it or nothing."""
+        with self._transaction():
             if update.metadata is not None:
-                self.connection.executemany(
-                    "INSERT OR REPLACE INTO meta VALUES (?, ?)",
-                    [(k, encode(v)) for k, v in update.metadata.items()],
-                )
+                rows = [(name, _encode(value)) for name, value in update.metadata.items()]
+                self.connection.executemany("INSERT OR REPLACE INTO meta VALUES (?, ?)", rows)
             if update.committed is not None:
-                self.connection.execute(
-                    "INSERT OR REPLACE INTO held VALUES (1, ?, ?)",
-                    (update.committed.version, update.committed.value),
-                )
-                self.connection.executemany(
-                    "INSERT OR REPLACE INTO history VALUES (?, ?)", update.history.items()
-                )
-                self.connection.execute(
-                    "DELETE FROM history WHERE version < ?", (update.oldest_history_version,)
-                )
+                self._save_committed(update.committed, update.history, update.oldest_history_version)
             for version, slot in update.slots.items():
-                if slot is not None:
-                    self.connection.execute(
-                        "INSERT OR REPLACE INTO slots VALUES (?, ?, ?, ?)",
-                        (version, encode(slot.promised), encode(slot.accepted), slot.value),
-                    )
-                else:
-                    self.connection.execute("DELETE FROM slots WHERE version = ?", (version,))
-            self.connection.execute("COMMIT")
-        except BaseException:
-            if self.connection.in_transaction:
-                self.connection.execute("ROLLBACK")
-            raise
-
-    def save_backend_hints(self, rows: dict[str, bytes]) -> None:
-        """Backends as last heard of, for a start after all controllers were lost at once: a hint, which the
-        next beats confirm or not."""
-        with self.connection:
-            self.connection.execute("BEGIN")
+                self._save_slot(version, slot)
+
+    def _save_committed(
+        self, committed: CommittedValue, history: Mapping[int, bytes], oldest_history_version: int
+    ) -> None:
+        self.connection.execute(
+            "INSERT OR REPLACE INTO held VALUES (1, ?, ?)", (committed.version, committed.value)
+        )
+        self.connection.executemany("INSERT OR REPLACE INTO history VALUES (?, ?)", history.items())
+        self.connection.execute("DELETE FROM history WHERE version < ?", (oldest_history_version,))
+
+    def _save_slot(self, version: int, slot: AcceptorSlot | None) -> None:
+        if slot is None:
+            self.connection.execute("DELETE FROM slots WHERE version = ?", (version,))
+            return
+        row = SlotRow.of(version, slot)
+        self.connection.execute("INSERT OR REPLACE INTO slots VALUES (?, ?, ?, ?)", row)
+
+    # -- backends
+
+    def save_backend_hints(self, rows: Mapping[str, bytes]) -> None:
+        """Replaces the backends as they were last heard from, by their ids.
+
+        They are a hint for a start after all replicas were lost at once; the next heartbeats confirm them or
+        not.
+        """
+        with self._transaction():
             self.connection.execute("DELETE FROM lives")
             self.connection.executemany("INSERT INTO lives VALUES (?, ?)", rows.items())
 
     def load_backend_hints(self) -> dict[str, bytes]:
+        """What `save_backend_hints` has saved last."""
         return dict(self.connection.execute("SELECT ident, value FROM lives").fetchall())
 
     def save_drain_records(self, rows: Mapping[str, bytes], removed: Collection[str]) -> None:
-        """Lives that are draining or gone: what this has returned from is owed to whoever was told so."""
-        self.connection.execute("BEGIN")
-        try:
+        """Writes records of backends that are draining or gone, and removes others.
+
+        Once this has returned a drain may be acknowledged: no later start forgets it.
+        """
+        with self._transaction():
             self.connection.executemany("DELETE FROM fences WHERE ident = ?", [(ident,) for ident in removed])
             self.connection.executemany("INSERT OR REPLACE INTO fences VALUES (?, ?)", list(rows.items()))
+
+    def load_drain_records(self) -> dict[str, bytes]:
+        """All records that `save_drain_records` has written and not removed."""
+        return dict(self.connection.execute("SELECT ident, value FROM fences").fetchall())
+
+    @contextmanager
+    def _transaction(self) -> Iterator[None]:
+        """Commits what is done in it, or rolls it back."""
+        self.connection.execute("BEGIN")
+        try:
+            yield
             self.connection.execute("COMMIT")
         except BaseException:
             if self.connection.in_transaction:
                 self.connection.execute("ROLLBACK")
             raise
 
-    def load_drain_records(self) -> dict[str, bytes]:
-        return dict(self.connection.execute("SELECT ident, value FROM fences").fetchall())
 
-    def close(self) -> None:
-        self.connection.close()
+def _encode(value: Any) -> bytes:
+    return msgpack.packb(value, use_bin_type=True)  # type: ignore[no-any-return]
+
+
+def _decode(value: bytes) -> Any:
+    return msgpack.unpackb(value, raw=False)
