--- a/meadowworks/modelcheck/seeded_faults/consensus.py
+++ b/meadowworks/modelcheck/seeded_faults/consensus.py
@@ -10,6 +10,7 @@
 RECONFIGURATION = PACKAGE + "reconfiguration:Reconfiguration."
 QUORUM_READ, STATE_TRANSFER = PACKAGE + "quorum_read:QuorumRead.", PACKAGE + "state_transfer:StateTransfer."
 METADATA, REPLICA = PACKAGE + "metadata:", PACKAGE + "replica:Replica."
+RUNNER = PACKAGE + "operation_runner:OperationRunner."
 CONTENT = ("one content", "lasts")
 CONSENSUS_FAULTS = (
     *(
@@ -329,7 +330,7 @@
             ),
             (
                 "a ballot does not have the life in its name",
-                REPLICA + "new_proposer",
+                RUNNER + "new_proposer",
                 "{self.acceptor.member_id}.{self.acceptor.incarnation}",
                 "{self.acceptor.member_id}",
                 ("one ballot", "one content"),
@@ -337,7 +338,7 @@
             ),
             (
                 "a ballot does not have the disk in its name",
-                REPLICA + "new_proposer",
+                RUNNER + "new_proposer",
                 "{self.acceptor.member_id}.{self.acceptor.incarnation}",
                 "{self.acceptor.incarnation}",
                 ("one ballot", "one content"),
@@ -345,7 +346,7 @@
             ),
             (
                 "a number is used again in one life",
-                REPLICA + "new_proposer",
+                RUNNER + "new_proposer",
                 "slot.promised.number if slot else 0) + 1",
                 "slot.promised.number if slot else 0) or 1",
                 ("one ballot", "one content"),
