--- a/meadowworks/gossip/__init__.py
+++ b/meadowworks/gossip/__init__.py
@@ -1,4 +1,6 @@
-"""How controllers know each other and get each other's news. No I/O, no clock of its own.
+"""How control-plane nodes and proxies know each other and exchange updates, free of I/O and clocks.
 
-`news`: what each source says, pulled by a vector of versions. `members`: a partial view, shuffled.
+- ``updates``: versioned updates by source, reconciled by version vectors (anti-entropy);
+- ``peer_sampling``: a bounded partial view of the peers, shuffled between neighbours;
+- ``messages``: the pull request and its reply, and their encoding.
 """
--- a/meadowworks/gossip/messages.py
+++ b/meadowworks/gossip/messages.py
@@ -1,41 +1,54 @@
-"""What controllers say to each other, as msgpack bodies of HTTP calls on the inner port.
+"""The pull request and its reply, and their encoding as msgpack bodies of HTTP calls on the inner port.
 
-`POST /pull` asks for news; `POST /letter` carries the register's letters between disks. A pull waits at its
-holder until there is news that can't wait, or its time is over.
+``POST /pull`` asks a control-plane node for updates. The node holds the reply back until it has an update
+that is urgent, or until the requester's limit: a long poll. A message is an array whose fields go by place;
+nodes of two releases meet in a roll-out, so fields are neither moved nor dropped.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 import msgpack
 
 from meadowworks.gossip.peer_sampling import PeerRecord
 from meadowworks.gossip.updates import SourceDelta
 
-if TYPE_CHECKING:  # a junction speaks no letters: their import would be a tenth of its start
+if TYPE_CHECKING:  # a proxy sends no consensus messages: their import would be a tenth of its start
     from meadowworks.consensus.register import DigestHistory, Epoch, QueryReply
 
-DECODE_ERRORS = (
-    TypeError,
-    ValueError,
-    AttributeError,
-    LookupError,
-)  # what reading a message of another shape raises
+# What decoding a message of another shape raises.
+DECODE_ERRORS = (TypeError, ValueError, AttributeError, LookupError)
 
 
 class MalformedMessageError(ValueError):
-    """A body that is no message between controllers."""
+    """A body that is no message between nodes. A retry of the same body fails alike."""
+
+
+class DrainAcknowledgement(NamedTuple):
+    """All drains that a source has published up to a version are on the sender's disk.
+
+    A version vector can't state this: it tells what is in memory.
+    """
+
+    source: str
+    version: int
 
 
 @dataclass(frozen=True, slots=True)
 class PullRequest:
-    """`table` is the version of the configuration that is held; `figures` what the asker has counted since
-    its last pull; `wait_ms` how long the answer may be held back for want of urgent news; `epoch` the number
-    of the newest epoch of members that a signalbox knows, none from a junction; `kept` a receipt: a process
-    of the asked box, and the version of its news up to which all drains and leaves are on the asker's disk.
-    The vector is none: it tells what is in memory."""
+    """Asks a control-plane node for the updates that the sender lacks.
+
+    :ivar sender: the requester's own record.
+    :ivar peers: a sample of its view; empty where none is wanted in return.
+    :ivar version_vector: by source, the newest version that it holds.
+    :ivar config_version: the version of the configuration that it holds; 0 for none.
+    :ivar max_wait_ms: for how long the reply may be held back for want of urgent updates.
+    :ivar load_report: what a proxy has counted since its last pull.
+    :ivar epoch_number: the newest epoch of members that a control-plane node knows; None from a proxy.
+    :ivar drain_acknowledgement: of the node asked, from a control-plane node.
+    """
 
     sender: PeerRecord
     peers: tuple[PeerRecord, ...]
@@ -44,32 +57,38 @@
     max_wait_ms: int
     load_report: Any = None
     epoch_number: int | None = None
-    drain_acknowledgement: tuple[str, int] | None = None
+    drain_acknowledgement: DrainAcknowledgement | None = None
 
     def encode(self) -> bytes:
-        cards = [card.pack() for card in self.peers]
-        kept = None if self.drain_acknowledgement is None else [*self.drain_acknowledgement]
+        """Returns the body of the call."""
+        acknowledgement = self.drain_acknowledgement
         return encode(
             [
-                self.sender.pack(),
-                cards,
+                encode_peer(self.sender),
+                [encode_peer(peer) for peer in self.peers],
                 self.version_vector,
                 self.config_version,
                 self.max_wait_ms,
                 self.load_report,
                 self.epoch_number,
-                kept,
+                None if acknowledgement is None else list(acknowledgement),
             ]
         )
 
 
 @dataclass(frozen=True, slots=True)
 class PullReply:
-    """`sure`: the holder has a lease: a majority of disks answered questions that left shortly before.
-    `table`: the version and the configuration, compressed, if it is newer than the
-    asker's. Between signalboxes also
-    `seen`: what the holder's own disk says of itself; `epoch`: the members, if the asker knows older ones;
-    `history`: the digests of earlier versions, beside a table."""
+    """What a control-plane node knows and the requester lacks.
+
+    :ivar sender: the node's own record.
+    :ivar peers: a sample of its view, if the request carried one.
+    :ivar has_lease: whether a majority of disks has answered the node recently; without it what the node
+        says may be out of date.
+    :ivar config: the version and the compressed text of a configuration newer than the requester's.
+    :ivar acceptor_state: between control-plane nodes, what the node's acceptor says of itself.
+    :ivar epoch: between control-plane nodes, the members, if the requester knows older ones.
+    :ivar decided_digests: between control-plane nodes, digests of earlier versions, beside ``config``.
+    """
 
     sender: PeerRecord
     peers: tuple[PeerRecord, ...]
@@ -81,14 +100,14 @@
     decided_digests: DigestHistory = ()
 
     def encode(self) -> bytes:
-        table = None if self.config is None else list(self.config)
+        """Returns the body of the reply."""
         return encode(
             [
-                self.sender.pack(),
-                [card.pack() for card in self.peers],
-                [piece.pack() for piece in self.deltas],
+                encode_peer(self.sender),
+                [encode_peer(peer) for peer in self.peers],
+                [encode_delta(delta) for delta in self.deltas],
                 self.has_lease,
-                table,
+                None if self.config is None else list(self.config),
                 *self.encode_consensus_fields(),
             ]
         )
@@ -105,16 +124,20 @@
         ]
 
 
-def encode(what: Any) -> bytes:
-    return msgpack.packb(what, use_bin_type=True)  # type: ignore[no-any-return]
+def encode(value: Any) -> bytes:
+    """Encodes a value of lists, maps, strings, numbers and bytes."""
+    return msgpack.packb(value, use_bin_type=True)  # type: ignore[no-any-return]
 
 
 def decode(body: bytes) -> Any:
-    """Raises Garbled."""
+    """Decodes what ``encode`` returns.
+
+    :raises MalformedMessageError: for any other body.
+    """
     try:
         return msgpack.unpackb(body, raw=False, strict_map_key=False)
-    except Exception as trouble:  # the library raises half a dozen kinds
-        raise MalformedMessageError(f"no msgpack: {trouble}") from None
+    except Exception as error:  # the library raises half a dozen kinds
+        raise MalformedMessageError(f"no msgpack: {error}") from None
 
 
 def decode_consensus_fields(
@@ -132,37 +155,97 @@
 
 
 def decode_pull_request(body: bytes) -> PullRequest:
-    """Raises Garbled."""
+    """Decodes the body of a pull.
+
+    :raises MalformedMessageError: if it is none.
+    """
     try:
-        me, cards, vector, table, wait, figures, epoch, kept = decode(body)
+        sender, peers, vector, config_version, max_wait_ms, load_report, epoch, acknowledgement = decode(body)
         return PullRequest(
-            PeerRecord.unpack(me),
-            tuple(map(PeerRecord.unpack, cards)),
-            {str(k): int(v) for k, v in vector.items()},
-            int(table),
-            int(wait),
-            figures,
-            None if epoch is None else int(epoch),
-            None if kept is None else (str(kept[0]), int(kept[1])),
+            sender=decode_peer(sender),
+            peers=tuple(map(decode_peer, peers)),
+            version_vector={str(source): int(version) for source, version in vector.items()},
+            config_version=int(config_version),
+            max_wait_ms=int(max_wait_ms),
+            load_report=load_report,
+            epoch_number=None if epoch is None else int(epoch),
+            drain_acknowledgement=_decode_acknowledgement(acknowledgement),
         )
-    except DECODE_ERRORS as trouble:
-        raise MalformedMessageError(f"no pull: {trouble}") from None
+    except DECODE_ERRORS as error:
+        raise MalformedMessageError(f"no pull: {error}") from None
 
 
 def decode_pull_reply(body: bytes) -> PullReply:
-    """Raises Garbled."""
+    """Decodes the reply to a pull.
+
+    :raises MalformedMessageError: if it is none.
+    """
     try:
-        me, cards, pieces, sure, table, seen, epoch, history = decode(body)
-        if table is not None and not isinstance(table[1], bytes):
+        sender, peers, deltas, has_lease, config, acceptor_state, epoch, digests = decode(body)
+        if config is not None and not isinstance(config[1], bytes):
             raise ValueError("no configuration")
-        held = None if table is None else (int(table[0]), table[1])
         return PullReply(
-            PeerRecord.unpack(me),
-            tuple(map(PeerRecord.unpack, cards)),
-            tuple(map(SourceDelta.unpack, pieces)),
-            bool(sure),
-            held,
-            *decode_consensus_fields(seen, epoch, history),
+            decode_peer(sender),
+            tuple(map(decode_peer, peers)),
+            tuple(map(decode_delta, deltas)),
+            bool(has_lease),
+            None if config is None else (int(config[0]), config[1]),
+            *decode_consensus_fields(acceptor_state, epoch, digests),
         )
-    except DECODE_ERRORS as trouble:
-        raise MalformedMessageError(f"no news: {trouble}") from None
+    except DECODE_ERRORS as error:
+        raise MalformedMessageError(f"no reply to a pull: {error}") from None
+
+
+def encode_peer(peer: PeerRecord) -> list[Any]:
+    """Returns a peer's record as it stands in a message."""
+    return [
+        peer.name,
+        peer.host,
+        peer.port,
+        peer.zone,
+        peer.is_voter,
+        peer.incarnation,
+        peer.heartbeat,
+    ]
+
+
+def decode_peer(raw: Any) -> PeerRecord:
+    """Reads a peer's record.
+
+    :raises ValueError, TypeError: if it is none.
+    """
+    name, host, port, zone, is_voter, incarnation, heartbeat = raw
+    return PeerRecord(
+        name=str(name),
+        host=str(host),
+        port=int(port),
+        zone=str(zone),
+        is_voter=bool(is_voter),
+        incarnation=str(incarnation),
+        heartbeat=int(heartbeat),
+    )
+
+
+def encode_delta(delta: SourceDelta) -> list[Any]:
+    """Returns a delta as it stands in a message."""
+    return [delta.source, delta.is_snapshot, delta.latest_version, [list(change) for change in delta.changes]]
+
+
+def decode_delta(raw: Any) -> SourceDelta:
+    """Reads a delta.
+
+    :raises ValueError, TypeError: if it is none.
+    """
+    source, is_snapshot, latest_version, changes = raw
+    if not isinstance(source, str) or not isinstance(latest_version, int):
+        raise ValueError("no delta of a source")
+    return SourceDelta(
+        source,
+        bool(is_snapshot),
+        latest_version,
+        tuple((int(version), str(key), value) for version, key, value in changes),
+    )
+
+
+def _decode_acknowledgement(raw: Any) -> DrainAcknowledgement | None:
+    return None if raw is None else DrainAcknowledgement(str(raw[0]), int(raw[1]))
--- a/meadowworks/modelcheck/models/gossip.py
+++ b/meadowworks/modelcheck/models/gossip.py
@@ -15,6 +15,7 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
+from meadowworks.gossip.messages import decode_delta, encode_delta
 from meadowworks.gossip.peer_sampling import PartialView, PeerRecord
 from meadowworks.gossip.updates import KeyUpdate, SourceDelta, UpdateStore
 from meadowworks.modelcheck.model import Model, Property, Step
@@ -218,7 +219,7 @@
         node.members.merge(0, [card])
         node.asked[int(card.host[1:])] = card.incarnation
         for piece in pieces:
-            node.news.apply(0, SourceDelta.unpack(piece.pack()))
+            node.news.apply(0, decode_delta(encode_delta(piece)))
         if node.beats.unknown_departures:
             node.beats.tick(0)
 
--- a/meadowworks/registry/drain_log.py
+++ b/meadowworks/registry/drain_log.py
@@ -11,6 +11,7 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
+from meadowworks.gossip.messages import DrainAcknowledgement
 from meadowworks.gossip.updates import KeyUpdate
 from meadowworks.registry.heartbeats import BACKEND_KEY_PREFIX, GONE, RETENTION_NS, STATE_RANK, UP
 
@@ -152,9 +153,9 @@
 
     # -- receipts
 
-    def acknowledgement(self, source: str) -> tuple[str, int]:
+    def acknowledgement(self, source: str) -> DrainAcknowledgement:
         """What a pull tells a source's process: the version of its news up to which all is on disk here."""
-        return source, self.durable_versions.get(source, -1)
+        return DrainAcknowledgement(source, self.durable_versions.get(source, -1))
 
     def is_caught_up(self, source: str) -> bool:
         """Whether a source's receipt has come up to its news; if not, a write is owed or under way."""
--- a/tests/gateway/golden_product.py
+++ b/tests/gateway/golden_product.py
@@ -138,7 +138,7 @@
 
 # -- messages between controllers
 
-Pull = post.PullRequest
+Pull: Any = post.PullRequest  # a pair stands for an acknowledgement
 News = post.PullReply
 Unreadable = post.DECODE_ERRORS  # what the readers of messages raise
 
@@ -185,19 +185,19 @@
 
 
 def encode_card(card: Any) -> bytes:
-    return post.encode(card.pack())
+    return post.encode(post.encode_peer(card))
 
 
 def decode_card(body: bytes) -> Any:
-    return PeerRecord.unpack(post.decode(body))
+    return post.decode_peer(post.decode(body))
 
 
 def encode_piece(piece: Any) -> bytes:
-    return post.encode(piece.pack())
+    return post.encode(post.encode_delta(piece))
 
 
 def decode_piece(body: bytes) -> Any:
-    return SourceDelta.unpack(post.decode(body))
+    return post.decode_delta(post.decode(body))
 
 
 # -- figures and lives, as values within pulls and news
--- a/tests/gateway/test_state.py
+++ b/tests/gateway/test_state.py
@@ -187,7 +187,7 @@
 def test_a_mutated_message_between_controllers_is_garbled_or_harmless() -> None:
     me = PeerRecord("a", "10.0.0.1", 7000, "north", True, "a.1", 5)
     figures = [[["i", 1, 0, 5, 1, 1, 0]], [["s", 1]]]
-    pull = post.PullRequest(me, (me,), {"s": 3}, 1, 100, figures, 4, ("b.1", 7))
+    pull = post.PullRequest(me, (me,), {"s": 3}, 1, 100, figures, 4, post.DrainAcknowledgement("b.1", 7))
     answer = post.PullReply(me, (me,), (SourceDelta("s", True, 3, ((3, "k", 1),)),), True, (2, b"{}"))
     garbled = 0
     for whole, read in ((pull, post.decode_pull_request), (answer, post.decode_pull_reply)):
