--- a/meadowworks/local/backend.py
+++ b/meadowworks/local/backend.py
@@ -1,4 +1,4 @@
-"""A stand-in for a backend, as the users' page on the protocol describes one: it beats, answers, leaves."""
+"""A stand-in for a backend, as the users' page on the protocol describes one."""
 
 from __future__ import annotations
 
@@ -8,17 +8,27 @@
 from contextlib import suppress
 from typing import Any
 
+from meadowworks.runtime.address import Address
+from meadowworks.runtime.asgi import Receive, Scope, Send
 from meadowworks.runtime.errors import RequestError
-from meadowworks.runtime.http_connection import connect
+from meadowworks.runtime.http_connection import Response, connect
 from meadowworks.runtime.http_server import HttpServer
 from meadowworks.runtime.request_body import read_body
 from meadowworks.runtime.response_writer import send_response
 
-MAX_ACK_BYTES = 4096  # bytes of an answer: a larger one acknowledges nothing
+MAX_BODY_BYTES = 1 << 20  # of a request, as in the configurations of `system`
+MAX_ACK_BYTES = 4096  # of a response to a heartbeat: a larger one acknowledges nothing
+HEARTBEAT_TIMEOUT_S = 1.0  # to connect, and again to be answered: two intervals of `system`
 
 
 class StubBackend:
-    """One life. `ran` lists the ids of the requests that it has run, each as often as it ran."""
+    """One incarnation of a backend: it sends heartbeats, and answers every request.
+
+    :ivar state: what its heartbeats and its health check report, `up` or `draining`.
+    :ivar handler: awaited by every request before it is answered.
+    :ivar assigned_address: where the control plane asked it to send heartbeats, until that fails.
+    :ivar handled_request_ids: of the requests that have run, each as often as it ran.
+    """
 
     def __init__(
         self,
@@ -29,87 +39,112 @@
         capacity: int = 2,
         handler: Callable[[], Awaitable[None]] | None = None,
     ) -> None:
-        self.backend_id, self.service, self.zone, self.host, self.capacity = (
-            backend_id,
-            service,
-            zone,
-            host,
-            capacity,
-        )
+        self.backend_id = backend_id
+        self.service = service
+        self.zone = zone
+        self.host = host
+        self.port = 0
+        self.capacity = capacity
         self.handler = handler
-        self.state, self.heartbeats_sent, self.requests_running = "up", 0, 0
-        self.assigned_address: tuple[str, int] | None = (
-            None  # where it was asked to call (`beatUrl`), until that fails
-        )
+        self.state = "up"
+        self.heartbeats_sent = 0
+        self.requests_running = 0
+        self.assigned_address: Address | None = None
         self.handled_request_ids: list[str] = []
         self.server = HttpServer(self.handle_request)
-        self.port = 0
 
     async def start(self) -> None:
+        """Listen on any free port."""
         self.port = await self.server.listen(self.host, 0)
 
-    async def handle_request(self, scope: Any, receive: Any, send: Any) -> None:
-        body = await read_body(receive, 1 << 20)
+    def stop(self) -> None:
+        """Accept no more requests."""
+        with suppress(Exception):  # its event loop may have ended before
+            self.server.shutdown()
+
+    # -- requests
+
+    async def handle_request(self, scope: Scope, receive: Receive, send: Send) -> None:
+        """Answer a health check or a request; one that wants another backend is refused."""
+        body = await read_body(receive, MAX_BODY_BYTES)
         headers = dict(scope["headers"])
+        own_id = self.backend_id.encode()
         if scope["path"] == "/healthz":
-            return await send_response(
-                send, 200 if self.state == "up" else 503, b"", [(b"x-backend-id", self.backend_id.encode())]
-            )
-        ident = headers.get(b"x-request-id", b"")
-        if headers.get(b"x-want-backend", self.backend_id.encode()) != self.backend_id.encode():
-            return await send_response(
-                send, 421, b"", [(b"x-backend-id", self.backend_id.encode()), (b"x-request-id", ident)]
-            )
+            status = 200 if self.state == "up" else 503
+            await send_response(send, status, b"", [(b"x-backend-id", own_id)])
+            return
+        request_id = headers.get(b"x-request-id", b"")
+        if headers.get(b"x-want-backend", own_id) != own_id:
+            await send_response(send, 421, b"", [(b"x-backend-id", own_id), (b"x-request-id", request_id)])
+            return
+        await self._run_handler(request_id)
+        response_headers = [
+            (b"x-request-id", request_id),
+            (b"x-backend-seal", f"{self.backend_id}.{len(body) if isinstance(body, bytes) else 0}".encode()),
+            (b"x-backend-load", f"{self.requests_running},0,{self.capacity}".encode()),
+        ]
+        text = f"{self.backend_id} has answered {scope['target'].decode()}\n"
+        await send_response(send, 200, text.encode(), response_headers)
+
+    async def _run_handler(self, request_id: bytes) -> None:
         self.requests_running += 1
-        self.handled_request_ids.append(ident.decode())
+        self.handled_request_ids.append(request_id.decode())
         try:
             if self.handler:
                 await self.handler()
         finally:
             self.requests_running -= 1
-        told = [
-            (b"x-request-id", ident),
-            (b"x-backend-seal", f"{self.backend_id}.{len(body) if isinstance(body, bytes) else 0}".encode()),
-            (b"x-backend-load", f"{self.requests_running},0,{self.capacity}".encode()),
-        ]
-        await send_response(
-            send, 200, f"{self.backend_id} has answered {scope['target'].decode()}\n".encode(), told
-        )
+
+    # -- heartbeats
+
+    async def run_heartbeats(self, addresses: list[Address], interval_s: float) -> None:
+        """Send heartbeats for ever: where the control plane asked for them, else to the next of its nodes."""
+        index = sum(self.backend_id.encode()) % len(addresses)
+        while True:
+            if await self.send_heartbeat(self.assigned_address or addresses[index]) != 200:
+                if self.assigned_address is None:
+                    index = (index + 1) % len(addresses)
+                self.assigned_address = None
+            await asyncio.sleep(interval_s)
 
     async def send_heartbeat(self, address: tuple[str, int], leave: bool = False) -> int:
-        """One call to a signalbox; the status, 0 without an answer."""
+        """Send one heartbeat to the control plane.
+
+        :param leave: say good-bye instead.
+        :returns: the status of the response; 0 if there is none.
+        """
         self.heartbeats_sent += 1
-        document = {
+        call = "Leave" if leave else "Heartbeat"
+        path = f"/api/Backends.{call}/{self.backend_id}".encode()
+        body = b"" if leave else json.dumps(self._heartbeat()).encode()
+        try:
+            response = await _post(address, path, body)
+        except (RequestError, TimeoutError):
+            return 0
+        if response.status == 200 and not leave and (assigned := json.loads(response.body).get("beatUrl")):
+            host, _, port = assigned.rpartition(":")
+            self.assigned_address = Address(host, int(port))
+        return response.status
+
+    def _heartbeat(self) -> dict[str, Any]:
+        return {
             "addr": f"{self.host}:{self.port}",
             "details": {"svc": self.service, "ver": "v1", "zone": self.zone, "capacity": self.capacity},
             "status": {"state": self.state, "calls": self.heartbeats_sent, "warmupMs": 0},
         }
-        body = b"" if leave else json.dumps(document).encode()
-        path = f"/api/Backends.{'Leave' if leave else 'Heartbeat'}/{self.backend_id}".encode()
-        try:
-            line = await connect(*address, 1.0)
-            try:
-                async with asyncio.timeout(1.0):
-                    headers = [(b"host", b"ctl"), (b"content-length", str(len(body)).encode())]
-                    reply = await line.request(b"POST", path, headers, body, MAX_ACK_BYTES)
-                    if reply.status == 200 and not leave and (at := json.loads(reply.body).get("beatUrl")):
-                        self.assigned_address = at.rpartition(":")[0], int(at.rpartition(":")[2])
-                    return reply.status
-            finally:
-                line.close()
-        except (RequestError, TimeoutError):
-            return 0
 
-    async def run_heartbeats(self, addresses: list[tuple[str, int]], interval_s: float) -> None:
-        """Beats for ever: where it was asked to, else at the next signalbox after one that fails."""
-        place = sum(self.backend_id.encode()) % len(addresses)
-        while True:
-            if await self.send_heartbeat(self.assigned_address or addresses[place]) != 200:
-                if self.assigned_address is None:
-                    place = (place + 1) % len(addresses)
-                self.assigned_address = None
-            await asyncio.sleep(interval_s)
 
-    def stop(self) -> None:
-        with suppress(Exception):
-            self.server.shutdown()
+async def _post(address: tuple[str, int], path: bytes, body: bytes) -> Response:
+    """Call the control plane over a connection of its own.
+
+    :raises RequestError: if there is no response.
+    :raises TimeoutError: if it does not come in time.
+    """
+    host, port = address
+    headers = [(b"host", b"ctl"), (b"content-length", str(len(body)).encode())]
+    connection = await connect(host, port, HEARTBEAT_TIMEOUT_S)
+    try:
+        async with asyncio.timeout(HEARTBEAT_TIMEOUT_S):
+            return await connection.request(b"POST", path, headers, body, MAX_ACK_BYTES)
+    finally:
+        connection.close()
--- a/meadowworks/local/system.py
+++ b/meadowworks/local/system.py
@@ -1,19 +1,33 @@
-"""The settings of a small gateway on loopback: every controller has an address of 127.0.0.0/8 of its own."""
+"""The layout of a small gateway on loopback: every node has an address of 127.0.0.0/8 of its own."""
 
 from __future__ import annotations
 
 import json
 import socket
+from collections.abc import Mapping
 from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
-ZONES = {"north": "loop", "south": "loop"}
-HEARTBEAT_INTERVAL_MS = 500
+from meadowworks.runtime.address import Address
+
+REGION = "loop"
+ZONES = {"north": REGION, "south": REGION}
+HEARTBEAT_INTERVAL_MS = 500  # of backends: short, so that a newcomer sees what happens
+MAX_SEEDS = 3  # nodes of the control plane that a node's settings name
+HOST_NAME = "local.example"  # the one host of the configuration
 
 
 @dataclass(frozen=True, slots=True)
 class Ports:
+    """The ports of every node, each used by those that serve there.
+
+    :ivar http: where clients call a proxy.
+    :ivar readyz: where a load balancer asks a proxy whether it is ready.
+    :ivar control: where operators and backends call the control plane.
+    :ivar peer: where the nodes call each other.
+    """
+
     http: int
     readyz: int
     control: int
@@ -21,31 +35,32 @@
 
 
 def free_ports() -> Ports:
-    """Ports that nothing listens at just now."""
-    found = []
-    for _ in range(4):
-        sock = socket.socket()
+    """Return ports that nothing listens on just now."""
+    sockets = [socket.socket() for _ in range(4)]
+    for sock in sockets:
         sock.bind(("127.0.0.1", 0))
-        found.append(sock)
-    numbers = [sock.getsockname()[1] for sock in found]
-    for sock in found:
+    numbers = [sock.getsockname()[1] for sock in sockets]
+    for sock in sockets:
         sock.close()
     return Ports(*numbers)
 
 
-def first_unavailable(addresses: list[tuple[str, int]]) -> str | None:
-    """The first address that cannot be listened at, with the reason."""
-    for host, port in addresses:
+def first_unavailable(addresses: list[Address]) -> str | None:
+    """Return the first address that can't be listened on, with the reason."""
+    for address in addresses:
         try:
-            socket.create_server((host, port)).close()
-        except OSError as trouble:
-            return f"{host}:{port}: {trouble.strerror}"
+            socket.create_server(address).close()
+        except OSError as error:
+            return f"{address.host}:{address.port}: {error.strerror}"
     return None
 
 
 @dataclass(frozen=True, slots=True)
 class SystemLayout:
-    """Controllers with their settings, as JSON values. `net` is the third number of the addresses."""
+    """The nodes of a gateway; those of the control plane come first.
+
+    :ivar subnet: the third number of all addresses.
+    """
 
     subnet: int
     ports: Ports
@@ -53,70 +68,91 @@
     proxies: int = 2
 
     def ip_address(self, index: int) -> str:
+        """Return the address of a node, or, beyond the last, one that is free for a backend."""
         return f"127.0.{self.subnet}.{index + 1}"
 
-    def control_addresses(self) -> list[tuple[str, int]]:
-        return [(self.ip_address(k), self.ports.control) for k in range(self.control_plane_nodes)]
-
-    def proxy_addresses(self) -> list[tuple[str, int]]:
-        return [(self.ip_address(self.control_plane_nodes + k), self.ports.http) for k in range(self.proxies)]
-
-    def all_addresses(self) -> list[tuple[str, int]]:
-        p, n = self.ports, self.control_plane_nodes
-        found = [(self.ip_address(k), port) for k in range(n) for port in (p.control, p.peer)]
+    def control_addresses(self) -> list[Address]:
+        """Where operators and backends call the control plane."""
+        return [Address(self.ip_address(k), self.ports.control) for k in range(self.control_plane_nodes)]
+
+    def proxy_addresses(self) -> list[Address]:
+        """Where clients call the proxies."""
+        return [Address(self.ip_address(index), self.ports.http) for index in self._proxy_indexes()]
+
+    def all_addresses(self) -> list[Address]:
+        """Everything that the nodes listen on."""
+        ports = self.ports
+        found = [
+            Address(self.ip_address(index), port)
+            for index in range(self.control_plane_nodes)
+            for port in (ports.control, ports.peer)
+        ]
         return found + [
-            (self.ip_address(n + k), port) for k in range(self.proxies) for port in (p.http, p.readyz, p.peer)
+            Address(self.ip_address(index), port)
+            for index in self._proxy_indexes()
+            for port in (ports.http, ports.readyz, ports.peer)
         ]
 
     def node_settings(self, index: int, data_dir: Path | None, bootstrap: bool = True) -> dict[str, Any]:
-        """`place` counts the signalboxes first. `folder` is where a signalbox keeps its disk."""
-        box, zones = index < self.control_plane_nodes, list(ZONES)
-        ip, p = self.ip_address(index), self.ports
-        bind = (
-            {"ctl": f"{ip}:{p.control}"} if box else {"http": f"{ip}:{p.http}", "readyz": f"{ip}:{p.readyz}"}
-        )
+        """Return the settings file of a node, as JSON values.
+
+        :param data_dir: where a node of the control plane keeps its state.
+        """
+        in_control_plane = index < self.control_plane_nodes
+        ip = self.ip_address(index)
         return {
             "self": {
-                "node": f"{'signalbox' if box else 'junction'}-{index}",
-                "serves": ["ctl" if box else "edge"],
+                "node": f"{'signalbox' if in_control_plane else 'junction'}-{index}",
+                "serves": ["ctl" if in_control_plane else "edge"],
                 "ip": ip,
-                "zone": zones[index % len(zones)],
-                "region": "loop",
-                "voting": box,
+                "zone": list(ZONES)[index % len(ZONES)],
+                "region": REGION,
+                "voting": in_control_plane,
                 "bootstrap": bootstrap,
-                "datadir": str(data_dir) if box and data_dir else None,
+                "datadir": str(data_dir) if in_control_plane and data_dir else None,
             },
             "network": {
-                "bind": bind,
-                "portRange": [p.peer, p.peer],
+                "bind": self._bind(ip, in_control_plane),
+                "portRange": [self.ports.peer, self.ports.peer],
                 "zones": ZONES,
-                "seeds": [f"{host}:{port}" for host, port in self.control_addresses()[:3]],
+                "seeds": [f"{host}:{port}" for host, port in self.control_addresses()[:MAX_SEEDS]],
             },
             "infra": {"heartbeatMs": HEARTBEAT_INTERVAL_MS},
             "terms": {"tolerate": {"nodes": (self.control_plane_nodes - 1) // 2}},
         }
 
+    def _proxy_indexes(self) -> range:
+        return range(self.control_plane_nodes, self.control_plane_nodes + self.proxies)
+
+    def _bind(self, ip: str, in_control_plane: bool) -> dict[str, str]:
+        if in_control_plane:
+            return {"ctl": f"{ip}:{self.ports.control}"}
+        return {"http": f"{ip}:{self.ports.http}", "readyz": f"{ip}:{self.ports.readyz}"}
+
+
+def build_configuration(version: int, routes: Mapping[str, tuple[str, str]], max_attempts: int = 2) -> bytes:
+    """Return a configuration of one host, as JSON.
 
-def build_configuration(version: int, routes: dict[str, tuple[str, str]], max_attempts: int = 2) -> bytes:
-    """A configuration of one host, `local.example`; `routes` gives type and service by prefix."""
+    :param routes: by prefix: the type, `safe` or `unsafe`, and the service.
+    """
     prefixes = [
         {
-            "name": f"r{k}",
+            "name": f"r{number}",
             "prefix": prefix,
             "type": kind,
             "deadlineMs": 2000,
             "targetMs": 500,
             "prio": 1,
-            "svc": svc,
+            "svc": service,
             "tries": max_attempts,
         }
-        for k, (prefix, (kind, svc)) in enumerate(routes.items())
+        for number, (prefix, (kind, service)) in enumerate(routes.items())
     ]
-    whole = {
+    configuration = {
         "ver": f"{version:08x}",
         "svcs": [
             {"name": name, "healthPath": "/healthz", "maxConns": 100}
-            for name in sorted({svc for _, svc in routes.values()})
+            for name in sorted({service for _, service in routes.values()})
         ],
         "limits": {
             "maxHeaderBytes": 16384,
@@ -124,6 +160,6 @@
             "headerTimeoutMs": 3000,
             "idleTimeoutMs": 15000,
         },
-        "vhosts": [{"host": "local.example", "prefixes": prefixes}],
+        "vhosts": [{"host": HOST_NAME, "prefixes": prefixes}],
     }
-    return json.dumps(whole).encode()
+    return json.dumps(configuration).encode()
--- a/meadowworks/simulation/forward.py
+++ b/meadowworks/simulation/forward.py
@@ -12,7 +12,8 @@
 from typing import Any
 
 from meadowworks.local.backend import StubBackend
-from meadowworks.local.commands import DEMO_ROUTES, PROJECT_ROOT, start_node
+from meadowworks.local.commands import DEMO_ROUTES
+from meadowworks.local.processes import PROJECT_ROOT, start_node
 from meadowworks.local.system import (
     HEARTBEAT_INTERVAL_MS,
     ZONES,
--- a/tests/gateway/test_words.py
+++ b/tests/gateway/test_words.py
@@ -11,7 +11,8 @@
 
 from meadowworks.cli import main as commands
 from meadowworks.cli import members
-from meadowworks.local.commands import PROJECT_ROOT, example_commands
+from meadowworks.local.commands import example_commands
+from meadowworks.local.processes import PROJECT_ROOT
 from meadowworks.local.system import Ports, SystemLayout
 from meadowworks.proxy.server import ProxyServer
 
