--- a/tests/gateway/test_start.py
+++ b/tests/gateway/test_lazy_imports.py
@@ -1,4 +1,4 @@
-"""A start: what is left out of it, and that nothing of it is missed."""
+"""`runtime.lazy_imports`: what is left out of a start, and that nothing of it is missed."""
 
 from __future__ import annotations
 
@@ -23,32 +23,33 @@
 from meadowworks.runtime.http_connection import connect
 
 async def app(scope, receive, send):
-    if scope["path"] == "/rest":
-        return await send_response(send, 200, b"whole")
+    if scope["path"] == "/complete":
+        return await send_response(send, 200, b"body")
     await asyncio.get_running_loop().create_future()
 
-async def whole():
+async def main():
     server = HttpServer(app)
     port = await server.listen("127.0.0.1", 0)
     for _ in range(2):
         connection = await connect("127.0.0.1", port, 5.0)
         for _ in range(2):
-            assert (await connection.request(b"GET", b"/rest", [(b"host", b"h")], b"", 99)).body == b"whole"
+            response = await connection.request(b"GET", b"/complete", [(b"host", b"h")], b"", 99)
+            assert response.body == b"body"
         assert connection.usable()
-        asked = asyncio.ensure_future(connection.request(b"GET", b"/silent", [(b"host", b"h")], b"", 99))
+        call = asyncio.ensure_future(connection.request(b"GET", b"/silent", [(b"host", b"h")], b"", 99))
         await asyncio.sleep(0)
-        asked.cancel()  # given up while it waits: the line ends
-        await asyncio.wait([asked])
-        assert asked.cancelled() and not connection.usable()
+        call.cancel()  # the caller gives up: the connection is closed
+        await asyncio.wait([call])
+        assert call.cancelled() and not connection.usable()
 
-asyncio.run(whole())
-for name, fine in (("a@b.example", True), ("a b", False)):
-    assert ("x" in Schema.from_dict({"x": fields.Email()})().validate({"x": name})) != fine
+asyncio.run(main())
+for name, valid in (("a@b.example", True), ("a b", False)):
+    assert ("x" in Schema.from_dict({"x": fields.Email()})().validate({"x": name})) != valid
 print(*sorted(sys.modules))
 """
 
 
-def test_a_program_without_what_is_left_out_calls_and_gives_up() -> None:
+def test_a_program_without_what_is_left_out_serves_and_calls() -> None:
     found = subprocess.run(
         [sys.executable, "-c", PROGRAM], capture_output=True, text=True, timeout=60, check=False
     )
@@ -58,11 +59,19 @@
     assert {"uvicorn", "httpcore", "marshmallow"} <= loaded
 
 
-def test_whoever_uses_what_is_left_out_is_told() -> None:
+def test_using_what_is_left_out_raises_an_invariant_error() -> None:
     with pytest.raises(InvariantError):
         _ = lazy_imports.StubModule("certifi").where
-    later = lazy_imports.LazyPattern(r"a+", re.IGNORECASE)
-    assert later.match("AAA") and not later.match("b")
-    compiled = re.compile
+
+
+def test_a_lazy_pattern_matches_as_the_compiled_one() -> None:
+    pattern = lazy_imports.LazyPattern(r"a+", re.IGNORECASE)
+    assert pattern.match("AAA")
+    assert not pattern.match("b")
+
+
+def test_re_compile_is_as_before_once_marshmallow_is_imported() -> None:
+    compile_before = re.compile
     lazy_imports.import_marshmallow_validators()
-    assert re.compile is compiled and lazy_imports.LAZY_PATTERN_MODULE in sys.modules
+    assert re.compile is compile_before
+    assert lazy_imports.LAZY_PATTERN_MODULE in sys.modules
