--- a/meadowworks/consensus/operation_runner.py
+++ b/meadowworks/consensus/operation_runner.py
@@ -5,6 +5,7 @@
 from collections.abc import Callable
 
 from meadowworks.consensus.acceptor import Acceptor
+from meadowworks.consensus.call_factory import QuorumCallFactory
 from meadowworks.consensus.effects import (
     Committed,
     CompleteOperation,
@@ -19,7 +20,7 @@
 from meadowworks.consensus.membership import decode_member_list, encode_member_list
 from meadowworks.consensus.membership_monitor import MembershipMonitor
 from meadowworks.consensus.messages import Reply, Request, SnapshotReply, SnapshotRequest
-from meadowworks.consensus.operations import Operation, OperationKind, QuorumCall
+from meadowworks.consensus.operations import Operation, OperationKind
 from meadowworks.consensus.outcomes import (
     Chosen,
     EpochChanged,
@@ -27,7 +28,6 @@
     RetryWithHigherBallot,
     Superseded,
 )
-from meadowworks.consensus.proposer import Proposer
 from meadowworks.consensus.quorum_read import QuorumRead
 from meadowworks.consensus.reconfiguration import Reconfiguration
 from meadowworks.consensus.state_transfer import StateTransfer
@@ -57,15 +57,15 @@
         self, acceptor: Acceptor, tolerated_failures: int, random_fraction: Callable[[], float]
     ) -> None:
         self.acceptor = acceptor
-        self.tolerated_failures, self.random_fraction = tolerated_failures, random_fraction
+        self.random_fraction = random_fraction
         self.effects: list[Effect] = []
         self.writes = WriteQueue(acceptor)
+        self.calls = QuorumCallFactory(acceptor, tolerated_failures)
         self.lease = LeaseTracker(acceptor)
         self.membership = MembershipMonitor(acceptor, self.lease, tolerated_failures)
         self.operations: dict[int, Operation] = {}
         self.pending_requests: dict[int, tuple[int, int, str]] = {}  # operation id, round, member id
         self.last_id = 0  # of operations and of requests
-        self.last_ballot_number = 0
         self.started = self.leaving = False
 
     # -- attempts
@@ -84,7 +84,7 @@
             return operation.wait_until(now_ns + RESEND_INTERVAL_NS)
         match operation.kind:
             case OperationKind.MEMBERS:
-                call = self._membership_call(epoch, operation)
+                call = self.calls.membership_call(epoch, operation)
                 if call is None:  # the members have changed meanwhile
                     return self.complete_operation(operation_id, None)
                 operation.quorum_call = call
@@ -94,39 +94,13 @@
                 if operation.version <= self.acceptor.committed.version:
                     outcome = self.outcome_of(operation.version, operation.value or b"")
                     return self.complete_operation(operation_id, outcome)
-                operation.quorum_call = self.new_proposer(epoch, operation.version, operation)
+                operation.quorum_call = self.calls.new_proposer(epoch, operation.version, operation)
             case OperationKind.LEAVE:
-                operation.quorum_call = self._leave_call(epoch, operation)
+                operation.quorum_call = self.calls.leave_call(epoch, operation)
             case OperationKind.READ:
                 operation.quorum_call = QuorumRead(epoch)
         return self.send_round(now_ns, operation_id, operation)
 
-    def _membership_call(self, epoch: Epoch, operation: Operation) -> QuorumCall | None:
-        if (previous := operation.previous_epoch) is not None:
-            members = decode_member_list(operation.value or b"")
-            return Reconfiguration(previous, Epoch(previous.number + 1, members))
-        if self.acceptor.epoch.number != epoch.number or not self.acceptor.may_vote():
-            return None
-        return self.new_proposer(epoch, MEMBERSHIP_VERSION, operation)
-
-    def _leave_call(self, epoch: Epoch, operation: Operation) -> QuorumCall:
-        """With members to spare the next epoch is one without this replica; else its state is handed over."""
-        if len(epoch.members) <= 2 * self.tolerated_failures + 1 or not self.acceptor.may_vote():
-            return QuorumRead(epoch)
-        others = tuple((d, a) for d, a in epoch.members if d != self.acceptor.member_id)
-        operation.value = operation.value or encode_member_list(others)
-        return self.new_proposer(epoch, MEMBERSHIP_VERSION, operation)
-
-    def new_proposer(self, epoch: Epoch, version: int, operation: Operation) -> Proposer:
-        """A proposer under a ballot that this replica has never used."""
-        slot = self.acceptor.slots.get(version)
-        self.last_ballot_number = (
-            max(self.last_ballot_number, operation.min_ballot_number, slot.promised.number if slot else 0) + 1
-        )
-        proposer_id = f"{self.acceptor.member_id}.{self.acceptor.incarnation}"
-        ballot = Ballot(epoch.number, self.last_ballot_number, proposer_id)
-        return Proposer(epoch, version, ballot, operation.value)
-
     def back_off(self, now_ns: int, operation: Operation) -> None:
         """Ends an attempt; the next one begins after a time drawn at random, longer each time."""
         operation.round_number += 1
@@ -301,7 +275,7 @@
         else:  # a version was accepted and may have been acknowledged: finish it first
             operation.value = None
             operation.begin_call(
-                self.new_proposer(acceptor.newest_epoch(), result.highest_version, operation)
+                self.calls.new_proposer(acceptor.newest_epoch(), result.highest_version, operation)
             )
             self.send_round(now_ns, operation_id, operation)
 
--- a/meadowworks/modelcheck/models/consensus.py
+++ b/meadowworks/modelcheck/models/consensus.py
@@ -19,6 +19,7 @@
 from typing import Any
 
 from meadowworks.consensus.acceptor import Acceptor
+from meadowworks.consensus.call_factory import QuorumCallFactory
 from meadowworks.consensus.membership import decode_member_list, encode_member_list
 from meadowworks.consensus.messages import (
     AcceptedReply,
@@ -275,10 +276,10 @@
         return max((version for _, version, _ in self.chosen), default=0)
 
     def proposer(self, home: int, epoch: Epoch, version: int, content: bytes | None) -> Proposer:
-        replica = Replica(self.at(home), 1, lambda: 0.5)
-        replica.last_ballot_number = self.numbers[home]
-        made = replica.new_proposer(epoch, version, Operation(OperationKind.PROPOSE, version, content, 0, []))
-        self.numbers[home] = replica.last_ballot_number
+        calls = QuorumCallFactory(self.at(home), 1)
+        calls.last_ballot_number = self.numbers[home]
+        made = calls.new_proposer(epoch, version, Operation(OperationKind.PROPOSE, version, content, 0, []))
+        self.numbers[home] = calls.last_ballot_number
         return made
 
     def put(self, p: int, op: Op | None, floor: int | None = None) -> None:
--- a/meadowworks/modelcheck/seeded_faults/consensus.py
+++ b/meadowworks/modelcheck/seeded_faults/consensus.py
@@ -10,7 +10,7 @@
 RECONFIGURATION = PACKAGE + "reconfiguration:Reconfiguration."
 QUORUM_READ, STATE_TRANSFER = PACKAGE + "quorum_read:QuorumRead.", PACKAGE + "state_transfer:StateTransfer."
 METADATA, REPLICA = PACKAGE + "metadata:", PACKAGE + "replica:Replica."
-RUNNER = PACKAGE + "operation_runner:OperationRunner."
+CALLS = PACKAGE + "call_factory:QuorumCallFactory."
 CONTENT = ("one content", "lasts")
 CONSENSUS_FAULTS = (
     *(
@@ -330,25 +330,25 @@
             ),
             (
                 "a ballot does not have the life in its name",
-                RUNNER + "new_proposer",
-                "{self.acceptor.member_id}.{self.acceptor.incarnation}",
-                "{self.acceptor.member_id}",
+                CALLS + "new_proposer",
+                "{self._acceptor.member_id}.{self._acceptor.incarnation}",
+                "{self._acceptor.member_id}",
                 ("one ballot", "one content"),
                 (5,),
             ),
             (
                 "a ballot does not have the disk in its name",
-                RUNNER + "new_proposer",
-                "{self.acceptor.member_id}.{self.acceptor.incarnation}",
-                "{self.acceptor.incarnation}",
+                CALLS + "new_proposer",
+                "{self._acceptor.member_id}.{self._acceptor.incarnation}",
+                "{self._acceptor.incarnation}",
                 ("one ballot", "one content"),
                 (0,),
             ),
             (
                 "a number is used again in one life",
-                RUNNER + "new_proposer",
-                "slot.promised.number if slot else 0) + 1",
-                "slot.promised.number if slot else 0) or 1",
+                CALLS + "new_proposer",
+                "promised_number) + 1",
+                "promised_number) or 1",
                 ("one ballot", "one content"),
                 (33,),
             ),
--- a/meadowworks/modelcheck/seeded_faults/replica.py
+++ b/meadowworks/modelcheck/seeded_faults/replica.py
@@ -6,6 +6,7 @@
 
 PACKAGE = "meadowworks.consensus."
 ACCEPTOR, PROPOSER = PACKAGE + "acceptor:Acceptor.", PACKAGE + "proposer:Proposer."
+CALLS = PACKAGE + "call_factory:QuorumCallFactory."
 METADATA, WRITE_QUEUE = PACKAGE + "metadata:", PACKAGE + "write_queue:WriteQueue."
 REPLICA, RUNNER = PACKAGE + "replica:Replica.", PACKAGE + "operation_runner:OperationRunner."
 REPLICA_FAULTS = (
@@ -86,9 +87,9 @@
             ),
             (
                 "a ballot has the life alone in its name",
-                RUNNER + "new_proposer",
-                "{self.acceptor.member_id}.{self.acceptor.incarnation}",
-                "{self.acceptor.incarnation}",
+                CALLS + "new_proposer",
+                "{self._acceptor.member_id}.{self._acceptor.incarnation}",
+                "{self._acceptor.incarnation}",
                 ("one ballot",),
                 (6,),
             ),
--- a/meadowworks/simulation/guards.py
+++ b/meadowworks/simulation/guards.py
@@ -13,6 +13,7 @@
 
 from meadowworks.consensus import membership_monitor, replica
 from meadowworks.consensus.acceptor import Acceptor
+from meadowworks.consensus.call_factory import QuorumCallFactory
 from meadowworks.consensus.effects import Committed, CompleteOperation, Conflict, Undecided
 from meadowworks.consensus.membership import next_members
 from meadowworks.consensus.membership_monitor import MembershipMonitor
@@ -71,13 +72,13 @@
 # -- ballots and acceptors
 
 
-def ballot_without_incarnation(self: Replica, epoch: Epoch, version: int, job: Any) -> Proposer:
-    slot = self.acceptor.slots.get(version)
+def ballot_without_incarnation(self: QuorumCallFactory, epoch: Epoch, version: int, job: Any) -> Proposer:
+    slot = self._acceptor.slots.get(version)
     self.last_ballot_number = (
         max(self.last_ballot_number, job.min_ballot_number, slot.promised.number if slot else 0) + 1
     )
     return Proposer(
-        epoch, version, Ballot(epoch.number, self.last_ballot_number, self.acceptor.member_id), job.value
+        epoch, version, Ballot(epoch.number, self.last_ballot_number, self._acceptor.member_id), job.value
     )
 
 
@@ -293,7 +294,7 @@
 
 GUARDS = (
     Guard("life-in-ballot", "a ballot names the life that made it", 2,
-          patches_of(Replica, new_proposer=ballot_without_incarnation)),
+          patches_of(QuorumCallFactory, new_proposer=ballot_without_incarnation)),
     Guard("write-before-reply", "no reply leaves before its write", 2,
           patches_of(WriteQueue, defer=reply_before_write)),
     Guard("sync", "a write is synced before it counts", 2,
--- a/tests/gateway/test_agreement.py
+++ b/tests/gateway/test_agreement.py
@@ -8,6 +8,7 @@
 
 from meadowworks.consensus import codec
 from meadowworks.consensus.acceptor import Acceptor
+from meadowworks.consensus.call_factory import QuorumCallFactory
 from meadowworks.consensus.effects import Committed, CompleteOperation, Persist, SendRequest
 from meadowworks.consensus.membership import next_members
 from meadowworks.consensus.messages import (
@@ -76,7 +77,7 @@
 
 def proposer(acceptor: Acceptor, content: bytes | None, version: int = 6) -> Proposer:
     job = Operation(OperationKind.PROPOSE, version, content, 0, [])
-    return Replica(acceptor, 1, lambda: 0.5).new_proposer(acceptor.newest_epoch(), version, job)
+    return QuorumCallFactory(acceptor, 1).new_proposer(acceptor.newest_epoch(), version, job)
 
 
 def test_a_ballot_is_not_used_twice_by_a_box_that_lost_power_before_its_own_write() -> None:
