--- a/meadowworks/modelcheck/models/consensus.py
+++ b/meadowworks/modelcheck/models/consensus.py
@@ -18,44 +18,47 @@
 from itertools import combinations
 from typing import Any
 
-from meadowworks.consensus.register import (
-    MEMBERSHIP_VERSION,
+from meadowworks.consensus.acceptor import Acceptor
+from meadowworks.consensus.call_factory import QuorumCallFactory
+from meadowworks.consensus.membership import decode_member_list, encode_member_list
+from meadowworks.consensus.messages import (
     AcceptedReply,
-    Acceptor,
-    AcceptorSlot,
-    AcceptorState,
     AcceptRequest,
-    Ballot,
-    Chosen,
-    CommittedValue,
-    Epoch,
-    EpochChanged,
     InstallRequest,
     LearnRequest,
     PrepareRequest,
     PromiseReply,
-    Proposer,
     QueryReply,
-    QuorumRead,
-    QuorumReadResult,
-    Reconfiguration,
     Request,
-    RetryWithHigherBallot,
     SealRequest,
     SnapshotReply,
     SnapshotRequest,
     StaleEpochReply,
-    StateTransfer,
+)
+from meadowworks.consensus.metadata import load_acceptor
+from meadowworks.consensus.operations import Operation, OperationKind
+from meadowworks.consensus.outcomes import (
+    Chosen,
+    EpochChanged,
+    QuorumReadResult,
+    RetryWithHigherBallot,
     Superseded,
-    digest,
 )
-from meadowworks.consensus.replica import (
-    Operation,
-    Replica,
-    decode_member_list,
-    encode_member_list,
-    load_acceptor,
+from meadowworks.consensus.proposer import Proposer
+from meadowworks.consensus.quorum_read import QuorumRead
+from meadowworks.consensus.reconfiguration import Reconfiguration
+from meadowworks.consensus.replica import Replica
+from meadowworks.consensus.state_transfer import StateTransfer
+from meadowworks.consensus.values import (
+    MEMBERSHIP_VERSION,
+    AcceptorSlot,
+    AcceptorState,
+    Ballot,
+    CommittedValue,
+    Epoch,
+    digest,
 )
+from meadowworks.consensus.write_queue import WriteQueue
 from meadowworks.modelcheck.model import Model, Property, Step
 
 Members = tuple[tuple[str, str], ...]
@@ -273,10 +276,10 @@
         return max((version for _, version, _ in self.chosen), default=0)
 
     def proposer(self, home: int, epoch: Epoch, version: int, content: bytes | None) -> Proposer:
-        replica = Replica(self.at(home), 1, lambda: 0.5)
-        replica.last_ballot_number = self.numbers[home]
-        made = replica.new_proposer(epoch, version, Operation("propose", version, content, 0, []))
-        self.numbers[home] = replica.last_ballot_number
+        calls = QuorumCallFactory(self.at(home), 1)
+        calls.last_ballot_number = self.numbers[home]
+        made = calls.new_proposer(epoch, version, Operation(OperationKind.PROPOSE, version, content, 0, []))
+        self.numbers[home] = calls.last_ballot_number
         return made
 
     def put(self, p: int, op: Op | None, floor: int | None = None) -> None:
@@ -439,7 +442,7 @@
         self.numbers[k] = 0
         old = self.at(k)
         old.metadata_changed = True
-        meta = Replica(old, 1, lambda: 0.5).collect_update().metadata
+        meta = WriteQueue(old).collect_update().metadata
         self.made[k] = start(
             load_acceptor(
                 meta,
--- a/meadowworks/simulation/forward.py
+++ b/meadowworks/simulation/forward.py
@@ -12,7 +12,8 @@
 from typing import Any
 
 from meadowworks.local.backend import StubBackend
-from meadowworks.local.commands import DEMO_ROUTES, PROJECT_ROOT, start_node
+from meadowworks.local.commands import DEMO_ROUTES
+from meadowworks.local.processes import PROJECT_ROOT, start_node
 from meadowworks.local.system import (
     HEARTBEAT_INTERVAL_MS,
     ZONES,
@@ -22,7 +23,8 @@
 )
 from meadowworks.runtime.errors import RequestError
 from meadowworks.runtime.http_connection import ClientConnection, connect
-from meadowworks.runtime.http_server import HttpServer, send_response
+from meadowworks.runtime.http_server import HttpServer
+from meadowworks.runtime.response_writer import send_response
 
 TURNS = 4
 HEADERS = [(b"host", b"local.example"), (b"x-request-id", b"q"), (b"x-deadline-ms", b"1500")]
