--- a/meadowworks/fleet/config.py
+++ b/meadowworks/fleet/config.py
@@ -1,4 +1,4 @@
-"""What the platform tells a controller at its start: `NODE_CONFIG`, and the variables beside it."""
+"""The configuration of a controller at its start: `NODE_CONFIG`, and the variables beside it."""
 
 from __future__ import annotations
 
@@ -9,81 +9,103 @@
 from typing import Any
 
 from meadowworks.fleet.messages import EndpointList, parse_decimal, parse_endpoint_list
-from meadowworks.fleet.settings import SettingsError, flatten, read_settings
+from meadowworks.fleet.settings import NS_PER_US, SettingsError, flatten, read_settings
 from meadowworks.policy.interface import Settings
 
-DEFAULT_DESCRIPTOR_LIMIT = 1024  # where no limit is told: what a process may hold on a common system
+DEFAULT_DESCRIPTOR_LIMIT = 1024  # where none is given: what a process may hold on a common system
+MAX_PORT = (1 << 16) - 1
 
 
 @dataclass(frozen=True, slots=True)
-class Config:
+class FleetConfig:
+    """What a controller is told when it starts; SIGHUP makes it read this again.
+
+    :ivar known_endpoints: the endpoint list as this controller last had it.
+    :ivar batch_interval_ns: events for the policy are handled in batches at most this often.
+    """
+
     name: str
     host: str
     port: int
-    discovery: str
+    discovery_address: str
     seed: int
-    sockets: int
-    known: EndpointList | None  # the list as this controller last had it
+    descriptor_limit: int
+    known_endpoints: EndpointList | None
     settings: Settings
     zone_indices: dict[str, int]
     route_indices: dict[str, int]
-    batch_interval_ns: int  # batches for the module come at most this often
-
-
-def load_config(environ: Mapping[str, str]) -> Config:
-    """Raises Missing with one plain sentence that names what is absent or makes no sense."""
-    given: dict[str, Any] = {}
-    if "NODE_CONFIG" in environ:
-        try:
-            with open(environ["NODE_CONFIG"], encoding="utf-8") as source:
-                given = json.load(source)
-        except (OSError, ValueError) as trouble:
-            raise SettingsError(f"NODE_CONFIG cannot be read: {trouble}") from trouble
-        if not isinstance(given, dict):
-            raise SettingsError("NODE_CONFIG holds no JSON object")
-
-    def text(key: str) -> str:
-        value = given.get(key) or environ.get("NODE_" + key.upper())
-        if not isinstance(value, str) or not value:
-            raise SettingsError(f"{key} is missing from NODE_CONFIG, and NODE_{key.upper()} is not set")
-        return value
-
-    def address(key: str) -> tuple[str, int]:
-        host, _, port = text(key).rpartition(":")
-        if not host or not port.isdecimal() or not 0 < int(port) < 1 << 16:
-            raise SettingsError(f"{key} is no address with a port: {text(key)!r}")
-        return host, int(port)
-
-    (host, port), _ = address("listen"), address("discovery")
+    batch_interval_ns: int
+
+
+def load_config(environ: Mapping[str, str]) -> FleetConfig:
+    """Reads the configuration.
+
+    :raises SettingsError: with one plain sentence that names what is absent or makes no sense.
+    """
+    given = _read_file(environ)
+    host, port = _address(given, environ, "listen")
+    _address(given, environ, "discovery")
     nested = given.get("settings")
     if not isinstance(nested, dict):
         raise SettingsError("settings are missing from NODE_CONFIG")
     flat = flatten(nested)
-    settings, zones, routes = read_settings(flat)
+    settings, zone_indices, route_indices = read_settings(flat)
     if settings.health_checks:
         raise SettingsError("limits.probes is set, but the protocol has no form for a probe")
     if settings.slice_count:
         raise SettingsError("extra.slices is set, but the protocol has no form for slices")
-    try:
-        known = parse_endpoint_list(given["known"]) if given.get("known") else None
-    except ValueError as trouble:
-        raise SettingsError(f"known cannot be read: {trouble}") from trouble
+    known = _known_endpoints(given)
     limits = flatten({"limits": given.get("limits")})
     try:
         batch_us = round(parse_decimal(flat.get("tick_us", "0")))
-        sockets = round(parse_decimal(limits.get("limits.sockets", str(DEFAULT_DESCRIPTOR_LIMIT))))
-    except ValueError as trouble:
-        raise SettingsError(f"tick_us or limits.sockets: missing or bad: {trouble}") from trouble
-    return Config(
-        name=text("name"),
+        descriptors = round(parse_decimal(limits.get("limits.sockets", str(DEFAULT_DESCRIPTOR_LIMIT))))
+    except ValueError as error:
+        raise SettingsError(f"tick_us or limits.sockets: missing or bad: {error}") from error
+    return FleetConfig(
+        name=_text(given, environ, "name"),
         host=host,
         port=port,
-        discovery=text("discovery"),
+        discovery_address=_text(given, environ, "discovery"),
         seed=zlib.crc32(str(given.get("seed", "")).encode()),
-        sockets=sockets,
-        known=known,
+        descriptor_limit=descriptors,
+        known_endpoints=known,
         settings=settings,
-        zone_indices=zones,
-        route_indices=routes,
-        batch_interval_ns=batch_us * 1000,
+        zone_indices=zone_indices,
+        route_indices=route_indices,
+        batch_interval_ns=batch_us * NS_PER_US,
     )
+
+
+def _read_file(environ: Mapping[str, str]) -> dict[str, Any]:
+    if "NODE_CONFIG" not in environ:
+        return {}
+    try:
+        with open(environ["NODE_CONFIG"], encoding="utf-8") as source:
+            given = json.load(source)
+    except (OSError, ValueError) as error:
+        raise SettingsError(f"NODE_CONFIG cannot be read: {error}") from error
+    if not isinstance(given, dict):
+        raise SettingsError("NODE_CONFIG holds no JSON object")
+    return given
+
+
+def _text(given: Mapping[str, Any], environ: Mapping[str, str], key: str) -> str:
+    value = given.get(key) or environ.get("NODE_" + key.upper())
+    if not isinstance(value, str) or not value:
+        raise SettingsError(f"{key} is missing from NODE_CONFIG, and NODE_{key.upper()} is not set")
+    return value
+
+
+def _address(given: Mapping[str, Any], environ: Mapping[str, str], key: str) -> tuple[str, int]:
+    text = _text(given, environ, key)
+    host, _, port = text.rpartition(":")
+    if not host or not port.isdecimal() or not 0 < int(port) <= MAX_PORT:
+        raise SettingsError(f"{key} is no address with a port: {text!r}")
+    return host, int(port)
+
+
+def _known_endpoints(given: Mapping[str, Any]) -> EndpointList | None:
+    try:
+        return parse_endpoint_list(given["known"]) if given.get("known") else None
+    except ValueError as error:
+        raise SettingsError(f"known cannot be read: {error}") from error
--- a/meadowworks/fleet/invariants.py
+++ b/meadowworks/fleet/invariants.py
@@ -1,6 +1,6 @@
-"""What must hold: asserted in debug builds, counted in release builds (`python -O`).
+"""Invariants: asserted in debug builds, counted in release builds (`python -O`).
 
-The same counter holds what is passed over, dropped or at fault; the controller writes it to the log.
+The same counters hold what is passed over, dropped or at fault; the controller logs them every ten seconds.
 """
 
 from __future__ import annotations
@@ -10,18 +10,26 @@
 counters: Counter[str] = Counter()
 
 
-def count(what: str, times: int = 1) -> bool:
-    """Whether this is the first, second, fourth, eighth such thing: a log that tells of these stays short."""
-    counters[what] += times
-    return counters[what] & (counters[what] - 1) == 0
+def count(event: str, times: int = 1) -> bool:
+    """Counts an event.
 
+    :returns: whether it is the first, second, fourth, eighth of its kind, so that a log of these stays short.
+    """
+    counters[event] += times
+    return counters[event] & (counters[event] - 1) == 0
 
-def check_invariant(truth: bool, what: str) -> None:
-    if truth:
+
+def check_invariant(holds: bool, description: str) -> None:
+    """Counts an invariant that does not hold, and fails in a debug build.
+
+    :raises AssertionError: in debug builds, if it does not hold.
+    """
+    if holds:
         return
-    count("BROKEN " + what)
-    assert truth, what
+    count("BROKEN " + description)
+    assert holds, description
 
 
 def format_counters() -> str:
-    return ", ".join(f"{what}: {times}" for what, times in sorted(counters.items())) or "none"
+    """All counters in one line."""
+    return ", ".join(f"{event}: {times}" for event, times in sorted(counters.items())) or "none"
--- a/meadowworks/fleet/mailbox.py
+++ b/meadowworks/fleet/mailbox.py
@@ -1,4 +1,4 @@
-"""An actor's mailbox: reports beyond its bound push out the oldest reports; all else stays."""
+"""The mailbox of an actor, with a bound on reports: the oldest give way to new ones, all else stays."""
 
 from __future__ import annotations
 
@@ -13,18 +13,23 @@
 
 
 class Mailbox(Generic[T]):
-    def __init__(self, most_reports: int) -> None:
-        self.max_reports = most_reports
-        self.items: deque[tuple[bool, T]] = deque()
+    """A queue of items for one reader; `max_reports` bounds those that are reports."""
+
+    def __init__(self, max_reports: int) -> None:
+        self.max_reports = max_reports
+        self.items: deque[tuple[bool, T]] = deque()  # whether it is a report, and the item
         self.report_count = 0
         self.arrived = asyncio.Event()
 
     def put(self, item: T, report: bool = False) -> None:
-        """Never waits. Of reports the stalest goes first: what it covers is told again by none, but late
-        news would be worth less than fresh ones."""
+        """Adds an item and never waits.
+
+        Of reports the oldest goes first: nobody repeats what it covers, but late reports are worth less than
+        new ones.
+        """
         if report and self.report_count >= self.max_reports:
-            place = next(k for k, (droppable, _) in enumerate(self.items) if droppable)
-            del self.items[place]
+            oldest = next(k for k, (droppable, _) in enumerate(self.items) if droppable)
+            del self.items[oldest]
             self.report_count -= 1
             count("reports dropped from a full mailbox")
         self.items.append((report, item))
@@ -33,16 +38,18 @@
         self.arrived.set()
 
     async def wait(self) -> None:
+        """Returns once there is an item."""
         await self.arrived.wait()
 
     async def each(self) -> AsyncIterator[T]:
-        """What comes, one by one, for ever."""
+        """Yields the items as they come, without end."""
         while True:
             await self.wait()
             for item in self.drain():
                 yield item
 
     def drain(self) -> list[T]:
+        """Takes out all items."""
         items = [item for _, item in self.items]
         self.items.clear()
         self.report_count = 0
--- a/meadowworks/fleet/names.py
+++ b/meadowworks/fleet/names.py
@@ -1,13 +1,16 @@
-"""What both adapters do at the door: names become small indices, and the list's words those of the module."""
+"""What all adapters of the policy do with names: indices for them, and the policy's words for states."""
 
 from __future__ import annotations
 
+# Discovery's words for the state of an endpoint, and the policy's.
 ENDPOINT_STATES = {"in_service": "ready", "terminating": "draining", "terminated": "gone"}
 
 
 class NameIndex:
-    """Gives each name an index when it first appears, and keeps both ways until it is freed. No index is
-    given out again: what still speaks of the old one cannot mean another."""
+    """Gives each name a small index when it first appears, and keeps both directions until it is released.
+
+    No index is given out again: what still speaks of the old name cannot mean another.
+    """
 
     def __init__(self) -> None:
         self.name_by_index: dict[int, str] = {}
@@ -15,6 +18,7 @@
         self.next_index = 0
 
     def index(self, name: str) -> int:
+        """The index of a name, a new one if it has none."""
         known = self.index_by_name.get(name)
         if known is None:
             known = self.index_by_name[name] = self.next_index
@@ -23,4 +27,8 @@
         return known
 
     def release(self, index: int) -> None:
+        """Forgets an index and its name.
+
+        :raises KeyError: if it is not known.
+        """
         del self.index_by_name[self.name_by_index.pop(index)]
--- a/meadowworks/fleet/peers.py
+++ b/meadowworks/fleet/peers.py
@@ -1,5 +1,4 @@
-"""A peer's actor, a proxy's or a collector's: takes its mailbox item by item through its connection's
-life."""
+"""The actor of a peer, a proxy or a collector: hands its mailbox to its connection's state, item by item."""
 
 from __future__ import annotations
 
@@ -10,22 +9,23 @@
 from meadowworks.fleet.messages import CollectorHello, ConnectionItem, ProxyHello
 
 
-def describe(first: ProxyHello | CollectorHello | None) -> str:
-    if isinstance(first, ProxyHello):
-        return f"proxy {first.proxy}: stream over"
-    return f"collector of {first.zone}: gone" if first else "stranger: gone"
+def describe(peer: ProxyHello | CollectorHello | None) -> str:
+    """A peer for the log."""
+    if isinstance(peer, ProxyHello):
+        return f"proxy {peer.proxy}"
+    return f"collector of {peer.zone}" if peer else "unidentified peer"
 
 
-async def run_peer(life: ConnectionState, mailbox: Mailbox[ConnectionItem]) -> None:
-    """The actor of one connection, until it ends; whatever ends it, a proxy has then left."""
-    if isinstance(life.peer, CollectorHello):
-        logger.info("collector of {}: joined", life.peer.zone)
-    life.on_actor_started()
+async def run_peer(state: ConnectionState, mailbox: Mailbox[ConnectionItem]) -> None:
+    """Runs until the connection ends; however that comes, a proxy has then left."""
+    if isinstance(state.peer, CollectorHello):
+        logger.info("collector of {}: joined", state.peer.zone)
+    state.on_actor_started()
     try:
         async for item in mailbox.each():
-            life.on_mailbox_item(item)
-            if life.finish_reason:
-                logger.info("{}, {}", describe(life.peer), life.finish_reason)
+            state.on_mailbox_item(item)
+            if state.finish_reason:
+                logger.info("{}: disconnected, {}", describe(state.peer), state.finish_reason)
                 return
     finally:
-        life.finish("its actor ended")
+        state.finish("its actor ended")
--- a/meadowworks/fleet/settings.py
+++ b/meadowworks/fleet/settings.py
@@ -1,4 +1,4 @@
-"""The one reader of settings for both adapters: names and values as text, read into the module's own.
+"""The one reader of the policy's settings for all adapters: names and values as text, read into `Settings`.
 
 The simulator's wire brings them flat; a real controller's configuration brings them as nested JSON, which
 `flatten` writes out under the same names.
@@ -7,56 +7,69 @@
 from __future__ import annotations
 
 from collections.abc import Mapping
+from dataclasses import dataclass
 from math import isfinite, nan
 from typing import Any
 
 from meadowworks.policy.interface import Route, Settings
 
 TRUE_WORDS = ("true", "1")
+NS_PER_US = 1000
 
 
 class SettingsError(Exception):
-    """A setting that the module needs is absent or has no sense."""
+    """A setting that the program needs is absent or makes no sense; the text is one plain sentence."""
 
 
 def flatten(nested: Mapping[str, Any]) -> dict[str, str]:
-    """Nested JSON under the wire's names: paths with dots, lists of plain values joined by commas, a list of
-    objects as its `.count` and its items by place."""
+    """Nested JSON under the wire's names.
+
+    Keys are paths with dots, lists of plain values are joined by commas, a list of objects is its `.count`
+    and its items by place.
+    """
     flat: dict[str, str] = {}
 
-    def put(at: str, value: Any) -> None:
+    def put(path: str, value: Any) -> None:
         if isinstance(value, dict):
             for key, inner in value.items():
-                put(f"{at}.{key}" if at else str(key), inner)
+                put(f"{path}.{key}" if path else str(key), inner)
         elif isinstance(value, list) and any(isinstance(item, dict) for item in value):
-            flat[at + ".count"] = str(len(value))
+            flat[path + ".count"] = str(len(value))
             for place, item in enumerate(value):
-                put(f"{at}.{place}", item)
+                put(f"{path}.{place}", item)
         elif isinstance(value, list):
-            flat[at] = ",".join(format_value(item) for item in value)
+            flat[path] = ",".join(format_value(item) for item in value)
         elif value is not None:
-            flat[at] = format_value(value)
+            flat[path] = format_value(value)
 
     put("", nested)
     return flat
 
 
 def format_value(value: Any) -> str:
+    """A plain JSON value as the simulator's wire writes it."""
     if isinstance(value, bool):
         return "true" if value else "false"
     return str(value).replace(" ", "_").replace(",", "_")
 
 
-def read_settings(options: Mapping[str, str]) -> tuple[Settings, dict[str, int], dict[str, int]]:
-    """The settings, and the places of the zones and of the routes by name."""
+@dataclass(frozen=True, slots=True)
+class SettingsReader:
+    """Typed values of flat settings. Methods raise `SettingsError` for what is missing or no such value."""
 
-    def text(key: str) -> str:
-        if key not in options:
+    values: Mapping[str, str]
+
+    def text(self, key: str) -> str:
+        """A value as it stands."""
+        if key not in self.values:
             raise SettingsError(f"setting {key} is missing")
-        return options[key]
+        return self.values[key]
 
-    def number(key: str) -> float:
-        value = text(key)
+    def number(self, key: str, default: float | None = None) -> float:
+        """A finite number; the default, if there is one, where the setting is missing."""
+        if default is not None and key not in self.values:
+            return default
+        value = self.text(key)
         try:
             found = float(value)
         except ValueError:
@@ -65,60 +78,79 @@
             raise SettingsError(f"setting {key} is no number: {value!r}")
         return found
 
-    def span(key: str) -> int:
-        return round(number(key)) * 1000
-
-    def flag(key: str) -> bool:
-        return text(key) in TRUE_WORDS
-
-    def flags(key: str, count: int) -> list[bool]:
-        marks = [part in TRUE_WORDS for part in text(key).split(",")]
-        if len(marks) != count:
-            raise SettingsError(f"setting {key} has {len(marks)} values for {count} routes")
-        return marks
-
-    count = round(number("profiles.count"))
-    home = flags("extra.home_only", count)
-    routes, names = [], {}
-    for place in range(count):
-        at = f"profiles.{place}."
-        names[text(at + "name")] = place
-        routes.append(
-            Route(
-                importance=number(at + "worth"),
-                slo_ns=span(at + "on_time_us"),
-                own_zone_only=home[place],
-            )
-        )
-    zones = {name: place for place, name in enumerate(text("zones").split(","))}
+    def integer(self, key: str, default: float | None = None) -> int:
+        """A number, rounded."""
+        return round(self.number(key, default))
+
+    def duration_ns(self, key: str, default: float | None = None) -> int:
+        """A time in nanoseconds; the setting is in microseconds."""
+        return round(self.number(key, default)) * NS_PER_US
+
+    def flag(self, key: str) -> bool:
+        """Yes or no, which must be there."""
+        return self.text(key) in TRUE_WORDS
+
+    def optional_flag(self, key: str) -> bool:
+        """Yes or no; no where it is missing."""
+        return self.values.get(key) in TRUE_WORDS
+
+    def flags(self, key: str, count: int) -> list[bool]:
+        """Yes or no for each of `count` routes."""
+        found = [part in TRUE_WORDS for part in self.text(key).split(",")]
+        if len(found) != count:
+            raise SettingsError(f"setting {key} has {len(found)} values for {count} routes")
+        return found
+
+
+def read_routes(reader: SettingsReader) -> tuple[tuple[Route, ...], dict[str, int]]:
+    """The routes, and the index of each by name."""
+    count = reader.integer("profiles.count")
+    own_zone_only = reader.flags("extra.home_only", count)
+    routes, indices = [], {}
+    for index in range(count):
+        prefix = f"profiles.{index}."
+        indices[reader.text(prefix + "name")] = index
+        importance, slo_ns = reader.number(prefix + "worth"), reader.duration_ns(prefix + "on_time_us")
+        routes.append(Route(importance=importance, slo_ns=slo_ns, own_zone_only=own_zone_only[index]))
+    return tuple(routes), indices
+
+
+def read_settings(options: Mapping[str, str]) -> tuple[Settings, dict[str, int], dict[str, int]]:
+    """The settings, and the indices of the zones and of the routes by name.
+
+    :raises SettingsError: if one is missing or makes no sense.
+    """
+    reader = SettingsReader(options)
+    routes, route_indices = read_routes(reader)
+    zone_indices = {name: index for index, name in enumerate(reader.text("zones").split(","))}
     settings = Settings(
-        routes=tuple(routes),
-        zone_count=len(zones),
-        proxy_count=round(number("extra.proxy_count")),
-        backend_connections=number("extra.sockets_min") if "extra.sockets_min" in options else 0.0,
-        controller_count=round(number("balancers")),
-        proxies_join_own_zone=options.get("extra.by_zone") in TRUE_WORDS,
-        watches_list=text("membership_mode") == "subscribe",
-        list_refresh_ns=span("safety.ask_within_us") if "safety.ask_within_us" in options else 0,
-        removals_uncertain=options.get("safety.only_draining_binds") in TRUE_WORDS,
-        health_checks=options.get("limits.probes") in TRUE_WORDS,
-        admission_unit=text("extra.level_kind"),
-        base_retry_policy=round(number("extra.base_mode")),
-        proxy_ejects_after=round(number("extra.ejects")) if "extra.ejects" in options else 0,
-        report_interval_ns=span("extra.cycle_us"),
+        routes=routes,
+        zone_count=len(zone_indices),
+        proxy_count=reader.integer("extra.proxy_count"),
+        backend_connections=reader.number("extra.sockets_min", 0.0),
+        controller_count=reader.integer("balancers"),
+        proxies_join_own_zone=reader.optional_flag("extra.by_zone"),
+        watches_list=reader.text("membership_mode") == "subscribe",
+        list_refresh_ns=reader.duration_ns("safety.ask_within_us", 0.0),
+        removals_uncertain=reader.optional_flag("safety.only_draining_binds"),
+        health_checks=reader.optional_flag("limits.probes"),
+        admission_unit=reader.text("extra.level_kind"),
+        base_retry_policy=reader.integer("extra.base_mode"),
+        proxy_ejects_after=reader.integer("extra.ejects", 0.0),
+        report_interval_ns=reader.duration_ns("extra.cycle_us"),
         fixed_weights=options.get("weight_kind") != "live",
-        channel_rate=number("extra.channel_rate"),
-        queue_limit=number("extra.queue_cap"),
-        message_overhead=number("extra.fixed_cost"),
-        message_limit=round(number("extra.reloads_max")),
-        message_window_ns=span("extra.update_window_us"),
-        max_delay_ns=span("extra.push_delay_max_us"),
-        slow_start_share=number("safety.cold_share"),
-        overload_factor=number("safety.tip_multiple") if "safety.tip_multiple" in options else 1.0,
-        slow_start_ns=span("safety.cold_us"),
-        slice_count=round(number("extra.slices")),
-        exclusive_slices=flag("extra.exclusive"),
-        slice_lease_ns=span("extra.keeps_writing_us"),
-        max_in_flight_ns=span("extra.in_flight_max_us"),
+        channel_rate=reader.number("extra.channel_rate"),
+        queue_limit=reader.number("extra.queue_cap"),
+        message_overhead=reader.number("extra.fixed_cost"),
+        message_limit=reader.integer("extra.reloads_max"),
+        message_window_ns=reader.duration_ns("extra.update_window_us"),
+        max_delay_ns=reader.duration_ns("extra.push_delay_max_us"),
+        slow_start_share=reader.number("safety.cold_share"),
+        overload_factor=reader.number("safety.tip_multiple", 1.0),
+        slow_start_ns=reader.duration_ns("safety.cold_us"),
+        slice_count=reader.integer("extra.slices"),
+        exclusive_slices=reader.flag("extra.exclusive"),
+        slice_lease_ns=reader.duration_ns("extra.keeps_writing_us"),
+        max_in_flight_ns=reader.duration_ns("extra.in_flight_max_us"),
     )
-    return settings, zones, names
+    return settings, zone_indices, route_indices
--- a/meadowworks/fleet/streams.py
+++ b/meadowworks/fleet/streams.py
@@ -1,7 +1,7 @@
-"""Which stream each proxy is on, and which marks were sent on it. A proxy has one stream: its newest.
+"""Which stream each proxy is on, and which nonces were sent on it. A proxy has one stream: its newest.
 
-Decided here: whose end counts as a proxy's leaving, and whose answer to a mark counts. What the proxies are
-told is in `orders`, which this keeps in step with the streams.
+Decided here: whose end counts as a proxy's leaving, and whose acknowledgement counts. What the proxies are
+told is in `TableUpdates`, which this keeps in step with the streams.
 """
 
 from __future__ import annotations
@@ -14,22 +14,25 @@
 from meadowworks.fleet.messages import ConnectionEnd, ConnectionItem, UpdateMessage, encode
 from meadowworks.fleet.table_updates import TableUpdates
 
-MAX_OUTSTANDING_NONCES = (
-    64  # unanswered on a stream: more than may be sent to a proxy while a mark can still count
-)
+# Unacknowledged on a stream: more than may be sent to a proxy while one of them can still count.
+MAX_OUTSTANDING_NONCES = 64
 
 
 class ProxyStreams:
-    def __init__(self, orders: TableUpdates) -> None:
-        self.table_updates = orders
+    """The stream of each proxy: the mailbox of its connection's actor."""
+
+    def __init__(self, table_updates: TableUpdates) -> None:
+        self.table_updates = table_updates
         self.by_proxy: dict[int, Mailbox[ConnectionItem]] = {}
-        self.outstanding_nonces: dict[
-            int, deque[int]
-        ] = {}  # sent on the proxy's stream and not answered, oldest first
+        self.outstanding_nonces: dict[int, deque[int]] = {}  # on the proxy's stream, oldest first
 
     def on_joined(self, proxy: int, stream: Mailbox[ConnectionItem]) -> bool:
-        """Whether it takes the place of an older stream, which is ended: that one has not been seen to end,
-        and its end will be no second leaving."""
+        """Takes in a proxy's newest stream.
+
+        An older one is ended: it has not been seen to end, and its end will be no second leaving.
+
+        :returns: whether there was an older one.
+        """
         old = self.by_proxy.get(proxy)
         if old is not None:
             old.put(ConnectionEnd("replaced by a new one"))
@@ -40,40 +43,48 @@
         return old is not None
 
     def on_left(self, proxy: int, stream: Mailbox[ConnectionItem]) -> bool:
-        """Whether the proxy has left by this: the end of a stream that was replaced means nothing."""
+        """Takes in the end of a stream.
+
+        :returns: whether the proxy has left by this: the end of a stream that was replaced means nothing.
+        """
         if self.by_proxy.get(proxy) is not stream:
             return False
         del self.by_proxy[proxy], self.outstanding_nonces[proxy]
         self.table_updates.remove_proxy(proxy)
         return True
 
-    def on_applied(self, proxy: int, mark: int) -> bool:
-        """Whether the mark was sent on the stream that the proxy is on: one of an earlier stream tells
-        nothing of what waits on this one, and one that was never sent nothing at all."""
-        out = self.outstanding_nonces.get(proxy, deque())
-        if mark not in out:
+    def on_applied(self, proxy: int, nonce: int) -> bool:
+        """Takes in an acknowledgement.
+
+        :returns: whether the nonce was sent on the stream that the proxy is on: one of an earlier stream
+            tells nothing of what waits on this one, and one that was never sent tells nothing at all.
+        """
+        outstanding = self.outstanding_nonces.get(proxy, deque())
+        if nonce not in outstanding:
             return False
-        while out.popleft() != mark:
+        while outstanding.popleft() != nonce:
             pass
         return True
 
-    def send_updates(self, calls: Callable[[int], float] = lambda proxy: 0.0) -> Iterator[tuple[int, int]]:
-        """Puts what the orders since the last call come to into the streams' mailboxes, one message a proxy;
-        gives proxies and lines for each message that was made.
+    def send_updates(self, call_rate: Callable[[int], float] = lambda _: 0.0) -> Iterator[tuple[int, int]]:
+        """Puts what has changed since the last call into the streams' mailboxes, one message a proxy.
+
+        The channel takes one message after the other, for seconds in a large fleet: a proxy of more calls a
+        second is told first, so that most calls go by the new tables soonest.
 
-        The channel takes one message after the other, at size for seconds: a proxy of more calls a second is
-        told first, so that most calls go by the new orders soonest."""
-        told: dict[int, tuple[UpdateMessage, int | None]] = {}
+        :returns: for each message that was made, its proxies and its lines.
+        """
+        messages: dict[int, tuple[UpdateMessage, int | None]] = {}
         try:
-            for users, parts in self.table_updates.take_messages():
-                once = UpdateMessage(encode(parts), len(parts)), parts[-1].nonce
-                for proxy in users:
-                    check_invariant(proxy not in told, "one message a proxy a batch")
-                    told[proxy] = once
-                yield len(users), sum(part.channel_lines() for part in parts)
+            for proxies, updates in self.table_updates.take_messages():
+                message = UpdateMessage(encode(updates), len(updates)), updates[-1].nonce
+                for proxy in proxies:
+                    check_invariant(proxy not in messages, "one message a proxy a batch")
+                    messages[proxy] = message
+                yield len(proxies), sum(update.channel_lines() for update in updates)
         finally:  # a fault in one message costs the others nothing
-            for proxy in sorted(told, key=lambda proxy: (-calls(proxy), proxy)):
-                message, mark = told[proxy]
-                self.by_proxy[proxy].put(message)
-                if mark is not None:
-                    self.outstanding_nonces[proxy].append(mark)
+            for proxy in sorted(messages, key=lambda proxy: (-call_rate(proxy), proxy)):
+                update, nonce = messages[proxy]
+                self.by_proxy[proxy].put(update)
+                if nonce is not None:
+                    self.outstanding_nonces[proxy].append(nonce)
--- a/meadowworks/runtime/connection_limit.py
+++ b/meadowworks/runtime/connection_limit.py
@@ -6,7 +6,6 @@
 
 from __future__ import annotations
 
-from collections import deque
 from typing import Generic, NamedTuple, TypeVar
 
 ConnectionT = TypeVar("ConnectionT")
@@ -66,17 +65,3 @@
         oldest, since_ns = next(iter(self.evictable.items()))
         left_ns = since_ns + self.grace_ns - now_ns
         return Eviction(None, left_ns) if left_ns > 0 else Eviction(oldest, 0)
-
-
-class CollectorLimit(Generic[ConnectionT]):
-    """The newest few of each zone: older ones may have been cut off without a word."""
-
-    def __init__(self, most: int) -> None:
-        self.max_per_zone = most
-        self.by_zone: dict[str, deque[ConnectionT]] = {}
-
-    def add(self, zone: str, who: ConnectionT) -> ConnectionT | None:
-        """Who of the zone's has to go for this one."""
-        here = self.by_zone.setdefault(zone, deque())
-        here.append(who)
-        return here.popleft() if len(here) > self.max_per_zone else None
--- a/meadowworks/simulation/fleet.py
+++ b/meadowworks/simulation/fleet.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from meadowworks.fleet.config import Config
+from meadowworks.fleet.config import FleetConfig
 from meadowworks.fleet.controller import Clock, FleetController
 from meadowworks.fleet.mailbox import Mailbox
 from meadowworks.fleet.messages import (
@@ -36,47 +36,52 @@
 from meadowworks.fleet.names import ENDPOINT_STATES
 from meadowworks.policy.interface import Settings
 from meadowworks.simulation.proxies import Proxy
-from meadowworks.simulation.servers import SECOND, SLACK, Server
+from meadowworks.simulation.servers import OVERLOAD_TOLERANCE, SECOND, Server
 
 STEP_NS = SECOND // 10
 BATCH_NS = SECOND // 200
-HEARD_LATE_NS, NOTICE_NS = SECOND // 2, SECOND // 2  # reports; a broken stream, before the proxy dials again
-BACK_NS = SECOND  # from a controller's end to its next start
-CALL_NS = SECOND // 5  # a call at discovery
-CHANGES_MOST = 6  # that discovery tells one by one: who has missed more is told the whole list
+REPORT_DELAY_NS, RECONNECT_NS = (
+    SECOND // 2,
+    SECOND // 2,
+)  # reports; a broken stream, before the proxy dials again
+RESTART_NS = SECOND  # from a controller's end to its next start
+LIST_CALL_NS = SECOND // 5  # a call at discovery
+MAX_CHANGES = 6  # that discovery tells one by one: who has missed more is told the whole list
 START_NS = 1000 * SECOND
 
 
-class Time(Clock):
+class SimulatedClock(Clock):
     """The fleet's time as the controllers' clock."""
 
-    def __init__(self, fleet: Fleet) -> None:
+    def __init__(self, fleet: SimulatedFleet) -> None:
         self.fleet, self.offset = fleet, 0
 
     def now(self) -> int:
         return self.fleet.now
 
 
-class Seat:
+class SimulatedController:
     """One controller: its process while it runs, its channel, its watch of the list, its share of reports."""
 
     def __init__(self, number: int, zone: str) -> None:
         self.number, self.zone = number, zone
-        self.node: FleetController | None = None
+        self.controller: FleetController | None = None
         self.known: EndpointList | None = None  # as its last process had it
         self.index = 0  # of the list that it has been told
         self.states: dict[str, str] = {}  # of each server, as told
-        self.told_ns: dict[str, int] = {}  # since when it has known that a server drains or is gone
+        self.notified_ns: dict[str, int] = {}  # since when it has known that a server drains or is gone
         self.tracking = False
-        self.due = False  # a batch has been set
-        self.free_ns = 0  # when the channel has sent all that it holds
+        self.batch_scheduled = False  # a batch has been set
+        self.channel_free_ns = 0  # when the channel has sent all that it holds
         self.queue: deque[tuple[int, float]] = deque()  # when a message has left, its lines
-        self.met: dict[tuple[str, str], list[float]] = {}  # by zone and server: tries, bad, latency, since
-        self.asked: dict[int, list[float]] = {}  # by proxy: calls by route, since
+        self.attempts: dict[
+            tuple[str, str], list[float]
+        ] = {}  # by zone and server: tries, bad, latency, since
+        self.demand: dict[int, list[float]] = {}  # by proxy: calls by route, since
         self.reported_ns = 0
 
 
-class Fleet:
+class SimulatedFleet:
     """`controllers` are dealt to the zones in turn, as are servers and proxies. A broken rule is a row of
     `broken`: what, and when in seconds."""
 
@@ -97,7 +102,7 @@
         self.settings, self.zones, self.routes, self.seed = settings, zones, routes, seed
         self.speed, self.intake, self.list_calls = speed, intake, list_calls
         self.now, self.count = START_NS, 0
-        self.due: list[tuple[int, int, Callable[..., Any], tuple[Any, ...]]] = []
+        self.timers: list[tuple[int, int, Callable[..., Any], tuple[Any, ...]]] = []
         self.servers = {
             s.name: s
             for s in (Server(f"s-{k}", zones[k % len(zones)], 20.0, settings) for k in range(servers))
@@ -105,22 +110,24 @@
         self.index = 1
         self.changed = {name: 1 for name in self.servers}  # at which index of the list
         self.calls: deque[int] = deque()  # at discovery, lately
-        self.deaf: Callable[[Seat], bool] = lambda seat: False  # whom discovery does not hear
-        self.broken: list[tuple[str, float]] = []
+        self.cut_off: Callable[[SimulatedController], bool] = (
+            lambda seat: False
+        )  # whom discovery does not hear
+        self.violations: list[tuple[str, float]] = []
         self.counts: defaultdict[str, float] = defaultdict(float)
-        power = sum(s.power for s in self.servers.values())
-        weights = [0.3 + 1.7 * self.chance() for _ in range(settings.proxy_count)]
+        power = sum(s.full_rate for s in self.servers.values())
+        weights = [0.3 + 1.7 * self.random() for _ in range(settings.proxy_count)]
         self.proxies = [
             Proxy(
                 p,
                 zones[p % len(zones)],
                 load * power * w / sum(weights),
                 routes,
-                dict((s.name, 1.0) for s in list(self.here(zones[p % len(zones)]))[p % 3 : p % 3 + 3]),
+                dict((s.name, 1.0) for s in list(self.servers_in(zones[p % len(zones)]))[p % 3 : p % 3 + 3]),
             )
             for p, w in enumerate(weights)
         ]
-        self.seats = [Seat(k, zones[k % len(zones)]) for k in range(controllers)]
+        self.controllers = [SimulatedController(k, zones[k % len(zones)]) for k in range(controllers)]
         cost = (
             settings.proxy_count
             * (settings.message_overhead + servers / len(zones) + 2)
@@ -129,50 +136,50 @@
         )
         # What cannot be put off fits, with all proxies at one controller.
         self.grace_ns = int((1.5 + cost) * SECOND) + settings.max_delay_ns
-        for seat in self.seats:
-            seat.known = self.whole()
+        for seat in self.controllers:
+            seat.known = self.full_list()
             self.start(seat)
         for proxy in self.proxies:
-            self.dial(proxy)
-        self.at(STEP_NS, self.step)
+            self.connect(proxy)
+        self.schedule(STEP_NS, self.step)
 
     # -- time and chance
 
-    def chance(self) -> float:
+    def random(self) -> float:
         self.count += 1
         return zlib.crc32(f"{self.seed}:{self.count}".encode()) / 2**32
 
-    def at(self, wait_ns: int, act: Callable[..., Any], *what: Any) -> None:
+    def schedule(self, wait_ns: int, act: Callable[..., Any], *what: Any) -> None:
         self.count += 1
-        heapq.heappush(self.due, (self.now + max(0, wait_ns), self.count, act, what))
+        heapq.heappush(self.timers, (self.now + max(0, wait_ns), self.count, act, what))
 
     def run(self, seconds: float) -> None:
         end = self.now + int(seconds * SECOND)
-        while self.due and self.due[0][0] <= end:
-            self.now, _, act, what = heapq.heappop(self.due)
+        while self.timers and self.timers[0][0] <= end:
+            self.now, _, act, what = heapq.heappop(self.timers)
             act(*what)
         self.now = end
 
-    def breaks(self, what: str) -> None:
-        self.broken.append((what, (self.now - START_NS) / SECOND))
+    def record_violation(self, what: str) -> None:
+        self.violations.append((what, (self.now - START_NS) / SECOND))
 
-    def here(self, zone: str) -> list[Server]:
+    def servers_in(self, zone: str) -> list[Server]:
         return [s for s in self.servers.values() if s.zone == zone]
 
     # -- controllers
 
-    def start(self, seat: Seat) -> None:
+    def start(self, seat: SimulatedController) -> None:
         """A process of its own, with the list as its last one had it and nothing else."""
         lists: Mailbox[DiscoveryCommand] = Mailbox(1)
         news: Mailbox[ControllerEvent] = Mailbox(16384)
-        config = Config(
+        config = FleetConfig(
             name=f"n{seat.number}",
             host="",
             port=0,
-            discovery="",
-            sockets=1024,
+            discovery_address="",
+            descriptor_limit=1024,
             seed=self.seed * 100 + seat.number,
-            known=seat.known,
+            known_endpoints=seat.known,
             settings=self.settings,
             zone_indices={z: k for k, z in enumerate(self.zones)},
             route_indices={r: k for k, r in enumerate(self.routes)},
@@ -180,110 +187,121 @@
         )
 
         def call_at(when: float, act: Callable[..., Any], *what: Any) -> None:
-            self.at(round(when * SECOND) - self.now, self.alarm, seat, news, act, what)
+            self.schedule(round(when * SECOND) - self.now, self.run_timer, seat, news, act, what)
 
-        node = FleetController(config, news, lists, call_at, Time(self))
-        seat.node, seat.free_ns = node, self.now
+        node = FleetController(config, news, lists, call_at, SimulatedClock(self))
+        seat.controller, seat.channel_free_ns = node, self.now
         seat.queue.clear()
-        seat.met, seat.asked, seat.tracking, seat.index = {}, {}, False, 0
+        seat.attempts, seat.demand, seat.tracking, seat.index = {}, {}, False, 0
         assert seat.known
         seat.states = {e.name: e.state for e in seat.known.entries}
-        seat.told_ns = {name: self.now for name, state in seat.states.items() if state != "ready"}
-        self.lists(seat)
+        seat.notified_ns = {name: self.now for name, state in seat.states.items() if state != "ready"}
+        self.take_list_calls(seat)
 
-    def alarm(
-        self, seat: Seat, news: Mailbox[ControllerEvent], act: Callable[..., Any], what: tuple[Any, ...]
+    def run_timer(
+        self,
+        seat: SimulatedController,
+        news: Mailbox[ControllerEvent],
+        act: Callable[..., Any],
+        what: tuple[Any, ...],
     ) -> None:
-        if seat.node and seat.node.events is news:
+        if seat.controller and seat.controller.events is news:
             act(*what)
-            self.soon(seat)
+            self.schedule_batch(seat)
 
-    def end(self, seat: Seat) -> None:
+    def end(self, seat: SimulatedController) -> None:
         """Its process ends, planned or not: the proxies go elsewhere, and it is started again."""
-        seat.node, seat.tracking = None, False
+        seat.controller, seat.tracking = None, False
         for proxy in self.proxies:
-            if proxy.at == seat.number:
-                proxy.at, proxy.stream = -1, None
-                self.at(int(NOTICE_NS * (0.5 + self.chance())), self.dial, proxy)
-        self.at(BACK_NS, self.start, seat)
-
-    def soon(self, seat: Seat) -> None:
-        if not seat.due:
-            seat.due = True
-            self.at(BATCH_NS, self.batch, seat)
-
-    def put(self, seat: Seat, item: ControllerEvent, report: bool = False) -> None:
-        if seat.node:
-            seat.node.events.put(item, report)
-            self.soon(seat)
-
-    def batch(self, seat: Seat) -> None:
-        seat.due = False
-        if not seat.node:
+            if proxy.controller == seat.number:
+                proxy.controller, proxy.stream = -1, None
+                self.schedule(int(RECONNECT_NS * (0.5 + self.random())), self.connect, proxy)
+        self.schedule(RESTART_NS, self.start, seat)
+
+    def schedule_batch(self, seat: SimulatedController) -> None:
+        if not seat.batch_scheduled:
+            seat.batch_scheduled = True
+            self.schedule(BATCH_NS, self.batch, seat)
+
+    def put(self, seat: SimulatedController, item: ControllerEvent, report: bool = False) -> None:
+        if seat.controller:
+            seat.controller.events.put(item, report)
+            self.schedule_batch(seat)
+
+    def batch(self, seat: SimulatedController) -> None:
+        seat.batch_scheduled = False
+        if not seat.controller:
             return
-        seat.node.process_batch()
-        self.lists(seat)
+        seat.controller.process_batch()
+        self.take_list_calls(seat)
         told = [
             (p, item)
             for p in self.proxies
-            if p.at == seat.number and p.stream
+            if p.controller == seat.number and p.stream
             for item in p.stream.drain()
             if isinstance(item, UpdateMessage)
         ]
-        calls = seat.node.policy.call_rate
+        calls = seat.controller.policy.call_rate
         for proxy, message in sorted(told, key=lambda t: (-calls(t[0].number), t[0].number)):
             self.send(seat, proxy, message)
 
     # -- the channel
 
-    def send(self, seat: Seat, proxy: Proxy, message: UpdateMessage) -> None:
+    def send(self, seat: SimulatedController, proxy: Proxy, message: UpdateMessage) -> None:
         lines = self.settings.message_overhead + self.cost(message.data)
         takes_ns = int(lines / self.settings.channel_rate / self.speed * SECOND)
-        seat.free_ns = max(seat.free_ns, self.now) + takes_ns
-        seat.queue.append((seat.free_ns, lines))
+        seat.channel_free_ns = max(seat.channel_free_ns, self.now) + takes_ns
+        seat.queue.append((seat.channel_free_ns, lines))
         while seat.queue[0][0] <= self.now:
             seat.queue.popleft()
         if sum(lines for _, lines in seat.queue) > self.settings.queue_limit:
-            self.breaks("queue")
+            self.record_violation("queue")
         since = self.now - self.settings.message_window_ns
         proxy.messages = [t for t in proxy.messages if t > since] + [self.now]
         if self.settings.message_limit and len(proxy.messages) > self.settings.message_limit:
-            self.breaks("messages")
+            self.record_violation("messages")
         self.counts["messages"] += 1
         self.counts["lines"] += lines
-        wait_ns = seat.free_ns - self.now + self.settings.max_delay_ns // 2
-        self.at(wait_ns, self.arrive, seat, proxy, proxy.stream, message.data)
+        wait_ns = seat.channel_free_ns - self.now + self.settings.max_delay_ns // 2
+        self.schedule(wait_ns, self.arrive, seat, proxy, proxy.stream, message.data)
 
     def cost(self, text: bytes) -> int:
         return text.count(b"full=1") + text.count(b":") + text.count(b"admit=") + text.count(b"nonce_out=")
 
-    def arrive(self, seat: Seat, proxy: Proxy, stream: Mailbox[ConnectionItem], text: bytes) -> None:
-        if proxy.stream is not stream or not seat.node:
+    def arrive(
+        self, seat: SimulatedController, proxy: Proxy, stream: Mailbox[ConnectionItem], text: bytes
+    ) -> None:
+        if proxy.stream is not stream or not seat.controller:
             return
-        mark = proxy.take(text)
+        mark = proxy.apply(text)
         if mark is not None:
             self.put(seat, UpdateApplied(proxy.number, mark))
 
     # -- proxies
 
-    def dial(self, proxy: Proxy) -> None:
+    def connect(self, proxy: Proxy) -> None:
         """To a controller that answers, of its own zone if there is one."""
-        up = [s for s in self.seats if s.node]
+        up = [s for s in self.controllers if s.controller]
         near = [s for s in up if s.zone == proxy.zone] or up
         if proxy.stream or not near:
-            return None if proxy.stream else self.at(NOTICE_NS, self.dial, proxy)
-        seat = near[int(self.chance() * len(near))]
-        proxy.at, proxy.stream, proxy.joined_ns, proxy.messages = seat.number, Mailbox(4096), self.now, []
-        proxy.bare_ns = 0
+            return None if proxy.stream else self.schedule(RECONNECT_NS, self.connect, proxy)
+        seat = near[int(self.random() * len(near))]
+        proxy.controller, proxy.stream, proxy.joined_ns, proxy.messages = (
+            seat.number,
+            Mailbox(4096),
+            self.now,
+            [],
+        )
+        proxy.without_backend_ns = 0
         self.put(seat, ProxyJoined(ProxyHello(proxy.number, proxy.zone, proxy.rate, True), proxy.stream))
 
-    def die(self, proxy: Proxy, back_ns: int) -> None:
+    def restart_proxy(self, proxy: Proxy, back_ns: int) -> None:
         """It forgets all and comes back with its standing table."""
         if proxy.stream:
-            self.put(self.seats[proxy.at], ProxyLeft(proxy.number, proxy.stream))
-        proxy.at, proxy.stream = -1, None
+            self.put(self.controllers[proxy.controller], ProxyLeft(proxy.number, proxy.stream))
+        proxy.controller, proxy.stream = -1, None
         proxy.start()
-        self.at(back_ns, self.dial, proxy)
+        self.schedule(back_ns, self.connect, proxy)
 
     # -- discovery
 
@@ -292,39 +310,44 @@
             server.name, server.zone, ENDPOINT_STATES[server.state], server.since_ns, server.weight
         )
 
-    def whole(self) -> EndpointList:
+    def full_list(self) -> EndpointList:
         known = tuple(self.entry(s) for s in self.servers.values() if s.state != "terminated")
         return EndpointList(self.index, True, known)
 
-    def lists(self, seat: Seat) -> None:
+    def take_list_calls(self, seat: SimulatedController) -> None:
         """Takes what a controller asks of discovery."""
-        assert seat.node
-        for item in seat.node.discovery_commands.drain():
+        assert seat.controller
+        for item in seat.controller.discovery_commands.drain():
             if isinstance(item, WatchEndpoints):
                 self.counts["list calls"] += 1
                 self.calls.append(self.now)
                 while self.calls[0] <= self.now - SECOND:
                     self.calls.popleft()
-                heard = not self.deaf(seat) and len(self.calls) <= self.list_calls
-                self.at(CALL_NS, self.told if heard else self.fail, seat, seat.node)
+                heard = not self.cut_off(seat) and len(self.calls) <= self.list_calls
+                self.schedule(
+                    LIST_CALL_NS,
+                    self.answer_list_call if heard else self.fail_list_call,
+                    seat,
+                    seat.controller,
+                )
 
-    def fail(self, seat: Seat, node: FleetController) -> None:
-        if seat.node is node:
+    def fail_list_call(self, seat: SimulatedController, node: FleetController) -> None:
+        if seat.controller is node:
             seat.tracking = False
             self.put(seat, DiscoveryFailed("no answer"))
 
-    def told(self, seat: Seat, node: FleetController) -> None:
+    def answer_list_call(self, seat: SimulatedController, node: FleetController) -> None:
         """Answers with all that is newer than what this process has; from then on it watches."""
-        if seat.node is not node:
+        if seat.controller is not node:
             return
-        if self.deaf(seat):
-            return self.fail(seat, node)
+        if self.cut_off(seat):
+            return self.fail_list_call(seat, node)
         seat.tracking = True
         if seat.index == self.index:
             return
-        missed = self.index - seat.index > CHANGES_MOST
+        missed = self.index - seat.index > MAX_CHANGES
         listing = (
-            self.whole()
+            self.full_list()
             if missed or not seat.index
             else EndpointList(
                 self.index,
@@ -338,86 +361,93 @@
         for name, state in [(e.name, e.state) for e in listing.entries] + [(n, "gone") for n in gone]:
             seat.states[name] = state
             if state == "ready":
-                seat.told_ns.pop(name, None)
+                seat.notified_ns.pop(name, None)
             else:
-                seat.told_ns.setdefault(name, self.now)
-        seat.index, seat.known = self.index, self.whole()
+                seat.notified_ns.setdefault(name, self.now)
+        seat.index, seat.known = self.index, self.full_list()
         self.put(seat, listing)
 
-    def lists_now(self, *servers: Server) -> None:
+    def publish_list(self, *servers: Server) -> None:
         """The list has changed: watches tell it, or break where discovery is not heard."""
         self.index += 1
         for server in servers:
             self.changed[server.name] = self.index
-        for seat in self.seats:
-            if seat.node and seat.tracking:
-                self.at(CALL_NS, self.fail if self.deaf(seat) else self.told, seat, seat.node)
+        for seat in self.controllers:
+            if seat.controller and seat.tracking:
+                self.schedule(
+                    LIST_CALL_NS,
+                    self.fail_list_call if self.cut_off(seat) else self.answer_list_call,
+                    seat,
+                    seat.controller,
+                )
 
     def drain(self, server: Server, gone_ns: int) -> None:
         server.state = "terminating"
-        self.lists_now(server)
-        self.at(gone_ns, self.go, server)
+        self.publish_list(server)
+        self.schedule(gone_ns, self.remove_server, server)
 
-    def go(self, server: Server) -> None:
+    def remove_server(self, server: Server) -> None:
         server.state, server.up = "terminated", False
-        self.lists_now(server)
+        self.publish_list(server)
 
-    def come(self, zone: str) -> Server:
+    def add_server(self, zone: str) -> Server:
         """A new server, cold."""
         server = Server(f"s-{len(self.servers)}", zone, 20.0, self.settings, since_ns=self.now)
         self.servers[server.name] = server
         self.changed[server.name] = 0
-        self.lists_now(server)
+        self.publish_list(server)
         return server
 
     def replace(self, server: Server, drain_ns: int, successor_ns: int) -> None:
         self.drain(server, drain_ns)
-        self.at(successor_ns, self.come, server.zone)
+        self.schedule(successor_ns, self.add_server, server.zone)
 
     # -- calls and reports
 
     def step(self) -> None:
-        self.at(STEP_NS, self.step)
+        self.schedule(STEP_NS, self.step)
         sent: defaultdict[str, float] = defaultdict(float)
         plans = []
         for proxy in self.proxies:
-            whole = proxy.rate * STEP_NS / SECOND + proxy.again
-            proxy.again = 0.0
+            whole = proxy.rate * STEP_NS / SECOND + proxy.repeated_calls
+            proxy.repeated_calls = 0.0
             for k in range(len(self.routes)):
                 total = sum(proxy.tables[k].values())
                 calls = whole / len(self.routes)
                 self.counts["calls"] += calls
-                if proxy.at >= 0:
-                    told = self.seats[proxy.at].asked.setdefault(
+                if proxy.controller >= 0:
+                    told = self.controllers[proxy.controller].demand.setdefault(
                         proxy.number, [0.0] * len(self.routes) + [self.now]
                     )
                     told[k] += calls
                 for name, weight in proxy.tables[k].items():
-                    part = calls * min(1.0, proxy.grants[k][0]) * weight / total
+                    part = calls * min(1.0, proxy.admissions[k][0]) * weight / total
                     plans.append((proxy, name, part))
                     sent[name] += part
-        took = {name: server.take(self.now, sent[name], STEP_NS) for name, server in self.servers.items()}
+        took = {name: server.handle(self.now, sent[name], STEP_NS) for name, server in self.servers.items()}
         for proxy, name, part in plans:
             bad, latency = took[name]
             self.counts["answered"] += part * (1 - bad)
-            proxy.again += 0.5 * part * bad
-            if proxy.at >= 0:
-                met = self.seats[proxy.at].met.setdefault((proxy.zone, name), [0.0, 0.0, 0.0, self.now])
+            proxy.repeated_calls += 0.5 * part * bad
+            if proxy.controller >= 0:
+                met = self.controllers[proxy.controller].attempts.setdefault(
+                    (proxy.zone, name), [0.0, 0.0, 0.0, self.now]
+                )
                 met[0], met[1], met[2] = met[0] + part, met[1] + part * bad, latency
-        for seat in self.seats:
-            if seat.node and self.now - seat.reported_ns >= self.settings.report_interval_ns:
+        for seat in self.controllers:
+            if seat.controller and self.now - seat.reported_ns >= self.settings.report_interval_ns:
                 self.report(seat)
-        self.hold()
+        self.check_rules()
 
-    def report(self, seat: Seat) -> None:
+    def report(self, seat: SimulatedController) -> None:
         """As many lines as a controller is given, the oldest first; the rest adds up."""
         seat.reported_ns, left = self.now, int(self.intake * self.settings.report_interval_ns / SECOND)
-        for key in sorted(seat.met, key=lambda key: (seat.met[key][3], key))[: left // 2]:
-            tries, bad, latency, since = seat.met[key]
+        for key in sorted(seat.attempts, key=lambda key: (seat.attempts[key][3], key))[: left // 2]:
+            tries, bad, latency, since = seat.attempts[key]
             if tries >= 1:
                 whole = int(tries)
                 load = {"queue": self.servers[key[1]].queued}
-                del seat.met[key]
+                del seat.attempts[key]
                 item = BackendReport(
                     *key,
                     whole,
@@ -426,45 +456,45 @@
                     max(self.settings.report_interval_ns, int(self.now - since)),
                     load,
                 )
-                self.at(HEARD_LATE_NS, self.put, seat, item, True)
-        for proxy in sorted(seat.asked, key=lambda p: (seat.asked[p][-1], p))[: left // 2]:
-            *calls, since = seat.asked.pop(proxy)
+                self.schedule(REPORT_DELAY_NS, self.put, seat, item, True)
+        for proxy in sorted(seat.demand, key=lambda p: (seat.demand[p][-1], p))[: left // 2]:
+            *calls, since = seat.demand.pop(proxy)
             covers = max(self.settings.report_interval_ns, int(self.now - since))
             for name, count in zip(self.routes, calls, strict=True):
-                self.at(
-                    HEARD_LATE_NS, self.put, seat, DemandReport(proxy, name, round(count), 0, covers), True
+                self.schedule(
+                    REPORT_DELAY_NS, self.put, seat, DemandReport(proxy, name, round(count), 0, covers), True
                 )
 
     # -- the rules
 
-    def hold(self) -> None:
+    def check_rules(self) -> None:
         """What the proxies have, against what their controllers have been told."""
         for proxy in self.proxies:
-            if proxy.at < 0:
+            if proxy.controller < 0:
                 continue
-            seat = self.seats[proxy.at]
+            seat = self.controllers[proxy.controller]
             warm = any(
-                state == "ready" and not self.servers[name].cold(self.now)
+                state == "ready" and not self.servers[name].is_warming(self.now)
                 for name, state in seat.states.items()
             )
             if warm and not all(proxy.tables):
-                proxy.bare_ns = proxy.bare_ns or self.now
-                if self.now - proxy.bare_ns > self.grace_ns:
-                    self.breaks("bare")
+                proxy.without_backend_ns = proxy.without_backend_ns or self.now
+                if self.now - proxy.without_backend_ns > self.grace_ns:
+                    self.record_violation("bare")
             else:
-                proxy.bare_ns = 0
+                proxy.without_backend_ns = 0
             for table in proxy.tables:
                 for name in table:
-                    since = max(seat.told_ns.get(name, self.now), proxy.joined_ns)
+                    since = max(seat.notified_ns.get(name, self.now), proxy.joined_ns)
                     if self.now - since > self.grace_ns:
-                        self.breaks("drain")
-            if any(policy > 1 for _, policy in proxy.grants):
-                self.breaks("twice")
+                        self.record_violation("drain")
+            if any(policy > 1 for _, policy in proxy.admissions):
+                self.record_violation("twice")
         for server in self.servers.values():
-            if server.pushed > self.settings.overload_factor * SLACK:
-                self.breaks("cold")
-                server.pushed = 0.0
+            if server.worst_overload > self.settings.overload_factor * OVERLOAD_TOLERANCE:
+                self.record_violation("cold")
+                server.worst_overload = 0.0
 
-    def fresh(self) -> list[int]:
+    def up_to_date(self) -> list[int]:
         """Controllers whose list is discovery's."""
-        return [seat.number for seat in self.seats if seat.node and seat.index == self.index]
+        return [seat.number for seat in self.controllers if seat.controller and seat.index == self.index]
--- a/meadowworks/simulation/proxies.py
+++ b/meadowworks/simulation/proxies.py
@@ -16,25 +16,25 @@
     zone: str
     rate: float
     routes: tuple[str, ...]
-    standing: dict[str, float]
+    initial_table: dict[str, float]
     tables: list[dict[str, float]] = field(default_factory=list)  # by route
-    grants: list[tuple[float, int]] = field(default_factory=list)
-    at: int = -1  # the controller that its stream goes to; under 0: none
+    admissions: list[tuple[float, int]] = field(default_factory=list)
+    controller: int = -1  # the controller that its stream goes to; under 0: none
     stream: Mailbox[ConnectionItem] | None = None
     joined_ns: int = 0
-    bare_ns: int = 0  # since when it has lacked a line that it might have
+    without_backend_ns: int = 0  # since when it has lacked a line that it might have
     messages: list[int] = field(default_factory=list)  # when they entered the channel, of this stream
-    again: float = 0.0  # calls that clients bring again
+    repeated_calls: float = 0.0  # calls that clients bring again
 
     def __post_init__(self) -> None:
         self.start()
 
     def start(self) -> None:
         """From nothing: the standing table for all routes."""
-        self.tables = [dict(self.standing) for _ in self.routes]
-        self.grants = [(1.0, 0)] * len(self.routes)
+        self.tables = [dict(self.initial_table) for _ in self.routes]
+        self.admissions = [(1.0, 0)] * len(self.routes)
 
-    def take(self, text: bytes) -> int | None:
+    def apply(self, text: bytes) -> int | None:
         """One message; gives the mark that wants an answer, if it has one. Raises ValueError for what it
         cannot use: a stand-in is strict."""
         mark = None
@@ -47,12 +47,12 @@
             meant = says["routes"].split("+") if "routes" in says else self.routes
             for k in map(self.routes.index, meant):
                 if "full" in says:
-                    self.tables[k], self.grants[k] = {}, (1.0, 0)
+                    self.tables[k], self.admissions[k] = {}, (1.0, 0)
                 for name, weight in named:
                     self.tables[k][name] = float(weight)
                     if not self.tables[k][name]:
                         del self.tables[k][name]
                 if "admit" in says:
-                    self.grants[k] = float(says["admit"]), int(says["policy"])
+                    self.admissions[k] = float(says["admit"]), int(says["policy"])
             mark = int(says["nonce_out"]) if "nonce_out" in says else mark
         return mark
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -11,7 +11,7 @@
 from loguru import logger
 
 from meadowworks.modelcheck.fault import SeededFault, injected_fault
-from meadowworks.simulation.fleet import Fleet
+from meadowworks.simulation.fleet import SimulatedFleet
 from tests.helpers import SECOND, SETTINGS
 
 RULES = "meadowworks.policy:Controller."
@@ -28,90 +28,94 @@
 )
 
 
-def fleet(load: float, speed: float = 1.0, **changes: Any) -> Fleet:
-    made = Fleet(replace(FLEET, **changes), ZONES, ROUTES, controllers=3, servers=20, load=load, speed=speed)
+def fleet(load: float, speed: float = 1.0, **changes: Any) -> SimulatedFleet:
+    made = SimulatedFleet(
+        replace(FLEET, **changes), ZONES, ROUTES, controllers=3, servers=20, load=load, speed=speed
+    )
     made.run(8)
     return made
 
 
-def roll() -> Fleet:
+def roll() -> SimulatedFleet:
     """Half of the servers are replaced in steps while the controllers are restarted one by one."""
     made = fleet(0.6, speed=0.5)
     for k, server in enumerate(list(made.servers.values())[:10]):
-        made.at(k * SECOND, made.replace, server, 4 * SECOND, 2 * SECOND)
-    for k, seat in enumerate(made.seats):
-        made.at((2 + 4 * k) * SECOND, made.end, seat)
+        made.schedule(k * SECOND, made.replace, server, 4 * SECOND, 2 * SECOND)
+    for k, seat in enumerate(made.controllers):
+        made.schedule((2 + 4 * k) * SECOND, made.end, seat)
     made.run(26)
     return made
 
 
-def herd() -> Fleet:
+def herd() -> SimulatedFleet:
     """A release, and seven in ten proxies are gone at once and come back."""
     made = fleet(0.6, speed=0.5, queue_limit=1400.0)
     for k, server in enumerate(list(made.servers.values())[:6]):
-        made.at(k * SECOND // 2, made.replace, server, 4 * SECOND, 2 * SECOND)
+        made.schedule(k * SECOND // 2, made.replace, server, 4 * SECOND, 2 * SECOND)
     for wave in (1, 3, 5):
         for proxy in made.proxies[:42]:
-            made.at(wave * SECOND, made.die, proxy, SECOND // 2 + proxy.number * SECOND // 100)
+            made.schedule(
+                wave * SECOND, made.restart_proxy, proxy, SECOND // 2 + proxy.number * SECOND // 100
+            )
     made.run(20)
     return made
 
 
-def zone() -> Fleet:
+def zone() -> SimulatedFleet:
     """A zone is lost for 5 s and comes back cold."""
     made = fleet(0.8, slow_start_share=0.06)
 
     def lose() -> None:
-        for server in made.here("east"):
+        for server in made.servers_in("east"):
             server.up = False
 
     def regain() -> None:
-        for server in made.here("east"):
+        for server in made.servers_in("east"):
             server.up, server.since_ns = True, made.now
-            server.sent.clear()
-        made.lists_now(*made.here("east"))
+            server.recent_calls.clear()
+        made.publish_list(*made.servers_in("east"))
 
-    made.at(SECOND, lose)
-    made.at(6 * SECOND, regain)
+    made.schedule(SECOND, lose)
+    made.schedule(6 * SECOND, regain)
     made.run(30)
     return made
 
 
-def split() -> Fleet:
+def split() -> SimulatedFleet:
     """For 6 s one zone's controllers hear nothing of discovery while servers drain and go."""
     made = fleet(0.5)
-    made.at(SECOND, setattr, made, "deaf", lambda seat: seat.zone == "east")
+    made.schedule(SECOND, setattr, made, "cut_off", lambda seat: seat.zone == "east")
     for k, server in enumerate(list(made.servers.values())[:8]):
-        made.at((2 + k // 4) * SECOND, made.replace, server, 2 * SECOND, SECOND)
-    made.at(7 * SECOND, setattr, made, "deaf", lambda seat: False)
+        made.schedule((2 + k // 4) * SECOND, made.replace, server, 2 * SECOND, SECOND)
+    made.schedule(7 * SECOND, setattr, made, "cut_off", lambda seat: False)
     made.run(25)
     return made
 
 
-def join() -> Fleet:
+def join() -> SimulatedFleet:
     """Six in ten servers are replaced within 7 s, under load."""
     made = fleet(0.75)
     for k, server in enumerate(list(made.servers.values())[:12]):
-        made.at(k * SECOND * 7 // 12, made.replace, server, 3 * SECOND, 2 * SECOND)
+        made.schedule(k * SECOND * 7 // 12, made.replace, server, 3 * SECOND, 2 * SECOND)
     made.run(28)
     return made
 
 
-def crowd() -> Fleet:
+def crowd() -> SimulatedFleet:
     """Discovery answers nobody for a while, then few at a time; a server drains meanwhile."""
     made = fleet(0.5)
     made.list_calls = 3
-    made.at(SECOND, setattr, made, "deaf", lambda seat: True)
-    made.at(2 * SECOND, made.replace, made.servers["s-0"], 3 * SECOND, SECOND)
-    made.at(8 * SECOND, setattr, made, "deaf", lambda seat: False)
+    made.schedule(SECOND, setattr, made, "cut_off", lambda seat: True)
+    made.schedule(2 * SECOND, made.replace, made.servers["s-0"], 3 * SECOND, SECOND)
+    made.schedule(8 * SECOND, setattr, made, "cut_off", lambda seat: False)
     made.run(24)
     return made
 
 
-def kept(made: Fleet) -> list[str]:
+def kept(made: SimulatedFleet) -> list[str]:
     """What is broken; a list that is not discovery's long after all is well counts too, and endless calls."""
-    found = {what for what, _ in made.broken}
-    if len(made.fresh()) < len(made.seats):
+    found = {what for what, _ in made.violations}
+    if len(made.up_to_date()) < len(made.controllers):
         found.add("list")
     if made.counts["list calls"] > 60:
         found.add("calls")
@@ -129,9 +133,9 @@
 
 
 @pytest.mark.parametrize("day", DAYS)
-def test_a_day_of_the_trial_keeps_the_rules(day: Callable[[], Fleet]) -> None:
+def test_a_day_of_the_trial_keeps_the_rules(day: Callable[[], SimulatedFleet]) -> None:
     made = day()
-    assert kept(made) == [], made.broken[:4]
+    assert kept(made) == [], made.violations[:4]
     assert made.counts["answered"] > 0.5 * made.counts["calls"]
 
 
@@ -197,7 +201,7 @@
 
 @pytest.mark.parametrize("day, breaks, name, at, was, now", GUARDS, ids=[guard[2] for guard in GUARDS])
 def test_without_its_guard_a_day_breaks_a_rule(
-    day: Callable[[], Fleet],
+    day: Callable[[], SimulatedFleet],
     breaks: str,
     name: str,
     at: str,
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -28,7 +28,7 @@
     ProxyHello,
     ProxyJoined,
     ProxyLeft,
-    UnknownMessage,
+    UnknownMessageError,
     UpdateApplied,
     decode,
     encode,
@@ -440,8 +440,8 @@
 def test_a_field_spoilt_is_told_from_what_is_no_message(line: str) -> None:
     with pytest.raises(ValueError) as found:
         decode(line.encode())
-    assert not isinstance(found.value, UnknownMessage)
-    with pytest.raises(UnknownMessage):
+    assert not isinstance(found.value, UnknownMessageError)
+    with pytest.raises(UnknownMessageError):
         decode(b"x" + line.encode())
 
 
