--- a/meadowworks/modelcheck/seeded_faults/upstream.py
+++ b/meadowworks/modelcheck/seeded_faults/upstream.py
@@ -96,7 +96,7 @@
         (
             "a reply to another question is taken",
             "meadowworks.runtime.peer_client:PeerClient.call",
-            "if reply.header(CALL_ID_HEADER) != question:",
+            "if reply.header(CALL_ID_HEADER) != call_id:",
             "if False:",
             ("wrong caller",),
             BETWEEN,
