--- a/meadowworks/controlplane/__init__.py
+++ b/meadowworks/controlplane/__init__.py
@@ -1,1 +1,1 @@
-"""The program that serves control: a thin shell round the timetable, the roster and the telegraph."""
+"""The control plane's program: the configuration, the service registry and gossip, served over HTTP."""
--- /dev/null
+++ b/meadowworks/controlplane/api_endpoint.py
@@ -0,0 +1,68 @@
+"""The HTTP endpoint for backends and operators: bounds what is read, and finds the handler of a call."""
+
+from __future__ import annotations
+
+import sqlite3
+
+from meadowworks.controlplane.api import ApiReply, ApiRequest, Route, Routes
+from meadowworks.forwarding.memory_budget import MemoryBudget
+from meadowworks.runtime import logging as logs
+from meadowworks.runtime.asgi import Receive, Scope, Send
+from meadowworks.runtime.http_server import BodyError, read_body, send_response
+from meadowworks.runtime.live_settings import LiveSettings
+
+PATH_PREFIX = "/api/"
+MAX_BODY_BYTES = 64 << 20
+BODY_TIMEOUT_S = 300.0  # an operator's configuration: 7 MB over a line of 200 kbit/s take that long
+BODIES_MEMORY_SHARE = 0.25  # of the node's memory, for all bodies while they arrive
+BODY_MEMORY_SHARE = 0.1  # of it for one body: to validate it takes four times its size beside it
+BYTES_PER_MB = 1e6
+BODY_ERROR_STATUS = {
+    BodyError.TOO_LARGE: 413,
+    BodyError.OUT_OF_MEMORY: 503,
+    BodyError.TIMED_OUT: 408,
+    BodyError.DISCONNECTED: 408,
+}
+NO_SUCH_CALL = ApiReply(404, b'{"err":"there is no such call"}')
+DISK_FAILED = ApiReply(503, b'{"err":"the disk refuses"}')
+log = logs.get_logger("api")
+
+
+class ApiEndpoint:
+    """An ASGI application on a node's API port.
+
+    :param routes: the handlers of all resources.
+    :param live_settings: name the memory of the node, of which bodies get a share.
+    """
+
+    def __init__(self, routes: Routes, live_settings: LiveSettings) -> None:
+        self._routes = routes
+        self._live_settings = live_settings
+        memory_mb = live_settings.current.memory_mb
+        self._body_memory = MemoryBudget(int(memory_mb * BYTES_PER_MB * BODIES_MEMORY_SHARE))
+
+    async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
+        """Answer one call."""
+        body = await read_body(receive, self._max_body_bytes(), self._body_memory, BODY_TIMEOUT_S)
+        if isinstance(body, BodyError):
+            return await send_response(send, BODY_ERROR_STATUS[body])
+        reply = await self._handle(scope["method"], scope["path"], body)
+        headers = [(b"content-type", b"application/json")]
+        if reply.retry_after_s:
+            headers.append((b"retry-after", f"{reply.retry_after_s:g}".encode()))
+        return await send_response(send, reply.status, reply.body, headers)
+
+    def _max_body_bytes(self) -> int:
+        memory_mb = self._live_settings.current.memory_mb
+        return min(MAX_BODY_BYTES, int(memory_mb * BYTES_PER_MB * BODY_MEMORY_SHARE))
+
+    async def _handle(self, method: str, path: str, body: bytes) -> ApiReply:
+        action, _, resource_id = path.removeprefix(PATH_PREFIX).partition("/")
+        handler = self._routes.get(Route(method, action))
+        if handler is None or not path.startswith(PATH_PREFIX):
+            return NO_SUCH_CALL
+        try:
+            return await handler(ApiRequest(resource_id, body))
+        except sqlite3.Error as error:
+            log.warning("{} answered with 503, the disk of the node's datadir failed: {}", action, error)
+            return DISK_FAILED
--- /dev/null
+++ b/meadowworks/controlplane/compressed_config.py
@@ -0,0 +1,35 @@
+"""The committed configuration, compressed once for everyone who lacks it."""
+
+from __future__ import annotations
+
+import asyncio
+from dataclasses import dataclass
+
+from meadowworks.consensus.register import CommittedValue
+from meadowworks.runtime.background_tasks import BackgroundTasks
+from meadowworks.runtime.cooperative import compress_steps, run_cooperatively
+
+
+@dataclass(frozen=True, slots=True)
+class CompressedConfig:
+    """A version of the configuration, compressed by zlib."""
+
+    version: int = 0
+    data: bytes = b""
+
+
+class ConfigCompressor:
+    """Compresses each version once, however many pulls wait for it."""
+
+    def __init__(self, tasks: BackgroundTasks) -> None:
+        self.latest = CompressedConfig()
+        self._tasks = tasks
+        self._under_way: tuple[int, asyncio.Task[bytes]] | None = None
+
+    async def compress(self, committed: CommittedValue) -> None:
+        """Make `latest` the committed version, or join whoever is doing so."""
+        if self._under_way is None or self._under_way[0] != committed.version:
+            steps = compress_steps(committed.value)
+            self._under_way = committed.version, self._tasks.start(run_cooperatively(steps))
+        version, task = self._under_way
+        self.latest = CompressedConfig(version, await asyncio.shield(task))
--- a/meadowworks/controlplane/config_service.py
+++ b/meadowworks/controlplane/config_service.py
@@ -1,5 +1,7 @@
-"""The timetable's desk in a signalbox: what its `Replica` wants written, sent and answered is done here, in
-the order in which it comes; the machine decides all else.
+"""The I/O driver of the consensus replica: runs its effects in their order and feeds their results back.
+
+The replica decides everything, the order of writes and sends included. What it proposes and reads here is the
+operator's configuration.
 """
 
 from __future__ import annotations
@@ -7,17 +9,17 @@
 import asyncio
 import random
 import sqlite3
-import zlib
 from collections.abc import Callable
-from concurrent.futures import ThreadPoolExecutor
-from typing import Any
+from typing import Protocol
 from uuid import uuid4
 
-from meadowworks.consensus import register
 from meadowworks.consensus.register import CommittedValue, Reply, Request
 from meadowworks.consensus.replica import (
     LEAVE_WAITER_ID,
+    Committed,
     CompleteOperation,
+    Conflict,
+    Effect,
     LogEntry,
     Persist,
     Replica,
@@ -27,207 +29,228 @@
     ValueCommitted,
     load_acceptor,
 )
-from meadowworks.gossip import messages as post
+from meadowworks.controlplane import consensus_envelope
+from meadowworks.controlplane.async_store import AsyncStore
+from meadowworks.gossip.messages import DECODE_ERRORS, MalformedMessageError
 from meadowworks.runtime import logging as logs
+from meadowworks.runtime.background_tasks import BackgroundTasks
+from meadowworks.runtime.clock import now_ns
 from meadowworks.runtime.errors import RequestError
 from meadowworks.runtime.node_settings import NodeSettings
-from meadowworks.runtime.peer_client import PeerClient
-from meadowworks.runtime.process import BackgroundTasks, now_ns
-from meadowworks.storage.sqlite_store import SqliteStore
+from meadowworks.storage.sqlite_store import StoredState
+
+REQUEST_PATH = b"/letter"
+REQUEST_TIMEOUT_S = 1.0  # longer than the replica waits before it sends a request again
+MIN_TICK_DELAY_S = 0.001  # lets the event loop run other work when a tick is overdue
+MEMBER_ID_LOG_LENGTH = 8
+NS_PER_SECOND = 1e9
+Outcome = Committed | Conflict | Undecided | CommittedValue
+log = logs.get_logger("consensus")
+
+
+class PeerCaller(Protocol):
+    """What this module needs of a `PeerClient`."""
+
+    async def call(self, path: bytes, body: bytes, timeout_s: float) -> bytes:
+        """Send one request and return the body of its reply, or raise RequestError."""
+
+
+class PeerCallers(Protocol):
+    """What this module needs of a `PeerClientPool`."""
+
+    def client(self, host: str, port: int) -> PeerCaller:
+        """Return the client for an address."""
 
-REQUEST_TIMEOUT_S = 1.0  # that a request's reply is waited for
-INLINE_COMPRESSION_MAX_BYTES = 4096  # bytes above which a body is compressed off the loop
-log = logs.get_logger("table")
-OperationOutcome = Any  # of an order: what replica.Answer holds
+
+def create_replica(settings: NodeSettings, stored: StoredState) -> Replica:
+    """Make the replica of a node from what its disk holds; an empty disk gets a new member id."""
+    port = settings.peer_port  # alike on all machines
+    acceptor = load_acceptor(
+        stored.metadata,
+        new_member_id=uuid4().hex,
+        address=f"{settings.ip}:{port}",
+        seeds=tuple(f"{host}:{port}" for host, _ in settings.seeds),
+        bootstrap=settings.bootstrap,
+        voting=settings.voting,
+        committed=stored.committed,
+        history=stored.history,
+        slots=stored.slots,
+    )
+    return Replica(acceptor, settings.tolerated_failures, random.random)
 
 
 class ConfigService:
-    """`in_force` is called with each version that comes to be known as chosen."""
+    """Reads and replaces the configuration by consensus.
+
+    :param replica: the state machine that is driven; nobody else calls its inputs without `run_effects`.
+    :param store: where the replica's state is written.
+    :param peer_clients: how the other members are reached.
+    :param tasks: run the writes and requests under way.
+    :param on_commit: called with each version that becomes known as committed.
+    """
 
     def __init__(
         self,
-        settings: NodeSettings,
-        store: SqliteStore,
-        peer_client: Callable[[str, int], PeerClient],
-        on_commit: Callable[[CommittedValue], None],
+        replica: Replica,
+        store: AsyncStore,
+        peer_clients: PeerCallers,
         tasks: BackgroundTasks,
+        on_commit: Callable[[CommittedValue], None],
     ) -> None:
-        self.store, self.peer_client, self.on_commit, self.tasks = store, peer_client, on_commit, tasks
-        stored = store.load()
-        acceptor = load_acceptor(
-            stored.metadata,
-            new_member_id=uuid4().hex,
-            address=f"{settings.ip}:{settings.peer_port}",
-            seeds=tuple(
-                f"{host}:{settings.peer_port}" for host, _ in settings.seeds
-            ),  # ports are alike on all machines
-            bootstrap=settings.bootstrap,
-            voting=settings.voting,
-            committed=stored.committed,
-            history=stored.history,
-            slots=stored.slots,
-        )
-        self.replica = Replica(acceptor, settings.tolerated_failures, random.random)
-        self.disk_executor = ThreadPoolExecutor(1)
-        self.pending_operations: dict[int, asyncio.Future[OperationOutcome]] = {}
-        self.last_operation_id = 0
-        self.tick_timer: asyncio.TimerHandle | None = None
-        self.last_encoded_request: tuple[Request, bytes] | None = (
-            None  # the request that went out last, to several
-        )
+        self.replica = replica
+        self.peer_clients = peer_clients
+        self._store = store
+        self._tasks = tasks
+        self._on_commit = on_commit
+        self._waiters: dict[int, asyncio.Future[Outcome]] = {}
+        self._last_waiter_id = 0
+        self._tick_timer: asyncio.TimerHandle | None = None
+        self._is_closed = False
+        self._last_compressed: tuple[Request, bytes] | None = None  # one request goes to several members
 
     async def start(self) -> None:
-        """Returns once the number of this life is on the disk. Raises sqlite3.Error."""
+        """Return once the number of this incarnation is on the disk.
+
+        :raises sqlite3.Error: the disk refuses it, and the node may not take part.
+        """
         self.replica.start(now_ns())
-        effects = self.replica.take_effects()
-        for effect in effects:
+        for effect in self.replica.take_effects():
             if isinstance(effect, Persist):
-                await asyncio.get_running_loop().run_in_executor(
-                    self.disk_executor, self.store.save, effect.update
-                )
+                await self._store.save_consensus_state(effect.update)
                 self.replica.on_persisted(now_ns(), effect.write_id)
         acceptor = self.replica.acceptor
         log.info(
-            "disk {} in its life {}: version {:08x}, epoch {}",
-            acceptor.member_id[:8],
+            "member {} starts in incarnation {}: configuration version {:08x}, epoch {}",
+            acceptor.member_id[:MEMBER_ID_LOG_LENGTH],
             acceptor.incarnation,
             acceptor.committed.version,
             acceptor.epoch.number,
         )
         self.run_effects()
 
-    # -- effects
+    async def propose(self, version: int, value: bytes, timeout_ns: int) -> Committed | Conflict | Undecided:
+        """Propose a configuration under a version."""
+        waiter_id, waiter = self._new_waiter()
+        now = now_ns()
+        self.replica.propose(now, waiter_id, version, value, now + timeout_ns)
+        self.run_effects()
+        outcome = await waiter
+        assert not isinstance(outcome, CommittedValue)
+        return outcome
+
+    async def read(self, timeout_ns: int) -> CommittedValue | Undecided:
+        """Read the newest configuration that may have been acknowledged to anybody before this call."""
+        waiter_id, waiter = self._new_waiter()
+        now = now_ns()
+        self.replica.read(now, waiter_id, now + timeout_ns)
+        self.run_effects()
+        outcome = await waiter
+        assert isinstance(outcome, CommittedValue | Undecided)
+        return outcome
+
+    async def hand_over(self, timeout_ns: int) -> bool:
+        """Leave the members and hand the state over to them; whether that was done in time."""
+        waiter = self._waiters[LEAVE_WAITER_ID] = asyncio.get_running_loop().create_future()
+        now = now_ns()
+        self.replica.leave(now, now + timeout_ns)
+        self.run_effects()
+        return isinstance(await waiter, Committed)
+
+    async def handle_request(self, body: bytes) -> bytes:
+        """Return the reply to another member's request, once the replica lets it leave.
+
+        :raises MalformedMessageError: or another of `DECODE_ERRORS`.
+        """
+        envelope = consensus_envelope.decode_request(body)
+        ticket: asyncio.Future[tuple[str, Reply]] = asyncio.get_running_loop().create_future()
+        self.replica.on_request(now_ns(), ticket, envelope.request)
+        self.run_effects()
+        member_id, reply = await ticket
+        compressed = await consensus_envelope.compress_message(reply)
+        return consensus_envelope.encode_reply(envelope.request_id, member_id, compressed)
 
     def run_effects(self) -> None:
-        """Does what the machine wants done, in order."""
+        """Run the replica's effects in their order, then set the timer for its next tick."""
+        if self._is_closed:
+            return  # as if the process had ended: nothing more is written or sent
         while effects := self.replica.take_effects():
             for effect in effects:
-                match effect:
-                    case Persist():
-                        self.tasks.start(self.persist(effect))
-                    case SendRequest():
-                        self.tasks.start(self.send_request(effect))
-                    case SendReply(ticket, who, reply):
-                        if not ticket.done():
-                            ticket.set_result((who, reply))
-                    case CompleteOperation(order, outcome):
-                        waiting = self.pending_operations.pop(order, None)
-                        if waiting is not None and not waiting.done():
-                            waiting.set_result(outcome)
-                    case ValueCommitted(held):
-                        log.info("version {:08x} is in force", held.version)
-                        self.on_commit(held)
-                    case LogEntry(text):
-                        log.info("{}", text)
-        if self.tick_timer is not None:
-            self.tick_timer.cancel()
-        wait_s = max(0.001, (self.replica.next_tick_ns() - now_ns()) / 1e9)
-        self.tick_timer = asyncio.get_running_loop().call_later(wait_s, self.on_tick)
-
-    def on_tick(self) -> None:
+                self._run_effect(effect)
+        if self._tick_timer is not None:
+            self._tick_timer.cancel()
+        delay_s = max(MIN_TICK_DELAY_S, (self.replica.next_tick_ns() - now_ns()) / NS_PER_SECOND)
+        self._tick_timer = asyncio.get_running_loop().call_later(delay_s, self._tick)
+
+    def close(self) -> None:
+        """Run no more effects. The store and the tasks are closed by their owner."""
+        self._is_closed = True
+        if self._tick_timer is not None:
+            self._tick_timer.cancel()
+
+    def _run_effect(self, effect: Effect) -> None:
+        match effect:
+            case Persist():
+                self._tasks.start(self._persist(effect))
+            case SendRequest():
+                self._tasks.start(self.send_request(effect))
+            case SendReply(ticket, member_id, reply):
+                if not ticket.done():
+                    ticket.set_result((member_id, reply))
+            case CompleteOperation(waiter_id, outcome):
+                waiter = self._waiters.pop(waiter_id, None)
+                if waiter is not None and not waiter.done():
+                    waiter.set_result(outcome)
+            case ValueCommitted(committed):
+                log.info("configuration version {:08x} is committed and in force", committed.version)
+                self._on_commit(committed)
+            case LogEntry(text):
+                log.info("{}", text)
+
+    def _tick(self) -> None:
         self.replica.tick(now_ns())
         self.run_effects()
 
-    async def persist(self, effect: Persist) -> None:
+    async def _persist(self, effect: Persist) -> None:
         try:
-            await asyncio.get_running_loop().run_in_executor(
-                self.disk_executor, self.store.save, effect.update
+            await self._store.save_consensus_state(effect.update)
+        except sqlite3.Error as error:
+            log.warning(
+                "writing the consensus state failed, this member neither votes nor acknowledges until a "
+                "retry succeeds; check the disk of the node's datadir: {}",
+                error,
             )
-        except sqlite3.Error as trouble:
-            log.warning("the disk refuses: {}", trouble)
             self.replica.on_persist_failed(now_ns(), effect.write_id)
         else:
             self.replica.on_persisted(now_ns(), effect.write_id)
         self.run_effects()
 
     async def send_request(self, effect: SendRequest) -> None:
-        host, _, port = effect.address.rpartition(":")
+        """Send a request to a member and give its reply, or the failure, to the replica."""
         try:
-            if self.last_encoded_request is None or self.last_encoded_request[0] is not effect.request:
-                self.last_encoded_request = effect.request, await encode_message(effect.request)
-            body = post.encode([effect.request_id, self.last_encoded_request[1]])
-            raw = await self.peer_client(host, int(port)).call(b"/letter", body, REQUEST_TIMEOUT_S)
-            question, who, reply = decode_reply(raw)
-            if question != effect.request_id:
-                raise post.MalformedMessageError("the reply to another question")
-        except (RequestError, *post.DECODE_ERRORS) as trouble:
-            log.debug("a request without reply: {}", trouble)
+            envelope = await self._call_member(effect)
+        except (RequestError, *DECODE_ERRORS) as error:
+            log.debug("consensus request to {} failed: {}", effect.address, error)
             self.replica.on_request_failed(now_ns(), effect.request_id)
         else:
-            self.replica.on_reply(now_ns(), effect.request_id, who, reply)
-        self.run_effects()
-
-    # -- inputs
-
-    async def handle_request(self, body: bytes) -> bytes:
-        """The reply to another signalbox's request, once it may leave. Raises post.SHAPE."""
-        question, request = decode_request(body)
-        ticket: asyncio.Future[tuple[str, Reply]] = asyncio.get_running_loop().create_future()
-        self.replica.on_request(now_ns(), ticket, request)
-        self.run_effects()
-        who, reply = await ticket
-        return post.encode([question, who, await encode_message(reply)])
-
-    def register_operation(self) -> tuple[int, asyncio.Future[OperationOutcome]]:
-        self.last_operation_id += 1
-        waiting: asyncio.Future[OperationOutcome] = asyncio.get_running_loop().create_future()
-        self.pending_operations[self.last_operation_id] = waiting
-        return self.last_operation_id, waiting
-
-    async def propose(self, version: int, content: bytes, timeout_ns: int) -> OperationOutcome:
-        """replica.Taken, Another or Late."""
-        number, waiting = self.register_operation()
-        now = now_ns()
-        self.replica.propose(now, number, version, content, now + timeout_ns)
-        self.run_effects()
-        return await waiting
-
-    async def read(self, timeout_ns: int) -> CommittedValue | Undecided:
-        number, waiting = self.register_operation()
-        now = now_ns()
-        self.replica.read(now, number, now + timeout_ns)
-        self.run_effects()
-        return await waiting  # type: ignore[no-any-return]
-
-    async def hand_over(self, timeout_ns: int) -> OperationOutcome:
-        """Returns when what is held here has been handed over, or the time is over."""
-        waiting: asyncio.Future[OperationOutcome] = asyncio.get_running_loop().create_future()
-        self.pending_operations[LEAVE_WAITER_ID] = waiting
-        now = now_ns()
-        self.replica.leave(now, now + timeout_ns)
+            self.replica.on_reply(now_ns(), effect.request_id, envelope.member_id, envelope.reply)
         self.run_effects()
-        return await waiting
-
-    def close(self) -> None:
-        """What is being written is written."""
-        if self.tick_timer is not None:
-            self.tick_timer.cancel()
-        self.disk_executor.shutdown()
-        self.store.close()
-
-
-async def encode_message(message: Request | Reply) -> bytes:
-    """A large body is compressed off the loop."""
-    body = post.encode(register.encode(message))
-    if len(body) <= INLINE_COMPRESSION_MAX_BYTES:
-        return zlib.compress(body, 6)
-    return await asyncio.get_running_loop().run_in_executor(None, zlib.compress, body, 6)
-
-
-def decode_message(body: bytes) -> Any:
-    try:
-        return register.decode(post.decode(zlib.decompress(body)))
-    except zlib.error as trouble:
-        raise post.MalformedMessageError(f"no letter: {trouble}") from None
-
-
-def decode_request(body: bytes) -> tuple[int, Request]:
-    """Raises post.SHAPE."""
-    question, inner = post.decode(body)
-    return int(question), decode_message(inner)
 
+    async def _call_member(self, effect: SendRequest) -> consensus_envelope.ReplyEnvelope:
+        host, _, port = effect.address.rpartition(":")
+        if self._last_compressed is None or self._last_compressed[0] is not effect.request:
+            self._last_compressed = (
+                effect.request,
+                await consensus_envelope.compress_message(effect.request),
+            )
+        body = consensus_envelope.encode_request(effect.request_id, self._last_compressed[1])
+        client = self.peer_clients.client(host, int(port))
+        envelope = consensus_envelope.decode_reply(await client.call(REQUEST_PATH, body, REQUEST_TIMEOUT_S))
+        if envelope.request_id != effect.request_id:
+            raise MalformedMessageError("the reply answers another request")
+        return envelope
 
-def decode_reply(body: bytes) -> tuple[int, str, Reply]:
-    """The question that it answers, who says it, and what. Raises post.SHAPE."""
-    question, who, inner = post.decode(body)
-    return int(question), str(who), decode_message(inner)
+    def _new_waiter(self) -> tuple[int, asyncio.Future[Outcome]]:
+        self._last_waiter_id += 1
+        waiter: asyncio.Future[Outcome] = asyncio.get_running_loop().create_future()
+        self._waiters[self._last_waiter_id] = waiter
+        return self._last_waiter_id, waiter
--- /dev/null
+++ b/meadowworks/controlplane/consensus_envelope.py
@@ -0,0 +1,78 @@
+"""Consensus messages on their way between nodes: an envelope around a compressed body.
+
+A request travels as `[request id, body]`, its reply as `[request id, member id, body]`.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import zlib
+from dataclasses import dataclass
+from typing import Any
+
+from meadowworks.consensus import register
+from meadowworks.consensus.register import Reply, Request
+from meadowworks.gossip import messages
+
+INLINE_COMPRESSION_MAX_BYTES = 4096  # a body this small isn't worth the hand-over to a thread
+COMPRESSION_LEVEL = 6
+
+
+@dataclass(frozen=True, slots=True)
+class RequestEnvelope:
+    """A request, and the id under which its sender waits for the reply."""
+
+    request_id: int
+    request: Request
+
+
+@dataclass(frozen=True, slots=True)
+class ReplyEnvelope:
+    """The reply of the member `member_id` to a request."""
+
+    request_id: int
+    member_id: str
+    reply: Reply
+
+
+async def compress_message(message: Request | Reply) -> bytes:
+    """Encode and compress a message; one that is large beside the event loop."""
+    body = messages.encode(register.encode(message))
+    if len(body) <= INLINE_COMPRESSION_MAX_BYTES:
+        return zlib.compress(body, COMPRESSION_LEVEL)
+    return await asyncio.get_running_loop().run_in_executor(None, zlib.compress, body, COMPRESSION_LEVEL)
+
+
+def encode_request(request_id: int, compressed: bytes) -> bytes:
+    """Encode a request whose body `compress_message` has made."""
+    return messages.encode([request_id, compressed])
+
+
+def encode_reply(request_id: int, member_id: str, compressed: bytes) -> bytes:
+    """Encode a reply whose body `compress_message` has made."""
+    return messages.encode([request_id, member_id, compressed])
+
+
+def decode_request(body: bytes) -> RequestEnvelope:
+    """Decode a request.
+
+    :raises MalformedMessageError: or another of `gossip.messages.DECODE_ERRORS`.
+    """
+    request_id, compressed = messages.decode(body)
+    return RequestEnvelope(int(request_id), _decompress_message(compressed))
+
+
+def decode_reply(body: bytes) -> ReplyEnvelope:
+    """Decode a reply.
+
+    :raises MalformedMessageError: or another of `gossip.messages.DECODE_ERRORS`.
+    """
+    request_id, member_id, compressed = messages.decode(body)
+    return ReplyEnvelope(int(request_id), str(member_id), _decompress_message(compressed))
+
+
+def _decompress_message(compressed: bytes) -> Any:
+    try:
+        return register.decode(messages.decode(zlib.decompress(compressed)))
+    except zlib.error as error:
+        raise messages.MalformedMessageError(f"not a consensus message: {error}") from None
--- /dev/null
+++ b/meadowworks/controlplane/peer_endpoint.py
@@ -0,0 +1,50 @@
+"""The HTTP endpoint for calls between nodes: pulls, consensus requests and the status."""
+
+from __future__ import annotations
+
+import json
+import sqlite3
+
+from meadowworks.controlplane.node import ControlPlaneNode
+from meadowworks.controlplane.node_status import node_status
+from meadowworks.controlplane.pull_handler import PullHandler
+from meadowworks.gossip.messages import DECODE_ERRORS, decode_pull_request
+from meadowworks.runtime import logging as logs
+from meadowworks.runtime.asgi import Receive, Scope, Send
+from meadowworks.runtime.http_server import BodyError, read_body, send_response
+
+MAX_BODY_BYTES = 64 << 20  # a consensus request carries a whole configuration
+log = logs.get_logger("peers")
+
+
+class PeerEndpoint:
+    """An ASGI application on a node's peer port."""
+
+    def __init__(self, node: ControlPlaneNode) -> None:
+        self._node = node
+        self._pull_handler = PullHandler(node)
+
+    async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
+        """Answer one call: 400 if it is malformed, 503 if the disk failed, 404 for an unknown path."""
+        path = scope["path"]
+        body = await read_body(receive, MAX_BODY_BYTES)
+        if isinstance(body, BodyError):
+            return await send_response(send, 413)
+        try:
+            match path:
+                case "/pull":
+                    reply = await self._pull_handler.handle(decode_pull_request(body))
+                    return await send_response(send, 200, reply.encode(), [])
+                case "/letter":
+                    return await send_response(
+                        send, 200, await self._node.config_service.handle_request(body), []
+                    )
+                case "/status":
+                    return await send_response(send, 200, json.dumps(node_status(self._node)).encode())
+        except DECODE_ERRORS as error:
+            log.warning("malformed call of {} on the peer port, answered with 400: {}", path, error)
+            return await send_response(send, 400)
+        except sqlite3.Error as error:
+            log.warning("{} answered with 503, the disk of the node's datadir failed: {}", path, error)
+            return await send_response(send, 503)
+        return await send_response(send, 404)
--- /dev/null
+++ b/meadowworks/controlplane/pull_client.py
@@ -0,0 +1,128 @@
+"""Pulls gossip, the configuration and epochs from the other control-plane nodes."""
+
+from __future__ import annotations
+
+import asyncio
+from dataclasses import dataclass
+from functools import partial
+
+from meadowworks.consensus.register import CommittedValue
+from meadowworks.controlplane.node import ControlPlaneNode
+from meadowworks.gossip.messages import PullReply, PullRequest, decode_pull_reply
+from meadowworks.runtime import logging as logs
+from meadowworks.runtime.clock import now_ns
+from meadowworks.runtime.cooperative import decompress_steps, run_cooperatively
+from meadowworks.runtime.errors import RequestError
+from meadowworks.runtime.peer_client import PeerClient
+
+PULL_PATH = b"/pull"
+MAX_WAIT_MS = 500  # long poll; well below the 1.8 s of a lease, which replies renew
+ACK_PENDING_MAX_WAIT_MS = 50  # short while a drain isn't acknowledged yet: the next pull carries that
+REPLY_TIMEOUT_S = 1.5  # a second beyond the long poll
+RETRY_S, RETRY_WITHOUT_LEASE_S = 0.2, 0.05  # without a lease the node serves nobody, so it retries sooner
+DRAIN_WRITE_WAIT_S = (
+    0.1  # that a pull waits for the write of drains, so that it carries their acknowledgement
+)
+PULLS_PER_SHUFFLE = 5  # peer records are exchanged with one pull in so many
+MAX_CONFIG_BYTES = 64 << 20  # decompressed
+log = logs.get_logger("gossip")
+
+
+@dataclass(frozen=True, slots=True)
+class PulledState:
+    """A pull's reply, with its configuration decompressed.
+
+    :param sent_ns: when the pull was sent: what the reply says is known as of then.
+    :param config: version 0 if the reply carries none.
+    """
+
+    sent_ns: int
+    reply: PullReply
+    config: CommittedValue
+
+
+class PullClient:
+    """One long-polling loop for each other control-plane node that is known."""
+
+    def __init__(self, node: ControlPlaneNode) -> None:
+        self._node = node
+        self._active: set[tuple[str, int]] = set()
+
+    def start_missing(self) -> None:
+        """Start to pull from each known voter, and from seeds that no known peer stands for."""
+        node = self._node
+        voters = [(peer.host, peer.port) for peer in node.cluster.peers.voters()]
+        for host, port in [*voters, *node.cluster.undiscovered_seeds(node.settings)]:
+            if (host, port) not in self._active and host != node.settings.ip:
+                self._active.add((host, port))
+                node.tasks.start(self.pull_from(host, port))
+
+    async def pull_from(self, host: str, port: int) -> None:
+        """Pull from one node until it is neither a known voter nor a seed."""
+        client = self._node.peer_clients.client(host, port)
+        successes, source = 0, ""  # the peer's incarnation, once it has replied
+        try:
+            while self._is_wanted(host):
+                pull = self._make_pull(source, with_peers=successes % PULLS_PER_SHUFFLE == 0)
+                had_lease = self._node.holds_lease()
+                try:
+                    pulled = await self._send(client, pull)
+                except (RequestError, ValueError) as error:
+                    retry_s = RETRY_S if self._node.holds_lease() else RETRY_WITHOUT_LEASE_S
+                    log.debug("pull from {}:{} failed: {}; retried in {:g} s", host, port, error, retry_s)
+                    await asyncio.sleep(retry_s)
+                    continue
+                successes += 1
+                source = pulled.reply.sender.incarnation
+                self._apply(pulled)
+                if self._node.holds_lease() and not had_lease:
+                    self._node.state_changed.notify_all()  # waiting proxies may get the configuration now
+                await self._wait_for_drain_writes(source)
+        finally:
+            self._active.discard((host, port))
+
+    def _is_wanted(self, host: str) -> bool:
+        is_voter = any(peer.host == host for peer in self._node.cluster.peers.voters())
+        return is_voter or any(seed == host for seed, _ in self._node.settings.seeds)
+
+    def _make_pull(self, source: str, with_peers: bool) -> PullRequest:
+        node, drain_log = self._node, self._node.drain_log
+        peers = node.cluster.peers
+        sample = (tuple(peers.shuffle_sample()[1:]) or (peers.local,)) if with_peers else ()
+        return PullRequest(
+            peers.local,
+            sample,
+            node.cluster.updates.remote_version_vector(),
+            node.committed.version,
+            MAX_WAIT_MS if drain_log.is_caught_up(source) else ACK_PENDING_MAX_WAIT_MS,
+            epoch_number=node.config_service.replica.acceptor.newest_epoch().number,
+            drain_acknowledgement=drain_log.acknowledgement(source),
+        )
+
+    async def _send(self, client: PeerClient, pull: PullRequest) -> PulledState:
+        """Send a pull.
+
+        :raises RequestError: no reply.
+        :raises ValueError: the reply is malformed.
+        """
+        sent_ns = now_ns()
+        reply = decode_pull_reply(await client.call(PULL_PATH, pull.encode(), REPLY_TIMEOUT_S))
+        version, compressed = reply.config or (0, b"")
+        value = await run_cooperatively(decompress_steps(compressed, MAX_CONFIG_BYTES)) if version else b""
+        return PulledState(sent_ns, reply, CommittedValue(version, value))
+
+    def _apply(self, pulled: PulledState) -> None:
+        node, reply, replica = self._node, pulled.reply, self._node.config_service.replica
+        node.cluster.apply_reply(now_ns(), reply)
+        now = now_ns()
+        if reply.epoch is not None:
+            replica.on_epoch(now, reply.epoch)
+        if reply.config is not None:
+            replica.on_committed_value(now, pulled.config, reply.decided_digests)
+        if reply.acceptor_state is not None:
+            replica.on_query_reply(now, pulled.sent_ns, reply.acceptor_state)
+        node.config_service.run_effects()
+
+    async def _wait_for_drain_writes(self, source: str) -> None:
+        is_caught_up = partial(self._node.drain_log.is_caught_up, source)
+        await self._node.drain_service.wait_until(is_caught_up, DRAIN_WRITE_WAIT_S)
--- a/meadowworks/controlplane/server.py
+++ b/meadowworks/controlplane/server.py
@@ -1,449 +1,178 @@
-"""The signalbox's process: its doors, its pulls of others' news, its clock."""
+"""The control plane's program: starts a node's servers and background work, and shuts them down in order."""
 
 from __future__ import annotations
 
 import asyncio
-import json
-import random
-import signal
-import sqlite3
-import tempfile
-import time
-from functools import partial
-from typing import Any
-from uuid import uuid4
 
-from meadowworks.consensus.register import CommittedValue
-from meadowworks.controlplane.api import BackendsResource, ConfigResource, build_routes
-from meadowworks.controlplane.config_service import ConfigService
-from meadowworks.controlplane.drain_service import DrainService, decode_rows
-from meadowworks.forwarding.memory_budget import MemoryBudget
-from meadowworks.gossip import messages as post
-from meadowworks.gossip.peer_sampling import PartialView, PeerRecord
-from meadowworks.gossip.updates import KeyUpdate, SourceDelta, UpdateStore
-from meadowworks.load_balancing.load_reports import LOAD_REPORT_PREFIX as FIGURES
-from meadowworks.load_balancing.load_reports import LoadReport
+from meadowworks.controlplane.api import Routes
+from meadowworks.controlplane.api_endpoint import ApiEndpoint
+from meadowworks.controlplane.backends_resource import BackendsResource
+from meadowworks.controlplane.config_resource import ConfigResource
+from meadowworks.controlplane.maintenance import INTERVAL_S, Maintenance
+from meadowworks.controlplane.node import ControlPlaneNode
+from meadowworks.controlplane.peer_endpoint import PeerEndpoint
+from meadowworks.controlplane.pull_client import PullClient
 from meadowworks.registry.backends import BackendDirectory
-from meadowworks.registry.drain_log import DrainLog
-from meadowworks.registry.heartbeats import BACKEND_KEY_PREFIX as BACKENDS
-from meadowworks.registry.heartbeats import HeartbeatRegistry
 from meadowworks.runtime import logging as logs
-from meadowworks.runtime.cooperative import compress_steps, decompress_steps, run_cooperatively
-from meadowworks.runtime.errors import RequestError, SettingsError
-from meadowworks.runtime.http_server import BodyError, HttpServer, RequestLimits, read_body, send_response
-from meadowworks.runtime.node_settings import NodeSettings, load_settings
-from meadowworks.runtime.peer_client import PeerClient
-from meadowworks.runtime.process import BackgroundTasks, now_ns, run_program
-from meadowworks.storage.sqlite_store import SqliteStore
-
-PULL_WAIT_MS, PULL_TIMEOUT_S = 500, 1.5  # that a pull may be held back, and is waited for
-MAX_PULL_WAIT_MS = 1000  # at most, whatever a puller asks for
-ACK_PENDING_PULL_WAIT_MS = 50  # that one is held back while a receipt is owed: it goes with the next
-DRAIN_WRITE_WAIT_S = 0.1  # that a receipt is waited for before the next pull goes without it
-PROXY_BATCHING_DELAY_S = (
-    0.15  # that news of backends gather in before a junction is told: each telling costs every junction
-)
-SUMMARY_INTERVAL_TICKS = 10  # seconds between the log's lines of counters
-MAX_BODY_BYTES = 64 << 20
-BODY_TIMEOUT_S = (
-    300.0  # that an operator's body may take: 7 MB over a line of 200 kbit/s; a part is waited for 30 s
-)
-BODY_MEMORY_RATIO = 0.25  # part of the memory that such bodies may take while they come
-SINGLE_BODY_MEMORY_RATIO = 0.1  # of it that one may have: its check takes four times its size beside it
-log = logs.get_logger("box")
+from meadowworks.runtime.background_tasks import BackgroundTasks
+from meadowworks.runtime.cluster_view import ClusterView
+from meadowworks.runtime.http_server import HttpServer, RequestLimits
+from meadowworks.runtime.live_settings import LiveSettings
+from meadowworks.runtime.node_settings import NodeSettings
+from meadowworks.runtime.process import run_program
+
+DISCOVERY_INTERVAL_S = 0.25  # after which pulls from peers that have become known begin
+MAX_HEADER_BYTES, HEADER_TIMEOUT_S, IDLE_TIMEOUT_S = 65536, 3.0, 30.0
+HAND_OVER_SHARE = 0.5  # of the grace period; the rest is left for calls under way
+MAX_FINISH_S, FINISH_SHARE = 1.5, 0.5  # for calls under way: so long, or this share of the grace period
+FINISH_POLL_INTERVAL_S = 0.05
+NS_PER_SECOND = 1e9
+log = logs.get_logger("control-plane")
 
 
 class ControlPlaneServer:
+    """One control-plane node as a program.
+
+    :param settings: the node's settings; SIGHUP reads them again.
+    :raises sqlite3.Error: the store of the node can't be opened.
+    """
+
     def __init__(self, settings: NodeSettings) -> None:
-        self.settings = settings
-        self.incarnation = f"{settings.node}.{uuid4().hex[:8]}"
-        card = PeerRecord(
-            settings.node,
-            settings.ip,
-            settings.peer_port,
-            settings.zone,
-            settings.voting,
-            self.incarnation,
-            int(time.time()),
-        )
-        self.known_peers = PartialView(card, random.getrandbits(32))
-        self.gossip = UpdateStore(self.incarnation)
-        self.gossip.update_listeners.append(self.on_update)
-        self.backends = BackendDirectory(lambda name: self.gossip.silence_ns(now_ns(), name), now_ns)
-        self.gossip.update_listeners.append(self.backends.on_update)
-        self.drain_log = DrainLog(self.incarnation)
-        self.gossip.update_listeners.append(lambda event: self.drain_log.on_update(now_ns(), event))
-        self.gossip.version_listeners.append(self.drain_log.on_version)
-        self.heartbeats = HeartbeatRegistry(
-            self.gossip.publish, settings.heartbeat_ms, self.drain_log.state, self.knows_backend
-        )
-        self.peer_clients: dict[tuple[str, int], PeerClient] = {}
-        self.pulled_addresses: set[tuple[str, int]] = set()
-        self.waiting_pulls: set[asyncio.Future[None]] = set()
-        self.zone_load_sums: dict[str, LoadReport] = {}
-        self.load_sums_since_ns = now_ns()
-        self.tick_count = 0
-        self.shutting_down = False
-        folder = settings.data_dir or tempfile.mkdtemp(prefix="meadowworks-")
+        self._live_settings = LiveSettings(settings)
         self.tasks = BackgroundTasks()
-        self.config_service = ConfigService(
-            settings, SqliteStore(folder), self.peer_client, self.on_commit, self.tasks
-        )
-        self.stored_backends = self.config_service.store.load_backend_hints()
-        self.drain_service = DrainService(
-            self.drain_log, self.config_service.store, self.config_service.disk_executor, self.tasks.start
-        )
-        fenced = decode_rows(self.config_service.store.load_drain_records())
-        self.drain_log.restore(now_ns(), fenced)
-        self.heartbeats.restore(now_ns(), fenced | decode_rows(self.stored_backends))
-        self.backends_resource = BackendsResource(
-            self.heartbeats,
-            self.drain_service,
-            self.is_durable,
-            self.api_addresses_in_zone_of,
-            self.holds_lease,
-        )
-        self.api_routes = build_routes(self.backends_resource, ConfigResource(self.config_service))
+        self.node = ControlPlaneNode(self._live_settings, self.tasks)
+        self.pull_client = PullClient(self.node)
+        self.maintenance = Maintenance(self.node)
+        self.peer_endpoint = PeerEndpoint(self.node)
         self.peer_server = HttpServer(
-            self.handle_peer_request, RequestLimits(65536, 3.0, 30.0), incarnation=self.incarnation
-        )
-        self.body_memory = MemoryBudget(int(settings.memory_mb * 1e6 * BODY_MEMORY_RATIO))
-        self.compressed_config: tuple[int, bytes] = (
-            0,
-            b"",
-        )  # the version held and its configuration, compressed
-        self.compression: tuple[int, asyncio.Task[bytes]] | None = None
-        self.api_server = HttpServer(self.handle_api_request, RequestLimits(65536, 3.0, 30.0))
-
-    def peer_client(self, host: str, port: int) -> PeerClient:
-        return self.peer_clients.setdefault((host, port), PeerClient(host, port))
-
-    def knows_backend(self, backend_id: str) -> bool:
-        """Whether anyone has spoken of a backend."""
-        return self.backends.is_known(backend_id) or backend_id in self.drain_log.records
-
-    def is_durable(self, version: int) -> bool:
-        """Of the epoch's members: whoever else may vote may be gone for good tomorrow."""
-        members = self.config_service.replica.acceptor.newest_epoch().members
-        hosts = {address.rpartition(":")[0] for _, address in members} - {self.settings.ip}
-        return self.drain_log.is_replicated(
-            version, hosts, self.settings.tolerated_failures, self.config_service.replica.acceptor.may_vote()
+            self.peer_endpoint, request_limits(), incarnation=self.node.cluster.incarnation
         )
-
-    def api_addresses_in_zone_of(self, backend_id: str) -> list[str]:
-        """Ctl addresses of signalboxes in a backend's zone, if this one is of another; ports are alike."""
-        life = self.heartbeats.registrations.get(backend_id)
-        if life is None or life.zone == self.settings.zone:
-            return []
-        hosts = [c.host for c in self.known_peers.voters(now_ns()) if c.zone == life.zone]
-        return [f"{host}:{self.settings.bind['ctl'][1]}" for host in hosts]
-
-    # -- what wakes a pull
-
-    def on_update(self, event: KeyUpdate) -> None:
-        if event.key.startswith(BACKENDS):
-            self.wake_waiting_pulls()
-
-    def on_commit(self, value: CommittedValue) -> None:
-        self.wake_waiting_pulls()
-
-    def wake_waiting_pulls(self) -> None:
-        waiting, self.waiting_pulls = self.waiting_pulls, set()
-        for one in waiting:
-            if not one.done():
-                one.set_result(None)
-
-    # -- the inner door
-
-    async def handle_peer_request(self, scope: Any, receive: Any, send: Any) -> None:
-        body = await read_body(receive, MAX_BODY_BYTES)
-        if isinstance(body, BodyError):
-            return await send_response(send, 413)
-        try:
-            match scope["path"]:
-                case "/pull":
-                    return await send_response(
-                        send, 200, await self.handle_pull(post.decode_pull_request(body)), []
-                    )
-                case "/letter":
-                    return await send_response(send, 200, await self.config_service.handle_request(body), [])
-                case "/status":
-                    return await send_response(send, 200, json.dumps(self.status()).encode())
-        except post.DECODE_ERRORS as trouble:
-            log.warning("a call without sense: {}", trouble)
-            return await send_response(send, 400)
-        except sqlite3.Error as trouble:
-            log.warning("the disk refuses: {}", trouble)
-            return await send_response(send, 503)
-        await send_response(send, 404)
-
-    async def handle_pull(self, pull: post.PullRequest) -> bytes:
-        now = now_ns()
-        self.known_peers.merge(now, [pull.sender, *pull.peers])
-        self.record_acknowledgement(pull)
-        if pull.load_report:
-            self.zone_load_sums.setdefault(pull.sender.zone, LoadReport()).merge(pull.load_report)
-        end = asyncio.get_running_loop().time() + min(pull.max_wait_ms, MAX_PULL_WAIT_MS) / 1000
-        pieces = self.gossip.deltas_since(pull.version_vector, pull.sender.incarnation)
-        while not self.must_reply_now(pieces, pull):
-            if (left := end - asyncio.get_running_loop().time()) <= 0:
-                break
-            waiting: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-            self.waiting_pulls.add(waiting)
-            await asyncio.wait([waiting], timeout=left)
-            self.waiting_pulls.discard(waiting)
-            if (
-                not pull.sender.is_voter
-                and self.committed.version <= pull.config_version
-                and not self.shutting_down
-            ):
-                await asyncio.sleep(
-                    min(PROXY_BATCHING_DELAY_S, max(0.0, end - asyncio.get_running_loop().time()))
-                )
-            pieces = self.gossip.deltas_since(pull.version_vector, pull.sender.incarnation)
-        while self.needs_config(pull) and self.compressed_config[0] != self.committed.version:
-            await self.compress_config()
-        sure, acceptor = self.holds_lease(), self.config_service.replica.acceptor
-        table = self.compressed_config if self.needs_config(pull) else None
-        cards = tuple(self.known_peers.shuffle_sample()[1:]) if pull.peers else ()
-        known = self.known_peers.peers.get(pull.sender.host)
-        if known is not None and known.record.heartbeat > pull.sender.heartbeat:
-            cards = (*cards, known.record)  # its last life's: it will raise its own above that
-        if pull.epoch_number is None:
-            return post.PullReply(self.known_peers.local, cards, tuple(pieces), sure, table).encode()
-        newer = acceptor.installed and acceptor.epoch.number > pull.epoch_number
-        return post.PullReply(
-            self.known_peers.local,
-            cards,
-            tuple(pieces),
-            sure,
-            table,
-            acceptor.query_reply(),
-            acceptor.epoch if newer else None,
-            acceptor.digest_history() if table else (),
-        ).encode()
-
-    async def compress_config(self) -> None:
-        """Compresses the configuration held, once for all who lack it."""
-        held = self.committed
-        if self.compression is None or self.compression[0] != held.version:
-            self.compression = held.version, self.tasks.start(run_cooperatively(compress_steps(held.value)))
-        version, task = self.compression
-        self.compressed_config = version, await asyncio.shield(task)
+        self.api_endpoint = ApiEndpoint(self._api_routes(), self._live_settings)
+        self.api_server = HttpServer(self.api_endpoint, request_limits())
 
     @property
-    def committed(self) -> CommittedValue:
-        return self.config_service.replica.acceptor.committed
+    def settings(self) -> NodeSettings:
+        """The settings in force."""
+        return self._live_settings.current
 
-    def needs_config(self, pull: post.PullRequest) -> bool:
-        """Whether the asker is to be given the configuration. What is chosen is so for good, and signalboxes
-        tell each other at once; to a junction nothing is handed out without a lease: it may be old."""
-        return self.committed.version > pull.config_version and (
-            pull.epoch_number is not None or self.holds_lease()
-        )
-
-    def record_acknowledgement(self, pull: post.PullRequest) -> None:
-        """What another disk has of the own drains. A card older than what is known of its host is its last
-        life's, whose receipts say nothing of the disk that is there now."""
-        known = self.known_peers.peers.get(pull.sender.host)
-        if (
-            pull.drain_acknowledgement is not None
-            and pull.sender.is_voter
-            and known is not None
-            and known.record.incarnation == pull.sender.incarnation
-        ):
-            self.drain_log.on_acknowledgement(pull.sender.host, *pull.drain_acknowledgement)
-            self.drain_service.notify_waiters()
+    @property
+    def cluster(self) -> ClusterView:
+        """What the node knows of peers and backends."""
+        return self.node.cluster
 
-    def must_reply_now(self, updates: list[SourceDelta], pull: post.PullRequest) -> bool:
-        return (
-            self.shutting_down
-            or self.needs_config(pull)
-            or self.incarnation
-            not in pull.version_vector  # the asker has never heard of this life: it is in touch at once
-            or any(key.startswith(BACKENDS) for p in updates for _, key, _ in p.changes)
-        )
+    @property
+    def backends(self) -> BackendDirectory:
+        """The backends that any node reports."""
+        return self.node.cluster.backends
 
     def holds_lease(self) -> bool:
-        """Whether what is held here is new: this signalbox has its lease."""
-        return not self.shutting_down and self.config_service.replica.holds_lease(now_ns())
+        """Whether the node may answer for the control plane."""
+        return self.node.holds_lease()
 
-    # -- pulls of others' news
+    def reload_settings(self) -> None:
+        """Read the settings again, of which the seeds may have changed."""
+        self._live_settings.reload()
 
-    async def pull_from(self, host: str, port: int) -> None:
-        """Pulls from one signalbox until it is no longer known."""
-        peer, turn, source = self.peer_client(host, port), 0, ""
+    async def serve(self, shutdown_requested: asyncio.Future[None]) -> None:
+        """Run the node until its shutdown is requested and done.
+
+        :raises OSError: an address can't be listened on.
+        :raises sqlite3.Error: the store refuses the first write.
+        :raises InvariantError: the node's state can't be trusted any more.
+        """
+        self._live_settings.reload_on_sighup()
         try:
-            while any(c.host == host for c in self.known_peers.voters()) or self.is_seed(host):
-                cards = tuple(self.known_peers.shuffle_sample()[1:]) if turn % 5 == 0 else ()
-                pull = post.PullRequest(
-                    self.known_peers.local,
-                    cards or (self.known_peers.local,) if turn % 5 == 0 else (),
-                    self.gossip.remote_version_vector(),
-                    self.committed.version,
-                    PULL_WAIT_MS if self.drain_log.is_caught_up(source) else ACK_PENDING_PULL_WAIT_MS,
-                    epoch_number=self.config_service.replica.acceptor.newest_epoch().number,
-                    drain_acknowledgement=self.drain_log.acknowledgement(source),
-                )
-                asked, sure = now_ns(), self.holds_lease()
-                try:
-                    news = post.decode_pull_reply(await peer.call(b"/pull", pull.encode(), PULL_TIMEOUT_S))
-                    version, packed = news.config or (0, b"")
-                    held = CommittedValue(
-                        version,
-                        await run_cooperatively(decompress_steps(packed, MAX_BODY_BYTES)) if version else b"",
-                    )
-                except (RequestError, ValueError) as trouble:
-                    log.debug("no news: {}", trouble)
-                    await asyncio.sleep(0.2 if self.holds_lease() else 0.05)
-                    continue
-                turn += 1
-                now = now_ns()
-                self.known_peers.merge(now, [news.sender, *news.peers])
-                for piece in news.deltas:
-                    self.gossip.apply(now, piece)
-                source = news.sender.incarnation
-                replica, now = self.config_service.replica, now_ns()
-                if news.epoch is not None:
-                    replica.on_epoch(now, news.epoch)
-                if news.config is not None:
-                    replica.on_committed_value(now, held, news.decided_digests)
-                if news.acceptor_state is not None:
-                    replica.on_query_reply(now, asked, news.acceptor_state)
-                self.config_service.run_effects()
-                if self.holds_lease() and not sure:
-                    self.wake_waiting_pulls()  # whoever waits for a table may have it now
-                await self.drain_service.wait_until(
-                    partial(self.drain_log.is_caught_up, source), DRAIN_WRITE_WAIT_S
-                )
+            await self._start()
+            await self.tasks.wait_for_shutdown(shutdown_requested)
+            await self._shut_down()
         finally:
-            self.pulled_addresses.discard((host, port))
-
-    def is_seed(self, host: str) -> bool:
-        return any(host == seed for seed, _ in self.settings.seeds)
-
-    def start_pulls(self) -> None:
-        """Begins to pull from each signalbox that is known, and from seeds that nobody speaks for."""
-        at = [(c.host, c.port) for c in self.known_peers.voters()]
-        for address in [
-            *at,
-            *self.known_peers.undiscovered_seeds(self.settings.seeds, self.settings.peer_port),
-        ]:
-            if address not in self.pulled_addresses and address[0] != self.settings.ip:
-                self.pulled_addresses.add(address)
-                self.tasks.start(self.pull_from(*address))
-
-    # -- from time to time
-
-    async def run_maintenance(self) -> None:
-        self.tick()
-        kept = {ident: post.encode(value) for ident, value in self.heartbeats.durable_values().items()}
-        if kept.keys() != self.stored_backends.keys():
-            await asyncio.get_running_loop().run_in_executor(
-                self.config_service.disk_executor, self.config_service.store.save_backend_hints, kept
-            )
-            self.stored_backends = kept
-
-    def tick(self) -> None:
-        now = now_ns()
-        self.known_peers.advance_heartbeat()
-        self.known_peers.expire(now)
-        self.gossip.expire_sources(now)
-        self.heartbeats.tick(now)
-        self.backends.refresh_all()
-        self.drain_log.tick(now, self.backends.is_draining_or_gone, self.gossip.sources)
-        self.drain_service.start_pending_write()
-        self.backends.changed_ids.clear()
-        self.tick_count += 1
-        if self.tick_count % SUMMARY_INTERVAL_TICKS == 0:
-            log.info(
-                "sure {}, {} members, {} lives call here, {} known",
-                self.holds_lease(),
-                len(self.known_peers.peers),
-                len(self.heartbeats.registrations),
-                len(self.backends.instances),
+            self.close()
+
+    def close(self) -> None:
+        """Stop at once, but for a write to the disk that is under way."""
+        self.peer_server.close()
+        self.api_server.close()
+        self.tasks.close()
+        self.node.close()
+
+    def _api_routes(self) -> Routes:
+        node = self.node
+        backends = BackendsResource(
+            node.heartbeats,
+            node.drain_service,
+            node.is_durable,
+            node.api_addresses_in_zone_of,
+            node.holds_lease,
+        )
+        return {**backends.routes(), **ConfigResource(node.config_service).routes()}
+
+    async def _start(self) -> None:
+        """Open the peer port first: the API opens once the node's incarnation is on the disk."""
+        settings = self.settings
+        await self.peer_server.listen(settings.ip, settings.peer_port)
+        await self.node.config_service.start()
+        host, port = settings.bind["ctl"]
+        await self.api_server.listen(host, port)
+        log.info(
+            "{} is up: API on {}:{}, peers on {}:{}",
+            settings.node,
+            host,
+            port,
+            settings.ip,
+            settings.peer_port,
+        )
+        self.pull_client.start_missing()
+        self.tasks.start(self.tasks.run_periodically(INTERVAL_S, self.maintenance.run))
+        self.tasks.start(self.tasks.run_periodically(DISCOVERY_INTERVAL_S, self.pull_client.start_missing))
+
+    async def _shut_down(self) -> None:
+        grace_s = self.settings.bounds.grace_s
+        deadline_s = asyncio.get_running_loop().time() + min(MAX_FINISH_S, grace_s * FINISH_SHARE)
+        log.info("shutdown requested; handing the state over to the other members")
+        self._refuse_new_work()
+        await self._hand_over(grace_s * HAND_OVER_SHARE)
+        await self._finish_calls(deadline_s)
+
+    def _refuse_new_work(self) -> None:
+        """Give up the lease, and answer waiting pulls so that proxies turn to another node."""
+        self.node.shutting_down = True
+        self.api_server.drain()
+        self.node.state_changed.notify_all()
+
+    async def _hand_over(self, timeout_s: float) -> None:
+        """Hand over what only this disk holds, while the others still hear of it."""
+        if await self.node.config_service.hand_over(int(timeout_s * NS_PER_SECOND)):
+            log.info("hand-over done: the other members hold everything that this node has acknowledged")
+        else:
+            log.warning(
+                "hand-over not done within {:g} s, no majority answered: keep this node's datadir until the "
+                "other members hold a lease",
+                timeout_s,
             )
-        self.gossip.publish("pulse", self.tick_count)
-        covers_ms = (now - self.load_sums_since_ns) // 1_000_000
-        self.load_sums_since_ns = now
-        for zone, sums in self.zone_load_sums.items():
-            if sums or self.gossip.sources[self.incarnation].entries.get(FIGURES + zone, (0, None))[1]:
-                self.gossip.publish(FIGURES + zone, [covers_ms, *sums.pack()] if sums else None)
-        self.zone_load_sums = {zone: LoadReport() for zone in self.zone_load_sums}
-
-    def status(self) -> dict[str, Any]:
-        return {
-            "node": self.settings.node,
-            **self.config_service.replica.status(now_ns()),
-            "members": [
-                [k.record.name, k.record.host, k.record.zone, k.record.is_voter, k.record.heartbeat]
-                for k in self.known_peers.peers.values()
-            ],
-            "sources": self.gossip.version_vector(),
-            "backends": self.backends.summary(),
-        }
+        self.peer_server.drain()
+        self.node.state_changed.notify_all()
 
-    # -- the outer door
-
-    async def handle_api_request(self, scope: Any, receive: Any, send: Any) -> None:
-        most = min(MAX_BODY_BYTES, int(self.settings.memory_mb * 1e6 * SINGLE_BODY_MEMORY_RATIO))
-        body = await read_body(receive, most, self.body_memory, BODY_TIMEOUT_S)
-        if isinstance(body, BodyError):
-            return await send_response(
-                send, {BodyError.TOO_LARGE: 413, BodyError.OUT_OF_MEMORY: 503}.get(body, 408)
-            )
-        name, _, ident = scope["path"].removeprefix("/api/").partition("/")
-        act = self.api_routes.get((scope["method"], name))
-        if act is None or not scope["path"].startswith("/api/"):
-            return await send_response(send, 404, b'{"err":"there is no such call"}')
-        try:
-            found = await act(ident, body)
-        except sqlite3.Error as trouble:
-            log.warning("the disk refuses: {}", trouble)
-            return await send_response(send, 503, b'{"err":"the disk refuses"}')
-        headers = [(b"content-type", b"application/json")]
-        if found.retry_after_s:
-            headers.append((b"retry-after", f"{found.retry_after_s:g}".encode()))
-        await send_response(send, found.status, found.body, headers)
+    async def _finish_calls(self, deadline_s: float) -> None:
+        loop = asyncio.get_running_loop()
+        while loop.time() < deadline_s and (
+            self.api_server.pending_count() or self.peer_server.pending_count()
+        ):
+            await asyncio.sleep(FINISH_POLL_INTERVAL_S)
 
-    def reload_settings(self) -> None:
-        """Reads the settings again: the seeds may be others now."""
-        try:
-            self.settings = load_settings()
-        except SettingsError as trouble:
-            log.warning("settings not taken, the old ones stand: {}", trouble)
 
-    async def serve(self, shutdown_requested: asyncio.Future[None]) -> None:
-        asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, self.reload_settings)
-        inner, ctl = self.peer_server, self.api_server
-        await inner.listen(self.settings.ip, self.settings.peer_port)
-        await self.config_service.start()
-        await ctl.listen(*self.settings.bind["ctl"])
-        log.info("{} serves", self.settings.node)
-        self.start_pulls()
-        self.tasks.start(self.tasks.run_periodically(1.0, self.run_maintenance))
-        self.tasks.start(self.tasks.run_periodically(0.25, self.start_pulls))
-        await asyncio.wait([shutdown_requested, self.tasks.fatal_error], return_when=asyncio.FIRST_COMPLETED)
-        if self.tasks.fatal_error.done():
-            self.tasks.fatal_error.result()
-        log.info("told to end")
-        self.shutting_down = True
-        loop = asyncio.get_running_loop()
-        start, grace_s = loop.time(), self.settings.bounds.grace_s
-        ctl.drain()
-        self.wake_waiting_pulls()
-        # What stands here alone is handed over before the others hear no more of this disk.
-        handed = await self.config_service.hand_over(int(grace_s / 2 * 1e9))
-        log.info("handed over: {}", type(handed).__name__)
-        inner.drain()
-        self.wake_waiting_pulls()
-        while loop.time() < start + min(1.5, grace_s / 2) and (ctl.pending_count() or inner.pending_count()):
-            await asyncio.sleep(0.05)
+def request_limits() -> RequestLimits:
+    """Return the limits of a server's requests; each server has its own."""
+    return RequestLimits(MAX_HEADER_BYTES, HEADER_TIMEOUT_S, IDLE_TIMEOUT_S)
 
 
 async def serve(settings: NodeSettings, shutdown_requested: asyncio.Future[None]) -> None:
+    """Run one node until its shutdown is requested."""
     await ControlPlaneServer(settings).serve(shutdown_requested)
 
 
 def main() -> int:
+    """Run the program.
+
+    :returns: the exit code.
+    """
     return run_program(serve)
--- a/tests/gateway/golden_product.py
+++ b/tests/gateway/golden_product.py
@@ -27,8 +27,8 @@
     encode_member_list,
     load_acceptor,
 )
-from meadowworks.controlplane import config_service as office
-from meadowworks.controlplane import drain_service as fencing
+from meadowworks.controlplane import consensus_envelope
+from meadowworks.controlplane.drain_service import decode_rows
 from meadowworks.controlplane.server import ControlPlaneServer
 from meadowworks.fleet import messages
 from meadowworks.gossip import messages as post
@@ -161,15 +161,17 @@
 
 
 def compressed_letter(letter: Any) -> bytes:
-    return asyncio.run(office.encode_message(letter))
+    return asyncio.run(consensus_envelope.compress_message(letter))
 
 
 def decode_request(body: bytes) -> tuple[int, Any]:
-    return office.decode_request(body)
+    envelope = consensus_envelope.decode_request(body)
+    return envelope.request_id, envelope.request
 
 
 def decode_reply(body: bytes) -> tuple[int, str, Any]:
-    return office.decode_reply(body)
+    envelope = consensus_envelope.decode_reply(body)
+    return envelope.request_id, envelope.member_id, envelope.reply
 
 
 def encode_pull(pull: Any) -> bytes:
@@ -309,10 +311,10 @@
         return dict(self.disk.load().slots)
 
     def lives(self) -> dict[str, Any]:
-        return fencing.decode_rows(self.disk.load_backend_hints())
+        return decode_rows(self.disk.load_backend_hints())
 
     def fences(self) -> dict[str, Any]:
-        return fencing.decode_rows(self.disk.load_drain_records())
+        return decode_rows(self.disk.load_drain_records())
 
     def write(
         self,
@@ -388,6 +390,12 @@
         self.sent: list[tuple[bytes, bytes]] = []
         self.first = asyncio.Event()
 
+    def client(self, host: str, port: int) -> Recorder:
+        return self
+
+    def close(self) -> None:
+        pass
+
     async def call(self, path: bytes, body: bytes, wait_s: float) -> bytes:
         self.sent.append((path, body))
         self.first.set()
@@ -404,20 +412,22 @@
 
 async def started_signalbox(settings: Any) -> ControlPlaneServer:
     box = make_signalbox(settings)
-    await box.config_service.start()
+    await box.node.config_service.start()
     return box
 
 
 def identity(program: Any) -> tuple[str, str]:
     """The names of its life, and of its disk, which are drawn anew at each start."""
-    service = getattr(program, "config_service", None)
-    return program.incarnation, service.replica.acceptor.member_id if service else "none"
+    incarnation = getattr(program, "cluster", program).incarnation
+    if not isinstance(program, ControlPlaneServer):
+        return incarnation, "none"
+    return incarnation, program.node.config_service.replica.acceptor.member_id
 
 
 def stop_signalbox(box: ControlPlaneServer) -> None:
     for task in box.tasks.running:
         task.cancel()
-    box.config_service.close()
+    box.node.close()
 
 
 async def sent_letter(
@@ -425,16 +435,16 @@
 ) -> tuple[bytes, bytes]:
     """The path and the body under which a signalbox sends a request."""
     recorder = Recorder()
-    box.config_service.peer_client = lambda host, port: recorder  # type: ignore[assignment,return-value]
-    await box.config_service.send_request(SendRequest(question, address, request))
+    box.node.config_service.peer_clients = recorder
+    await box.node.config_service.send_request(SendRequest(question, address, request))
     (found,) = recorder.sent
     return found
 
 
 async def sent_pull_of_signalbox(box: ControlPlaneServer, host: str, port: int) -> tuple[bytes, bytes]:
     recorder = Recorder()
-    box.peer_client = lambda host, port: recorder  # type: ignore[assignment,method-assign,return-value]
-    pulls = box.tasks.start(box.pull_from(host, port))
+    box.node.peer_clients = recorder  # type: ignore[assignment]
+    pulls = box.tasks.start(box.pull_client.pull_from(host, port))
     await recorder.first.wait()
     pulls.cancel()
     return recorder.sent[0]
@@ -452,9 +462,9 @@
 def turn(box: ControlPlaneServer, figures: Mapping[str, bytes]) -> dict[str, Any]:
     """What a signalbox says in its turn of a second, given what junctions of zones have told."""
     for zone, body in figures.items():
-        box.zone_load_sums.setdefault(zone, LoadReport()).merge(post.decode(body))
-    box.tick()
-    entries = box.gossip.sources[box.incarnation].entries
+        box.node.zone_loads.add(zone, post.decode(body))
+    box.maintenance.tick()
+    entries = box.cluster.updates.sources[box.cluster.incarnation].entries
     return {key: value for key, (_, value) in entries.items()}
 
 
@@ -469,18 +479,18 @@
 def signalbox_learns(
     box: ControlPlaneServer, cards: list[Any], configuration: bytes, said: Mapping[str, Any]
 ) -> None:
-    box.known_peers.merge(0, cards)
-    box.config_service.replica.on_committed_value(0, Held(7, configuration))
+    box.cluster.peers.merge(0, cards)
+    box.node.config_service.replica.on_committed_value(0, Held(7, configuration))
     for key, value in said.items():
-        box.gossip.notify_update(KeyUpdate("source", key, value))
+        box.cluster.updates.notify_update(KeyUpdate("source", key, value))
 
 
 def inner_door(program: Any) -> Any:
-    return program.handle_peer_request if isinstance(program, ControlPlaneServer) else program.handle_internal
+    return program.peer_endpoint if isinstance(program, ControlPlaneServer) else program.handle_internal
 
 
 def control_door(box: ControlPlaneServer) -> Any:
-    return box.handle_api_request
+    return box.api_endpoint
 
 
 # -- calls between programs, as bytes on a socket
--- a/tests/gateway/test_fleet.py
+++ b/tests/gateway/test_fleet.py
@@ -70,7 +70,7 @@
                 for caller in list(found.server_state.connections):
                     caller.transport.abort()
         if place < self.plan.control_plane_nodes:
-            node.config_service.close()
+            node.node.close()
 
     async def begin(self) -> None:
         for place in range(self.plan.control_plane_nodes + self.plan.proxies):
@@ -215,7 +215,7 @@
         await fleet.kill(0)
         shutil.rmtree(fleet.folder / "disk-0")
         await fleet.start(0, bootstrap=False)
-        acceptor = fleet.nodes[0].config_service.replica.acceptor
+        acceptor = fleet.nodes[0].node.config_service.replica.acceptor
         request = PrepareRequest(1, 9, Ballot(1, 1, "x"))  # it may not vote on what it knows nothing of
         assert not acceptor.may_vote() and isinstance(acceptor.handle(request), NotAMemberReply)
         await until(
@@ -228,7 +228,7 @@
 
 @then("it enters anew and reads back what was acknowledged")
 def entered(fleet: Fleet) -> None:
-    epoch = fleet.nodes[0].config_service.replica.acceptor.epoch
+    epoch = fleet.nodes[0].node.config_service.replica.acceptor.epoch
     assert epoch.number > 1 and len(epoch.members) == 3
     assert fleet.run(fleet.read(0)) == json.loads(build_configuration(14, ROUTES))
 
@@ -357,7 +357,7 @@
         backend.assigned_address = None
         assert await backend.send_heartbeat(second) == 0 and await backend.send_heartbeat(first) == 200
         # Its card is fresh yet, but it has failed one that was sent there.
-        assert [c.host for c in fleet.nodes[0].known_peers.voters()].count(
+        assert [c.host for c in fleet.nodes[0].cluster.peers.voters()].count(
             second[0]
         ) and backend.assigned_address is None
 
--- a/tests/gateway/test_roster.py
+++ b/tests/gateway/test_roster.py
@@ -7,13 +7,14 @@
 import shutil
 import sqlite3
 from collections.abc import Callable, Coroutine
-from concurrent.futures import ThreadPoolExecutor
 from pathlib import Path
 from typing import Any
 
 import pytest
 
-from meadowworks.controlplane.api import ApiReply, BackendsResource
+from meadowworks.controlplane.api import ApiReply, ApiRequest
+from meadowworks.controlplane.async_store import AsyncStore
+from meadowworks.controlplane.backends_resource import BackendsResource
 from meadowworks.controlplane.drain_service import DrainService, decode_rows
 from meadowworks.gossip.updates import KeyUpdate, UpdateStore
 from meadowworks.registry.backends import BackendDirectory
@@ -347,7 +348,7 @@
     def __init__(self, folder: Path, box: Box) -> None:
         self.box, self.disk = box, SqliteStore(folder)
         self.lease, self.zone = True, list[str]()
-        self.fencing = DrainService(box.fences, self.disk, ThreadPoolExecutor(1), asyncio.ensure_future)
+        self.fencing = DrainService(box.fences, AsyncStore(self.disk), asyncio.ensure_future)
 
         def kept(version: int) -> bool:
             return box.fences.is_replicated(version, ["b"], 1, True)
@@ -357,7 +358,7 @@
         )
 
     def beat(self, ident: str, state: str, calls: int) -> Coroutine[Any, Any, ApiReply]:
-        return self.backends.heartbeat(ident, json.dumps(beat(state, calls)).encode())
+        return self.backends.heartbeat(ApiRequest(ident, json.dumps(beat(state, calls)).encode()))
 
     def receipt(self, version: int) -> None:
         self.box.fences.on_acknowledgement("b", "a.1", version)
@@ -418,20 +419,22 @@
         began = loop.time()
         for found in (
             await desk.beat("i", "draining", 2),
-            await desk.backends.leave("i", b""),
-            await desk.backends.leave("unknown", b""),
+            await desk.backends.leave(ApiRequest("i", b"")),
+            await desk.backends.leave(ApiRequest("unknown", b"")),
         ):
             assert found.status == 503 and 0 < found.retry_after_s < 1
         assert loop.time() - began < 0.3
         desk.receipt(99)
         await until(lambda: desk.box.fences.is_caught_up("a.1"), "it is on the own disk")
-        assert (await desk.backends.leave("i", b"")).status == 200  # what is on enough disks needs no lease
+        assert (
+            await desk.backends.leave(ApiRequest("i", b""))
+        ).status == 200  # what is on enough disks needs no lease
         desk.lease = True
         assert json.loads((await desk.beat("j", "up", 1)).body) == {"beatUrl": "10.0.0.2:80"}
         assert await desk.beat("j", "up", 2) == ApiReply(200)  # that address has failed it
         desk.zone = ["h" * 5000]
         assert (await desk.beat("k", "up", 1)).body == b"{}"  # larger than an acknowledgement may be
-        assert (await desk.backends.leave("unknown", b"")).status == 200
+        assert (await desk.backends.leave(ApiRequest("unknown", b""))).status == 200
         began = loop.time()
         desk.box.fences.acknowledged_versions.clear()
         assert (await desk.beat("m", "draining", 1)).status == 503 and loop.time() - began < 0.95
@@ -442,7 +445,7 @@
 @pytest.mark.parametrize("body", [b"", b"[]", b"{}", b"{" * 99999, b'{"details":[],"status":7}'])
 def test_a_beat_without_sense_is_one_short_refusal(tmp_path: Path, body: bytes) -> None:
     async def whole() -> None:
-        found = await Desk(tmp_path / "d", Box("a")).backends.heartbeat("i", body)
+        found = await Desk(tmp_path / "d", Box("a")).backends.heartbeat(ApiRequest("i", body))
         assert found.status == 400 and len(found.body) < 300
 
     run(whole)
