--- a/meadowworks/controlplane/api_endpoint.py
+++ b/meadowworks/controlplane/api_endpoint.py
@@ -8,8 +8,9 @@
 from meadowworks.forwarding.memory_budget import MemoryBudget
 from meadowworks.runtime import logging as logs
 from meadowworks.runtime.asgi import Receive, Scope, Send
-from meadowworks.runtime.http_server import BodyError, read_body, send_response
 from meadowworks.runtime.live_settings import LiveSettings
+from meadowworks.runtime.request_body import BodyError, read_body
+from meadowworks.runtime.response_writer import send_response
 
 PATH_PREFIX = "/api/"
 MAX_BODY_BYTES = 64 << 20
--- a/meadowworks/controlplane/compressed_config.py
+++ b/meadowworks/controlplane/compressed_config.py
@@ -5,9 +5,10 @@
 import asyncio
 from dataclasses import dataclass
 
-from meadowworks.consensus.register import CommittedValue
+from meadowworks.consensus.values import CommittedValue
 from meadowworks.runtime.background_tasks import BackgroundTasks
-from meadowworks.runtime.cooperative import compress_steps, run_cooperatively
+from meadowworks.runtime.compression import compress_steps
+from meadowworks.runtime.cooperative import run_cooperatively
 
 
 @dataclass(frozen=True, slots=True)
--- a/meadowworks/controlplane/config_service.py
+++ b/meadowworks/controlplane/config_service.py
@@ -13,7 +13,8 @@
 from typing import Protocol
 from uuid import uuid4
 
-from meadowworks.consensus.register import CommittedValue, Reply, Request
+from meadowworks.consensus.messages import Reply, Request
+from meadowworks.consensus.metadata import load_acceptor
 from meadowworks.consensus.replica import (
     LEAVE_WAITER_ID,
     Committed,
@@ -27,8 +28,8 @@
     SendRequest,
     Undecided,
     ValueCommitted,
-    load_acceptor,
 )
+from meadowworks.consensus.values import CommittedValue
 from meadowworks.controlplane import consensus_envelope
 from meadowworks.controlplane.async_store import AsyncStore
 from meadowworks.gossip.messages import DECODE_ERRORS, MalformedMessageError
--- a/meadowworks/controlplane/consensus_envelope.py
+++ b/meadowworks/controlplane/consensus_envelope.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from meadowworks.consensus import register
-from meadowworks.consensus.register import Reply, Request
+from meadowworks.consensus import codec
+from meadowworks.consensus.messages import Reply, Request
 from meadowworks.gossip import messages
 
 INLINE_COMPRESSION_MAX_BYTES = 4096  # a body this small isn't worth the hand-over to a thread
@@ -37,7 +37,7 @@
 
 async def compress_message(message: Request | Reply) -> bytes:
     """Encode and compress a message; one that is large beside the event loop."""
-    body = messages.encode(register.encode(message))
+    body = messages.encode(codec.encode(message))
     if len(body) <= INLINE_COMPRESSION_MAX_BYTES:
         return zlib.compress(body, COMPRESSION_LEVEL)
     return await asyncio.get_running_loop().run_in_executor(None, zlib.compress, body, COMPRESSION_LEVEL)
@@ -73,6 +73,6 @@
 
 def _decompress_message(compressed: bytes) -> Any:
     try:
-        return register.decode(messages.decode(zlib.decompress(compressed)))
+        return codec.decode(messages.decode(zlib.decompress(compressed)))
     except zlib.error as error:
         raise messages.MalformedMessageError(f"not a consensus message: {error}") from None
--- a/meadowworks/controlplane/node.py
+++ b/meadowworks/controlplane/node.py
@@ -4,7 +4,7 @@
 
 import tempfile
 
-from meadowworks.consensus.register import CommittedValue
+from meadowworks.consensus.values import CommittedValue
 from meadowworks.controlplane.async_store import AsyncStore
 from meadowworks.controlplane.config_service import ConfigService, create_replica
 from meadowworks.controlplane.drain_service import DrainService, decode_rows
--- a/meadowworks/controlplane/peer_endpoint.py
+++ b/meadowworks/controlplane/peer_endpoint.py
@@ -11,7 +11,8 @@
 from meadowworks.gossip.messages import DECODE_ERRORS, decode_pull_request
 from meadowworks.runtime import logging as logs
 from meadowworks.runtime.asgi import Receive, Scope, Send
-from meadowworks.runtime.http_server import BodyError, read_body, send_response
+from meadowworks.runtime.request_body import BodyError, read_body
+from meadowworks.runtime.response_writer import send_response
 
 MAX_BODY_BYTES = 64 << 20  # a consensus request carries a whole configuration
 log = logs.get_logger("peers")
--- a/meadowworks/controlplane/pull_client.py
+++ b/meadowworks/controlplane/pull_client.py
@@ -6,12 +6,13 @@
 from dataclasses import dataclass
 from functools import partial
 
-from meadowworks.consensus.register import CommittedValue
+from meadowworks.consensus.values import CommittedValue
 from meadowworks.controlplane.node import ControlPlaneNode
 from meadowworks.gossip.messages import PullReply, PullRequest, decode_pull_reply
 from meadowworks.runtime import logging as logs
 from meadowworks.runtime.clock import now_ns
-from meadowworks.runtime.cooperative import decompress_steps, run_cooperatively
+from meadowworks.runtime.compression import decompress_steps
+from meadowworks.runtime.cooperative import run_cooperatively
 from meadowworks.runtime.errors import RequestError
 from meadowworks.runtime.peer_client import PeerClient
 
--- a/meadowworks/controlplane/server.py
+++ b/meadowworks/controlplane/server.py
@@ -16,10 +16,11 @@
 from meadowworks.runtime import logging as logs
 from meadowworks.runtime.background_tasks import BackgroundTasks
 from meadowworks.runtime.cluster_view import ClusterView
-from meadowworks.runtime.http_server import HttpServer, RequestLimits
+from meadowworks.runtime.http_server import HttpServer
 from meadowworks.runtime.live_settings import LiveSettings
 from meadowworks.runtime.node_settings import NodeSettings
 from meadowworks.runtime.process import run_program
+from meadowworks.runtime.server_connection import RequestLimits
 
 DISCOVERY_INTERVAL_S = 0.25  # after which pulls from peers that have become known begin
 MAX_HEADER_BYTES, HEADER_TIMEOUT_S, IDLE_TIMEOUT_S = 65536, 3.0, 30.0
--- a/meadowworks/runtime/asgi.py
+++ b/meadowworks/runtime/asgi.py
@@ -1,4 +1,8 @@
-"""The types of an ASGI call, as the HTTP server hands it to an application."""
+"""The types of ASGI, the interface between `http_server` and the programs' request handlers.
+
+Beside what ASGI defines, a scope has two fields: `target`, the request's target as it came, and `connection`,
+the `server_connection.HttpConnection` that the request came on.
+"""
 
 from __future__ import annotations
 
@@ -9,4 +13,4 @@
 Message = MutableMapping[str, Any]
 Receive = Callable[[], Awaitable[Message]]
 Send = Callable[[Message], Awaitable[None]]
-Application = Callable[[Scope, Receive, Send], Awaitable[None]]
+ASGIApplication = Callable[[Scope, Receive, Send], Awaitable[None]]
