--- a/meadowworks/controlplane/compressed_config.py
+++ b/meadowworks/controlplane/compressed_config.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import asyncio
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from meadowworks.consensus.values import CommittedValue
 from meadowworks.runtime.background_tasks import BackgroundTasks
@@ -11,8 +11,7 @@
 from meadowworks.runtime.cooperative import run_cooperatively
 
 
-@dataclass(frozen=True, slots=True)
-class CompressedConfig:
+class CompressedConfig(NamedTuple):
     """A version of the configuration, compressed by zlib."""
 
     version: int = 0
--- a/meadowworks/controlplane/consensus_envelope.py
+++ b/meadowworks/controlplane/consensus_envelope.py
@@ -7,8 +7,7 @@
 
 import asyncio
 import zlib
-from dataclasses import dataclass
-from typing import Any
+from typing import Any, NamedTuple
 
 from meadowworks.consensus import codec
 from meadowworks.consensus.messages import Reply, Request
@@ -18,16 +17,14 @@
 COMPRESSION_LEVEL = 6
 
 
-@dataclass(frozen=True, slots=True)
-class RequestEnvelope:
+class RequestEnvelope(NamedTuple):
     """A request, and the id under which its sender waits for the reply."""
 
     request_id: int
     request: Request
 
 
-@dataclass(frozen=True, slots=True)
-class ReplyEnvelope:
+class ReplyEnvelope(NamedTuple):
     """The reply of the member `member_id` to a request."""
 
     request_id: int
--- a/meadowworks/controlplane/node.py
+++ b/meadowworks/controlplane/node.py
@@ -4,6 +4,7 @@
 
 import tempfile
 
+from meadowworks.consensus.acceptor import Acceptor
 from meadowworks.consensus.values import CommittedValue
 from meadowworks.controlplane.async_store import AsyncStore
 from meadowworks.controlplane.config_service import ConfigService, create_replica
@@ -68,10 +69,15 @@
         """The settings in force."""
         return self._live_settings.current
 
+    @property
+    def acceptor(self) -> Acceptor:
+        """What this node has promised, accepted and learnt as a member."""
+        return self.config_service.replica.acceptor
+
     @property
     def committed(self) -> CommittedValue:
         """The newest configuration that this node knows as committed."""
-        return self.config_service.replica.acceptor.committed
+        return self.acceptor.committed
 
     def holds_lease(self) -> bool:
         """Whether a majority has confirmed recently that this node knows everything acknowledged."""
@@ -82,11 +88,10 @@
 
         Only members of the epoch count: any other voter may be gone for good tomorrow.
         """
-        acceptor = self.config_service.replica.acceptor
-        members = acceptor.newest_epoch().members
+        members = self.acceptor.newest_epoch().members
         hosts = {address.rpartition(":")[0] for _, address in members} - {self.settings.ip}
         return self.drain_log.is_replicated(
-            update_version, hosts, self.settings.tolerated_failures, acceptor.may_vote()
+            update_version, hosts, self.settings.tolerated_failures, self.acceptor.may_vote()
         )
 
     def knows_backend(self, backend_id: str) -> bool:
--- a/meadowworks/controlplane/pull_client.py
+++ b/meadowworks/controlplane/pull_client.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 import asyncio
-from dataclasses import dataclass
 from functools import partial
+from typing import NamedTuple
 
 from meadowworks.consensus.values import CommittedValue
 from meadowworks.controlplane.node import ControlPlaneNode
@@ -29,8 +29,7 @@
 log = logs.get_logger("gossip")
 
 
-@dataclass(frozen=True, slots=True)
-class PulledState:
+class PulledState(NamedTuple):
     """A pull's reply, with its configuration decompressed.
 
     :param sent_ns: when the pull was sent: what the reply says is known as of then.
@@ -96,7 +95,7 @@
             node.cluster.updates.remote_version_vector(),
             node.committed.version,
             MAX_WAIT_MS if drain_log.is_caught_up(source) else ACK_PENDING_MAX_WAIT_MS,
-            epoch_number=node.config_service.replica.acceptor.newest_epoch().number,
+            epoch_number=node.acceptor.newest_epoch().number,
             drain_acknowledgement=drain_log.acknowledgement(source),
         )
 
--- a/meadowworks/controlplane/pull_handler.py
+++ b/meadowworks/controlplane/pull_handler.py
@@ -93,7 +93,7 @@
         )
 
     def _reply(self, pull: PullRequest, deltas: list[SourceDelta]) -> PullReply:
-        node, acceptor = self._node, self._node.config_service.replica.acceptor
+        node, acceptor = self._node, self._node.acceptor
         has_lease = node.holds_lease()
         latest = self._compressor.latest
         config = (latest.version, latest.data) if self._lacks_config(pull) else None
