--- a/meadowworks/cli/__init__.py
+++ b/meadowworks/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' words of the command line."""
+"""The command line for operators: a module a command."""
--- /dev/null
+++ b/meadowworks/cli/lists.py
@@ -0,0 +1,45 @@
+"""`meadowworks nodes` and `meadowworks backends`: lists out of a node's status."""
+
+from __future__ import annotations
+
+import json
+from typing import Annotated
+
+from cappa import Arg
+
+from meadowworks.cli.errors import CommandError
+from meadowworks.cli.node_client import read_status
+from meadowworks.cli.output import print_columns
+
+NODE_COLUMNS = ("node", "address", "zone", "votes", "beat")
+BACKEND_COLUMNS = ("id", "service", "address", "zone", "state")
+
+
+def nodes(
+    at: Annotated[str, Arg(help="a control-plane node's peer address")],
+    as_json: Annotated[bool, Arg(long="--json", help="one JSON object on standard output")] = False,
+) -> int:
+    """The nodes that a control-plane node knows, which may be a part of them."""
+    return _print_list(at, "members", NODE_COLUMNS, as_json)
+
+
+def backends(
+    at: Annotated[str, Arg(help="a node's peer address")],
+    as_json: Annotated[bool, Arg(long="--json", help="one JSON object on standard output")] = False,
+) -> int:
+    """The backends that a node knows, and their states."""
+    return _print_list(at, "backends", BACKEND_COLUMNS, as_json)
+
+
+def _print_list(address: str, field: str, columns: tuple[str, ...], as_json: bool) -> int:
+    status = read_status(address) or {}
+    if field not in status:
+        raise CommandError(f"{address} reports no {field}: is that a control-plane node's peer address?")
+    rows = status[field]
+    if isinstance(rows, dict):
+        rows = [[key, *row] for key, row in rows.items()]
+    if as_json:
+        print(json.dumps({field: [dict(zip(columns, row, strict=True)) for row in rows]}))
+    else:
+        print_columns([[str(cell) for cell in row] for row in (columns, *rows)])
+    return 0
--- a/meadowworks/cli/main.py
+++ b/meadowworks/cli/main.py
@@ -1,4 +1,4 @@
-"""The command line: `meadowworks WORD ...`. Each word's own part is imported only when it is asked for."""
+"""The command line: `meadowworks COMMAND ...`. A command's module is imported only when it is asked for."""
 
 from __future__ import annotations
 
@@ -8,97 +8,112 @@
 import os
 import sys
 from collections.abc import Sequence
+from typing import NamedTuple
+
+from meadowworks.cli.errors import CommandError as CommandError
+
+EXIT_BAD_INPUT = 2
+EXIT_INTERRUPTED = 130  # as a shell reports SIGINT
+EXIT_BROKEN_PIPE = 141  # as a shell reports SIGPIPE
 
-COMMANDS = {
-    "check": ("meadowworks.modelcheck.commands", "check", "explore the machines whole in small worlds"),
-    "days": ("meadowworks.simulation.regression", "days", "play the days of our own by the users' bench"),
-    "lab": ("meadowworks.simulation.commands", "lab", "measure the product's own machines"),
-    "local": ("meadowworks.local.commands", "local", "start a small gateway on this machine, to try it"),
-    "status": ("meadowworks.cli.operations", "status", "what a controller of the gateway knows"),
-    "why": ("meadowworks.cli.operations", "why", "what a junction's last decisions on a service rest on"),
-    "members": ("meadowworks.cli.members", "members", "who votes, and why one is not in"),
-    "nodes": ("meadowworks.cli.operations", "nodes", "the controllers that a signalbox knows"),
-    "backends": ("meadowworks.cli.operations", "backends", "the backends that a controller knows"),
-    "config": ("meadowworks.cli.operations", "config", "check, put, get or diff a configuration"),
-    "rude": ("meadowworks.local.hostile_clients", "rude", "slow and misbehaving clients against one proxy"),
-    "settings": ("meadowworks.cli.operations", "settings", "check a settings file of the gateway"),
-}
-USAGE = "usage: meadowworks WORD [OPTION ...]; without a word the controller runs, as NODE_CONFIG says"
 
+class Command(NamedTuple):
+    """Where a command's function stands, and one line on what it does."""
 
-class CommandError(Exception):
-    """What was asked for makes no sense; one plain sentence. Ends the command with status 2."""
+    module: str
+    function: str
+    summary: str
+
+
+COMMANDS = {
+    "check": Command("meadowworks.modelcheck.commands", "check", "explore all states of the state machines"),
+    "days": Command("meadowworks.simulation.regression", "days", "play recorded scenarios in a simulator"),
+    "lab": Command("meadowworks.simulation.commands", "lab", "simulate and measure the state machines"),
+    "local": Command("meadowworks.local.commands", "local", "start a small gateway here, to try it"),
+    "status": Command("meadowworks.cli.status", "status", "what a node knows"),
+    "why": Command("meadowworks.cli.why", "why", "what a proxy's load balancing of a service rests on"),
+    "members": Command("meadowworks.cli.members", "members", "who votes, and why a node does not"),
+    "nodes": Command("meadowworks.cli.lists", "nodes", "the nodes that a control-plane node knows"),
+    "backends": Command("meadowworks.cli.lists", "backends", "the backends that a node knows"),
+    "config": Command("meadowworks.cli.config", "config", "check, put, get or diff a configuration"),
+    "rude": Command("meadowworks.local.hostile_clients", "rude", "slow and hostile clients against a proxy"),
+    "settings": Command("meadowworks.cli.settings", "settings", "check a settings file of a node"),
+}
+USAGE = "usage: meadowworks COMMAND [OPTION ...]; without one the fleet controller runs, as NODE_CONFIG says"
 
 
 def usage_text() -> str:
-    return "\n".join(
-        [
-            USAGE,
-            "",
-            *(f"  {word:8} {what}" for word, (*_, what) in COMMANDS.items()),
-            "",
-            "Each word has --help.",
-        ]
-    )
+    """Return the usage and a line for each command."""
+    summaries = [f"  {name:8} {command.summary}" for name, command in COMMANDS.items()]
+    return "\n".join([USAGE, "", *summaries, "", "Each command has --help."])
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Runs a command. Its status is 0 when all holds, 1 when what it asks does not, 2 on bad input, 141 where
-    whoever read its output has gone."""
+    """Run a command.
+
+    :param arguments: the process's own if None.
+    :returns: the exit code: 0 when all holds, 1 when what the command asks does not, 2 on bad input, 141 when
+        the reader of the output has gone.
+    """
     try:
         status = run_command(sys.argv[1:] if arguments is None else arguments)
         sys.stdout.flush()
-        return status
     except BrokenPipeError:
         return discard_output()
+    return status
 
 
 def run_command(arguments: Sequence[str]) -> int:
+    """Run the command that the first argument names; return its exit code."""
     if not arguments or arguments[0] in ("--help", "-h", "help"):
         print(usage_text())
         return 0
-    if arguments[0] not in COMMANDS:
-        return report_error(f"there is no word {arguments[0]!r}: there are {', '.join(COMMANDS)}")
+    name, *rest = arguments
+    if name not in COMMANDS:
+        return report_error(f"there is no command {name!r}: there are {', '.join(COMMANDS)}")
+    try:
+        return _invoke(name, rest)
+    except (CommandError, ValueError) as error:
+        return report_error(str(error))
+    except KeyboardInterrupt:
+        return EXIT_INTERRUPTED
+
+
+def _invoke(name: str, arguments: Sequence[str]) -> int:
+    command = COMMANDS[name]
     try:
-        module, name, _ = COMMANDS[arguments[0]]
-        act = getattr(importlib.import_module(module), name)
+        function = getattr(importlib.import_module(command.module), command.function)
         import cappa
         from rich.console import Console
-    except ModuleNotFoundError as missing:
-        return report_error(
-            f"{arguments[0]} needs {missing.name}, which is not installed: pip install 'meadowworks[tools]'"
-        )
-    quiet = cappa.Output(error_console=Console(file=io.StringIO()))  # an error is told in one line of ours
+    except ModuleNotFoundError as error:
+        needed = f"{error.name}, which is not installed: pip install 'meadowworks[tools]'"
+        return report_error(f"{name} needs {needed}")
+    quiet = cappa.Output(error_console=Console(file=io.StringIO()))  # an error is one line of `report_error`
     try:
         status = cappa.invoke(
-            cappa.command(name=f"meadowworks {arguments[0]}")(act),
-            argv=list(arguments[1:]),
+            cappa.command(name=f"meadowworks {name}")(function),
+            argv=list(arguments),
             output=quiet,
             completion=False,
         )
-    except (CommandError, ValueError) as trouble:
-        return report_error(str(trouble))
-    except cappa.Exit as end:
-        return (
-            report_error(f"{end.message}; `meadowworks {arguments[0]} --help` tells the usage")
-            if end.code
-            else 0
-        )
-    except KeyboardInterrupt:
-        return 130
+    except cappa.Exit as exit_:
+        if not exit_.code:
+            return 0
+        return report_error(f"{exit_.message}; `meadowworks {name} --help` tells the usage")
     return status if isinstance(status, int) else 0
 
 
 def discard_output() -> int:
-    """No more is said, not at the process's end either."""
+    """Send what is still to be printed nowhere, at the process's end too; return the exit code."""
     with contextlib.suppress(OSError, ValueError):
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
-    return 141
+    return EXIT_BROKEN_PIPE
 
 
 def report_error(reason: str) -> int:
+    """Print an error as one line; return the exit code of bad input."""
     print(f"meadowworks: {' '.join(reason.split())}", file=sys.stderr)
-    return 2
+    return EXIT_BAD_INPUT
 
 
 if __name__ == "__main__":
--- a/meadowworks/cli/members.py
+++ b/meadowworks/cli/members.py
@@ -1,139 +1,168 @@
-"""`meadowworks members list`: who votes in the newest epoch that is known, and why a machine is not in."""
+"""`meadowworks members list`: who votes in the newest epoch, and why a node does not."""
 
 from __future__ import annotations
 
 import json
 from concurrent.futures import ThreadPoolExecutor
-from typing import Annotated, Any
+from dataclasses import dataclass
+from typing import Annotated, Any, NamedTuple
 
 from cappa import Arg
 
-from meadowworks.cli.main import CommandError
-from meadowworks.cli.operations import call_node, print_columns
+from meadowworks.cli.errors import CommandError
+from meadowworks.cli.node_client import Status, find_status
+from meadowworks.cli.output import print_columns
 
 COLUMNS = ("disk", "address", "node", "epoch", "lease_ms", "in", "why not in")
-NodeStatus = dict[str, Any]
+MAX_PARALLEL_CALLS = 8
+MAX_ADDRESSES = 64  # that are asked: bounds what nodes of different systems at one address would lead to
+DISK_LENGTH = 8  # characters of a disk's id that are shown
+BOOTSTRAP_PREFIX = "@"  # begins a member's id before the first epoch: whichever disk is at that address
+NOT_VOTING = "does not vote: its settings say so"
+Statuses = dict[str, Status | None]  # by address; None for one that does not answer
+
+
+class MemberRow(NamedTuple):
+    """A cell for each of COLUMNS; what is unknown is None."""
+
+    disk: str | None
+    address: str
+    node: str | None
+    epoch: int | None
+    lease_ms: int | None
+    is_in: str
+    reason: str
 
 
 def members(
     action: Annotated[str, Arg(help="list")],
-    at: Annotated[str, Arg(help="a signalbox's inner address: ip and the first port of portRange")],
+    at: Annotated[str, Arg(help="a control-plane node's peer address: ip and the first port of portRange")],
     as_json: Annotated[bool, Arg(long="--json", help="one JSON object on standard output")] = False,
 ) -> int:
-    """The members of the newest epoch, as each signalbox tells of itself, and who is not in and why. Status 1
-    if a machine that should be in is not."""
+    """The members of the newest epoch, as each node reports itself, and who is not in and why.
+
+    Exit code 1 if a node that should vote does not.
+    """
     if action != "list":
         raise CommandError(f"there is no {action!r}; usage: meadowworks members list ADDRESS")
-    own = fetch_status(at)
-    if own is None:
-        raise CommandError(f"{at} gives no answer to that: is it a controller's inner address?")
-    if "sure" not in own:
-        raise CommandError(f"{at} tells of no members: is that a signalbox's inner address?")
-    places = {at, *known_addresses(own, at)}
-    told: dict[str, NodeStatus | None] = {at: own}
-    while new := sorted(places - told.keys()):  # who is newer may name others
-        with ThreadPoolExecutor(8) as pool:
-            for place, found in zip(new, pool.map(fetch_status, new), strict=True):
-                told[place] = found
-                places |= set(known_addresses(found, at)) if found and len(places) < 64 else set()
-    epoch, rows = membership_rows(told)
+    epoch, rows = membership_rows(_fetch_all(at))
     if as_json:
         print(json.dumps({"epoch": epoch, "members": [dict(zip(COLUMNS, row, strict=True)) for row in rows]}))
     else:
         print(f"epoch {'unknown' if epoch is None else epoch}")
-        print_columns(
-            [list(COLUMNS), *[["-" if cell is None else str(cell) for cell in row] for row in rows]]
-        )
-    return 0 if all(row[-1] in ("", NOT_VOTING) for row in rows) else 1
-
+        cells = [["-" if cell is None else str(cell) for cell in row] for row in rows]
+        print_columns([list(COLUMNS), *cells])
+    return 0 if all(row.reason in ("", NOT_VOTING) for row in rows) else 1
 
-def fetch_status(address: str) -> NodeStatus | None:
-    """A controller's status; nothing if it gives none."""
-    try:
-        reply = call_node(address, b"GET", b"/status")
-        found = json.loads(reply.body) if reply.status == 200 else None
-    except (CommandError, ValueError):
-        return None
-    return found if isinstance(found, dict) else None
 
-
-def known_addresses(status: NodeStatus, address: str) -> list[str]:
-    """Inner addresses of the members and of other voters that one knows; ports are alike."""
+def _fetch_all(address: str) -> Statuses:
+    """Ask a node, then everyone it knows, and whom these know."""
+    own = find_status(address)
+    if own is None:
+        raise CommandError(f"{address} does not answer with a status: is that a node's peer address?")
+    if "sure" not in own:
+        raise CommandError(f"{address} reports no members: is that a control-plane node's peer address?")
+    known = {address, *known_addresses(own, address)}
+    statuses: Statuses = {address: own}
+    while unasked := sorted(known - statuses.keys()):
+        with ThreadPoolExecutor(MAX_PARALLEL_CALLS) as pool:
+            for other, status in zip(unasked, pool.map(find_status, unasked), strict=True):
+                statuses[other] = status
+                if status and len(known) < MAX_ADDRESSES:
+                    known |= set(known_addresses(status, other))
+    return statuses
+
+
+def known_addresses(status: Status, address: str) -> list[str]:
+    """Return the peer addresses of the members and of other voters that a node knows; ports are alike."""
     port = address.rpartition(":")[2]
-    seen = [f"{row[1]}:{port}" for row in status.get("members") or () if len(row) > 3 and row[3]]
-    return [*map(str, (status.get("members_of_epoch") or {}).values()), *seen]
-
-
-def membership_rows(statuses: dict[str, NodeStatus | None]) -> tuple[int | None, list[list[Any]]]:
-    """The newest epoch that anyone tells of, and a row a machine: its members, then who else answers."""
-    boxes = {at: found for at, found in statuses.items() if found is None or "sure" in found}
-    newest = max((f for f in boxes.values() if f), key=lambda f: f.get("epoch") or 0, default={})
-    epoch, names = newest.get("epoch"), dict(newest.get("members_of_epoch") or {})
-    spectators = {at for at in boxes if at in non_voting_addresses(statuses, at)}
-    rows: list[list[Any]] = []
-    done: set[str] = set()
-    for disk, at in sorted(names.items(), key=lambda pair: pair[1]):
-        found = boxes.get(at)
-        if (
-            found is not None
-            and not disk.startswith(BOOTSTRAP_PREFIX)
-            and found.get("disk") not in (disk, None)
-        ):
-            other = f"gone: another disk is at its address, {str(found['disk'])[:8]}"
-            rows.append([disk[:8], at, None, None, None, "no", other])
+    voters = [f"{peer[1]}:{port}" for peer in _peers(status) if peer[3]]
+    return [*map(str, (status.get("members_of_epoch") or {}).values()), *voters]
+
+
+def _peers(status: Status) -> list[list[Any]]:
+    """Return name, host, zone, whether it votes, and more, of each node that a node knows."""
+    return [peer for peer in status.get("members") or () if len(peer) > 3]
+
+
+@dataclass(frozen=True, slots=True)
+class Membership:
+    """The newest epoch that any node reports, and the addresses of its members by disk id."""
+
+    epoch: int | None
+    members: dict[str, str]
+
+    def excludes(self, disk: str) -> bool:
+        """Whether a disk is known not to be a member; before the first epoch members have no ids yet."""
+        is_bootstrap = any(member.startswith(BOOTSTRAP_PREFIX) for member in self.members)
+        return bool(self.members) and disk not in self.members and not is_bootstrap
+
+
+def membership_rows(statuses: Statuses) -> tuple[int | None, list[MemberRow]]:
+    """Return the newest epoch and a row a node: its members, then who else answers."""
+    nodes = {at: status for at, status in statuses.items() if status is None or "sure" in status}
+    reported = [status for status in nodes.values() if status]
+    newest = max(reported, key=lambda status: status.get("epoch") or 0, default={})
+    membership = Membership(newest.get("epoch"), dict(newest.get("members_of_epoch") or {}))
+    non_voting = {at for at in nodes if is_non_voting(statuses, at)}
+    rows: list[MemberRow] = []
+    listed: set[str] = set()
+    for disk, address in sorted(membership.members.items(), key=lambda pair: pair[1]):
+        status = nodes.get(address)
+        if _is_replaced(disk, status):
+            assert status is not None
+            reason = f"gone: another disk is at its address, {str(status['disk'])[:DISK_LENGTH]}"
+            rows.append(MemberRow(disk[:DISK_LENGTH], address, None, None, None, "no", reason))
             continue
-        done.add(at)
-        rows.append(member_row(disk, at, found, reason_not_in(found, epoch, names, at in spectators)))
-    for at in sorted(boxes.keys() - done):
-        found = boxes[at]
-        if found is not None or not names:
-            rows.append(member_row("", at, found, reason_not_in(found, epoch, names, at in spectators)))
-    return epoch, rows
+        listed.add(address)
+        rows.append(_row(disk, address, status, reason_not_in(status, membership, address in non_voting)))
+    for address in sorted(nodes.keys() - listed):
+        status = nodes[address]
+        if status is not None or not membership.members:
+            rows.append(_row("", address, status, reason_not_in(status, membership, address in non_voting)))
+    return membership.epoch, rows
+
 
+def _is_replaced(disk: str, status: Status | None) -> bool:
+    """Whether another disk answers at a member's address."""
+    if status is None or disk.startswith(BOOTSTRAP_PREFIX):
+        return False
+    return status.get("disk") not in (disk, None)
 
-def non_voting_addresses(statuses: dict[str, NodeStatus | None], address: str) -> set[str]:
-    """The address, if others know its machine as one that does not vote."""
+
+def is_non_voting(statuses: Statuses, address: str) -> bool:
+    """Whether any node knows the one at an address as one that does not vote."""
     host = address.rpartition(":")[0]
-    cards = [
-        row for found in statuses.values() if found for row in found.get("members") or () if len(row) > 3
-    ]
-    return {address for card in cards if card[1] == host and not card[3]}
+    peers = [peer for status in statuses.values() if status for peer in _peers(status)]
+    return any(peer[1] == host and not peer[3] for peer in peers)
 
 
-def member_row(disk: str, address: str, status: NodeStatus | None, reason: str) -> list[Any]:
-    told = status or {}
-    name = str(told.get("disk") or disk)[:8] or None
-    return [
-        name,
+def _row(disk: str, address: str, status: Status | None, reason: str) -> MemberRow:
+    found = status or {}
+    shown_disk = str(found.get("disk") or disk)[:DISK_LENGTH] or None
+    return MemberRow(
+        shown_disk,
         address,
-        told.get("node"),
-        told.get("epoch"),
-        told.get("lease_ms"),
+        found.get("node"),
+        found.get("epoch"),
+        found.get("lease_ms"),
         "no" if reason else "yes",
         reason,
-    ]
-
+    )
 
-BOOTSTRAP_PREFIX = "@"  # begins a member's name at the very first start: whichever disk is at that address
-NOT_VOTING = "does not vote: its settings say so"
 
+def reason_not_in(status: Status | None, membership: Membership, non_voting: bool = False) -> str:
+    """Return why a node has no vote, the first cause first; empty if it has one.
 
-def reason_not_in(
-    status: NodeStatus | None, epoch: int | None, members: dict[str, str], non_voting: bool = False
-) -> str:
-    """Why a signalbox is not in, the first cause first; empty if it is in. `spectator`: its settings give it
-    no vote."""
+    :param non_voting: its settings give it no vote.
+    """
+    epoch = membership.epoch
     if status is None:
         return "silent: no answer at its address"
     if non_voting:
         return NOT_VOTING
     disk = status.get("disk")
-    if (
-        members
-        and disk is not None
-        and disk not in members
-        and not any(n.startswith(BOOTSTRAP_PREFIX) for n in members)
-    ):
+    if disk is not None and membership.excludes(disk):
         return f"no member of epoch {epoch}: its disk is empty and learns, or its place was given away"
     if status.get("epoch") != epoch:
         return f"of epoch {status.get('epoch')}, the newest is {epoch}: it hears no newer member"
--- /dev/null
+++ b/meadowworks/cli/output.py
@@ -0,0 +1,13 @@
+"""How commands print tables."""
+
+from __future__ import annotations
+
+COLUMN_GAP = "  "
+
+
+def print_columns(rows: list[list[str]]) -> None:
+    """Print rows as aligned columns; the first row holds their names."""
+    widths = [max(map(len, column)) for column in zip(*rows, strict=True)]
+    for row in rows:
+        cells = [cell.ljust(width) for cell, width in zip(row, widths, strict=True)]
+        print(COLUMN_GAP.join(cells).rstrip())
--- a/meadowworks/local/commands.py
+++ b/meadowworks/local/commands.py
@@ -15,7 +15,7 @@
 from cappa import Arg
 
 from meadowworks.cli.main import CommandError
-from meadowworks.cli.operations import call_node
+from meadowworks.cli.node_client import call_node
 from meadowworks.local.backend import StubBackend
 from meadowworks.local.system import (
     HEARTBEAT_INTERVAL_MS,
--- a/meadowworks/local/hostile_clients.py
+++ b/meadowworks/local/hostile_clients.py
@@ -20,7 +20,7 @@
 from cappa import Arg
 
 from meadowworks.cli.main import CommandError
-from meadowworks.cli.operations import call_node
+from meadowworks.cli.node_client import call_node
 from meadowworks.local.backend import StubBackend
 from meadowworks.local.commands import DEMO_ROUTES, start_node
 from meadowworks.local.system import HEARTBEAT_INTERVAL_MS, SystemLayout, build_configuration, free_ports
--- a/tests/gateway/test_state.py
+++ b/tests/gateway/test_state.py
@@ -11,8 +11,8 @@
 
 import pytest
 
+from meadowworks.cli.config import differences
 from meadowworks.cli.main import main
-from meadowworks.cli.operations import differences
 from meadowworks.config.route_table import load_route_table
 from meadowworks.config.validation import InvalidConfiguration, ValidConfiguration, validate_configuration
 from meadowworks.consensus.acceptor import Acceptor
