--- a/meadowworks/controlplane/async_store.py
+++ b/meadowworks/controlplane/async_store.py
@@ -7,7 +7,7 @@
 from concurrent.futures import ThreadPoolExecutor
 from typing import ParamSpec, TypeVar
 
-from meadowworks.consensus.replica import StateUpdate
+from meadowworks.consensus.effects import StateUpdate
 from meadowworks.storage.sqlite_store import SqliteStore
 
 P = ParamSpec("P")
--- a/meadowworks/controlplane/config_resource.py
+++ b/meadowworks/controlplane/config_resource.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from meadowworks.config.validation import InvalidConfiguration, validation_steps
-from meadowworks.consensus.replica import Conflict, Undecided
+from meadowworks.consensus.effects import Conflict, Undecided
 from meadowworks.controlplane.api import ApiReply, ApiRequest, Route, Routes, error_reply
 from meadowworks.controlplane.config_service import ConfigService
 from meadowworks.runtime import logging as logs
--- a/meadowworks/controlplane/config_service.py
+++ b/meadowworks/controlplane/config_service.py
@@ -13,22 +13,22 @@
 from typing import Protocol
 from uuid import uuid4
 
-from meadowworks.consensus.messages import Reply, Request
-from meadowworks.consensus.metadata import load_acceptor
-from meadowworks.consensus.replica import (
-    LEAVE_WAITER_ID,
+from meadowworks.consensus.effects import (
     Committed,
     CompleteOperation,
     Conflict,
     Effect,
     LogEntry,
     Persist,
-    Replica,
     SendReply,
     SendRequest,
     Undecided,
     ValueCommitted,
 )
+from meadowworks.consensus.messages import Reply, Request
+from meadowworks.consensus.metadata import load_acceptor
+from meadowworks.consensus.operations import LEAVE_WAITER_ID
+from meadowworks.consensus.replica import Replica
 from meadowworks.consensus.values import CommittedValue
 from meadowworks.controlplane import consensus_envelope
 from meadowworks.controlplane.async_store import AsyncStore
--- a/tests/gateway/golden_product.py
+++ b/tests/gateway/golden_product.py
@@ -18,9 +18,10 @@
 from meadowworks.config.route_table import load_route_table as load_configuration
 from meadowworks.consensus import codec, values
 from meadowworks.consensus import messages as consensus_messages
+from meadowworks.consensus.effects import Persist, SendReply, SendRequest, StateUpdate
 from meadowworks.consensus.membership import decode_member_list, encode_member_list
 from meadowworks.consensus.metadata import load_acceptor
-from meadowworks.consensus.replica import Persist, Replica, SendReply, SendRequest, StateUpdate
+from meadowworks.consensus.replica import Replica
 from meadowworks.controlplane import consensus_envelope
 from meadowworks.controlplane.drain_service import decode_rows
 from meadowworks.controlplane.server import ControlPlaneServer
@@ -134,7 +135,7 @@
 
 # -- messages between controllers
 
-Pull = post.PullRequest
+Pull: Any = post.PullRequest  # a pair stands for an acknowledgement
 News = post.PullReply
 Unreadable = post.DECODE_ERRORS  # what the readers of messages raise
 
@@ -183,19 +184,19 @@
 
 
 def encode_card(card: Any) -> bytes:
-    return post.encode(card.pack())
+    return post.encode(post.encode_peer(card))
 
 
 def decode_card(body: bytes) -> Any:
-    return PeerRecord.unpack(post.decode(body))
+    return post.decode_peer(post.decode(body))
 
 
 def encode_piece(piece: Any) -> bytes:
-    return post.encode(piece.pack())
+    return post.encode(post.encode_delta(piece))
 
 
 def decode_piece(body: bytes) -> Any:
-    return SourceDelta.unpack(post.decode(body))
+    return post.decode_delta(post.decode(body))
 
 
 # -- figures and lives, as values within pulls and news
--- a/tests/gateway/test_state.py
+++ b/tests/gateway/test_state.py
@@ -186,7 +186,7 @@
 def test_a_mutated_message_between_controllers_is_garbled_or_harmless() -> None:
     me = PeerRecord("a", "10.0.0.1", 7000, "north", True, "a.1", 5)
     figures = [[["i", 1, 0, 5, 1, 1, 0]], [["s", 1]]]
-    pull = post.PullRequest(me, (me,), {"s": 3}, 1, 100, figures, 4, ("b.1", 7))
+    pull = post.PullRequest(me, (me,), {"s": 3}, 1, 100, figures, 4, post.DrainAcknowledgement("b.1", 7))
     answer = post.PullReply(me, (me,), (SourceDelta("s", True, 3, ((3, "k", 1),)),), True, (2, b"{}"))
     garbled = 0
     for whole, read in ((pull, post.decode_pull_request), (answer, post.decode_pull_reply)):
@@ -314,10 +314,10 @@
     found.install(Epoch(1, (("d", "h:1"),)), found.export_state())
     found.handle(PrepareRequest(1, 3, Ballot(1, 4, "p")))
     found.handle(AcceptRequest(1, 3, Ballot(1, 4, "p"), b"three"))
-    disk.save(replica.collect_update())
+    disk.save(replica.writes.collect_update())
     shutil.copytree(tmp_path / "d", tmp_path / "after")  # as the power goes: what is on the disk, unclosed
     found.learn(3, b"three")
-    disk.save(replica.collect_update())
+    disk.save(replica.writes.collect_update())
     shutil.copytree(tmp_path / "d", tmp_path / "later")
     again = acceptor(SqliteStore(tmp_path / "after"))
     assert again.member_id == "d" and again.may_vote() and again.epoch == found.epoch
