--- a/meadowworks/local/backend.py
+++ b/meadowworks/local/backend.py
@@ -5,7 +5,7 @@
 import asyncio
 import json
 from collections.abc import Awaitable, Callable
-from contextlib import suppress
+from contextlib import closing, suppress
 from typing import Any
 
 from meadowworks.runtime.address import Address
@@ -142,9 +142,6 @@
     """
     host, port = address
     headers = [(b"host", b"ctl"), (b"content-length", str(len(body)).encode())]
-    connection = await connect(host, port, HEARTBEAT_TIMEOUT_S)
-    try:
+    with closing(await connect(host, port, HEARTBEAT_TIMEOUT_S)) as connection:
         async with asyncio.timeout(HEARTBEAT_TIMEOUT_S):
             return await connection.request(b"POST", path, headers, body, MAX_ACK_BYTES)
-    finally:
-        connection.close()
--- a/meadowworks/runtime/buffered_stream.py
+++ b/meadowworks/runtime/buffered_stream.py
@@ -9,7 +9,7 @@
 
 
 class BufferedStream(asyncio.Protocol, httpcore.AsyncNetworkStream):
-    """One TCP connection. The time-outs of httpcore are not used: callers bound their calls as a whole."""
+    """One TCP connection. The time-outs of httpcore are not used: callers bound each call by themselves."""
 
     def __init__(self) -> None:
         self._transport: Any = None
@@ -93,7 +93,7 @@
             self._transport.abort()
 
     def get_extra_info(self, info: str) -> Any:
-        """Answer httpcore's question whether an idle connection has ended, and the transport's own facts."""
+        """Return whether an idle connection has ended, which httpcore asks, or a fact of the transport."""
         if info == "is_readable":  # while idle: an end, or bytes that belong to no request
             return self._at_eof or bool(self._buffer) or self._transport.is_closing()
         return self._transport.get_extra_info(info)
--- a/meadowworks/runtime/errors.py
+++ b/meadowworks/runtime/errors.py
@@ -60,7 +60,7 @@
 
 
 class IncompleteResponseError(RequestError):
-    """The end of the response can't be told from a broken connection, or never came."""
+    """The response has no end that differs from a broken connection, or its end never came."""
 
     def __init__(self, message: str) -> None:
         super().__init__(message, may_have_run=True)
--- a/meadowworks/runtime/http_connection.py
+++ b/meadowworks/runtime/http_connection.py
@@ -29,7 +29,7 @@
 # How long sent bytes may stay unacknowledged: guards against a peer that is unreachable or without power.
 # Above any retransmission on a network that works, below the time in which operators expect a fail-over.
 USER_TIMEOUT_MS = 2000
-BODILESS_STATUSES = (204, 304)  # RFC 9110: their responses end with their headers
+BODILESS_STATUSES = (204, 304)  # RFC 9110, section 6.4.1: such responses end with their headers
 BROKEN = (httpcore.ProtocolError, httpcore.NetworkError, OSError, h11.ProtocolError)
 
 
@@ -116,8 +116,8 @@
         :param max_body_bytes: that the response's body may have.
         :param reserve_memory: asked for the bytes of each part of the body; False if there is no memory left.
         :raises ConnectionBrokenError: if the connection ends, or HTTP/1.1 is violated.
-        :raises IncompleteResponseError: if the response has neither a length nor chunks: its end can't be
-            told from a broken connection.
+        :raises IncompleteResponseError: if the response has neither a length nor chunks: its end looks like
+            a broken connection.
         :raises ResponseTooLargeError: if the body is too large, or there is no memory for it.
         """
         url = httpcore.URL(scheme=b"http", host=self._origin.host, port=self._origin.port, target=target)
@@ -165,7 +165,7 @@
 
 
 def _has_end_of_its_own(method: bytes, response: httpcore.Response) -> bool:
-    """Whether the response's end can be told from a broken connection."""
+    """Whether the end of the response differs from a broken connection."""
     if method == b"HEAD" or response.status in BODILESS_STATUSES:
         return True
     names = [name.lower() for name, _ in response.headers]
--- a/meadowworks/runtime/lazy_imports.py
+++ b/meadowworks/runtime/lazy_imports.py
@@ -6,7 +6,7 @@
 * trio: httpcore imports it where it is installed, which is half of a start. The programs run on asyncio.
 * uvicorn.main: uvicorn's command line, and click for it. The programs make uvicorn's protocols themselves.
 * certifi: certificate authorities. The calls between the programs go without TLS.
-* logging.config: uvicorn's own set-up of logs, which it is told to leave.
+* logging.config: uvicorn's own set-up of logs, which `http_server` turns off.
 * patterns of marshmallow.validate: the one of mail addresses takes longer to compile than the rest of the
   module to import. They are compiled when they are first used.
 * loguru's first sink, and its search for the folders of libraries, which serves colours in tracebacks.
@@ -81,7 +81,7 @@
 
 
 def import_loguru() -> None:
-    """Import loguru without its first sink (`logging.configure` adds ours) and its search for folders."""
+    """Import loguru without its search for folders, and without a sink: `logging.configure` adds one."""
     os.environ.setdefault("LOGURU_AUTOINIT", "False")
     from loguru._better_exceptions import ExceptionFormatter
 
--- a/meadowworks/runtime/request_body.py
+++ b/meadowworks/runtime/request_body.py
@@ -8,7 +8,7 @@
 
 from meadowworks.runtime.asgi import Message, Receive
 
-BODY_TIMEOUT_S = 30.0  # where a caller names none: as long as an operator's slow upload may take
+BODY_TIMEOUT_S = 30.0  # unless the server names one: as long as an operator's slow upload may take
 
 
 class BodyError(Enum):
@@ -43,6 +43,28 @@
         """Release reserved bytes."""
 
 
+class _Reservation:
+    """The memory that one body has reserved, where there is a budget."""
+
+    def __init__(self, memory: ReservableMemory | None) -> None:
+        self._memory = memory
+        self._size = 0
+
+    def extend(self, size: int) -> bool:
+        """Reserve bytes; False if there are not so many left."""
+        if self._memory is None:
+            return True
+        if not self._memory.reserve(size):
+            return False
+        self._size += size
+        return True
+
+    def release(self) -> None:
+        """Release all of it."""
+        if self._memory is not None:
+            self._memory.release(self._size)
+
+
 async def read_body(
     receive: Receive,
     max_bytes: int,
@@ -59,33 +81,41 @@
     """
     message = await receive()
     body: bytes = message.get("body", b"")
-    if _is_request(message) and not message.get("more_body") and len(body) <= max_bytes:
-        return body
-    chunks, size = [body], len(body)
-    reserved = 0
+    if not _is_request(message):
+        return BodyError.DISCONNECTED
+    if not message.get("more_body"):
+        return body if len(body) <= max_bytes else BodyError.TOO_LARGE
+    reservation = _Reservation(memory)
     try:
         async with asyncio.timeout(timeout_s):
-            while _is_request(message) and message.get("more_body"):
-                message = await receive()
-                chunk: bytes = message.get("body", b"")
-                chunks.append(chunk)
-                size += len(chunk)
-                if size > max_bytes:
-                    return BodyError.TOO_LARGE
-                if memory is not None:
-                    if not memory.reserve(len(chunk)):
-                        return BodyError.OUT_OF_MEMORY
-                    reserved += len(chunk)
+            return await _read_parts(receive, body, max_bytes, reservation)
     except TimeoutError:
         return BodyError.TIMED_OUT
     finally:
-        if memory is not None:
-            memory.release(reserved)
-    if not _is_request(message):
-        return BodyError.DISCONNECTED
-    return b"".join(chunks) if size <= max_bytes else BodyError.TOO_LARGE
+        reservation.release()
+
+
+async def _read_parts(
+    receive: Receive, first: bytes, max_bytes: int, reservation: _Reservation
+) -> bytes | BodyError:
+    """Read what comes after the first part."""
+    parts, size = [first], len(first)
+    more_to_come = True
+    while more_to_come:
+        message = await receive()
+        part: bytes = message.get("body", b"")
+        parts.append(part)
+        size += len(part)
+        if size > max_bytes:
+            return BodyError.TOO_LARGE
+        if not reservation.extend(len(part)):
+            return BodyError.OUT_OF_MEMORY
+        if not _is_request(message):
+            return BodyError.DISCONNECTED
+        more_to_come = message.get("more_body", False)
+    return b"".join(parts)
 
 
 def _is_request(message: Message) -> bool:
-    """Whether the message is a part of the request, and not the news that the client has gone."""
+    """Whether the message is a part of the request; otherwise the client has disconnected."""
     return bool(message["type"] == "http.request")
--- a/meadowworks/runtime/server_connection.py
+++ b/meadowworks/runtime/server_connection.py
@@ -224,7 +224,7 @@
     def _is_owed_a_response(previous: RequestResponseCycle) -> bool:
         """Whether the request behind `previous` is served, and not dropped with a closing connection."""
         if not previous.keep_alive:
-            if previous.response_started:  # the client has been told that this is the last response
+            if previous.response_started:  # its headers have said `connection: close`
                 return False
             previous.keep_alive = (
                 True  # the new one is the last now: it has been read, and is owed a response
