--- a/meadowworks/runtime/http_server.py
+++ b/meadowworks/runtime/http_server.py
@@ -13,12 +13,10 @@
 from meadowworks.runtime.connection_limit import ConnectionLimit
 from meadowworks.runtime.server_connection import HttpConnection, RequestLimits, SharedState
 
-LISTEN_BACKLOG = (
-    1024  # connections that wait to be accepted: what a proxy's clients open at once after a fail-over
-)
-CONNECTION_GRACE_NS = (
-    1_000_000_000  # that a connection is not evicted, so that what it sends has time to arrive
-)
+# Connections that wait to be accepted: what a proxy's clients open at once after a fail-over.
+LISTEN_BACKLOG = 1024
+# That a connection is not evicted, so that what its client has sent has time to arrive: some round trips.
+CONNECTION_GRACE_NS = 1_000_000_000
 
 
 class HttpServer:
@@ -48,7 +46,7 @@
 
     @property
     def limits(self) -> RequestLimits:
-        """What clients may send. Changes count from the next request of each connection."""
+        """What clients may send. They may be changed while connections are open."""
         return self._shared.limits
 
     @property
