--- a/meadowworks/modelcheck/models/replica.py
+++ b/meadowworks/modelcheck/models/replica.py
@@ -44,7 +44,9 @@
 from meadowworks.consensus.values import MEMBERSHIP_VERSION, NO_BALLOT, AcceptorSlot, CommittedValue, Epoch
 from meadowworks.consensus.write_queue import WriteQueue
 from meadowworks.modelcheck.model import Model, Property, Step
-from meadowworks.modelcheck.models.consensus import ABC, X, Y, freeze_acceptor, is_not_older, members_of
+from meadowworks.modelcheck.models.consensus.frozen import freeze_acceptor
+from meadowworks.modelcheck.models.consensus.properties import is_not_older
+from meadowworks.modelcheck.models.consensus.scenarios import ABC, X, Y, members_of
 
 AB, BC = members_of("a", "b"), members_of("b", "c")
 NOW, FAR = 10 * SECOND_NS, 99 * SECOND_NS
