--- a/meadowworks/controlplane/api.py
+++ b/meadowworks/controlplane/api.py
@@ -16,8 +16,8 @@
     HeartbeatRegistry,
     InvalidCall,
     RegistryFull,
-    ZoneRedirects,
 )
+from meadowworks.registry.zone_redirects import ZoneRedirects
 from meadowworks.runtime import logging as logs
 from meadowworks.runtime.cooperative import run_cooperatively
 from meadowworks.runtime.process import now_ns
--- a/meadowworks/controlplane/server.py
+++ b/meadowworks/controlplane/server.py
@@ -23,9 +23,9 @@
 from meadowworks.gossip.updates import KeyUpdate, SourceDelta, UpdateStore
 from meadowworks.load_balancing.load_reports import LOAD_REPORT_PREFIX as FIGURES
 from meadowworks.load_balancing.load_reports import LoadReport
+from meadowworks.registry.backend_state import BACKEND_KEY_PREFIX as BACKENDS
 from meadowworks.registry.backends import BackendDirectory
 from meadowworks.registry.drain_log import DrainLog
-from meadowworks.registry.heartbeats import BACKEND_KEY_PREFIX as BACKENDS
 from meadowworks.registry.heartbeats import HeartbeatRegistry
 from meadowworks.runtime import logging as logs
 from meadowworks.runtime.cooperative import compress_steps, decompress_steps, run_cooperatively
--- a/meadowworks/gossip/messages.py
+++ b/meadowworks/gossip/messages.py
@@ -162,14 +162,14 @@
     try:
         sender, peers, vector, config_version, max_wait_ms, load_report, epoch, acknowledgement = decode(body)
         return PullRequest(
-            sender=decode_peer(sender),
-            peers=tuple(map(decode_peer, peers)),
-            version_vector={str(source): int(version) for source, version in vector.items()},
-            config_version=int(config_version),
-            max_wait_ms=int(max_wait_ms),
-            load_report=load_report,
-            epoch_number=None if epoch is None else int(epoch),
-            drain_acknowledgement=_decode_acknowledgement(acknowledgement),
+            decode_peer(sender),
+            tuple(map(decode_peer, peers)),
+            {str(source): int(version) for source, version in vector.items()},
+            int(config_version),
+            int(max_wait_ms),
+            load_report,
+            None if epoch is None else int(epoch),
+            None if acknowledgement is None else decode_acknowledgement(acknowledgement),
         )
     except DECODE_ERRORS as error:
         raise MalformedMessageError(f"no pull: {error}") from None
@@ -216,13 +216,7 @@
     """
     name, host, port, zone, is_voter, incarnation, heartbeat = raw
     return PeerRecord(
-        name=str(name),
-        host=str(host),
-        port=int(port),
-        zone=str(zone),
-        is_voter=bool(is_voter),
-        incarnation=str(incarnation),
-        heartbeat=int(heartbeat),
+        str(name), str(host), int(port), str(zone), bool(is_voter), str(incarnation), int(heartbeat)
     )
 
 
@@ -247,5 +241,9 @@
     )
 
 
-def _decode_acknowledgement(raw: Any) -> DrainAcknowledgement | None:
-    return None if raw is None else DrainAcknowledgement(str(raw[0]), int(raw[1]))
+def decode_acknowledgement(raw: Any) -> DrainAcknowledgement:
+    """Reads an acknowledgement of drains.
+
+    :raises ValueError, TypeError, LookupError: if it is none.
+    """
+    return DrainAcknowledgement(str(raw[0]), int(raw[1]))
--- a/meadowworks/load_balancing/service.py
+++ b/meadowworks/load_balancing/service.py
@@ -14,8 +14,8 @@
 from meadowworks.fleet.names import NameIndex
 from meadowworks.policy import Controller
 from meadowworks.policy.interface import EndpointEntry, Route, Settings
+from meadowworks.registry.backend_state import DRAINING, UP
 from meadowworks.registry.backends import BackendInstance
-from meadowworks.registry.heartbeats import DRAINING, UP
 
 SECOND = 1_000_000_000
 REPORT_INTERVAL_NS = SECOND
--- a/meadowworks/modelcheck/models/gossip.py
+++ b/meadowworks/modelcheck/models/gossip.py
@@ -19,16 +19,10 @@
 from meadowworks.gossip.peer_sampling import PartialView, PeerRecord
 from meadowworks.gossip.updates import KeyUpdate, SourceDelta, UpdateStore
 from meadowworks.modelcheck.model import Model, Property, Step
-from meadowworks.registry.backends import SUSPECT, BackendDirectory
+from meadowworks.registry.backend_state import BACKEND_KEY_PREFIX, DRAINING, GONE, STATE_RANK, SUSPECT, UP
+from meadowworks.registry.backends import BackendDirectory
 from meadowworks.registry.drain_log import DrainLog
-from meadowworks.registry.heartbeats import (
-    BACKEND_KEY_PREFIX,
-    DRAINING,
-    GONE,
-    STATE_RANK,
-    UP,
-    HeartbeatRegistry,
-)
+from meadowworks.registry.heartbeats import HeartbeatRegistry
 
 BOXES, JUNCTION = (0, 1), 2
 X, Y = "x", "y"  # the backend that goes, and the one that is forgotten
--- a/meadowworks/modelcheck/models/registry.py
+++ b/meadowworks/modelcheck/models/registry.py
@@ -14,9 +14,10 @@
 
 from meadowworks.gossip.updates import KeyUpdate, SourceDelta, UpdateStore
 from meadowworks.modelcheck.model import Model, Property, Step
+from meadowworks.registry.backend_state import DRAINING, STATE_RANK, UP
 from meadowworks.registry.backends import BackendDirectory
 from meadowworks.registry.drain_log import DrainLog
-from meadowworks.registry.heartbeats import DRAINING, STATE_RANK, UP, CallAccepted, HeartbeatRegistry
+from meadowworks.registry.heartbeats import CallAccepted, HeartbeatRegistry
 
 LIVES = ("i", "j")
 DETAILS = {"svc": "s", "zone": "z", "capacity": 2, "ver": "v"}
--- a/meadowworks/modelcheck/seeded_faults/registry.py
+++ b/meadowworks/modelcheck/seeded_faults/registry.py
@@ -12,20 +12,20 @@
             (
                 "the own disk is not waited for",
                 FENCES + "is_replicated",
-                "if self.durable_versions.get(self.source_id, -1) < version:",
+                "if self.durable_versions.get(self.source_id, NO_VERSION) < version:",
                 "if False:",
                 ("on both disks", "known by both"),
             ),
             (
                 "a receipt goes before the write",
-                FENCES + "promote_pending_versions",
+                FENCES + "_promote_pending_versions",
                 "if not self.unsynced and self.write_in_flight is None:",
                 "if True:",
                 ("on both disks", "known by both"),
             ),
             (
                 "a write's receipt goes as it begins",
-                FENCES + "promote_pending_versions",
+                FENCES + "_promote_pending_versions",
                 "if not self.unsynced and self.write_in_flight is None:",
                 "if not self.unsynced:",
                 ("on both disks", "known by both"),
@@ -40,15 +40,15 @@
             (
                 "a write that the disk refused is forgotten",
                 FENCES + "on_write_failed",
-                "self.unsynced |= lost.rows.keys() & self.records.keys()",
+                "self.unsynced |= failed.rows.keys() & self.records.keys()",
                 "pass",
                 ("on both disks", "known by both"),
             ),
             (
                 "what is on disk is not said after a loss of power",
                 FENCES + "restore",
-                "DrainRecord(tuple(value), now_ns)",
-                'DrainRecord((*value[:4], "up", *value[5:]), now_ns)',
+                "BackendValue._make(value)",
+                'BackendValue._make((*value[:4], "up", *value[5:]))',
                 ("known by both", "said again"),
             ),
         )
--- a/meadowworks/proxy/server.py
+++ b/meadowworks/proxy/server.py
@@ -43,8 +43,8 @@
     forwarded_response_headers,
     send_attempt,
 )
+from meadowworks.registry.backend_state import DRAINING
 from meadowworks.registry.backends import BackendDirectory, BackendInstance
-from meadowworks.registry.heartbeats import DRAINING
 from meadowworks.runtime import logging as logs
 from meadowworks.runtime.cooperative import Steps, decompress_steps, run_cooperatively
 from meadowworks.runtime.errors import InvariantError, RequestError, SettingsError
--- a/meadowworks/registry/__init__.py
+++ b/meadowworks/registry/__init__.py
@@ -1,4 +1,9 @@
-"""Which backends there are, as lives. No I/O, no clock.
+"""The service registry: which instances of backends there are, and in which state. No I/O, no clock.
 
-`beats` decides what a signalbox says of those that call it; `lives` folds what all say into one list.
+- ``backend_state``: the states of an instance, and the value under which it is published;
+- ``heartbeat_schema``: what a heartbeat's document must hold;
+- ``heartbeats``: the instances that call one control-plane node;
+- ``backends``: what all control-plane nodes publish, merged into one directory;
+- ``drain_log``: drains that outlive a loss of power;
+- ``zone_redirects``: which control-plane node a backend is asked to call instead.
 """
--- a/meadowworks/registry/backends.py
+++ b/meadowworks/registry/backends.py
@@ -1,7 +1,8 @@
-"""One list out of what all signalboxes say. A view folded from news; every junction folds its own.
+"""The directory of backend instances, merged from what all control-plane nodes publish.
 
-Drained or gone by anyone's word is so for good. Quiet is one only if each source that is alive and knows it
-says so: backends may call any signalbox, and change to another.
+Every node and proxy merges its own. An instance that any node reports as draining or gone is so for good. It
+is suspect only if every node that is alive and knows it says so: a backend may call any node, and change to
+another.
 """
 
 from __future__ import annotations
@@ -11,14 +12,25 @@
 from typing import Any
 
 from meadowworks.gossip.updates import KeyUpdate
-from meadowworks.registry.heartbeats import BACKEND_KEY_PREFIX, DRAINING, GONE, STATE_RANK, UP
+from meadowworks.registry.backend_state import (
+    BACKEND_KEY_PREFIX,
+    DRAINING,
+    GONE,
+    STATE_RANK,
+    SUSPECT,
+    UP,
+    BackendValue,
+)
 
-SOURCE_TIMEOUT_NS = 8_000_000_000  # a source that has said nothing for so long vouches for nobody
-SUSPECT = "quiet"
+# A source that has published nothing for this long has no say on who is alive. Nodes publish each second.
+SOURCE_TIMEOUT_NS = 8_000_000_000
+NS_PER_MS = 1e6
 
 
 @dataclass(slots=True)
 class BackendReport:
+    """What one control-plane node says of an instance."""
+
     service: str
     address: str
     zone: str
@@ -27,11 +39,28 @@
     sequence: int
     suspect: bool
 
+    @classmethod
+    def from_value(cls, raw: Any) -> BackendReport:
+        """Converts a published value, by place as in ``BackendValue``.
+
+        :raises TypeError, ValueError: if it is malformed.
+        """
+        service, address, zone, capacity, state, sequence, _, suspect = raw
+        if state not in STATE_RANK:
+            raise ValueError("unknown state")
+        return cls(
+            str(service), str(address), str(zone), float(capacity), str(state), int(sequence), bool(suspect)
+        )
+
 
 @dataclass(slots=True)
 class BackendInstance:
-    """A life as all sources together tell it. `warm_ns`: when it is no longer slow from its start, by the
-    reader's clock; 0 if it was warm when it was first heard of."""
+    """An instance by all reports together.
+
+    :ivar state: up, draining, gone or suspect.
+    :ivar first_seen_ns: when this process first heard of it.
+    :ivar warm_at_ns: when its slow start ends, by this process's clock; 0 if it was warm when first seen.
+    """
 
     instance_id: str
     service: str
@@ -39,112 +68,137 @@
     port: int
     zone: str
     capacity: float
-    state: str  # up, draining, gone or quiet
-    first_seen_ns: int  # when it was first heard of here
+    state: str
+    first_seen_ns: int
     warm_at_ns: int
 
     @property
     def accepts_requests(self) -> bool:
-        """Whether a request may go there. One that is quiet may be there all the same."""
+        """Whether a request may go there; a suspect instance may well be alive."""
         return self.state not in (DRAINING, GONE)
 
 
 class BackendDirectory:
-    """`alive` tells for how long a source has been silent. `changed` holds the ids whose fold has changed
-    since it was last cleared."""
+    """The instances that this process knows.
+
+    :ivar source_silence_ns: returns for how long a source has published nothing.
+    :ivar clock: returns the time in nanoseconds.
+    :ivar reports: by instance id, then by source.
+    :ivar instances: by id; one without an address is not among them.
+    :ivar superseded: ids of instances at whose address another has answered.
+    :ivar changed_ids: instances whose state has changed since the caller last cleared this.
+    """
 
     def __init__(self, source_silence_ns: Callable[[str], int], clock: Callable[[], int]) -> None:
-        self.source_silence_ns, self.clock = source_silence_ns, clock
+        self.source_silence_ns = source_silence_ns
+        self.clock = clock
         self.reports: dict[str, dict[str, BackendReport]] = {}
         self.instances: dict[str, BackendInstance] = {}
-        self.superseded: set[str] = set()  # lives that were seen to have ended: their address is another's
+        self.superseded: set[str] = set()
         self.changed_ids: set[str] = set()
-        self.sources: set[str] = set()
+        self._sources: set[str] = set()
 
-    def on_update(self, event: KeyUpdate) -> None:
-        """Folds one event in; what is malformed changes nothing."""
-        if not event.key.startswith(BACKEND_KEY_PREFIX):
+    def on_update(self, update: KeyUpdate) -> None:
+        """Merges an update; one that is of no instance, or malformed, changes no instance."""
+        if not update.key.startswith(BACKEND_KEY_PREFIX):
             return
-        ident = event.key.removeprefix(BACKEND_KEY_PREFIX)
-        sources = self.reports.setdefault(ident, {})
-        if event.value is None:
-            sources.pop(event.source, None)
-            if not sources:
-                del self.reports[ident]
+        instance_id = update.key.removeprefix(BACKEND_KEY_PREFIX)
+        reports = self.reports.setdefault(instance_id, {})
+        if update.value is None:
+            reports.pop(update.source, None)
+            if not reports:
+                del self.reports[instance_id]
         else:
             try:
-                svc, addr, zone, capacity, state, calls, warm_ms, quiet = event.value
-                said = BackendReport(
-                    str(svc), str(addr), str(zone), float(capacity), str(state), int(calls), bool(quiet)
-                )
-                if state not in STATE_RANK:
-                    return
+                report = BackendReport.from_value(update.value)
             except (TypeError, ValueError):
                 return
-            sources[event.source] = said
-            self.sources.add(event.source)
-            if ident not in self.instances and addr:
-                host, _, port = said.address.rpartition(":")
-                now = self.clock()
-                warm = now + int(float(warm_ms) * 1e6) if warm_ms else 0
-                self.instances[ident] = BackendInstance(
-                    ident, said.service, host, int(port), said.zone, said.capacity, "", now, warm
-                )
-        self.refresh(ident)
-
-    def refresh(self, instance_id: str) -> None:
-        known = self.instances.get(instance_id)
-        if known is None:
-            return
-        state = self.merged_state(instance_id)
-        if state == known.state:
-            return
-        known.state = state
-        self.changed_ids.add(instance_id)
-        if instance_id not in self.reports:
-            del self.instances[instance_id]
-            self.superseded.discard(instance_id)
+            reports[update.source] = report
+            self._sources.add(update.source)
+            if instance_id not in self.instances:
+                self._add_instance(instance_id, report, BackendValue._make(update.value))
+        self._refresh(instance_id)
+
+    def mark_superseded(self, instance_id: str) -> None:
+        """Takes an instance as gone: another one has answered at its address."""
+        self.superseded.add(instance_id)
+        self._refresh(instance_id)
+
+    def refresh_all(self) -> None:
+        """Merges anew: sources fall silent without an update."""
+        for instance_id in list(self.instances):
+            self._refresh(instance_id)
 
     def merged_state(self, instance_id: str) -> str:
-        sources = self.reports.get(instance_id)
-        if not sources or instance_id in self.superseded:
+        """Returns the state of an instance by all reports together."""
+        reports = self.reports.get(instance_id)
+        if not reports or instance_id in self.superseded:
             return GONE
-        rank = max(STATE_RANK[s.state] for s in sources.values())
+        rank = max(STATE_RANK[report.state] for report in reports.values())
         if rank:
             return GONE if rank == STATE_RANK[GONE] else DRAINING
-        alive = {name: s for name, s in sources.items() if self.source_silence_ns(name) < SOURCE_TIMEOUT_NS}
-        if not alive and not any(self.source_silence_ns(name) < SOURCE_TIMEOUT_NS for name in self.sources):
-            return UP  # nobody is heard at all: that says nothing of the backends
-        return SUSPECT if all(s.suspect for s in alive.values()) else UP
+        alive = [
+            report for source, report in reports.items() if self.source_silence_ns(source) < SOURCE_TIMEOUT_NS
+        ]
+        if not alive and all(self.source_silence_ns(name) >= SOURCE_TIMEOUT_NS for name in self._sources):
+            # Guards against a partition: where no source is heard, silence says nothing of the backends.
+            return UP
+        return SUSPECT if all(report.suspect for report in alive) else UP
 
     def is_known(self, instance_id: str) -> bool:
-        """Whether any source speaks of it."""
+        """Returns whether any source reports an instance."""
         return instance_id in self.reports
 
     def is_draining_or_gone(self, instance_id: str) -> bool:
-        """Whether any source says that it is draining or gone."""
-        return any(STATE_RANK[s.state] for s in self.reports.get(instance_id, {}).values())
-
-    def mark_superseded(self, instance_id: str) -> None:
-        """Another backend answered at its address."""
-        self.superseded.add(instance_id)
-        self.refresh(instance_id)
-
-    def refresh_all(self) -> None:
-        """Sources fall silent without an event."""
-        for ident in list(self.instances):
-            self.refresh(ident)
+        """Returns whether any source reports an instance as draining or gone."""
+        return any(STATE_RANK[report.state] for report in self.reports.get(instance_id, {}).values())
 
     def instances_by_service(self) -> dict[str, list[BackendInstance]]:
-        """Lives by service, those that are gone left out."""
-        found: dict[str, list[BackendInstance]] = {}
-        for backend in self.instances.values():
-            if backend.state != GONE:
-                found.setdefault(backend.service, []).append(backend)
-        return found
-
-    def summary(self) -> dict[str, Any]:
+        """Returns the instances of each service, without those that are gone."""
+        services: dict[str, list[BackendInstance]] = {}
+        for instance in self.instances.values():
+            if instance.state != GONE:
+                services.setdefault(instance.service, []).append(instance)
+        return services
+
+    def summary(self) -> dict[str, list[str]]:
+        """Returns service, address, zone and state of each instance, as the programs' status shows them."""
         return {
-            ident: [b.service, f"{b.host}:{b.port}", b.zone, b.state]
-            for ident, b in sorted(self.instances.items())
+            instance_id: [
+                instance.service,
+                f"{instance.host}:{instance.port}",
+                instance.zone,
+                instance.state,
+            ]
+            for instance_id, instance in sorted(self.instances.items())
         }
+
+    def _add_instance(self, instance_id: str, report: BackendReport, value: BackendValue) -> None:
+        if not value.address:  # the departure of an instance that its node had never heard of
+            return
+        host, _, port = report.address.rpartition(":")
+        now_ns = self.clock()
+        self.instances[instance_id] = BackendInstance(
+            instance_id,
+            report.service,
+            host,
+            int(port),
+            report.zone,
+            report.capacity,
+            "",  # no state yet: the first merge sets it, and counts as a change
+            now_ns,
+            now_ns + int(float(value.warmup_ms) * NS_PER_MS) if value.warmup_ms else 0,
+        )
+
+    def _refresh(self, instance_id: str) -> None:
+        instance = self.instances.get(instance_id)
+        if instance is None:
+            return
+        state = self.merged_state(instance_id)
+        if state == instance.state:
+            return
+        instance.state = state
+        self.changed_ids.add(instance_id)
+        if instance_id not in self.reports:
+            del self.instances[instance_id]
+            self.superseded.discard(instance_id)
--- a/meadowworks/registry/heartbeats.py
+++ b/meadowworks/registry/heartbeats.py
@@ -1,92 +1,75 @@
-"""What a signalbox makes of backends' calls: a life's entry is said anew only when it has changed.
+"""The backend instances that call this control-plane node.
 
-Source: the users' page on the protocol. A life goes from up to draining to gone and never back: `calls`
-rises with each call, so a late one is known; a crash says nothing, so silence is told as such.
+Source: the users' page on the protocol of backends. An instance is published when it registers and when its
+state changes, not at each heartbeat, so that heartbeats cost the other nodes nothing. A crash sends nothing:
+an instance without heartbeats is published as suspect, and only a call to leave makes it gone.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterable
+from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Any
-
-from marshmallow import EXCLUDE, Schema, ValidationError, fields, validate
-
-UP, DRAINING, GONE = "up", "draining", "gone"
-STATE_RANK = {UP: 0, DRAINING: 1, GONE: 2}
-MISSED_HEARTBEATS_UNTIL_SUSPECT = 4  # beats missed until a life is told to be quiet
-REDIRECT_BACKOFF_NS = 10_000_000_000  # that an address is not named again after a beat has failed there
-RETENTION_NS = 60_000_000_000  # that one that is gone, or quiet, is remembered
-BACKEND_KEY_PREFIX = "b/"  # of the keys under which lives are said
-MAX_REGISTRATIONS = (
-    16384  # that call here; beyond it who has been silent longest gives way, else a new one waits
+from typing import Any, TypeAlias
+
+from meadowworks.registry.backend_state import (
+    BACKEND_KEY_PREFIX,
+    GONE,
+    STATE_RANK,
+    UP,
+    furthest_state,
+)
+from meadowworks.registry.heartbeat_schema import (
+    MAX_TEXT_LENGTH,
+    Heartbeat,
+    InvalidHeartbeatError,
+    parse_heartbeat,
 )
-MAX_UNKNOWN_DEPARTURES = 1024  # ids that left and that nobody has heard of
-MAX_TEXT_LENGTH = 200  # characters of an id and of each name in a beat
-FIELD_ALIASES = {"service": "svc", "version": "ver", "slots": "capacity"}  # the pages' words for the same
-
-
-class LenientSchema(Schema):
-    class Meta:
-        unknown = EXCLUDE
-
-
-class DetailsSchema(LenientSchema):
-    svc = fields.String(required=True, validate=validate.Length(min=1, max=MAX_TEXT_LENGTH))
-    zone = fields.String(required=True, validate=validate.Length(max=MAX_TEXT_LENGTH))
-    capacity = fields.Float(required=True, validate=validate.Range(min=0, max=1e6))
-    ver = fields.String(load_default="", validate=validate.Length(max=MAX_TEXT_LENGTH))
-
-
-class StatusSchema(LenientSchema):
-    state = fields.String(required=True, validate=validate.OneOf([UP, DRAINING]))
-    calls = fields.Integer(required=True, validate=validate.Range(min=0))
-    warmupMs = fields.Float(load_default=0.0, validate=validate.Range(min=0, max=3.6e6))
-
-
-class HeartbeatSchema(LenientSchema):
-    addr = fields.String(required=True, validate=validate.Regexp(r"^[^:\s]{1,200}:[0-9]{1,5}\Z"))
-    details = fields.Nested(DetailsSchema, required=True)
-    status = fields.Nested(StatusSchema, required=True)
-
-
-HEARTBEAT_SCHEMA = HeartbeatSchema()
-
 
-def normalize(document: Any) -> Any:
-    """A beat in the form of the example, `details` and `status` as tables. The pages' text names the fields
-    side by side, and calls some otherwise: that is taken too; what stands in a table goes first."""
-    if not isinstance(document, dict):
-        return document
-    whole = {"addr": document["addr"]} if "addr" in document else {}
-    for name, schema in (("details", DetailsSchema), ("status", StatusSchema)):
-        table = document.get(name, {})
-        if not isinstance(table, dict):
-            return document
-        for place in (table, document):
-            for key, value in place.items():
-                plain = FIELD_ALIASES.get(key, key)
-                if plain in schema._declared_fields:
-                    whole.setdefault(name, {}).setdefault(plain, value)
-    return whole
+# A restart of this node or a slow network costs an instance one heartbeat or two, not four.
+MISSED_HEARTBEATS_UNTIL_SUSPECT = 4
+# For this long an instance that is gone or suspect is remembered: its late calls must find it.
+RETENTION_NS = 60_000_000_000
+# Instances that call this node. Beyond it the one that was silent the longest gives way if it is suspect,
+# otherwise a new one is refused: guards against ids without end.
+MAX_REGISTRATIONS = 16384
+MAX_UNKNOWN_DEPARTURES = 1024  # ids that left before anybody had heard of them; the oldest go first
 
 
 @dataclass(frozen=True, slots=True)
 class InvalidCall:
-    """The call makes no sense; one short sentence."""
+    """The call makes no sense, for a reason in one short sentence; a retry fails alike."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class CallAccepted:
-    """`version` is the one of the news that others must hold before the call may be acknowledged; 0: none."""
+    """The call has been taken.
+
+    :ivar version: of this node's updates: the call may be acknowledged once that is on enough disks; 0 if
+        it may be at once.
+    """
 
     version: int
 
 
+@dataclass(frozen=True, slots=True)
+class RegistryFull:
+    """Too many instances call this node; a retry at another node may succeed."""
+
+
+CallOutcome: TypeAlias = CallAccepted | InvalidCall | RegistryFull
+
+
 @dataclass(slots=True)
 class Registration:
+    """An instance that calls this node.
+
+    :ivar sequence: the highest of its heartbeats.
+    :ivar last_heartbeat_ns: when it last called; when it left, if it is gone.
+    :ivar published_version: the version under which its present state was published.
+    """
+
     service: str
     address: str
     zone: str
@@ -96,9 +79,10 @@
     warmup_ms: float
     last_heartbeat_ns: int
     suspect: bool = False
-    published_version: int = 0  # the version under which its newest state was said
+    published_version: int = 0
 
     def to_value(self) -> list[Any]:
+        """Returns the value to publish, by place as in ``BackendValue``."""
         return [
             self.service,
             self.address,
@@ -111,175 +95,185 @@
         ]
 
 
-@dataclass(frozen=True, slots=True)
-class RegistryFull:
-    """So many call here already that this one is not taken now; another signalbox may."""
-
-
 class HeartbeatRegistry:
-    """`say` publishes a key's value and returns its version. `fenced` tells how far a life has gone by
-    anyone's word, `known` whether anyone has spoken of it."""
+    """Decides what this node publishes of the instances that call it.
+
+    :ivar suspect_after_ns: the silence after which an instance is suspect.
+    :ivar registrations: by instance id; who called last stands last.
+    :ivar unknown_departures: by id of an instance that left and that nobody had heard of, when that was.
+    """
 
     def __init__(
         self,
         publish: Callable[[str, Any], int],
         heartbeat_ms: int,
-        drain_state: Callable[[str], str] = lambda ident: UP,
-        is_known: Callable[[str], bool] = lambda ident: False,
+        drain_state: Callable[[str], str] = lambda instance_id: UP,
+        is_known: Callable[[str], bool] = lambda instance_id: False,
         max_registrations: int = MAX_REGISTRATIONS,
     ) -> None:
-        self.publish, self.drain_state, self.is_known, self.max_registrations = (
-            publish,
-            drain_state,
-            is_known,
-            max_registrations,
-        )
+        """Begins without instances.
+
+        :param publish: publishes the value of a key, or deletes the key for None; returns the version.
+        :param heartbeat_ms: the interval at which backends call.
+        :param drain_state: how far an instance has gone by any node's report; up for an unknown one.
+        :param is_known: whether any node has reported an instance.
+        """
+        self._publish_value = publish
+        self._drain_state = drain_state
+        self._is_known = is_known
+        self._max_registrations = max_registrations
         self.suspect_after_ns = MISSED_HEARTBEATS_UNTIL_SUSPECT * heartbeat_ms * 1_000_000
-        self.registrations: dict[str, Registration] = {}  # who was heard last stands last
-        self.unknown_departures: dict[str, int] = {}  # by id: when it left, of which nobody has heard
+        self.registrations: dict[str, Registration] = {}
+        self.unknown_departures: dict[str, int] = {}
 
-    def heartbeat(
-        self, now_ns: int, instance_id: str, document: Any
-    ) -> CallAccepted | InvalidCall | RegistryFull:
+    def heartbeat(self, now_ns: int, instance_id: str, document: Any) -> CallOutcome:
+        """Takes a heartbeat, given as a JSON document."""
         try:
-            found = HEARTBEAT_SCHEMA.load(normalize(document))
-        except ValidationError as trouble:
-            return InvalidCall(
-                f"no heartbeat: {', '.join(sorted(map(str, trouble.messages)))}"
-                if isinstance(trouble.messages, dict)
-                else "no heartbeat"
-            )
+            heartbeat = parse_heartbeat(document)
+        except InvalidHeartbeatError as error:
+            return InvalidCall(str(error))
         if not is_valid_id(instance_id):
             return InvalidCall("no id")
         if instance_id in self.unknown_departures:
-            return CallAccepted(0)  # Guards against a late beat of one that has left: it makes no life.
-        details, status = found["details"], found["status"]
-        life = self.registrations.pop(instance_id, None)
-        told = (status["state"], self.drain_state(instance_id), life.state if life else UP)
-        # Guards against a beat that says less than is known, here or anywhere: a life never goes back.
-        state = max(told, key=STATE_RANK.__getitem__)
-        if life is None:
-            if not self.make_room(now_ns):
-                return RegistryFull()
-            life = self.registrations[instance_id] = Registration(
-                details["svc"],
-                found["addr"],
-                details["zone"],
-                details["capacity"],
-                state,
-                status["calls"],
-                status["warmupMs"],
-                now_ns,
-            )
-            life.published_version = self.publish(BACKEND_KEY_PREFIX + instance_id, life.to_value())
+            # Guards against a heartbeat that comes after its instance has left: it registers nothing.
+            return CallAccepted(0)
+        registration = self.registrations.pop(instance_id, None)
+        known_state = registration.state if registration else UP
+        # Guards against a heartbeat that is behind what is known, here or anywhere: no state goes back.
+        state = furthest_state(heartbeat.state, self._drain_state(instance_id), known_state)
+        if registration is not None:
+            self.registrations[instance_id] = registration
+            self._renew(now_ns, instance_id, heartbeat, state)
+        elif self._make_room(now_ns):
+            registration = self._register(now_ns, instance_id, heartbeat, state)
         else:
-            self.registrations[instance_id] = life
-            life.last_heartbeat_ns = now_ns
-            late = status["calls"] <= life.sequence
-            life.sequence = max(life.sequence, status["calls"])
-            worse = state != life.state
-            if worse or life.suspect and not late and life.state != GONE:
-                life.state = state
-                life.suspect = False
-                life.warmup_ms = status["warmupMs"]
-                life.published_version = self.publish(BACKEND_KEY_PREFIX + instance_id, life.to_value())
-        return CallAccepted(life.published_version if life.state != UP else 0)
-
-    def make_room(self, now_ns: int) -> bool:
-        """Whether one more fits. Guards against ids without end."""
-        while len(self.registrations) >= self.max_registrations:
-            ident, oldest = next(iter(self.registrations.items()))
-            if now_ns - oldest.last_heartbeat_ns <= self.suspect_after_ns:
-                return False
-            del self.registrations[ident]
-            self.publish(BACKEND_KEY_PREFIX + ident, None)
-        return True
+            return RegistryFull()
+        return CallAccepted(registration.published_version if registration.state != UP else 0)
+
+    def leave(self, now_ns: int, instance_id: str) -> CallOutcome:
+        """Takes the call of an instance that leaves, or of the platform in its place.
 
-    def leave(self, now_ns: int, instance_id: str) -> CallAccepted | InvalidCall | RegistryFull:
-        """One that was never heard of here may be known elsewhere: its end is said all the same. One that
-        nobody has heard of is kept in mind, and said once somebody does."""
+        An instance that never called this node may be known elsewhere: its end is published all the same.
+        One that nobody has heard of is remembered, and published as gone once somebody has.
+        """
         if not is_valid_id(instance_id):
             return InvalidCall("no id")
-        life = self.registrations.pop(instance_id, None)
-        if life is None:
-            if not self.is_known(instance_id):
-                self.unknown_departures.pop(instance_id, None)
-                self.unknown_departures[instance_id] = now_ns
-                while len(self.unknown_departures) > MAX_UNKNOWN_DEPARTURES:
-                    del self.unknown_departures[next(iter(self.unknown_departures))]
+        registration = self.registrations.pop(instance_id, None)
+        if registration is None:
+            if not self._is_known(instance_id):
+                self._remember_departure(now_ns, instance_id)
                 return CallAccepted(0)
-            if not self.make_room(now_ns):
+            if not self._make_room(now_ns):
                 return RegistryFull()
-            life = Registration("", "", "", 0.0, UP, 0, 0.0, now_ns)
-        self.registrations[instance_id] = life
-        if life.state != GONE:
-            life.state, life.last_heartbeat_ns = GONE, now_ns
-            life.published_version = self.publish(BACKEND_KEY_PREFIX + instance_id, life.to_value())
-        return CallAccepted(life.published_version)
+            registration = Registration("", "", "", 0.0, UP, 0, 0.0, now_ns)
+        self.registrations[instance_id] = registration
+        if registration.state != GONE:
+            registration.state, registration.last_heartbeat_ns = GONE, now_ns
+            self._publish(instance_id, registration)
+        return CallAccepted(registration.published_version)
+
+    def tick(self, now_ns: int) -> None:
+        """Publishes what comes of silence and of other nodes' reports; called each second."""
+        for instance_id, registration in list(self.registrations.items()):
+            silence_ns = now_ns - registration.last_heartbeat_ns
+            drain_state = self._drain_state(instance_id)
+            is_alive = registration.state != GONE and not registration.suspect
+            if is_alive and silence_ns > self.suspect_after_ns:
+                registration.suspect = True
+                self._publish(instance_id, registration)
+            if STATE_RANK[drain_state] > STATE_RANK[registration.state]:
+                # Guards against the end of the node that reported it: this node's older report would count.
+                registration.state = drain_state
+                self._publish(instance_id, registration)
+            if silence_ns > RETENTION_NS + self.suspect_after_ns:
+                self._delete(instance_id)
+        for instance_id, left_ns in list(self.unknown_departures.items()):
+            if now_ns - left_ns > RETENTION_NS:
+                del self.unknown_departures[instance_id]
+            elif self._is_known(instance_id) and self._make_room(now_ns):
+                del self.unknown_departures[instance_id]
+                self.leave(now_ns, instance_id)
 
     def durable_values(self) -> dict[str, list[Any]]:
-        """Lives that are not over, for the disk."""
+        """Returns the values of the instances that call and are not gone, to be stored for a restart."""
         return {
-            ident: life.to_value()
-            for ident, life in self.registrations.items()
-            if life.state != GONE and not life.suspect
+            instance_id: registration.to_value()
+            for instance_id, registration in self.registrations.items()
+            if registration.state != GONE and not registration.suspect
         }
 
     def restore(self, now_ns: int, values: dict[str, list[Any]]) -> None:
-        """What was kept before a start is said again, as if it had been heard just now: backends beat on, and
-        one that does not falls silent as ever. What was fenced since stays so."""
-        for ident, (svc, addr, zone, capacity, state, calls, _, _) in values.items():
-            state = max(state, self.drain_state(ident), key=STATE_RANK.__getitem__)
-            life = self.registrations[ident] = Registration(
-                svc, addr, zone, capacity, state, calls, 0.0, now_ns
+        """Publishes stored values after a restart, as if each instance had called just now.
+
+        Those that live call again, and the others become suspect as ever. A drain reported since holds.
+        """
+        for instance_id, (service, address, zone, capacity, state, sequence, _, _) in values.items():
+            registration = Registration(
+                service,
+                address,
+                zone,
+                capacity,
+                state=furthest_state(state, self._drain_state(instance_id)),
+                sequence=sequence,
+                warmup_ms=0.0,
+                last_heartbeat_ns=now_ns,
             )
-            life.published_version = self.publish(BACKEND_KEY_PREFIX + ident, life.to_value())
+            self.registrations[instance_id] = registration
+            self._publish(instance_id, registration)
+
+    def _register(self, now_ns: int, instance_id: str, heartbeat: Heartbeat, state: str) -> Registration:
+        registration = Registration(
+            service=heartbeat.service,
+            address=heartbeat.address,
+            zone=heartbeat.zone,
+            capacity=heartbeat.capacity,
+            state=state,
+            sequence=heartbeat.sequence,
+            warmup_ms=heartbeat.warmup_ms,
+            last_heartbeat_ns=now_ns,
+        )
+        self.registrations[instance_id] = registration
+        self._publish(instance_id, registration)
+        return registration
+
+    def _renew(self, now_ns: int, instance_id: str, heartbeat: Heartbeat, state: str) -> None:
+        """Notes a further heartbeat; publishes a new state, and the end of a suspicion."""
+        registration = self.registrations[instance_id]
+        registration.last_heartbeat_ns = now_ns
+        is_late = heartbeat.sequence <= registration.sequence
+        registration.sequence = max(registration.sequence, heartbeat.sequence)
+        has_recovered = registration.suspect and not is_late and registration.state != GONE
+        if state != registration.state or has_recovered:
+            registration.state = state
+            registration.suspect = False
+            registration.warmup_ms = heartbeat.warmup_ms
+            self._publish(instance_id, registration)
+
+    def _make_room(self, now_ns: int) -> bool:
+        """Returns whether one more instance may register, having dropped suspect ones for it."""
+        while len(self.registrations) >= self._max_registrations:
+            instance_id, oldest = next(iter(self.registrations.items()))
+            if now_ns - oldest.last_heartbeat_ns <= self.suspect_after_ns:
+                return False
+            self._delete(instance_id)
+        return True
 
-    def tick(self, now_ns: int) -> None:
-        for ident, life in list(self.registrations.items()):
-            silent = now_ns - life.last_heartbeat_ns
-            state = self.drain_state(ident)
-            if life.state != GONE and not life.suspect and silent > self.suspect_after_ns:
-                life.suspect = True
-                life.published_version = self.publish(BACKEND_KEY_PREFIX + ident, life.to_value())
-            if STATE_RANK[state] > STATE_RANK[life.state]:
-                # Guards against the end of whoever said so: this source's older word would stand again.
-                life.state = state
-                life.published_version = self.publish(BACKEND_KEY_PREFIX + ident, life.to_value())
-            if silent > RETENTION_NS + self.suspect_after_ns:
-                del self.registrations[ident]
-                self.publish(BACKEND_KEY_PREFIX + ident, None)
-        for ident, left in list(self.unknown_departures.items()):
-            if now_ns - left > RETENTION_NS:
-                del self.unknown_departures[ident]
-            elif self.is_known(ident) and self.make_room(now_ns):  # somebody has heard of it after all
-                del self.unknown_departures[ident]
-                self.leave(now_ns, ident)
+    def _remember_departure(self, now_ns: int, instance_id: str) -> None:
+        self.unknown_departures.pop(instance_id, None)
+        self.unknown_departures[instance_id] = now_ns
+        while len(self.unknown_departures) > MAX_UNKNOWN_DEPARTURES:
+            del self.unknown_departures[next(iter(self.unknown_departures))]
 
+    def _publish(self, instance_id: str, registration: Registration) -> None:
+        registration.published_version = self._publish_value(
+            BACKEND_KEY_PREFIX + instance_id, registration.to_value()
+        )
 
-def is_valid_id(instance_id: str) -> bool:
-    return 0 < len(instance_id) <= MAX_TEXT_LENGTH
+    def _delete(self, instance_id: str) -> None:
+        del self.registrations[instance_id]
+        self._publish_value(BACKEND_KEY_PREFIX + instance_id, None)
 
 
-class ZoneRedirects:
-    """Which signalbox of its own zone a backend is asked to call from now on (`beatUrl`). One that is called
-    here all the same has failed to reach it there: then that address is not named for a while."""
-
-    def __init__(self) -> None:
-        self.redirected: dict[str, str] = {}  # by id: the address that it was told
-        self.avoid_until_ns: dict[str, int] = {}  # by address: when it may be named again
-
-    def on_heartbeat(self, now_ns: int, instance_id: str) -> None:
-        if (at := self.redirected.pop(instance_id, None)) is not None:
-            self.avoid_until_ns[at] = now_ns + REDIRECT_BACKOFF_NS
-        self.avoid_until_ns = {at: until for at, until in self.avoid_until_ns.items() if until > now_ns}
-
-    def choose(self, now_ns: int, instance_id: str, addresses: Iterable[str]) -> str | None:
-        """An address for a backend, out of those in its zone."""
-        for at in addresses:
-            if self.avoid_until_ns.get(at, 0) <= now_ns:
-                self.redirected[instance_id] = at
-                while len(self.redirected) > MAX_REGISTRATIONS:
-                    del self.redirected[next(iter(self.redirected))]
-                return at
-        return None
+def is_valid_id(instance_id: str) -> bool:
+    """Returns whether an id is neither empty nor too long."""
+    return 0 < len(instance_id) <= MAX_TEXT_LENGTH
--- a/meadowworks/simulation/hollow.py
+++ b/meadowworks/simulation/hollow.py
@@ -27,8 +27,8 @@
 from meadowworks.load_balancing.load_reports import LOAD_REPORT_PREFIX as FIGURES
 from meadowworks.load_balancing.load_reports import LoadReport
 from meadowworks.load_balancing.service import BackendLoad, ServiceBalancer
+from meadowworks.registry.backend_state import BACKEND_KEY_PREFIX as BACKENDS
 from meadowworks.registry.backends import BackendDirectory
-from meadowworks.registry.heartbeats import BACKEND_KEY_PREFIX as BACKENDS
 from meadowworks.registry.heartbeats import HeartbeatRegistry
 
 MS, SECOND = 1_000_000, 1_000_000_000
--- a/tests/gateway/golden_product.py
+++ b/tests/gateway/golden_product.py
@@ -37,9 +37,9 @@
 from meadowworks.load_balancing.load_reports import LOAD_REPORT_PREFIX as FIGURES_PREFIX
 from meadowworks.load_balancing.load_reports import LoadReport
 from meadowworks.proxy.server import ProxyServer
+from meadowworks.registry.backend_state import BACKEND_KEY_PREFIX as BACKENDS_PREFIX
 from meadowworks.registry.backends import BackendDirectory
 from meadowworks.registry.drain_log import DrainLog
-from meadowworks.registry.heartbeats import BACKEND_KEY_PREFIX as BACKENDS_PREFIX
 from meadowworks.registry.heartbeats import HeartbeatRegistry
 from meadowworks.runtime import node_settings
 from meadowworks.runtime.http_server import HttpServer, read_body, send_response
--- a/tests/gateway/test_roster.py
+++ b/tests/gateway/test_roster.py
@@ -20,14 +20,13 @@
 from meadowworks.registry.drain_log import DrainLog
 from meadowworks.registry.heartbeats import (
     MAX_UNKNOWN_DEPARTURES,
-    REDIRECT_BACKOFF_NS,
     RETENTION_NS,
     CallAccepted,
     HeartbeatRegistry,
     InvalidCall,
     RegistryFull,
-    ZoneRedirects,
 )
+from meadowworks.registry.zone_redirects import REDIRECT_BACKOFF_NS, ZoneRedirects
 from meadowworks.storage.sqlite_store import SqliteStore
 from tests.gateway.helpers import SECOND, until
 
