--- a/meadowworks/modelcheck/models/gossip.py
+++ b/meadowworks/modelcheck/models/gossip.py
@@ -1,427 +1,198 @@
-"""News of backends between two signalboxes and a junction: `telegraph.news.News`, `telegraph.members`,
-`roster.beats.Beats` and `roster.lives.Lives`, with answers that are late, lost or come twice, a cut between
-the signalboxes and its end, and restarts under the same address.
-
-One backend beats, drains and leaves at either signalbox, and an old beat of it may come late; another is
-forgotten, so that a holder who is behind wants a snapshot. A drain is acknowledged as in the product, by
-`roster.fences.Fences`: once it is on the own disk and another voter's receipt covers it. Disks are fast here;
-the model `roster` is of slow ones.
-"""
+"""The model ``telegraph``: what must hold of updates between two control-plane nodes and a proxy."""
 
 from __future__ import annotations
 
-import pickle
-from collections.abc import Iterable
-from dataclasses import dataclass, replace
 from typing import Any
 
-from meadowworks.gossip.messages import decode_delta, encode_delta
-from meadowworks.gossip.peer_sampling import PartialView, PeerRecord
-from meadowworks.gossip.updates import KeyUpdate, SourceDelta, UpdateStore
+from meadowworks.gossip.updates import SourceLog
 from meadowworks.modelcheck.model import Model, Property, Step
-from meadowworks.registry.backend_state import BACKEND_KEY_PREFIX, DRAINING, GONE, STATE_RANK, SUSPECT, UP
-from meadowworks.registry.backends import BackendDirectory
-from meadowworks.registry.drain_log import DrainLog
-from meadowworks.registry.heartbeats import HeartbeatRegistry
-
-BOXES, JUNCTION = (0, 1), 2
-X, Y = "x", "y"  # the backend that goes, and the one that is forgotten
-BEAT_MS = 1000
-ORDER = {UP: 0, SUSPECT: 0, DRAINING: 1, GONE: 2}
-
-
-@dataclass(frozen=True, slots=True)
-class Scene:
-    """How often each may happen."""
-
-    name: str
-    drains: int = 0
-    leaves: int = 0
-    late: int = 0  # beats of before
-    silences: int = 0
-    restarts: int = 0
-    forgets: int = 0
-    slow: int = 0  # answers to pulls that come later, or twice
-    cuts: int = 0
-    pulls: int = 5
-
-
-class Node:
-    """One process: what it holds, and whom it knows."""
-
-    def __init__(self, host: int, life: int) -> None:
-        self.host, self.life = host, life
-        voting = host != JUNCTION
-        self.me = f"{host}.{life}"
-        self.news = UpdateStore(self.me, 0)
-        self.lives = BackendDirectory(still, still)
-        self.fences = DrainLog(self.me)
-        self.news.update_listeners += [self.lives.on_update, self.heard]
-        self.news.version_listeners.append(self.fences.on_version)
-        self.beats = HeartbeatRegistry(self.news.publish, BEAT_MS, self.fences.state, self.known)
-        self.asked: dict[int, str] = {}  # by host: the life that answered last
-        self.members = PartialView(PeerRecord(self.me, f"h{host}", 1, "z", voting, self.me, 100 * life), 1)
-
-    def heard(self, event: KeyUpdate) -> None:
-        self.fences.on_update(0, event)
-
-    def known(self, ident: str) -> bool:
-        return self.lives.is_known(ident) or ident in self.fences.records
-
-    def rank(self) -> int:
-        """How far it takes the backend to be gone; -1 if it has not heard of it. One of which no address is
-        known yet has a state all the same."""
-        known = self.lives.instances.get(X)
-        state = known.state if known else self.lives.merged_state(X) if X in self.lives.reports else ""
-        return ORDER.get(state, -1)
-
-
-def still(*_: Any) -> int:
-    """No time goes by: no source falls silent."""
-    return 0
-
-
-class World:
-    def __init__(self, scene: Scene) -> None:
-        self.scene, self.left = scene, scene
-        self.outcomes: list[tuple[Any, ...]] = []
-        self.nodes = [Node(host, 1) for host in (*BOXES, JUNCTION)]
-        self.calls, self.state = 1, UP
-        self.saved: list[dict[str, list[Any]]] = [{}, {}]
-        self.disks: list[dict[str, Any]] = [{}, {}]  # fences
-        self.owed: tuple[int, int] | None = None  # the box that heard a drain or leave, and its news' version
-        self.acked: frozenset[int] = frozenset()  # boxes that must know of it since it was acknowledged
-        self.cut = False
-        self.answer: tuple[int, tuple[SourceDelta, ...], PeerRecord] | None = None  # on its way to a holder
-        for name in (X, Y) if scene.forgets else (X,):
-            self.nodes[0].beats.heartbeat(0, name, self.beat(UP, 1))
-        self.keep(0)
-        for node in (1, JUNCTION):
-            self.pull(node, 0)
-
-    def beat(self, state: str, calls: int) -> dict[str, Any]:
-        details = {"svc": "s", "zone": "z", "capacity": 2, "ver": "v"}
-        status = {"state": state, "calls": calls, "warmupMs": 0}
-        return {"addr": "h:1", "details": details, "status": status}
-
-    def keep(self, box: int) -> None:
-        self.saved[box] = dict(self.nodes[box].beats.durable_values())
-
-    # -- steps
-
-    def enabled(self) -> Iterable[Step]:
-        left, found = self.left, list[Step]()
-        for box in BOXES:
-            if left.drains and self.state == UP:
-                found.append(("drain", box))
-            if left.leaves and self.state != GONE:
-                found.append(("leave", box))
-            if left.late:
-                found.append(("late", box))
-            if left.silences and X in self.nodes[box].beats.registrations:
-                found.append(("silence", box))
-            if left.restarts:
-                found.append(("restart", box))
-        if left.forgets and Y in self.nodes[0].beats.registrations:
-            found.append(("forget",))
-        if left.pulls:
-            for asker, holder in ((0, 1), (1, 0), (JUNCTION, 0), (JUNCTION, 1)):
-                if not (self.cut and JUNCTION not in (asker, holder)):
-                    found.append(("pull", asker, holder))
-                    if left.slow and not self.answer:
-                        found.append(("ask", asker, holder))
-        if self.answer:
-            found += [("come",), ("lost",)]
-        if self.owed and not self.acked and self.known(*self.owed):
-            found.append(("ack",))
-        if left.cuts or self.cut:
-            found.append(("cut",))
-        return found
-
-    def known(self, box: int, version: int) -> bool:
-        """As `signalbox.resources.Backends` asks it."""
-        return self.nodes[box].fences.is_replicated(version, [f"h{1 - box}"], 1, True)
-
-    def spend(self, what: str) -> None:
-        self.left = replace(self.left, **{what: getattr(self.left, what) - 1})
-
-    def take_step(self, step: Step) -> None:
-        kind, *what = step
-        before = [(n.me, n.rank(), self.cards(n)) for n in self.nodes]
-        getattr(self, "do_" + kind)(*what)
-        for box in BOXES:
-            if batch := self.nodes[box].fences.next_batch():
-                self.disks[box] = {**self.disks[box], **batch.rows}
-                self.nodes[box].fences.on_written()
-        self.outcomes = []
-        for node, (me, rank, cards) in zip(self.nodes, before, strict=True):
-            if node.me == me:
-                self.outcomes.append(("rank", rank, node.rank()))
-                now = self.cards(node)
-                self.outcomes += [("card", beat, now.get(host, -1)) for host, beat in cards.items()]
-
-    def cards(self, node: Node) -> dict[str, int]:
-        return {host: known.record.heartbeat for host, known in node.members.peers.items()}
-
-    def do_drain(self, box: int) -> None:
-        self.spend("drains")
-        self.calls, self.state = self.calls + 1, DRAINING
-        taken = self.nodes[box].beats.heartbeat(0, X, self.beat(DRAINING, self.calls))
-        self.owed = box, getattr(taken, "version", 0)
-
-    def do_leave(self, box: int) -> None:
-        self.spend("leaves")
-        self.state = GONE
-        taken, self.acked = self.nodes[box].beats.leave(0, X), frozenset()
-        version = getattr(taken, "version", 0)
-        self.owed = (box, version) if version else None  # no stranger's: that wants a majority's news
-
-    def do_late(self, box: int) -> None:
-        """A beat from before comes now."""
-        self.spend("late")
-        self.nodes[box].beats.heartbeat(0, X, self.beat(UP, 1))
-
-    def do_silence(self, box: int) -> None:
-        self.spend("silences")
-        beats = self.nodes[box].beats
-        beats.registrations[X].last_heartbeat_ns -= beats.suspect_after_ns + 1
-        beats.tick(0)
-
-    def do_restart(self, box: int) -> None:
-        """Power is lost: what it said is its last life's, what is on its disk is said again."""
-        self.spend("restarts")
-        node = self.nodes[box] = Node(box, self.nodes[box].life + 1)
-        node.fences.restore(0, self.disks[box])
-        node.beats.restore(0, {**{i: list(v) for i, v in self.disks[box].items()}, **self.saved[box]})
-        if self.owed and self.owed[0] == box:
-            self.owed = None
-
-    def do_forget(self) -> None:
-        self.spend("forgets")
-        del self.nodes[0].beats.registrations[Y]
-        self.nodes[0].news.publish(BACKEND_KEY_PREFIX + Y, None)
-
-    def pieces(self, asker: int, holder: int) -> tuple[tuple[SourceDelta, ...], PeerRecord]:
-        one, other = self.nodes[asker], self.nodes[holder]
-        other.members.merge(0, [one.members.local])
-        if asker != JUNCTION and holder in one.asked:
-            other.fences.on_acknowledgement(f"h{asker}", *one.fences.acknowledgement(one.asked[holder]))
-        return tuple(other.news.deltas_since(one.news.remote_version_vector(), one.me)), other.members.local
-
-    def take(self, asker: int, pieces: tuple[SourceDelta, ...], card: PeerRecord) -> None:
-        node = self.nodes[asker]
-        node.members.merge(0, [card])
-        node.asked[int(card.host[1:])] = card.incarnation
-        for piece in pieces:
-            node.news.apply(0, decode_delta(encode_delta(piece)))
-        if node.beats.unknown_departures:
-            node.beats.tick(0)
-
-    def pull(self, asker: int, holder: int) -> None:
-        self.take(asker, *self.pieces(asker, holder))
-
-    def do_pull(self, asker: int, holder: int) -> None:
-        self.spend("pulls")
-        for node in self.nodes:
-            node.members.advance_heartbeat()
-        self.pull(asker, holder)
-
-    def do_ask(self, asker: int, holder: int) -> None:
-        self.spend("slow")
-        self.answer = asker, *self.pieces(asker, holder)
-
-    def do_come(self) -> None:
-        """It comes, and may come once more: a peer that asked twice."""
-        assert self.answer is not None
-        self.take(*self.answer)
-        if not self.left.slow:
-            self.answer = None
-        else:
-            self.spend("slow")
-
-    def do_lost(self) -> None:
-        self.answer = None
-
-    def do_ack(self) -> None:
-        self.acked = frozenset(BOXES)
-
-    def do_cut(self) -> None:
-        if not self.cut:
-            self.spend("cuts")
-        self.cut = not self.cut
-
-    # -- states
-
-    def freeze(self) -> bytes:
-        did, self.outcomes = self.outcomes, []
-        try:
-            return pickle.dumps(self, pickle.HIGHEST_PROTOCOL)
-        finally:
-            self.outcomes = did
-
-    def key(self) -> Any:
-        return (
-            repr(self.left),
-            self.calls,
-            self.state,
-            self.owed,
-            tuple(sorted(self.acked)),
-            self.cut,
-            repr(self.answer),
-            repr(self.saved),
-            repr(self.disks),
-            tuple([self.facts(node) for node in self.nodes]),
-        )
-
-    def facts(self, node: Node) -> Any:
-        return (
-            node.me,
-            tuple(
-                [
-                    (name, s.latest_version, s.compacted_version, repr(sorted(s.entries.items())))
-                    for name, s in sorted(node.news.sources.items())
-                ]
-            ),
-            repr(sorted(node.fences.records.items())),
-            repr(
-                (
-                    sorted(node.fences.durable_versions.items()),
-                    sorted(node.fences.acknowledged_versions.items()),
-                )
-            ),
-            repr((sorted(node.asked.items()), sorted(node.beats.unknown_departures))),
-            repr(sorted((k, v.state) for k, v in node.lives.instances.items())),
-            repr(sorted(node.beats.registrations.items())),
-            tuple(sorted(self.cards(node).items())),
-        )
-
+from meadowworks.modelcheck.models.gossip_world import (
+    CONTROL_PLANE,
+    DRAINED_BACKEND,
+    Budget,
+    GossipWorld,
+    thaw,
+)
+from meadowworks.registry.backend_state import (
+    BACKEND_KEY_PREFIX,
+    GONE,
+    STATE_RANK,
+    SUSPECT,
+    BackendValue,
+)
 
-def thaw(state: bytes) -> World:
-    world: World = pickle.loads(state)
-    return world
+DRAINED_KEY = BACKEND_KEY_PREFIX + DRAINED_BACKEND
 
 
-def never_back(world: World) -> bool:
+def state_never_goes_back(world: GossipWorld) -> bool:
+    """In no process does an instance go back from draining or gone."""
     return all(after >= before for kind, before, after in world.outcomes if kind == "rank" and before >= 1)
 
 
-def cards_rise(world: World) -> bool:
+def peer_records_advance(world: GossipWorld) -> bool:
+    """No record of a peer is replaced by an older one."""
     return all(after >= before for kind, before, after in world.outcomes if kind == "card")
 
 
-def ack_kept(world: World) -> bool:
-    """Whatever power was lost since: it is on both disks."""
-    return all(world.nodes[box].rank() >= 1 for box in world.acked)
+def acknowledged_drain_is_known(world: GossipWorld) -> bool:
+    """An acknowledged drain is known at each node, whatever power was lost since."""
+    return all(world.nodes[host].rank() >= 1 for host in world.acknowledged)
 
 
-def copies_whole(world: World) -> bool:
-    """Who is at a source's newest version holds what it says, no more and no less."""
+def replicas_are_complete(world: GossipWorld) -> bool:
+    """Who holds a source's newest version holds all its values, and no others."""
     for holder in world.nodes:
         for source in world.nodes:
-            mine = source.news.sources[source.me]
-            its = holder.news.sources.get(source.me)
-            if its is not None and its.latest_version == mine.latest_version and said(its) != said(mine):
+            original = source.updates.sources[source.source_id]
+            replica = holder.updates.sources.get(source.source_id)
+            if replica is None or replica.latest_version != original.latest_version:
+                continue
+            if live_values(replica) != live_values(original):
                 return False
     return True
 
 
-def said(source: Any) -> dict[str, Any]:
-    return {key: value for key, (_, value) in source.entries.items() if value is not None}
+def live_values(log: SourceLog) -> dict[str, Any]:
+    """Returns the values of a source's keys, tombstones left out."""
+    return {key: value for key, (_, value) in log.entries.items() if value is not None}
 
 
-def same_list(world: World) -> bool:
-    """Two that hold the same versions fold the same list."""
-    folds: dict[str, set[int]] = {}
+def same_versions_give_same_state(world: GossipWorld) -> bool:
+    """Two processes with the same versions merge the same state."""
+    ranks_by_versions: dict[str, set[int]] = {}
     for node in world.nodes:
-        vector = {name: top for name, top in node.news.version_vector().items() if top}
-        folds.setdefault(repr(sorted(vector.items())), set()).add(node.rank())
-    return all(len(ranks) == 1 for ranks in folds.values())
+        vector = {name: version for name, version in node.updates.version_vector().items() if version}
+        ranks_by_versions.setdefault(repr(sorted(vector.items())), set()).add(node.rank())
+    return all(len(ranks) == 1 for ranks in ranks_by_versions.values())
 
 
-def quiet_by_all(world: World) -> bool:
-    """Quiet only where nobody who knows the life says otherwise."""
+def suspect_only_by_all_reports(world: GossipWorld) -> bool:
+    """An instance is suspect only where no source that knows it says otherwise."""
     for node in world.nodes:
-        if (known := node.lives.instances.get(X)) and known.state == SUSPECT:
-            told = [
-                s.entries[BACKEND_KEY_PREFIX + X][1]
-                for s in node.news.sources.values()
-                if BACKEND_KEY_PREFIX + X in s.entries
-            ]
-            if not all(value[7] for value in told if value is not None):
-                return False
+        instance = node.directory.instances.get(DRAINED_BACKEND)
+        if instance is None or instance.state != SUSPECT:
+            continue
+        logs = node.updates.sources.values()
+        values = [log.entries[DRAINED_KEY][1] for log in logs if DRAINED_KEY in log.entries]
+        if not all(BackendValue._make(value).suspect for value in values if value is not None):
+            return False
     return True
 
 
-def none_buried(world: World) -> bool:
-    """Gone is only who left; silence and a signalbox's end are no leave."""
+def gone_only_after_leaving(world: GossipWorld) -> bool:
+    """Neither silence nor the end of a node makes an instance gone."""
     return world.state == GONE or all(node.rank() < STATE_RANK[GONE] for node in world.nodes)
 
 
-def rank_of_beats(world: World) -> bool:
-    """A signalbox knows of a life that called it the furthest that it was told. One that left where nothing
-    was known of it has no address there yet."""
-    return all(
-        world.nodes[box].beats.registrations[X].state in STATE_RANK
-        and world.nodes[box].rank() >= STATE_RANK[life.state]
-        for box in BOXES
-        if (life := world.nodes[box].beats.registrations.get(X)) is not None
-        and X in world.nodes[box].lives.instances
-    )
+def directory_keeps_up_with_calls(world: GossipWorld) -> bool:
+    """A node's directory is never behind what an instance has told the node itself.
+
+    An instance that left where nothing was known of it has no address there yet.
+    """
+    for host in CONTROL_PLANE:
+        node = world.nodes[host]
+        registration = node.heartbeats.registrations.get(DRAINED_BACKEND)
+        if registration is None or DRAINED_BACKEND not in node.directory.instances:
+            continue
+        if registration.state not in STATE_RANK or node.rank() < STATE_RANK[registration.state]:
+            return False
+    return True
 
 
 PROPERTIES = (
     Property(
-        "never back", "in no process does a life go from draining or gone back to up", never_back, "step"
+        "never back",
+        "in no process does a life go from draining or gone back to up",
+        state_never_goes_back,
+        "step",
     ),
-    Property("cards rise", "a card is never replaced by an older one", cards_rise, "step"),
+    Property("cards rise", "a card is never replaced by an older one", peer_records_advance, "step"),
     Property(
-        "acknowledged", "a drain that was acknowledged is known at each signalbox, on its disk", ack_kept
+        "acknowledged",
+        "a drain that was acknowledged is known at each signalbox, on its disk",
+        acknowledged_drain_is_known,
+    ),
+    Property(
+        "copies whole",
+        "who is at a source's newest version holds just what it says",
+        replicas_are_complete,
+    ),
+    Property("same list", "who holds the same news folds the same list", same_versions_give_same_state),
+    Property(
+        "quiet by all",
+        "a life is quiet only where all that know it say so",
+        suspect_only_by_all_reports,
+    ),
+    Property(
+        "none buried alive",
+        "a backend is gone for a process only once it has left",
+        gone_only_after_leaving,
+    ),
+    Property(
+        "own words",
+        "a signalbox's list is never behind what it was told itself",
+        directory_keeps_up_with_calls,
     ),
-    Property("copies whole", "who is at a source's newest version holds just what it says", copies_whole),
-    Property("same list", "who holds the same news folds the same list", same_list),
-    Property("quiet by all", "a life is quiet only where all that know it say so", quiet_by_all),
-    Property("none buried alive", "a backend is gone for a process only once it has left", none_buried),
-    Property("own words", "a signalbox's list is never behind what it was told itself", rank_of_beats),
 )
 
-
-def say(step: Step) -> str:
-    kind, *rest = step
-    names = ("signalbox 0", "signalbox 1", "the junction")
-    at = [names[k] for k in rest]
-    return {
-        "drain": "the backend drains, and says so at {0}",
-        "leave": "the backend leaves, and says so at {0}",
-        "late": "an old beat comes to {0}",
-        "silence": "{0} has not heard the backend for long",
-        "restart": "{0} loses its power and starts again",
-        "forget": "signalbox 0 forgets the other backend",
-        "pull": "{0} pulls from {1}",
-        "ask": "{0} asks {1}, whose answer is on its way",
-        "come": "that answer comes",
-        "lost": "that answer is lost, or was the last of it",
-        "ack": "the drain is acknowledged",
-        "cut": "the signalboxes are cut off from each other, or joined again",
-    }[kind].format(*at)
-
-
-def starts(large: bool) -> list[World]:
-    scenes = [
-        Scene("a drain, a late beat, a cut", drains=1, late=1, cuts=1, pulls=3),
-        Scene("a drain, a leave, a restart", drains=1, leaves=1, restarts=1, pulls=3),
-        Scene("forgotten while answers are slow", forgets=1, slow=2, pulls=2),
-        Scene("silent at one", silences=2, late=1, pulls=3),
-        Scene("a restart, slow answers", drains=1, restarts=1, slow=1, pulls=2),
+STEP_DESCRIPTIONS = {
+    "drain": "the backend drains, and says so at {0}",
+    "leave": "the backend leaves, and says so at {0}",
+    "late": "an old beat comes to {0}",
+    "silence": "{0} has not heard the backend for long",
+    "restart": "{0} loses its power and starts again",
+    "forget": "signalbox 0 forgets the other backend",
+    "pull": "{0} pulls from {1}",
+    "ask": "{0} asks {1}, whose answer is on its way",
+    "come": "that answer comes",
+    "lost": "that answer is lost, or was the last of it",
+    "ack": "the drain is acknowledged",
+    "cut": "the signalboxes are cut off from each other, or joined again",
+}
+HOST_DESCRIPTIONS = ("signalbox 0", "signalbox 1", "the junction")
+
+
+def describe_step(step: Step) -> str:
+    """Returns a step in plain words."""
+    kind, *hosts = step
+    return STEP_DESCRIPTIONS[kind].format(*[HOST_DESCRIPTIONS[host] for host in hosts])
+
+
+def initial_worlds(large: bool) -> list[GossipWorld]:
+    """Returns the worlds to explore from."""
+    budgets = [
+        Budget("a drain, a late heartbeat, a partition", drains=1, late=1, cuts=1, pulls=3),
+        Budget("a drain, a departure, a restart", drains=1, leaves=1, restarts=1, pulls=3),
+        Budget("forgotten while replies are slow", forgets=1, slow=2, pulls=2),
+        Budget("silent at one node", silences=2, late=1, pulls=3),
+        Budget("a restart, slow replies", drains=1, restarts=1, slow=1, pulls=2),
     ]
     if large:
-        scenes += [
-            Scene("all of it", 1, 1, 1, 1, 1, 1, 1, 1, 4),
-            Scene("two restarts", drains=1, late=1, restarts=2, slow=2, pulls=4),
+        budgets += [
+            Budget(
+                "all of it",
+                drains=1,
+                leaves=1,
+                late=1,
+                silences=1,
+                restarts=1,
+                forgets=1,
+                slow=1,
+                cuts=1,
+                pulls=4,
+            ),
+            Budget("two restarts", drains=1, late=1, restarts=2, slow=2, pulls=4),
         ]
-    return [World(scene) for scene in scenes]
+    return [GossipWorld(budget) for budget in budgets]
 
 
 def model(large: bool) -> Model:
+    """Returns the model as the checker explores it."""
     return Model(
-        "telegraph", "news of backends between controllers", lambda: starts(large), thaw, say, PROPERTIES
+        "telegraph",
+        "news of backends between controllers",
+        lambda: initial_worlds(large),
+        thaw,
+        describe_step,
+        PROPERTIES,
     )
--- a/meadowworks/modelcheck/models/registry.py
+++ b/meadowworks/modelcheck/models/registry.py
@@ -1,8 +1,8 @@
-"""Drains between two signalboxes with slow disks: `roster.fences.Fences`, with `roster.beats.Beats`,
-`roster.lives.Lives` and `telegraph.news.News`; one of the two may be lost (`tolerate` is 1).
+"""The model ``roster``: drains between two control-plane nodes with slow disks, one of which may be lost.
 
-Two backends drain at the first box; writes begin and end in steps of their own, pulls carry receipts as in
-`signalbox.program`, replies come late or never, and either box may lose its power at any moment.
+It runs ``DrainLog``, ``HeartbeatRegistry``, ``BackendDirectory``, ``UpdateStore``. Two backends drain at the
+first node. Writes begin and end in steps of their own, pulls carry acknowledgements as in
+``controlplane.server``, replies come late or never, and either node may lose its power at any moment.
 """
 
 from __future__ import annotations
@@ -12,252 +12,304 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from meadowworks.gossip.updates import KeyUpdate, SourceDelta, UpdateStore
+from meadowworks.gossip.updates import SourceDelta
 from meadowworks.modelcheck.model import Model, Property, Step
-from meadowworks.registry.backend_state import DRAINING, STATE_RANK, UP
-from meadowworks.registry.backends import BackendDirectory
-from meadowworks.registry.drain_log import DrainLog
-from meadowworks.registry.heartbeats import CallAccepted, HeartbeatRegistry
+from meadowworks.modelcheck.models.registry_node import RegistryNode, heartbeat_document
+from meadowworks.registry.backend_state import DRAINING, STATE_RANK, UP, BackendValue
+from meadowworks.registry.heartbeats import CallAccepted
 
-LIVES = ("i", "j")
-DETAILS = {"svc": "s", "zone": "z", "capacity": 2, "ver": "v"}
+BACKENDS = ("i", "j")
 
 
 @dataclass(frozen=True, slots=True)
-class Scene:
-    """How often each may happen. `words`: the first box says something else, so that its news go on."""
+class Budget:
+    """How often each event may happen.
+
+    :ivar losses: of a node's power.
+    :ivar late: replies that come later, or never.
+    :ivar words: updates of the first node that are of no backend, so that its versions go on.
+    :ivar refusals: of a write, by a disk.
+    """
 
     name: str
     drains: int = 1
-    losses: int = 1  # of power
+    losses: int = 1
     pulls: int = 3
-    late: int = 0  # replies that come later, or never
+    late: int = 0
     words: int = 0
-    refusals: int = 0  # of a disk
+    refusals: int = 0
+
 
+class Node(RegistryNode):
+    """One control-plane node; ``replied`` is the incarnation of the other that replied last."""
 
-class Box:
-    def __init__(self, host: int, life: int) -> None:
-        self.host, self.life = host, life
-        self.news = UpdateStore(f"{host}.{life}")
-        self.lives, self.fences = BackendDirectory(still, still), DrainLog(self.news.source_id)
-        self.news.update_listeners += [self.lives.on_update, self.heard]
-        self.news.version_listeners.append(self.fences.on_version)
-        self.beats = HeartbeatRegistry(self.news.publish, 1000, self.fences.state, self.lives.is_known)
-        self.asked = ""  # the process of the other that answered last
+    def __init__(self, host: int, incarnation: int) -> None:
+        super().__init__(f"{host}.{incarnation}")
+        self.host, self.incarnation = host, incarnation
+        self.replied = ""
 
-    def heard(self, event: KeyUpdate) -> None:
-        self.fences.on_update(0, event)
 
+@dataclass(frozen=True, slots=True)
+class DelayedReply:
+    """A reply on its way to a node, and the incarnation that sent it."""
 
-def still(*_: Any) -> int:
-    return 0
+    host: int
+    sender: str
+    deltas: tuple[SourceDelta, ...]
 
 
-def call(state: str, calls: int) -> dict[str, Any]:
-    return {"addr": "h:1", "details": DETAILS, "status": {"state": state, "calls": calls}}
+class RegistryWorld:
+    """The state that is explored.
 
+    :ivar disks: by node, the rows of its drain log.
+    :ivar unacknowledged: drains that the first node's present incarnation took, with the version of each.
+    """
 
-class World:
-    def __init__(self, scene: Scene) -> None:
-        self.left = scene
+    def __init__(self, budget: Budget) -> None:
+        self.left = budget
         self.outcomes: list[tuple[Any, ...]] = []
-        self.boxes = [Box(0, 1), Box(1, 1)]
+        self.nodes = [Node(0, 1), Node(1, 1)]
         self.disks: list[dict[str, Any]] = [{}, {}]
-        self.owed: dict[str, int] = {}  # drains of the first box's present life: the version of each
-        self.acked: frozenset[str] = frozenset()
-        self.reply: tuple[int, str, tuple[SourceDelta, ...]] | None = None  # to whom, of which process
-        for ident in LIVES[: scene.drains]:
-            self.boxes[0].beats.heartbeat(0, ident, call(UP, 1))
-        self.do_pull(1)
-        self.do_pull(0)
-        self.left = scene
+        self.unacknowledged: dict[str, int] = {}
+        self.acknowledged: frozenset[str] = frozenset()
+        self.delayed: DelayedReply | None = None
+        for backend in BACKENDS[: budget.drains]:
+            self.nodes[0].heartbeats.heartbeat(0, backend, heartbeat_document(UP, 1))
+        for host in (1, 0):
+            self._take(self._reply(host))
+
+    # -- steps
 
     def enabled(self) -> Iterable[Step]:
-        left, found = self.left, list[Step]()
-        if left.drains:
-            found.append(("drain", LIVES[left.drains - 1]))
-        if left.words:
+        """Returns the steps that may be taken now."""
+        found = list[Step]()
+        if self.left.drains:
+            found.append(("drain", BACKENDS[self.left.drains - 1]))
+        if self.left.words:
             found.append(("word",))
-        for host, box in enumerate(self.boxes):
-            if box.fences.write_in_flight is not None:
-                found.append(("written", host))
-                if left.refusals:
-                    found.append(("refused", host))
-            elif box.fences.unsynced:
-                found.append(("write", host))
-            if left.pulls:
-                found.append(("pull", host))
-                if left.late and self.reply is None:
-                    found.append(("ask", host))
-            if left.losses:
-                found.append(("loss", host))
-        if self.reply is not None:
+        for host in range(len(self.nodes)):
+            found += self._enabled_at(host)
+        if self.delayed is not None:
             found += [("come",), ("lost",)]
-        kept = self.boxes[0].fences.is_replicated
-        found += [("ack", i) for i, v in sorted(self.owed.items()) if kept(v, ["h1"], 1, True)]
+        is_replicated = self.nodes[0].drain_log.is_replicated
+        found += [
+            ("ack", backend)
+            for backend, version in sorted(self.unacknowledged.items())
+            if is_replicated(version, ["h1"], 1, True)
+        ]
         return found
 
-    def take_step(self, step: Step) -> None:
-        kind, *what = step
-        getattr(self, "do_" + kind)(*what)
+    def _enabled_at(self, host: int) -> Iterable[Step]:
+        left, drain_log = self.left, self.nodes[host].drain_log
+        if drain_log.write_in_flight is not None:
+            yield "written", host
+            if left.refusals:
+                yield "refused", host
+        elif drain_log.unsynced:
+            yield "write", host
+        if left.pulls:
+            yield "pull", host
+            if left.late and self.delayed is None:
+                yield "ask", host
+        if left.losses:
+            yield "loss", host
 
-    def spend(self, what: str) -> None:
-        self.left = replace(self.left, **{what: getattr(self.left, what) - 1})
+    def take_step(self, step: Step) -> None:
+        """Takes one of the enabled steps."""
+        kind, *arguments = step
+        getattr(self, "do_" + kind)(*arguments)
 
-    def do_drain(self, ident: str) -> None:
-        self.spend("drains")
-        found = self.boxes[0].beats.heartbeat(0, ident, call(DRAINING, 2))
-        assert isinstance(found, CallAccepted)
-        self.owed[ident] = found.version
+    def do_drain(self, backend: str) -> None:
+        """A backend drains, and calls the first node."""
+        self._spend("drains")
+        outcome = self.nodes[0].heartbeats.heartbeat(0, backend, heartbeat_document(DRAINING, 2))
+        assert isinstance(outcome, CallAccepted)
+        self.unacknowledged[backend] = outcome.version
 
     def do_word(self) -> None:
-        self.spend("words")
-        self.boxes[0].news.publish("pulse", self.left.words)
-
-    def ask(self, host: int) -> tuple[int, str, tuple[SourceDelta, ...]]:
-        one, other = self.boxes[host], self.boxes[1 - host]
-        other.fences.on_acknowledgement(f"h{host}", *one.fences.acknowledgement(one.asked))
-        return (
-            host,
-            other.news.source_id,
-            tuple(other.news.deltas_since(one.news.remote_version_vector(), one.news.source_id)),
-        )
-
-    def take(self, host: int, source: str, pieces: tuple[SourceDelta, ...]) -> None:
-        box = self.boxes[host]
-        box.asked = source
-        for piece in pieces:
-            box.news.apply(0, piece)
+        """The first node publishes something else."""
+        self._spend("words")
+        self.nodes[0].updates.publish("pulse", self.left.words)
 
     def do_pull(self, host: int) -> None:
-        self.spend("pulls")
-        self.take(*self.ask(host))
+        """A node pulls from the other, and gets the reply at once."""
+        self._spend("pulls")
+        self._take(self._reply(host))
 
     def do_ask(self, host: int) -> None:
-        self.spend("late")
-        self.reply = self.ask(host)
+        """A node pulls, and the reply is on its way."""
+        self._spend("late")
+        self.delayed = self._reply(host)
 
     def do_come(self) -> None:
-        assert self.reply is not None
-        self.take(*self.reply)
-        self.reply = None
+        """The reply comes."""
+        assert self.delayed is not None
+        self._take(self.delayed)
+        self.delayed = None
 
     def do_lost(self) -> None:
-        self.reply = None
+        """The reply is lost."""
+        self.delayed = None
 
     def do_write(self, host: int) -> None:
-        self.boxes[host].fences.next_batch()
+        """A write of what the node has learnt begins."""
+        self.nodes[host].drain_log.next_batch()
 
     def do_written(self, host: int) -> None:
-        fences = self.boxes[host].fences
-        assert fences.write_in_flight is not None
-        self.disks[host] = {**self.disks[host], **fences.write_in_flight.rows}
-        fences.on_written()
+        """The write in flight is on disk."""
+        drain_log = self.nodes[host].drain_log
+        assert drain_log.write_in_flight is not None
+        self.disks[host] = {**self.disks[host], **drain_log.write_in_flight.rows}
+        drain_log.on_written()
 
     def do_refused(self, host: int) -> None:
-        self.spend("refusals")
-        self.boxes[host].fences.on_write_failed()
+        """The disk refuses the write in flight."""
+        self._spend("refusals")
+        self.nodes[host].drain_log.on_write_failed()
 
     def do_loss(self, host: int) -> None:
-        """All that is not on its disk is gone; a write under way was for nothing. A backend beats on."""
-        self.spend("losses")
-        box = self.boxes[host] = Box(host, self.boxes[host].life + 1)
-        box.fences.restore(0, self.disks[host])
-        hints = {ident: [*value[:4], UP, *value[5:]] for ident, value in self.disks[host].items()}
-        box.beats.restore(0, hints)  # as they were when they first called
-        for ident in LIVES if host == 0 else ():
-            box.beats.heartbeat(0, ident, call(UP, 1))  # late, from before
-            self.owed.pop(ident, None)
-        if self.reply is not None and self.reply[0] == host:
-            self.reply = None
-
-    def do_ack(self, ident: str) -> None:
-        del self.owed[ident]
-        self.acked |= {ident}
+        """A node loses its power: what is not on its disk is gone, and so is a write in flight.
+
+        The backends go on calling, and old heartbeats come late.
+        """
+        self._spend("losses")
+        node = self.nodes[host] = Node(host, self.nodes[host].incarnation + 1)
+        node.drain_log.restore(0, self.disks[host])
+        hints = {backend: as_first_registered(value) for backend, value in self.disks[host].items()}
+        node.heartbeats.restore(0, hints)
+        for backend in BACKENDS if host == 0 else ():
+            node.heartbeats.heartbeat(0, backend, heartbeat_document(UP, 1))
+            self.unacknowledged.pop(backend, None)
+        if self.delayed is not None and self.delayed.host == host:
+            self.delayed = None
+
+    def do_ack(self, backend: str) -> None:
+        """A drain is acknowledged to its caller."""
+        del self.unacknowledged[backend]
+        self.acknowledged |= {backend}
+
+    def _spend(self, event: str) -> None:
+        self.left = replace(self.left, **{event: getattr(self.left, event) - 1})
+
+    def _reply(self, host: int) -> DelayedReply:
+        asking, asked = self.nodes[host], self.nodes[1 - host]
+        asking.acknowledge_drains(f"h{host}", asking.replied, asked)
+        return DelayedReply(host, asked.source_id, asked.deltas_for(asking))
+
+    def _take(self, reply: DelayedReply) -> None:
+        node = self.nodes[reply.host]
+        node.replied = reply.sender
+        for delta in reply.deltas:
+            node.updates.apply(0, delta)
+
+    # -- states
 
     def freeze(self) -> bytes:
+        """Returns what ``thaw`` makes the same world of."""
         return pickle.dumps(self, pickle.HIGHEST_PROTOCOL)
 
     def key(self) -> Any:
-        boxes = tuple([self.facts(box) for box in self.boxes])
-        rest = repr((self.left, sorted(self.owed.items()), sorted(self.acked), self.reply))
-        return rest, tuple([repr(sorted(disk.items())) for disk in self.disks]), boxes
+        """Returns what tells this state from others."""
+        rest = repr((self.left, sorted(self.unacknowledged.items()), sorted(self.acknowledged), self.delayed))
+        disks = tuple([repr(sorted(disk.items())) for disk in self.disks])
+        return rest, disks, tuple([self._key_of(node) for node in self.nodes])
 
-    def facts(self, box: Box) -> Any:
-        f = box.fences
+    def _key_of(self, node: Node) -> Any:
+        drain_log, write = node.drain_log, node.drain_log.write_in_flight
         return repr(
             (
-                box.news.source_id,
-                box.asked,
+                node.source_id,
+                node.replied,
                 sorted(
-                    (name, s.latest_version, sorted(s.entries.items()))
-                    for name, s in box.news.sources.items()
+                    (name, log.latest_version, sorted(log.entries.items()))
+                    for name, log in node.updates.sources.items()
                 ),
-                sorted(f.records.items()),
-                sorted(f.unsynced),
-                sorted(f.pending_versions.items()),
-                sorted(f.durable_versions.items()),
-                f.write_in_flight
-                and (sorted(f.write_in_flight.rows.items()), sorted(f.write_in_flight.versions.items())),
-                sorted(f.acknowledged_versions.items()),
+                sorted(drain_log.records.items()),
+                sorted(drain_log.unsynced),
+                sorted(drain_log.pending_versions.items()),
+                sorted(drain_log.durable_versions.items()),
+                write and (sorted(write.rows.items()), sorted(write.versions.items())),
+                sorted(drain_log.acknowledged_versions.items()),
             )
         )
 
 
-def thaw(state: bytes) -> World:
-    world: World = pickle.loads(state)
+def as_first_registered(value: BackendValue) -> list[Any]:
+    """Returns a drain's value as it was while the instance was up."""
+    return list(value._replace(state=UP))
+
+
+def thaw(state: bytes) -> RegistryWorld:
+    """Returns the world that was frozen."""
+    world: RegistryWorld = pickle.loads(state)
     return world
 
 
-def on_both(world: World) -> bool:
-    return all(ident in disk for ident in world.acked for disk in world.disks)
+def acknowledged_drain_is_on_both_disks(world: RegistryWorld) -> bool:
+    """An acknowledged drain survives the loss of either disk."""
+    return all(backend in disk for backend in world.acknowledged for disk in world.disks)
 
 
-def known_by_both(world: World) -> bool:
-    return all(STATE_RANK.get(b.lives.merged_state(i), 0) for i in world.acked for b in world.boxes)
+def acknowledged_drain_is_known(world: RegistryWorld) -> bool:
+    """No node that has lost its power takes an acknowledged drain back."""
+    return all(is_drained(node, backend) for backend in world.acknowledged for node in world.nodes)
 
 
-def said_again(world: World) -> bool:
-    return all(STATE_RANK.get(b.lives.merged_state(i), 0) for b in world.boxes for i in world.disks[b.host])
+def drain_on_disk_is_known(world: RegistryWorld) -> bool:
+    """What is on a node's disk is draining in its directory."""
+    return all(is_drained(node, backend) for node in world.nodes for backend in world.disks[node.host])
+
+
+def is_drained(node: Node, backend: str) -> bool:
+    """Returns whether a node takes a backend as draining or gone."""
+    return STATE_RANK.get(node.directory.merged_state(backend), 0) > 0
 
 
 PROPERTIES = (
-    Property("on both disks", "a drain that was acknowledged is on both disks", on_both),
-    Property("known by both", "no box that has lost its power takes it back", known_by_both),
-    Property("said again", "what is on a box's disk is draining in its list", said_again),
+    Property(
+        "on both disks",
+        "a drain that was acknowledged is on both disks",
+        acknowledged_drain_is_on_both_disks,
+    ),
+    Property("known by both", "no box that has lost its power takes it back", acknowledged_drain_is_known),
+    Property("said again", "what is on a box's disk is draining in its list", drain_on_disk_is_known),
 )
 
-
-def say(step: Step) -> str:
-    kind, *rest = step
-    return {
-        "drain": "backend {0} drains, and says so at box 0",
-        "word": "box 0 says something else",
-        "write": "box {0} begins to write what it has learnt",
-        "written": "box {0}'s disk has it",
-        "refused": "box {0}'s disk refuses it",
-        "pull": "box {0} pulls",
-        "ask": "box {0} asks, and the reply is on its way",
-        "come": "that reply comes",
-        "lost": "that reply is lost",
-        "loss": "box {0} loses its power and starts again; late beats come",
-        "ack": "backend {0}'s drain is acknowledged",
-    }[kind].format(*rest)
-
-
-def starts(large: bool) -> list[World]:
-    scenes = [
-        Scene("a drain, a loss"),
-        Scene("two drains", drains=2, pulls=3),
-        Scene("a drain, a word, a loss", words=1, pulls=3),
-        Scene("late replies", late=1, words=1, pulls=1),
-        Scene("a disk that refuses", refusals=1, words=1, pulls=2),
+STEP_DESCRIPTIONS = {
+    "drain": "backend {0} drains, and says so at box 0",
+    "word": "box 0 says something else",
+    "write": "box {0} begins to write what it has learnt",
+    "written": "box {0}'s disk has it",
+    "refused": "box {0}'s disk refuses it",
+    "pull": "box {0} pulls",
+    "ask": "box {0} asks, and the reply is on its way",
+    "come": "that reply comes",
+    "lost": "that reply is lost",
+    "loss": "box {0} loses its power and starts again; late beats come",
+    "ack": "backend {0}'s drain is acknowledged",
+}
+
+
+def describe_step(step: Step) -> str:
+    """Returns a step in plain words."""
+    kind, *arguments = step
+    return STEP_DESCRIPTIONS[kind].format(*arguments)
+
+
+def initial_worlds(large: bool) -> list[RegistryWorld]:
+    """Returns the worlds to explore from."""
+    budgets = [
+        Budget("a drain, a loss"),
+        Budget("two drains", drains=2, pulls=3),
+        Budget("a drain, another update, a loss", words=1, pulls=3),
+        Budget("late replies", late=1, words=1, pulls=1),
+        Budget("a disk that refuses", refusals=1, words=1, pulls=2),
     ]
     if large:
-        scenes.append(Scene("all of it", 2, 2, 4, 1, 1, 1))
-    return [World(scene) for scene in scenes]
+        budgets.append(Budget("all of it", drains=2, losses=2, pulls=4, late=1, words=1, refusals=1))
+    return [RegistryWorld(budget) for budget in budgets]
 
 
 def model(large: bool) -> Model:
-    return Model("roster", "drains on disks", lambda: starts(large), thaw, say, PROPERTIES)
+    """Returns the model as the checker explores it."""
+    return Model("roster", "drains on disks", lambda: initial_worlds(large), thaw, describe_step, PROPERTIES)
--- a/meadowworks/registry/heartbeats.py
+++ b/meadowworks/registry/heartbeats.py
@@ -107,8 +107,8 @@
         self,
         publish: Callable[[str, Any], int],
         heartbeat_ms: int,
-        drain_state: Callable[[str], str] = lambda instance_id: UP,
-        is_known: Callable[[str], bool] = lambda instance_id: False,
+        drain_state: Callable[[str], str] = lambda _: UP,
+        is_known: Callable[[str], bool] = lambda _: False,
         max_registrations: int = MAX_REGISTRATIONS,
     ) -> None:
         """Begins without instances.
