--- a/meadowworks/controlplane/backends_resource.py
+++ b/meadowworks/controlplane/backends_resource.py
@@ -12,8 +12,8 @@
     HeartbeatRegistry,
     InvalidCall,
     RegistryFull,
-    ZoneRedirects,
 )
+from meadowworks.registry.zone_redirects import ZoneRedirects
 from meadowworks.runtime import logging as logs
 from meadowworks.runtime.clock import now_ns
 
--- a/meadowworks/controlplane/pull_handler.py
+++ b/meadowworks/controlplane/pull_handler.py
@@ -9,7 +9,7 @@
 from meadowworks.gossip.messages import PullReply, PullRequest
 from meadowworks.gossip.peer_sampling import PeerRecord
 from meadowworks.gossip.updates import SourceDelta
-from meadowworks.registry.heartbeats import BACKEND_KEY_PREFIX
+from meadowworks.registry.backend_state import BACKEND_KEY_PREFIX
 from meadowworks.runtime.clock import now_ns
 
 MAX_WAIT_MS = 1000  # upper bound of a long poll, whatever the caller asks for
