--- a/meadowworks/controlplane/api.py
+++ b/meadowworks/controlplane/api.py
@@ -7,13 +7,19 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from meadowworks.config.validation import Invalid, checking
+from meadowworks.config.validation import InvalidConfiguration, validation_steps
 from meadowworks.consensus.replica import Another, Late
 from meadowworks.controlplane.config_service import Office
 from meadowworks.controlplane.drain_service import Fencing
-from meadowworks.registry.heartbeats import Bad, Beats, Full, Nearby, Taken
+from meadowworks.registry.heartbeats import (
+    CallAccepted,
+    HeartbeatRegistry,
+    InvalidCall,
+    RegistryFull,
+    ZoneRedirects,
+)
 from meadowworks.runtime import logging as logs
-from meadowworks.runtime.cooperative import aside
+from meadowworks.runtime.cooperative import run_cooperatively
 from meadowworks.runtime.process import now_ns
 
 HELD_S = 0.7  # that a drain's acknowledgement waits for disks to hold it: a caller gives a beat a second
@@ -22,7 +28,7 @@
 PROPOSE_NS, BYTE_NS = 800_000_000, 100  # and so much more a byte: it is compressed, sent, and twice on a disk
 READ_NS = 800_000_000
 LARGE = 1 << 18  # bytes of a configuration from which on one is checked at a time
-log = logs.part("ctl")
+log = logs.get_logger("ctl")
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,14 +50,14 @@
 
     def __init__(
         self,
-        beats: Beats,
+        beats: HeartbeatRegistry,
         fencing: Fencing,
         kept: Callable[[int], bool],
         near: Callable[[str], list[str]],
         sure: Callable[[], bool],
     ) -> None:
         self.beats, self.fencing, self.kept, self.near, self.sure = beats, fencing, kept, near, sure
-        self.nearby = Nearby()
+        self.nearby = ZoneRedirects()
         self.acked: set[str] = set()  # lives whose drain was acknowledged here
 
     async def heartbeat(self, ident: str, body: bytes) -> Answer:
@@ -60,13 +66,13 @@
         except (ValueError, RecursionError):
             return error(400, "no JSON")
         now = now_ns()
-        found = self.beats.beat(now, ident, document)
+        found = self.beats.heartbeat(now, ident, document)
         if (refused := await self.settled(found)) is not None:
             return refused
-        if isinstance(found, Taken) and found.version and ident not in self.acked:
-            self.acked = {one for one in self.acked if one in self.beats.lives} | {ident}
+        if isinstance(found, CallAccepted) and found.version and ident not in self.acked:
+            self.acked = {one for one in self.acked if one in self.beats.registrations} | {ident}
             log.info("{} drains, and it is on enough disks", ident)
-        self.nearby.came(now, ident)
+        self.nearby.on_heartbeat(now, ident)
         # Guards against one that is cut off: where it sends callers may be as cut off as it is.
         at = self.nearby.choose(now, ident, self.near(ident)) if self.sure() else None
         answer = json.dumps({"beatUrl": at}).encode() if at else b"{}"
@@ -74,18 +80,18 @@
 
     async def leave(self, ident: str, body: bytes) -> Answer:
         found = self.beats.leave(now_ns(), ident)
-        if found == Taken(0) and not self.sure():
+        if found == CallAccepted(0) and not self.sure():
             return error(503, "cut off: what others know of it is not heard here", CUT_OFF_S)
         return await self.settled(found) or Answer(200)
 
-    async def settled(self, found: Taken | Bad | Full) -> Answer | None:
+    async def settled(self, found: CallAccepted | InvalidCall | RegistryFull) -> Answer | None:
         """Why a call is not acknowledged; nothing if it may be."""
         match found:
-            case Bad(why):
+            case InvalidCall(why):
                 return error(400, why[:200])
-            case Full():
+            case RegistryFull():
                 return error(503, "too many backends call here", 1.0)
-            case Taken(version) if version and not self.kept(version):
+            case CallAccepted(version) if version and not self.kept(version):
                 self.fencing.wake()
                 if not self.sure():
                     return error(503, "cut off from a majority: call another", CUT_OFF_S)
@@ -105,10 +111,10 @@
     async def replace(self, ident: str, body: bytes) -> Answer:
         if not self.office.replica.sure(now_ns()):
             return error(503, "no majority of disks is in touch", 1.0)
-        found = await aside(checking(body), self.one if len(body) > LARGE else None)
-        if isinstance(found, Invalid):
-            log.info("configuration refused: {}", found.why)
-            return error(400, found.why)
+        found = await run_cooperatively(validation_steps(body), self.one if len(body) > LARGE else None)
+        if isinstance(found, InvalidConfiguration):
+            log.info("configuration refused: {}", found.reason)
+            return error(400, found.reason)
         match await self.office.order(found.version, body, PROPOSE_NS + BYTE_NS * len(body)):
             case Another():
                 return error(409, f"version {found.version:08x} has another content")
--- a/meadowworks/modelcheck/models/wires.py
+++ b/meadowworks/modelcheck/models/wires.py
@@ -19,16 +19,24 @@
 from typing import Any, cast
 
 from meadowworks.attempts.retry_policy import CANCELLED
-from meadowworks.forwarding.attempts import MS, Forward, Journey, Refuse, Send, policy, way
-from meadowworks.forwarding.connection_pool import Yard
-from meadowworks.forwarding.response_check import PROMISES
+from meadowworks.forwarding.attempts import (
+    MS,
+    ForwardResponse,
+    RejectRequest,
+    RequestAttempts,
+    SendAttempt,
+    choose_retry_policy,
+    retry_rules,
+)
+from meadowworks.forwarding.connection_pool import ConnectionPool
+from meadowworks.forwarding.response_check import NOT_RUN_STATUSES
 from meadowworks.modelcheck.model import Step
 from meadowworks.proxy import upstream_attempt as forward
-from meadowworks.proxy.upstream_attempt import Request, Tried
-from meadowworks.registry.backends import Backend
+from meadowworks.proxy.upstream_attempt import AttemptResult, UpstreamRequest
+from meadowworks.registry.backends import BackendInstance
 from meadowworks.runtime import peer_client as peers
-from meadowworks.runtime.errors import NoAnswer
-from meadowworks.runtime.http_connection import Line, Stream
+from meadowworks.runtime.errors import RequestError
+from meadowworks.runtime.http_connection import BufferedStream, ClientConnection
 from meadowworks.runtime.peer_client import Peer
 
 LIVES = ("a", "b")
@@ -76,14 +84,14 @@
         self.answered = 0
         self.ran = self.never = False  # of the newest call
         self.rest = b""  # what is still to come of an answer that fell silent
-        self.stream = Stream()
+        self.stream = BufferedStream()
         self.stream.connection_made(cast(Any, self))
-        self.line = Line(self.stream, life, 80)
+        self.line = ClientConnection(self.stream, life, 80)
 
     def write(self, data: bytes) -> None:
         if not data:
             return
-        if self.stream.buffer or self.stream.ended:
+        if self.stream.buffer or self.stream.at_eof:
             self.world.wrong.add("clean lines")
         self.ran = self.never = False
         self.calls.append(self.world.ident(data))
@@ -102,7 +110,7 @@
         return None
 
     def awaited(self) -> bool:
-        return self.stream.waiter is not None and not self.stream.waiter.done()
+        return self.stream.read_waiter is not None and not self.stream.read_waiter.done()
 
     def pending(self) -> str | None:
         return self.calls[-1] if len(self.calls) > self.answered else None
@@ -114,7 +122,7 @@
 
 @dataclass
 class Asked:
-    journey: Journey
+    journey: RequestAttempts
     tasks: dict[int, asyncio.Task[Any]] = field(default_factory=dict)
     replies: dict[int, Any] = field(default_factory=dict)
     told: int = 0
@@ -138,7 +146,7 @@
 
     def __init__(self, scene: Wiring, steps: Iterable[Step] = ()) -> None:
         self.scene = scene
-        self.did: list[tuple[Any, ...]] = []
+        self.outcomes: list[tuple[Any, ...]] = []
         self.steps = list(steps)
         self.process = 0
         self.wake()
@@ -156,7 +164,7 @@
         self.wires: list[Wire] = []
         self.asked: list[Asked] = []
         self.ran: dict[str, int] = {}
-        self.yard: Yard[Line] = Yard()
+        self.yard: ConnectionPool[ClientConnection] = ConnectionPool()
         self.peer = Peer("a", 80)
         self.cuts, self.extras, self.leaves = self.scene.cuts, self.scene.extras, self.scene.leaves
         self.earlier: list[asyncio.Task[Any]] = []
@@ -207,7 +215,7 @@
                 return
         raise AssertionError("a task goes on and on")
 
-    async def connect(self, host: str, port: int, wait_s: float, silent_ms: int = 0) -> Line:
+    async def connect(self, host: str, port: int, wait_s: float, silent_ms: int = 0) -> ClientConnection:
         wire = Wire(self, len(self.wires), host)
         self.wires.append(wire)
         return wire.line
@@ -237,14 +245,16 @@
     def attempt(self, ident: str, place: int, limit_ns: int) -> Any:
         named = self.scene.named
         names = [(b"host", b"h"), (b"x-request-id" if named else b"x-of", ident.encode())]
-        asked = Request(b"POST", b"/", names, b"", ident.encode() if named else None)
-        there = Backend(LIVES[place], "s", LIVES[place], 80, "home", 2, "up", 0, 0)
-        return forward.attempt(self.yard, there, asked, limit_ns)
+        asked = UpstreamRequest(b"POST", b"/", names, b"", ident.encode() if named else None)
+        there = BackendInstance(LIVES[place], "s", LIVES[place], 80, "home", 2, "up", 0, 0)
+        return forward.send_attempt(self.yard, there, asked, limit_ns)
 
     def ask(self) -> None:
         r, scene = len(self.asked), self.scene
         safe = scene.calls == "safe"
-        journey = Journey(way(safe, LIMIT_NS, LIMIT_NS), policy(safe, 2, False), self.now + LIMIT_NS)
+        journey = RequestAttempts(
+            retry_rules(safe, LIMIT_NS, LIMIT_NS), choose_retry_policy(safe, 2, False), self.now + LIMIT_NS
+        )
         self.asked.append(Asked(journey))
         if self.between():
             self.start(r, 1, self.peer.call(b"/pull", b"", 1e6))
@@ -257,11 +267,11 @@
     def follow(self, r: int, step: Any) -> None:
         one = self.asked[r]
         match step:
-            case Send(number, place):
-                self.start(r, number, self.attempt(f"r{r}", place, one.journey.limit_ns))
-            case Refuse(status):
+            case SendAttempt(number, place):
+                self.start(r, number, self.attempt(f"r{r}", place, one.journey.deadline_ns))
+            case RejectRequest(status):
                 self.tell(r, status)
-            case Forward(number):
+            case ForwardResponse(number):
                 reply = one.replies[number]
                 self.tell(r, reply.status, reply.body)
 
@@ -271,15 +281,17 @@
             if task.cancelled():
                 return self.tell(r, 504)
             trouble = task.exception()
-            if trouble is not None and not isinstance(trouble, NoAnswer):
+            if trouble is not None and not isinstance(trouble, RequestError):
                 raise trouble
             return self.tell(r, 502) if trouble else self.tell(r, 200, task.result())
-        tried = Tried(CANCELLED, None, 0) if task.cancelled() else task.result()
-        one.replies[number] = tried.reply
+        tried = AttemptResult(CANCELLED, None, 0) if task.cancelled() else task.result()
+        one.replies[number] = tried.response
         if not one.told:
             self.follow(
                 r,
-                one.journey.ended(self.now, number, tried.state, tried.status, LINES, {}, 0.0, lambda: True),
+                one.journey.on_attempt_ended(
+                    self.now, number, tried.outcome, tried.status, LINES, {}, 0.0, lambda: True
+                ),
             )
 
     def tell(self, r: int, status: int, body: bytes = b"") -> None:
@@ -289,7 +301,7 @@
         one.told = status
         if status == 200 and body not in [f"of {call}".encode() for call in self.calls(r)]:
             self.wrong.add("wrong caller")
-        if status in PROMISES and self.scene.calls == "unsafe" and self.ran.get(f"r{r}", 0):
+        if status in NOT_RUN_STATUSES and self.scene.calls == "unsafe" and self.ran.get(f"r{r}", 0):
             self.wrong.add("ran twice")
 
     def calls(self, r: int) -> list[str]:
@@ -331,9 +343,9 @@
                 found.append(("leave", r))
         return found
 
-    def do(self, step: Step) -> None:
+    def take_step(self, step: Step) -> None:
         self.wake()
-        self.did = [step]
+        self.outcomes = [step]
         self.steps.append(step)
         self.take(step)
 
@@ -352,7 +364,7 @@
         r = int(ident[1:]) if ident[1:].isdigit() else None
         if r is not None and self.scene.calls == "unsafe":
             told = self.asked[r].told
-            if self.ran[ident] > 1 or told in PROMISES:
+            if self.ran[ident] > 1 or told in NOT_RUN_STATUSES:
                 self.wrong.add("ran twice")
 
     def answer(self, wire: Wire, framed: bool = True) -> tuple[bytes, int]:
@@ -419,7 +431,7 @@
         one.left = True
         for task in one.tasks.values():
             task.cancel()
-        one.journey.left()
+        one.journey.on_client_gone()
         self.tell(r, 504)
 
     # -- states
@@ -442,7 +454,7 @@
                     (
                         one.told,
                         one.left,
-                        tuple([(n, t.backend, t.state) for n, t in one.journey.tries.items()]),
+                        tuple([(n, t.backend, t.state) for n, t in one.journey.attempts.items()]),
                         tuple(sorted(one.tasks)),
                     )
                     for one in self.asked
@@ -459,9 +471,9 @@
                         wire.never,
                         len(wire.rest),
                         len(wire.stream.buffer),
-                        wire.stream.ended,
-                        wire.line.keep,
-                        wire.line.connection.is_idle(),
+                        wire.stream.at_eof,
+                        wire.line.reusable,
+                        wire.line.http11.is_idle(),
                         unread(wire.line),
                     )
                     for wire in self.wires
@@ -470,21 +482,21 @@
             tuple([self.kept(line) for _, line in self.idle()]),
         )
 
-    def idle(self) -> list[tuple[str, Line]]:
+    def idle(self) -> list[tuple[str, ClientConnection]]:
         """Lines that are kept for a further call, and for whom."""
-        backends = [(life, line) for life, stall in self.yard.stalls.items() for _, line in stall.idle]
+        backends = [(life, line) for life, stall in self.yard.endpoints.items() for _, line in stall.idle]
         return backends + [("a", line) for line in self.peer.idle]
 
-    def kept(self, line: Line) -> int:
+    def kept(self, line: ClientConnection) -> int:
         return next(wire.number for wire in self.wires if wire.line is line)
 
 
 EXTRAS, NAMELESS = ((OK, 1), (OTHER, 1), (NOT_RUN, 0)), ((OK, 0), (NOT_RUN, 0))
 
 
-def unread(line: Line) -> int:
+def unread(line: ClientConnection) -> int:
     """Bytes behind an answer that the parser holds."""
-    return len(line.connection._h11_state.trailing_data[0])
+    return len(line.http11._h11_state.trailing_data[0])
 
 
 def thaw(state: tuple[Wiring, tuple[Step, ...]]) -> Wired:
--- a/meadowworks/modelcheck/seeded_faults/upstream.py
+++ b/meadowworks/modelcheck/seeded_faults/upstream.py
@@ -2,18 +2,21 @@
 
 from __future__ import annotations
 
-from meadowworks.modelcheck.fault import Fault
+from meadowworks.modelcheck.fault import SeededFault
 
 CLIENTS, BREAKS, KEPT, NAMELESS, BETWEEN = tuple(range(9)), (9,), (10,), (12,), (14,)  # worlds of the model
-LINE = "meadowworks.runtime.http_connection:Line."
-JOURNEY, ANSWERS = "meadowworks.forwarding.attempts:Journey.", "meadowworks.forwarding.response_check:"
+LINE = "meadowworks.runtime.http_connection:ClientConnection."
+JOURNEY, ANSWERS = (
+    "meadowworks.forwarding.attempts:RequestAttempts.",
+    "meadowworks.forwarding.response_check:",
+)
 UPSTREAM_FAULTS = tuple(
-    Fault(name, "carriage", at, was, now, breaks, starts=starts)
+    SeededFault(name, "carriage", at, was, now, breaks, start_indices=starts)
     for name, at, was, now, breaks, starts in (
         (
             "bytes behind an answer stay on its line",
-            LINE + "ask",
-            "if self.connection.surplus or self.stream.buffer:",
+            LINE + "request",
+            "if self.http11.has_surplus_data or self.stream.buffer:",
             "if False:",
             ("clean lines",),
             KEPT,
@@ -21,14 +24,14 @@
         (
             "a line is used on which bytes have come while it rested",
             LINE + "usable",
-            " and not self.connection.has_expired()",
+            " and not self.http11.has_expired()",
             "",
             ("clean lines",),
             KEPT,
         ),
         (
             "a kept line is taken without a look",
-            "meadowworks.forwarding.connection_pool:Yard.take",
+            "meadowworks.forwarding.connection_pool:ConnectionPool.acquire",
             " and line.usable()",
             "",
             ("clean lines",),
@@ -36,7 +39,7 @@
         ),
         (
             "an answer without a length ends with its connection",
-            LINE + "ask",
+            LINE + "request",
             'if not whole or not framed and method != b"HEAD":',
             "if False:",
             ("wrong caller",),
@@ -44,56 +47,56 @@
         ),
         (
             "a line that breaks is proof",
-            LINE + "ask",
-            'raise NoAnswer(f"broken off: {trouble}", True)',
-            'raise NoAnswer(f"broken off: {trouble}", False)',
+            LINE + "request",
+            'raise RequestError(f"broken off: {trouble}", True)',
+            'raise RequestError(f"broken off: {trouble}", False)',
             ("ran twice",),
             BREAKS,
         ),
         (
             "a call without an id goes on a kept line",
-            "meadowworks.proxy.upstream_attempt:attempt",
-            " if request.ident is not None else None",
+            "meadowworks.proxy.upstream_attempt:send_attempt",
+            " if request.request_id is not None else None",
             "",
             ("wrong caller",),
             NAMELESS,
         ),
         (
             "a late answer is taken for the next call's",
-            ANSWERS + "judge",
-            "if spoilt(asked, status, get, first):",
+            ANSWERS + "check_response",
+            "if rejection_reason(request_id, status, header, first_on_connection):",
             "if False:",
             ("wrong caller",),
             KEPT,
         ),
         (
             "a promise without a name is taken on a kept line",
-            ANSWERS + "spoilt",
-            " or not first)",
+            ANSWERS + "rejection_reason",
+            " or not first_on_connection)",
             ")",
             ("ran twice", "clean lines"),
             KEPT,
         ),
         (
             "a line is kept whose answer was another's",
-            "meadowworks.proxy.upstream_attempt:attempt",
-            "if found.keep:",
+            "meadowworks.proxy.upstream_attempt:send_attempt",
+            "if found.reusable:",
             "if True:",
             ("clean lines",),
             KEPT,
         ),
         (
             "a line whose answer was another's is let go as it is",
-            "meadowworks.proxy.upstream_attempt:attempt",
-            "line.close()\n        if not found.sound:",
-            "pass\n        if not found.sound:",
+            "meadowworks.proxy.upstream_attempt:send_attempt",
+            "line.close()\n        if not found.is_valid:",
+            "pass\n        if not found.is_valid:",
             ("no line left",),
             KEPT,
         ),
         (
             "a reply to another question is taken",
             "meadowworks.runtime.peer_client:Peer.call",
-            "if reply.get(QUESTION) != question:",
+            "if reply.header(CALL_ID_HEADER) != question:",
             "if False:",
             ("wrong caller",),
             BETWEEN,
--- a/tests/gateway/test_words.py
+++ b/tests/gateway/test_words.py
@@ -11,9 +11,9 @@
 
 from meadowworks.cli import main as commands
 from meadowworks.cli import members
-from meadowworks.local.commands import ROOT, to_try
-from meadowworks.local.system import Plan, Ports
-from meadowworks.proxy.server import Junction
+from meadowworks.local.commands import PROJECT_ROOT, example_commands
+from meadowworks.local.system import Ports, SystemLayout
+from meadowworks.proxy.server import ProxyServer
 
 
 @pytest.mark.parametrize(
@@ -37,10 +37,10 @@
 
 
 def test_what_a_newcomer_is_told_to_try_is_a_command_that_exists() -> None:
-    lines = [shlex.split(line) for line in to_try(Plan(7, Ports(1, 2, 3, 4)))]
+    lines = [shlex.split(line) for line in example_commands(SystemLayout(7, Ports(1, 2, 3, 4)))]
     assert lines[0][0] == "curl" and len(lines) > 4
     for python, *rest in lines[1:]:
-        assert (ROOT / python).exists() and rest[:2] == ["-m", "meadowworks"]
+        assert (PROJECT_ROOT / python).exists() and rest[:2] == ["-m", "meadowworks"]
         assert rest[2] in commands.WORDS and commands.main([rest[2], "--help"]) == 0
 
 
@@ -101,12 +101,12 @@
 def test_an_idle_junction_says_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     said: list[Any] = []
     monkeypatch.setattr("meadowworks.proxy.server.log.info", lambda *words: said.append(words))
-    junction = Junction.__new__(Junction)
-    junction.counts, junction.summed, junction.budgets = {}, {}, {}
-    junction.door = type("Idle", (), {"at_work": lambda self: 0})()
-    junction.summary()
+    junction = ProxyServer.__new__(ProxyServer)
+    junction.counters, junction.logged_counters, junction.retry_budgets = {}, {}, {}
+    junction.http_server = type("Idle", (), {"pending_count": lambda self: 0})()
+    junction.log_counters()
     assert not said
-    junction.counts["200"] = 1
-    junction.summary()
-    junction.summary()
+    junction.counters["200"] = 1
+    junction.log_counters()
+    junction.log_counters()
     assert len(said) == 1
