--- a/meadowworks/proxy/server.py
+++ b/meadowworks/proxy/server.py
@@ -51,8 +51,8 @@
 from meadowworks.runtime.http_connection import ClientConnection, Response
 from meadowworks.runtime.http_server import BodyError, HttpServer, read_body, send_response
 from meadowworks.runtime.node_settings import NodeSettings, load_settings
-from meadowworks.runtime.peer_client import Peer
-from meadowworks.runtime.process import Tasks, now_ns, run
+from meadowworks.runtime.peer_client import PeerClient
+from meadowworks.runtime.process import BackgroundTasks, now_ns, run_program
 
 MS, SECOND = 1_000_000, 1_000_000_000
 LONG_POLL_MS, PULL_TIMEOUT_S = 1000, 1.6
@@ -94,10 +94,10 @@
         )
         self.known_peers = PartialView(card, random.getrandbits(32))
         self.gossip = UpdateStore(self.incarnation)
-        self.lives = BackendDirectory(lambda name: self.gossip.silence_ns(now_ns(), name), now_ns)
-        self.gossip.update_listeners += [self.lives.on_update, self.on_load_report]
+        self.backends = BackendDirectory(lambda name: self.gossip.silence_ns(now_ns(), name), now_ns)
+        self.gossip.update_listeners += [self.backends.on_update, self.on_load_report]
         self.control_plane_selector = ControlPlaneSelector(settings.zone)
-        self.peer_clients: dict[tuple[str, int], Peer] = {}
+        self.peer_clients: dict[tuple[str, int], PeerClient] = {}
         self.route_table: RouteTable | None = None
         self.services: dict[str, ServiceBalancer] = {}
         self.retry_budgets: dict[str, RetryBudget] = {}
@@ -117,7 +117,7 @@
         self.counters: dict[str, int] = {}
         self.route_failures: dict[str, dict[str, int]] = {}  # by route: what its operator pays for
         self.logged_counters: dict[str, int] = {}  # counts when they were last logged
-        self.tasks = Tasks()
+        self.tasks = BackgroundTasks()
         self.memory_budget = MemoryBudget(int(settings.memory_mb * 1e6 * BODY_MEMORY_SHARE))
         self.http_server = HttpServer(
             self.handle_request, max_connections=int(settings.max_fds * CLIENT_FD_SHARE)
@@ -144,7 +144,7 @@
         now, place = now_ns(), self.settings.zones.index(zone)
         by_service: dict[str, dict[str, BackendLoad]] = {}
         for ident, tries, bad, spent, told, running, waiting in met:
-            if known := self.lives.instances.get(ident):
+            if known := self.backends.instances.get(ident):
                 mean = int(spent * MS / max(1, tries - bad))
                 waits = waiting / told if told else -1.0
                 by_service.setdefault(known.service, {})[ident] = BackendLoad(tries, bad, mean, waits)
@@ -180,21 +180,21 @@
                     now_ns(),
                 )
         log.info("version {:08x} is in force", table.version)
-        self.lives.changed_ids |= set(self.lives.instances)
+        self.backends.changed_ids |= set(self.backends.instances)
         self.refresh_endpoints()
 
     def refresh_endpoints(self) -> None:
         """Hands lives that have changed to their services' controllers."""
-        if not self.lives.changed_ids:
+        if not self.backends.changed_ids:
             return
-        for ident in self.lives.changed_ids:
-            if (known := self.lives.instances.get(ident)) and known.state == DRAINING:
+        for ident in self.backends.changed_ids:
+            if (known := self.backends.instances.get(ident)) and known.state == DRAINING:
                 log.info("{} drains", ident)
-        self.lives.changed_ids.clear()
-        listing, now = self.lives.instances_by_service(), now_ns()
+        self.backends.changed_ids.clear()
+        listing, now = self.backends.instances_by_service(), now_ns()
         for name, service in self.services.items():
             service.update_backends(now, listing.get(name, []))
-        self.connection_pool.evict(now, set(self.lives.instances))
+        self.connection_pool.evict(now, set(self.backends.instances))
 
     def is_ready(self) -> bool:
         now = now_ns()
@@ -212,8 +212,8 @@
 
     # -- pulls
 
-    def peer_client(self, host: str, port: int) -> Peer:
-        return self.peer_clients.setdefault((host, port), Peer(host, port))
+    def peer_client(self, host: str, port: int) -> PeerClient:
+        return self.peer_clients.setdefault((host, port), PeerClient(host, port))
 
     async def pull_forever(self) -> None:
         """Pulls for ever. A fault in one pull does not end the next: a junction that hears nothing any more
@@ -294,14 +294,14 @@
         self.known_peers.advance_heartbeat()
         self.known_peers.expire(now)
         self.gossip.expire_sources(now)
-        self.lives.refresh_all()
+        self.backends.refresh_all()
         self.refresh_endpoints()
         self.mark_backends_listed(now)
         own, self.last_second_report = self.last_second_report, LoadReport()
         mine = self.settings.zones.index(self.settings.zone)
         if any(service.report_overdue(now, mine) for service in self.services.values()):
             self.apply_load_report(self.settings.zone, 1000, own.pack()[0], own.service_requests)
-        self.connection_pool.evict(now, set(self.lives.instances))
+        self.connection_pool.evict(now, set(self.backends.instances))
 
     def log_counters(self) -> None:
         """Counters, if there is anything to tell since the last time."""
@@ -452,7 +452,7 @@
                         self.count_failure(route, f"{step.status} without an offer")
                     return step
                 if isinstance(step, SendAttempt):
-                    backend = self.lives.instances[service.endpoint_ids.names[step.endpoint]]
+                    backend = self.backends.instances[service.endpoint_ids.names[step.endpoint]]
                     tasks[self.tasks.start(self.run_attempt(backend, request, limit_ns, share))] = step.number
                 until = journey.wait(now_ns()).until_ns
                 done, _ = await asyncio.wait(
@@ -481,7 +481,7 @@
                 caller.on_disconnect = None
             # Guards against tries that nobody waits for, at backends that never answer.
             for task in tasks:
-                self.tasks.bound(task, (limit_ns - now_ns()) / 1e9, share.release)
+                self.tasks.cancel_after(task, (limit_ns - now_ns()) / 1e9, share.release)
 
     async def run_attempt(
         self, backend: BackendInstance, request: UpstreamRequest, limit_ns: int, share: MemoryReservation
@@ -505,7 +505,7 @@
             )
         if tried.incarnation_ended:
             log.info("{} is over: another answers at its address", backend.instance_id)
-            self.lives.mark_superseded(backend.instance_id)
+            self.backends.mark_superseded(backend.instance_id)
             self.refresh_endpoints()
         return tried
 
@@ -524,7 +524,7 @@
                 return own, estimate_delays(own, busy, needs), True
             for place, weight in lines.items():
                 ident = names[place]
-                known = self.lives.instances.get(ident)
+                known = self.backends.instances.get(ident)
                 if known is None or not known.accepts_requests:
                     continue  # the table is a moment behind the list
                 home = known.zone == self.settings.zone
@@ -582,7 +582,7 @@
                 }
                 for name, s in self.services.items()
             },
-            "backends": self.lives.summary(),
+            "backends": self.backends.summary(),
         }
 
     def reload_settings(self) -> None:
@@ -599,12 +599,12 @@
         await self.http_server.listen(*self.settings.bind["http"])
         log.info("{} serves", self.settings.node)
         self.tasks.start(self.pull_forever())
-        self.tasks.start(self.tasks.every(1.0, self.run_every_second))
-        self.tasks.start(self.tasks.every(POLICY_TICK_S, self.tick_policies))
-        self.tasks.start(self.tasks.every(COUNTER_LOG_INTERVAL_S, self.log_counters))
-        await asyncio.wait([shutdown_requested, self.tasks.broken], return_when=asyncio.FIRST_COMPLETED)
-        if self.tasks.broken.done():
-            self.tasks.broken.result()
+        self.tasks.start(self.tasks.run_periodically(1.0, self.run_every_second))
+        self.tasks.start(self.tasks.run_periodically(POLICY_TICK_S, self.tick_policies))
+        self.tasks.start(self.tasks.run_periodically(COUNTER_LOG_INTERVAL_S, self.log_counters))
+        await asyncio.wait([shutdown_requested, self.tasks.fatal_error], return_when=asyncio.FIRST_COMPLETED)
+        if self.tasks.fatal_error.done():
+            self.tasks.fatal_error.result()
         await self.shut_down()
 
     async def shut_down(self) -> None:
@@ -640,4 +640,4 @@
 
 
 def main() -> int:
-    return run(serve)
+    return run_program(serve)
