--- a/meadowworks/consensus/acceptor.py
+++ b/meadowworks/consensus/acceptor.py
@@ -78,7 +78,9 @@
 
     def newest_epoch(self) -> Epoch:
         """The newest epoch that it has heard of."""
-        return max(self.announced_epoch, self.epoch, key=lambda e: e.number)
+        if self.announced_epoch.number >= self.epoch.number:
+            return self.announced_epoch
+        return self.epoch
 
     def id_in_epoch(self, epoch: int) -> str:
         """The id under which it is counted in an epoch."""
--- a/meadowworks/consensus/lease.py
+++ b/meadowworks/consensus/lease.py
@@ -35,6 +35,8 @@
 
     def confirm(self, committed_version: int) -> None:
         """Counts the requests whose replies speak of nothing above the version committed here."""
+        if not self.unconfirmed:
+            return
         known = [sent_ns for version, sent_ns in self.unconfirmed if version <= committed_version]
         self.confirmed_ns = max([self.confirmed_ns, *known])
         self.unconfirmed = [(v, sent_ns) for v, sent_ns in self.unconfirmed if v > committed_version]
