--- a/meadowworks/modelcheck/models/consensus/acceptors.py
+++ b/meadowworks/modelcheck/models/consensus/acceptors.py
@@ -32,7 +32,11 @@
 
 
 def exchange(frozen: Any, other: Any) -> Any:
-    """One request of a proposer and its reply, as `Known` has it."""
+    """One request of a call and its reply, as plain values.
+
+    :returns: the acceptor and the call after it, the call's outcome, a newer epoch that the reply told of,
+        and what is to be checked of a vote.
+    """
     call, one = thaw_call(frozen), thaw_acceptor(other)
     assert call is not None
     request = call.request()
@@ -52,7 +56,7 @@
 
 
 def initial_acceptor(scenario: Scenario, k: int) -> Acceptor:
-    """An acceptor as it is when the scene begins."""
+    """The acceptor of a place as the scenario begins."""
     disk = chr(ord("a") + k)
     seeds = tuple(address for _, address in scenario.members) if scenario.founding else ()
     founder = scenario.founding and str(k) in seeds
@@ -78,6 +82,6 @@
 
 
 def started(made: Acceptor) -> Acceptor:
-    """Its first write, under a life of its own, is on the disk."""
+    """The acceptor after the start of its process, whose first write is on the disk."""
     Replica(made, 1, lambda: 0.5).start(0)
     return made
--- a/meadowworks/modelcheck/models/consensus/enabled.py
+++ b/meadowworks/modelcheck/models/consensus/enabled.py
@@ -78,6 +78,7 @@
 
 
 def may_begin(world: World, task: Task) -> bool:
+    """Whether a task may begin its next attempt."""
     epoch, installed, sealed, view = (
         world.frozen_acceptors[task.place][place] for place in (EPOCH, INSTALLED, SEALED_BY, ANNOUNCED_EPOCH)
     )
@@ -91,7 +92,7 @@
     if task.kind in ("members", "leave"):
         return bool(installed and sealed is None and epoch[0] == newest)
     if task.kind == "put" and world.scenario.partition and not world.partition:
-        return False  # before the cut, as in the scenes without one
+        return False  # before the partition it is as in the scenarios without one
     if task.kind in ("put", "finish") and task.version <= world.frozen_acceptors[task.place][COMMITTED][0]:
         return False
     return bool(newest >= 0)
--- a/meadowworks/modelcheck/models/consensus/frozen.py
+++ b/meadowworks/modelcheck/models/consensus/frozen.py
@@ -51,6 +51,7 @@
 
 
 def freeze_acceptor(one: Acceptor) -> Any:
+    """An acceptor as a plain value, without what it has still to write."""
     return (
         one.member_id,
         one.address,
@@ -68,28 +69,34 @@
 
 
 def freeze_slots(rows: Iterable[tuple[int, Ballot, Ballot, bytes]]) -> Any:
+    """Slots as plain values."""
     return tuple([(v, tuple(p), tuple(a), c) for v, p, a, c in rows])
 
 
 def freeze_state(state: AcceptorState) -> Any:
+    """A transferred state as a plain value."""
     return (state.committed.version, state.committed.value), state.history, freeze_slots(state.slots)
 
 
 @lru_cache(4096)
 def thaw_epoch(number: int, members: Members) -> Epoch:
+    """An epoch; the same object for the same values."""
     return Epoch(number, members)
 
 
 def thaw_slots(rows: Any) -> list[tuple[int, Ballot, Ballot, bytes]]:
+    """Slots from plain values."""
     return [(v, Ballot(*p), Ballot(*a), c) for v, p, a, c in rows]
 
 
 def thaw_state(frozen: Any) -> AcceptorState:
+    """A transferred state from a plain value."""
     committed, history, rows = frozen
     return AcceptorState(CommittedValue(*committed), history, tuple(thaw_slots(rows)))
 
 
 def thaw_acceptor(frozen: Any) -> Acceptor:
+    """The acceptor that was frozen."""
     disk, address, seat, wants, life, epoch, installed, sealed, committed, history, rows, view = frozen
     return Acceptor(
         disk,
@@ -167,6 +174,7 @@
 
 
 def thaw_call(frozen: Any) -> Call | None:
+    """The call that was frozen; none if there is none."""
     match frozen:
         case "proposer", epoch, version, ballot, content, accepting, accepts, promises, _:
             proposer = Proposer(thaw_epoch(*epoch), version, Ballot(*ballot), content)
@@ -190,6 +198,10 @@
 
 
 def freeze_request(request: Request) -> Any:
+    """A request as a plain value.
+
+    :raises ValueError: if it is none that changes an acceptor.
+    """
     match request:
         case PrepareRequest(epoch, version, ballot):
             return "prepare", epoch, version, tuple(ballot)
@@ -203,6 +215,10 @@
 
 
 def thaw_request(frozen: Any) -> Request:
+    """The request that was frozen.
+
+    :raises ValueError: if it is none.
+    """
     match frozen:
         case "prepare", epoch, version, ballot:
             return PrepareRequest(epoch, version, Ballot(*ballot))
--- a/meadowworks/modelcheck/models/consensus/model.py
+++ b/meadowworks/modelcheck/models/consensus/model.py
@@ -58,5 +58,5 @@
         partial(thaw_world, memo),
         describe_step,
         PROPERTIES,
-        may_terminate=lambda world: True,
+        may_terminate=lambda _world: True,
     )
--- a/meadowworks/modelcheck/models/consensus/properties.py
+++ b/meadowworks/modelcheck/models/consensus/properties.py
@@ -11,7 +11,6 @@
 )
 from meadowworks.modelcheck.model import Property
 from meadowworks.modelcheck.models.consensus.frozen import (
-    ADDRESS,
     ANNOUNCED_EPOCH,
     COMMITTED,
     EPOCH,
@@ -39,7 +38,7 @@
 
 
 def one_value_per_ballot(world: World) -> bool:
-    """What was accepted under one ballot, or is being proposed under it, is one content."""
+    """What was accepted under one ballot, or is being proposed under it, is one value."""
     found: dict[Any, bytes] = {}
     for frozen in world.frozen_acceptors:
         for version, _, ballot, content in frozen[SLOTS] if frozen is not None else ():
@@ -53,33 +52,37 @@
 
 
 def known_epochs(world: World) -> dict[int, Members] | None:
-    """Those that anybody has heard of; none if two of one number differ."""
+    """The epochs that anybody has heard of; none if two of one number differ."""
     found: dict[int, Members] = {}
-    told = [
+    candidates = [
         frozen[place]
         for frozen in world.frozen_acceptors
         if frozen is not None
         for place in (EPOCH, SEALED_BY, ANNOUNCED_EPOCH)
     ]
-    told += [
+    candidates += [
         call[place]
         for call in world.calls
         if call is not None
         for place in (1, 2)
         if type(call[place]) is tuple
     ]
-    for one in told:
-        known = one is not None and len(one) == 2 and type(one[MEMBER_ID]) is int and one[MEMBER_ID] >= 0
-        if known and found.setdefault(one[MEMBER_ID], one[ADDRESS]) != one[ADDRESS]:
+    for epoch in candidates:
+        if epoch is None or len(epoch) != 2 or type(epoch[0]) is not int or epoch[0] < 0:
+            continue
+        number, members = epoch
+        if found.setdefault(number, members) != members:
             return None
     return found
 
 
 def one_member_list_per_epoch(world: World) -> bool:
+    """No two epochs that anybody has heard of have one number and two lists of members."""
     return known_epochs(world) is not None
 
 
 def id_in_epoch(frozen: Any, epoch: int) -> str:
+    """The id under which an acceptor is counted in an epoch."""
     return str(frozen[FOUNDER_ID] if epoch == 0 else frozen[MEMBER_ID])
 
 
@@ -133,6 +136,7 @@
 
 
 def holds_value(frozen: Any, version: int, content: bytes) -> bool:
+    """Whether an acceptor has accepted a value for a version, or committed a later version."""
     committed = frozen[COMMITTED]
     if committed[0] > version or committed == (version, content):
         return True
@@ -140,7 +144,7 @@
 
 
 def committed_was_chosen(world: World) -> bool:
-    """What a disk holds as chosen, whole or as a digest, was chosen."""
+    """What a disk holds as chosen, as it is or as a digest, was chosen."""
     chosen = {(version, content) for _, version, content in world.chosen}
     digests = {(version, digest(content)) for version, content in chosen}
     return all(
@@ -151,6 +155,7 @@
 
 
 def members_were_proposed(world: World) -> bool:
+    """The members of an epoch were proposed in the one before it."""
     return all(
         (epoch, content) in world.proposed_members
         for epoch, version, content in world.chosen
@@ -159,10 +164,12 @@
 
 
 def never_regresses(world: World) -> bool:
+    """No step takes an acceptor back."""
     return all(is_not_older(was, now) for kind, was, now, *_ in world.outcomes if kind == "kept")
 
 
 def is_not_older(was: Any, now: Any) -> bool:
+    """Whether an acceptor, after a step, is in no way older than before it."""
     if (
         now[INCARNATION] < was[INCARNATION]
         or now[EPOCH][0] < was[EPOCH][0]
@@ -183,6 +190,7 @@
 
 
 def ignores_older_epochs(world: World) -> bool:
+    """Who has heard of an epoch votes in none before it, and becomes a member of none."""
     return all(row[1] >= row[2] for row in world.outcomes if row[0] == "took") and all(
         (now[EPOCH], now[INSTALLED]) == (was[EPOCH], was[INSTALLED])
         or not now[INSTALLED]
@@ -193,14 +201,17 @@
 
 
 def only_voters_vote(world: World) -> bool:
+    """Who promised or accepted was a member that may vote."""
     return all(row[3] for row in world.outcomes if row[0] == "took")
 
 
 def founding_epoch_chooses_members(world: World) -> bool:
+    """In epoch 0 only members are chosen."""
     return all(epoch > 0 or version == MEMBERSHIP_VERSION for epoch, version, _ in world.chosen)
 
 
 def no_stale_slots(world: World) -> bool:
+    """No acceptor keeps a slot of a version that is not above its committed one."""
     return all(
         version == MEMBERSHIP_VERSION or version > frozen[COMMITTED][0]
         for frozen in world.frozen_acceptors
@@ -210,10 +221,12 @@
 
 
 def reads_are_current(world: World) -> bool:
+    """No read ends below what was chosen before it began."""
     return all(needs >= floor for kind, floor, needs, *_ in world.outcomes if kind == "read")
 
 
 def leaver_hands_over(world: World) -> bool:
+    """Who leaves has handed over to as many members as it must."""
     return all(row[2] >= row[3] for row in world.outcomes if row[0] == "handed")
 
 
--- a/meadowworks/modelcheck/models/consensus/scenarios.py
+++ b/meadowworks/modelcheck/models/consensus/scenarios.py
@@ -32,6 +32,9 @@
     epoch: int = -1
 
 
+THREE_MEMBERS = members_of("a", "b", "c")
+
+
 @dataclass(frozen=True, slots=True)
 class Scenario:
     """How a world begins, and what may happen in it. A place is a machine's number and its address."""
@@ -40,7 +43,7 @@
     tasks: tuple[Task, ...]
     attempts: tuple[int, ...]  # that each task may begin
     place_count: int = 3
-    members: Members = members_of("a", "b", "c")  # of epoch 1; with `founding`, of the places that found
+    members: Members = THREE_MEMBERS  # of epoch 1; with `founding`, of the places that found
     # Chosen already as those of epoch 2, by `b`, with `a`; nothing is sealed yet.
     next_members: Members = ()
     # Places that are sealed by epoch 2, and that have it installed, as the scenario begins.
