--- /dev/null
+++ b/tests/gateway/test_api_endpoint.py
@@ -0,0 +1,67 @@
+"""The API's endpoint: calls find their handler, bodies are bounded, a failing disk is a reply."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import sqlite3
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from meadowworks.controlplane.api import ApiReply, ApiRequest, Route
+from meadowworks.controlplane.api_endpoint import ApiEndpoint
+from meadowworks.local.system import Ports, SystemLayout
+from meadowworks.runtime.live_settings import LiveSettings
+from meadowworks.runtime.node_settings import parse_settings
+
+Headers = dict[bytes, bytes]
+
+
+async def echo(request: ApiRequest) -> ApiReply:
+    return ApiReply(503, json.dumps([request.resource_id, request.body.decode()]).encode(), 0.5)
+
+
+async def fail(_request: ApiRequest) -> ApiReply:
+    raise sqlite3.OperationalError("disk I/O error")
+
+
+def call(method: str, path: str, body: bytes = b"", memory_mb: float = 300.0) -> tuple[int, bytes, Headers]:
+    document = SystemLayout(9, Ports(1, 2, 3, 4)).node_settings(0, Path("/d"))
+    document["self"]["limits"] = {"memMb": memory_mb}
+    settings = LiveSettings(parse_settings(json.dumps(document)))
+    endpoint = ApiEndpoint({Route("POST", "X.Echo"): echo, Route("GET", "X.Fail"): fail}, settings)
+    sent: list[Any] = []
+
+    async def receive() -> dict[str, Any]:
+        return {"type": "http.request", "body": body}
+
+    async def send(message: Any) -> None:
+        sent.append(message)
+
+    asyncio.run(endpoint({"method": method, "path": path}, receive, send))
+    return sent[0]["status"], sent[1]["body"], dict(sent[0]["headers"])
+
+
+def test_a_call_gets_the_resource_id_and_the_body_and_its_reply_a_time_to_retry() -> None:
+    status, body, headers = call("POST", "/api/X.Echo/an/id", b"text")
+    assert (status, json.loads(body), headers[b"retry-after"]) == (503, ["an/id", "text"], b"0.5")
+    assert headers[b"content-type"] == b"application/json"
+
+
+@pytest.mark.parametrize(
+    ("method", "path"),
+    [("GET", "/api/X.Echo"), ("POST", "/api/X.Nothing"), ("POST", "/X.Echo"), ("POST", "/")],
+)
+def test_an_unknown_call_is_answered_with_404(method: str, path: str) -> None:
+    assert call(method, path)[:2] == (404, b'{"err":"there is no such call"}')
+
+
+def test_a_failing_disk_is_answered_with_503() -> None:
+    assert call("GET", "/api/X.Fail")[:2] == (503, b'{"err":"the disk refuses"}')
+
+
+def test_a_body_beyond_its_share_of_the_memory_is_answered_with_413() -> None:
+    assert call("POST", "/api/X.Echo", b"x" * 1000, memory_mb=0.01)[0] == 503  # a tenth of it: just fits
+    assert call("POST", "/api/X.Echo", b"x" * 1001, memory_mb=0.01)[0] == 413
--- /dev/null
+++ b/tests/gateway/test_background_tasks.py
@@ -0,0 +1,79 @@
+"""Background tasks: a failure is logged and survived, a broken invariant ends the program."""
+
+from __future__ import annotations
+
+import asyncio
+
+import pytest
+from loguru import logger
+
+from meadowworks.runtime.background_tasks import BackgroundTasks
+from meadowworks.runtime.errors import InvariantError
+from tests.gateway.helpers import until
+
+
+async def fail(error: Exception) -> None:
+    raise error
+
+
+def test_a_failed_task_is_logged_with_its_name_and_the_others_go_on() -> None:
+    lines: list[str] = []
+    sink = logger.add(lines.append, format="{level.name} {message}")
+
+    async def main() -> None:
+        tasks = BackgroundTasks()
+        other = tasks.start(asyncio.sleep(60))
+        failed = tasks.start(fail(RuntimeError("a bug")))
+        await until(lambda: tasks.running == {other}, "the failed task is over")
+        assert failed.done()
+        assert not other.done()
+        tasks.close()
+        await until(lambda: not tasks.running, "the other is cancelled")
+
+    asyncio.run(main())
+    logger.remove(sink)
+    assert len(lines) == 1
+    assert lines[0].startswith("ERROR background task fail failed")
+    assert "RuntimeError: a bug" in lines[0]
+
+
+def test_a_broken_invariant_ends_the_wait_for_a_shutdown() -> None:
+    async def main() -> None:
+        tasks = BackgroundTasks()
+        tasks.start(fail(InvariantError("two values for one version")))
+        with pytest.raises(InvariantError, match="two values"):
+            await tasks.wait_for_shutdown(asyncio.get_running_loop().create_future())
+
+    asyncio.run(main())
+
+
+def test_a_requested_shutdown_ends_the_wait() -> None:
+    async def main() -> None:
+        tasks, requested = BackgroundTasks(), asyncio.get_running_loop().create_future()
+        tasks.start(fail(RuntimeError("no invariant")))
+        waiting = asyncio.ensure_future(tasks.wait_for_shutdown(requested))
+        await until(lambda: not tasks.running, "the failure is handled")
+        assert not waiting.done()
+        requested.set_result(None)
+        await waiting
+
+    asyncio.run(main())
+
+
+@pytest.mark.parametrize(("error", "survives"), [(ValueError("once"), True), (InvariantError("no"), False)])
+def test_a_periodic_task_survives_any_error_but_a_broken_invariant(error: Exception, survives: bool) -> None:
+    async def main() -> None:
+        tasks, calls = BackgroundTasks(), 0
+
+        def action() -> None:
+            nonlocal calls
+            calls += 1
+            if calls == 1:
+                raise error
+
+        task = tasks.start(tasks.run_periodically(0.0, action))
+        await until(lambda: calls > 1 or task.done(), "it runs again, or ends")
+        assert (calls > 1) == survives == (not task.done())
+        tasks.close()
+
+    asyncio.run(main())
