--- a/tests/gateway/test_fleet.py
+++ b/tests/gateway/test_fleet.py
@@ -26,6 +26,7 @@
 from meadowworks.runtime import node_settings
 from meadowworks.runtime.errors import RequestError
 from meadowworks.runtime.http_connection import connect
+from meadowworks.runtime.http_server import HttpServer
 from meadowworks.runtime.process import now_ns
 from tests.gateway.helpers import ask, until
 
@@ -38,7 +39,7 @@
     def __init__(self, folder: Path) -> None:
         self.runner = asyncio.Runner()
         self.plan, self.folder = SystemLayout(next(NETS) % 250, free_ports()), folder
-        self.told: dict[int, asyncio.Future[None]] = {}
+        self.shutdown_requested: dict[int, asyncio.Future[None]] = {}
         self.running: dict[int, asyncio.Task[None]] = {}
         self.nodes: dict[int, Any] = {}
         self.backends: list[StubBackend] = []
@@ -56,20 +57,22 @@
         node = (ControlPlaneServer if place < self.plan.control_plane_nodes else ProxyServer)(
             node_settings.parse_settings(json.dumps(settings))
         )
-        self.told[place] = asyncio.get_running_loop().create_future()
-        self.running[place] = asyncio.create_task(node.serve(self.told[place]))
+        self.shutdown_requested[place] = asyncio.get_running_loop().create_future()
+        self.running[place] = asyncio.create_task(node.serve(self.shutdown_requested[place]))
         self.nodes[place] = node
 
     async def kill(self, place: int) -> None:
-        """As SIGKILL: nothing is said any more, and nothing more is written."""
+        """As SIGKILL: nothing more is sent or written."""
         node = self.nodes.pop(place)
         for task in [self.running.pop(place), *node.tasks.running]:
             task.cancel()
-        for door in ("peer_server", "api_server", "http_server", "readiness_server", "internal_server"):
-            if (found := getattr(node, door, None)) and hasattr(found, "server_state"):
-                found.server.close()
-                for caller in list(found.server_state.connections):
-                    caller.transport.abort()
+        servers = [value for value in vars(node).values() if isinstance(value, HttpServer)]
+        assert len(servers) > 1  # each kind of node has a peer port, and a port for those it serves
+        for server in servers:
+            if server.server is not None:
+                server.server.close()
+            for connection in list(server.server_state.connections):
+                connection.transport.abort()
         if place < self.plan.control_plane_nodes:
             node.node.close()
 
@@ -80,7 +83,10 @@
             made = StubBackend(f"b{k}", svc, zone, self.plan.ip_address(20 + k))
             await made.start()
             self.backends.append(made)
-        await until(lambda: all(self.nodes[k].holds_lease() for k in range(3)), "signalboxes know each other")
+        await until(
+            lambda: all(self.nodes[k].holds_lease() for k in range(3)),
+            "the control-plane nodes have their leases",
+        )
         for made in self.backends:
             assert await made.send_heartbeat(self.plan.control_addresses()[0]) == 200
 
@@ -101,7 +107,7 @@
         return await ask(self.plan.proxy_addresses()[place], method, target, f"q{next(self.serial)}", b"")
 
     async def ready(self) -> None:
-        await until(lambda: all(self.nodes[k].is_ready() for k in (3, 4)), "junctions are ready")
+        await until(lambda: all(self.nodes[k].is_ready() for k in (3, 4)), "the proxies are ready")
 
 
 @pytest.fixture
@@ -111,18 +117,18 @@
     made.runner.close()
 
 
-@given("a gateway whose backends beat")
+@given("a gateway whose backends send heartbeats")
 def a_gateway(fleet: Fleet) -> None:
     fleet.run(fleet.begin())
 
 
-@when("version 1 is sent to the first signalbox")
+@when("version 1 is sent to the first control-plane node")
 def version_one(fleet: Fleet) -> None:
     assert fleet.run(fleet.replace(0, 1, ROUTES)) == 200
     fleet.run(fleet.ready())
 
 
-@then("each junction serves safe and unsafe requests")
+@then("each proxy serves safe and unsafe requests")
 def both_serve(fleet: Fleet) -> None:
     for place in (0, 1):
         for method, target in ((b"GET", b"/read/a?b=%2f"), (b"POST", b"/order/a")):
@@ -133,14 +139,14 @@
     assert len(ran) == len(set(ran)) == 4
 
 
-@when("a backend drains at the second signalbox")
+@when("a backend announces its drain to the second control-plane node")
 def one_drains(fleet: Fleet) -> None:
     backend = fleet.backends[0]
     backend.state = "draining"
     assert fleet.run(backend.send_heartbeat(fleet.plan.control_addresses()[1])) == 200
 
 
-@then("no junction sends to it once that is acknowledged")
+@then("no proxy sends to it once the drain is acknowledged")
 def none_sends(fleet: Fleet) -> None:
     backend = fleet.backends[0]
     others = [fleet.nodes[k].backends for k in (3, 4)]
@@ -153,7 +159,7 @@
     for place in (0, 1):
         for _ in range(6):
             assert fleet.run(fleet.serve(place, b"GET", b"/read/a")).status == 200
-    backend.state, backend.heartbeats_sent = "up", 0  # a beat from before the drain comes late
+    backend.state, backend.heartbeats_sent = "up", 0  # a late heartbeat, from before the drain
     fleet.run(backend.send_heartbeat(fleet.plan.control_addresses()[1]))
     assert (
         all(lives.instances["b0"].state == "draining" for lives in others)
@@ -161,12 +167,12 @@
     )
 
 
-@when("the same number with another content is sent to the third signalbox")
+@when("the same version with another content is sent to the third control-plane node")
 def another_content(fleet: Fleet) -> None:
     assert fleet.run(fleet.replace(2, 1, {"/read/": ("safe", "orders")})) == 409
 
 
-@then("it is refused, and every signalbox reads back what was sent first")
+@then("it is rejected, and every control-plane node returns what was sent first")
 def read_back(fleet: Fleet) -> None:
     for place in range(3):
         assert fleet.run(fleet.read(place)) == json.loads(build_configuration(1, ROUTES))
@@ -186,7 +192,7 @@
     assert fleet.run(fleet.read(2)) == json.loads(build_configuration(5, ROUTES))
 
 
-@when("two contents under one number are sent at once, again and again", target_fixture="races")
+@when("two contents under one version are sent concurrently, several times", target_fixture="races")
 def at_once(fleet: Fleet) -> list[tuple[int, int, int, Any]]:
     async def whole() -> list[tuple[int, int, int, Any]]:
         found = []
@@ -210,7 +216,7 @@
         assert back == json.loads(build_configuration(version, routes))
 
 
-@when("the first signalbox comes back with an empty disk")
+@when("the first control-plane node comes back with an empty disk")
 def wiped(fleet: Fleet) -> None:
     async def whole() -> None:
         await fleet.kill(0)
@@ -227,15 +233,15 @@
     fleet.run(whole())
 
 
-@then("it enters anew and reads back what was acknowledged")
+@then("it joins as a new member and returns what was acknowledged")
 def entered(fleet: Fleet) -> None:
     epoch = fleet.nodes[0].node.config_service.replica.acceptor.epoch
     assert epoch.number > 1 and len(epoch.members) == 3
     assert fleet.run(fleet.read(0)) == json.loads(build_configuration(14, ROUTES))
 
 
-@when("a junction is told to end with a request at work", target_fixture="last")
-def told_to_end(fleet: Fleet) -> Any:
+@when("a proxy is asked to shut down while a request is in flight", target_fixture="last")
+def shut_down_with_a_request_in_flight(fleet: Fleet) -> Any:
     async def whole() -> Any:
         gate = asyncio.Event()
         for backend in fleet.backends:
@@ -248,7 +254,7 @@
             ask(fleet.plan.proxy_addresses()[0], b"POST", b"/order/a", "last", b"", work)
         )
         await until(lambda: any(b.requests_running for b in fleet.backends), "it is at work")
-        fleet.told[3].set_result(None)
+        fleet.shutdown_requested[3].set_result(None)
         await until(lambda: fleet.nodes[3].shutting_down, "it leaves")
         gate.set()
         idle = await ask(fleet.plan.proxy_addresses()[0], b"POST", b"/order/b", "still", b"", kept)
@@ -261,33 +267,33 @@
     return fleet.run(whole())
 
 
-@then("that request is answered, whole, and its connection ends")
+@then("that request gets its complete response, and its connection is closed")
 def answered_whole(last: Any) -> None:
     at_work, later, polled = last
     assert (at_work.status, later.status, polled) == (200, 200, 503)
     assert at_work.header(b"connection") == later.header(b"connection") == b"close"
 
 
-@when("a junction starts anew while only one signalbox is there, cut off")
+@when("a proxy restarts while only one control-plane node is left, without a lease")
 def starts_cut_off(fleet: Fleet) -> None:
     async def whole() -> None:
         for place in (1, 2, 4):
             await fleet.kill(place)
         await until(lambda: not fleet.nodes[0].holds_lease(), "its lease has ended")
         await fleet.start(4)
-        await until(lambda: len(fleet.nodes[4].gossip.sources) > 1, "it has been told")
+        await until(lambda: len(fleet.nodes[4].gossip.sources) > 1, "it has had a reply")
 
     fleet.run(whole())
 
 
-@then("it is not ready, and tells nobody that a route is not there")
+@then("it is not ready, and answers no request with 404")
 def not_ready(fleet: Fleet) -> None:
     assert fleet.nodes[4].route_table is None and not fleet.nodes[4].is_ready()
     unknown = fleet.run(fleet.serve(1, b"GET", b"/new/a"))
     assert unknown.status == 503 and float(unknown.header(b"retry-after")) < 1
 
 
-@then("after a while it still has no table from there, and says when to come back")
+@then("after a while it still has no route table, and rejects requests with a time to retry")
 def no_table(fleet: Fleet) -> None:
     node = fleet.nodes[4]
     node.started_ns -= STARTUP_GRACE_NS
@@ -299,8 +305,8 @@
         assert refused.status == 503 and float(refused.header(b"retry-after")) < 1
 
 
-@then("while its picture is old it is ready, and tells nobody that a route is not there")
-def picture_old(fleet: Fleet) -> None:
+@then("while its view of the control plane is stale it is ready, and answers no request with 404")
+def stale_view(fleet: Fleet) -> None:
     async def whole() -> None:
         node = fleet.nodes[4]
         work, node.staleness.on_reply = node.staleness.on_reply, lambda asked, sure: None
@@ -308,14 +314,14 @@
         assert node.is_ready()
         status = (await fleet.serve(1, b"GET", b"/new/a")).status
         node.staleness.on_reply = work
-        await until(lambda: node.staleness.is_fresh(now_ns()), "it is told again")
+        await until(lambda: node.staleness.is_fresh(now_ns()), "it has a fresh reply")
         assert (await fleet.serve(1, b"GET", b"/new/a")).status == 404
         assert status == 503
 
     fleet.run(whole())
 
 
-@then("a drain that no other disk's controller hears of is not acknowledged")
+@then("a drain that reaches no other node's disk is not acknowledged")
 def not_acknowledged(fleet: Fleet) -> None:
     backend = fleet.backends[1]
     backend.state = "draining"
@@ -323,7 +329,7 @@
     assert fleet.run(backend.send_heartbeat(fleet.plan.control_addresses()[0], leave=True)) == 503
 
 
-@when("the others are back")
+@when("the other nodes are back")
 def others_back(fleet: Fleet) -> None:
     async def whole() -> None:
         await fleet.start(1)
@@ -343,12 +349,12 @@
     assert node.route_table.version == 7 and node.route_table.find_route("local.example", "/new/a") is None
 
 
-@when("a backend of the south beats at the first signalbox, which is of the north")
-def beats_abroad(fleet: Fleet) -> None:
+@when("a backend of the south sends a heartbeat to the first control-plane node, in the north")
+def heartbeat_in_another_zone(fleet: Fleet) -> None:
     assert fleet.run(fleet.backends[1].send_heartbeat(fleet.plan.control_addresses()[0])) == 200
 
 
-@then("it is asked to call the second, until a beat fails there")
+@then("it is redirected to the second, until a heartbeat fails there")
 def asked_to_call(fleet: Fleet) -> None:
     backend, (first, second, _) = fleet.backends[1], fleet.plan.control_addresses()
 
@@ -365,7 +371,7 @@
     fleet.run(whole())
 
 
-@when("every program is killed and starts again, and one disk is lost")
+@when("every program is killed and restarted, and one disk is lost")
 def all_lost(fleet: Fleet) -> None:
     async def whole() -> None:
         for place in range(5):
@@ -378,7 +384,7 @@
     fleet.run(whole())
 
 
-@then("a late beat does not bring it back anywhere")
+@then("a late heartbeat does not bring the backend back anywhere")
 def not_back(fleet: Fleet) -> None:
     backend = fleet.backends[0]
     backend.state, backend.heartbeats_sent = "up", 0
@@ -394,37 +400,48 @@
     assert {node.backends.instances["b0"].state for node in nodes} == {"draining"}
 
 
-@then("the words tell of nodes, backends and reasons, in columns and as one object")
-def words(fleet: Fleet, capsys: pytest.CaptureFixture[str]) -> None:
-    box, junction = (f"{fleet.plan.ip_address(k)}:{fleet.plan.ports.peer}" for k in (0, 3))
+@then("the commands report nodes, backends and reasons, in columns and as one JSON object")
+def commands_report(fleet: Fleet, capsys: pytest.CaptureFixture[str]) -> None:
+    control_plane, proxy = (f"{fleet.plan.ip_address(k)}:{fleet.plan.ports.peer}" for k in (0, 3))
 
-    def said(*line: str) -> str:
+    def output_of(*line: str) -> str:
         assert fleet.run(asyncio.to_thread(commands.main, line)) == 0
         return capsys.readouterr().out
 
-    assert {node["votes"] for node in json.loads(said("nodes", box, "--json"))["members"]} >= {True}
-    rows = said("backends", junction).splitlines()
+    assert {node["votes"] for node in json.loads(output_of("nodes", control_plane, "--json"))["members"]} >= {
+        True
+    }
+    rows = output_of("backends", proxy).splitlines()
     assert rows[0].split() == ["id", "service", "address", "zone", "state"] and len(rows) == 5
     fleet.nodes[3].services["lookup"].controller.backends[0].rung = 2
-    told = json.loads(said("why", "lookup", junction, "--json"))
-    assert told["service"] == "lookup" and told["level"] == 1.0 and set(told["zones"]) == {"north", "south"}
-    assert set(told["table"]) | set(told["abroad"]) == {"b0", "b1"}
-    assert "rung " in said("why", "lookup", junction)
-    whole = json.loads(said("status", box, "--all", "--json"))["controllers"]
-    assert sorted(c["kind"] for c in whole) == ["junction"] * 2 + ["signalbox"] * 3
-    assert {(c["version"], c["well"]) for c in whole} == {("00000001", "yes")}
-    assert said("status", box, "--all").splitlines()[0].split()[:4] == ["node", "kind", "version", "well"]
-
-
-@then("what makes no sense is one line and status 2")
+    report = json.loads(output_of("why", "lookup", proxy, "--json"))
+    assert (
+        report["service"] == "lookup"
+        and report["level"] == 1.0
+        and set(report["zones"]) == {"north", "south"}
+    )
+    assert set(report["table"]) | set(report["abroad"]) == {"b0", "b1"}
+    assert "rung " in output_of("why", "lookup", proxy)
+    rows_of_nodes = json.loads(output_of("status", control_plane, "--all", "--json"))["controllers"]
+    assert sorted(c["kind"] for c in rows_of_nodes) == ["junction"] * 2 + ["signalbox"] * 3
+    assert {(c["version"], c["well"]) for c in rows_of_nodes} == {("00000001", "yes")}
+    assert output_of("status", control_plane, "--all").splitlines()[0].split()[:4] == [
+        "node",
+        "kind",
+        "version",
+        "well",
+    ]
+
+
+@then("invalid input is one line and exit code 2")
 def no_sense(fleet: Fleet, capsys: pytest.CaptureFixture[str]) -> None:
-    box, junction = (f"{fleet.plan.ip_address(k)}:{fleet.plan.ports.peer}" for k in (0, 3))
+    control_plane, proxy = (f"{fleet.plan.ip_address(k)}:{fleet.plan.ports.peer}" for k in (0, 3))
     for line, why in (
-        (("why", "lookup", box), "reports no services"),
-        (("why", "nobody", junction), "knows no service 'nobody'"),
+        (("why", "lookup", control_plane), "reports no services"),
+        (("why", "nobody", proxy), "knows no service 'nobody'"),
         (("why", "lookup", "nowhere"), "no address"),
-        (("nodes", junction), "reports no members"),
-        (("status", junction, "--all"), "reports no members"),
+        (("nodes", proxy), "reports no members"),
+        (("status", proxy, "--all"), "reports no members"),
     ):
         assert fleet.run(asyncio.to_thread(commands.main, line)) == 2
         out, err = capsys.readouterr()
