--- a/meadowworks/controlplane/api_endpoint.py
+++ b/meadowworks/controlplane/api_endpoint.py
@@ -5,6 +5,7 @@
 import sqlite3
 
 from meadowworks.controlplane.api import ApiReply, ApiRequest, Route, Routes
+from meadowworks.controlplane.compressed_config import MAX_CONFIG_BYTES
 from meadowworks.forwarding.memory_budget import MemoryBudget
 from meadowworks.runtime import logging as logs
 from meadowworks.runtime.asgi import Receive, Scope, Send
@@ -13,7 +14,6 @@
 from meadowworks.runtime.response_writer import send_response
 
 PATH_PREFIX = "/api/"
-MAX_BODY_BYTES = 64 << 20
 BODY_TIMEOUT_S = 300.0  # an operator's configuration: 7 MB over a line of 200 kbit/s take that long
 BODIES_MEMORY_SHARE = 0.25  # of the node's memory, for all bodies while they arrive
 BODY_MEMORY_SHARE = 0.1  # of it for one body: to validate it takes four times its size beside it
@@ -55,7 +55,7 @@
 
     def _max_body_bytes(self) -> int:
         memory_mb = self._live_settings.current.memory_mb
-        return min(MAX_BODY_BYTES, int(memory_mb * BYTES_PER_MB * BODY_MEMORY_SHARE))
+        return min(MAX_CONFIG_BYTES, int(memory_mb * BYTES_PER_MB * BODY_MEMORY_SHARE))
 
     async def _handle(self, method: str, path: str, body: bytes) -> ApiReply:
         action, _, resource_id = path.removeprefix(PATH_PREFIX).partition("/")
--- a/meadowworks/controlplane/compressed_config.py
+++ b/meadowworks/controlplane/compressed_config.py
@@ -10,6 +10,8 @@
 from meadowworks.runtime.compression import compress_steps
 from meadowworks.runtime.cooperative import run_cooperatively
 
+MAX_CONFIG_BYTES = 64 << 20  # uncompressed: bounds the memory that a call or a reply can make a node take
+
 
 class CompressedConfig(NamedTuple):
     """A version of the configuration, compressed by zlib."""
--- a/meadowworks/controlplane/config_resource.py
+++ b/meadowworks/controlplane/config_resource.py
@@ -9,7 +9,7 @@
 from meadowworks.controlplane.api import ApiReply, ApiRequest, Route, Routes, error_reply
 from meadowworks.controlplane.config_service import ConfigService
 from meadowworks.runtime import logging as logs
-from meadowworks.runtime.clock import now_ns
+from meadowworks.runtime.clock import NS_PER_SECOND, now_ns
 from meadowworks.runtime.cooperative import run_cooperatively
 
 COMMIT_TIMEOUT_NS = 800_000_000  # two rounds, each with a sync on a majority of disks, and some retries
@@ -17,7 +17,6 @@
 READ_TIMEOUT_NS = 800_000_000  # as for a commit
 LARGE_CONFIG_BYTES = 1 << 18  # a larger one is validated alone: that takes four times its size in memory
 NO_LEASE_RETRY_S = 1.0  # a lease is renewed by pulls, several a second
-NS_PER_SECOND = 1e9
 log = logs.get_logger("api")
 
 
--- a/meadowworks/controlplane/config_service.py
+++ b/meadowworks/controlplane/config_service.py
@@ -35,7 +35,7 @@
 from meadowworks.gossip.messages import DECODE_ERRORS, MalformedMessageError
 from meadowworks.runtime import logging as logs
 from meadowworks.runtime.background_tasks import BackgroundTasks
-from meadowworks.runtime.clock import now_ns
+from meadowworks.runtime.clock import NS_PER_SECOND, now_ns
 from meadowworks.runtime.errors import RequestError
 from meadowworks.runtime.node_settings import NodeSettings
 from meadowworks.storage.sqlite_store import StoredState
@@ -44,7 +44,6 @@
 REQUEST_TIMEOUT_S = 1.0  # longer than the replica waits before it sends a request again
 MIN_TICK_DELAY_S = 0.001  # lets the event loop run other work when a tick is overdue
 MEMBER_ID_LOG_LENGTH = 8
-NS_PER_SECOND = 1e9
 Outcome = Committed | Conflict | Undecided | CommittedValue
 log = logs.get_logger("consensus")
 
--- a/meadowworks/controlplane/peer_endpoint.py
+++ b/meadowworks/controlplane/peer_endpoint.py
@@ -5,6 +5,7 @@
 import json
 import sqlite3
 
+from meadowworks.controlplane.compressed_config import MAX_CONFIG_BYTES
 from meadowworks.controlplane.node import ControlPlaneNode
 from meadowworks.controlplane.node_status import node_status
 from meadowworks.controlplane.pull_handler import PullHandler
@@ -14,7 +15,6 @@
 from meadowworks.runtime.request_body import BodyError, read_body
 from meadowworks.runtime.response_writer import send_response
 
-MAX_BODY_BYTES = 64 << 20  # a consensus request carries a whole configuration
 log = logs.get_logger("peers")
 
 
@@ -28,7 +28,7 @@
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Answer one call: 400 if it is malformed, 503 if the disk failed, 404 for an unknown path."""
         path = scope["path"]
-        body = await read_body(receive, MAX_BODY_BYTES)
+        body = await read_body(receive, MAX_CONFIG_BYTES)
         if isinstance(body, BodyError):
             return await send_response(send, 413)
         try:
--- a/meadowworks/controlplane/pull_client.py
+++ b/meadowworks/controlplane/pull_client.py
@@ -7,6 +7,7 @@
 from typing import NamedTuple
 
 from meadowworks.consensus.values import CommittedValue
+from meadowworks.controlplane.compressed_config import MAX_CONFIG_BYTES
 from meadowworks.controlplane.node import ControlPlaneNode
 from meadowworks.gossip.messages import PullReply, PullRequest, decode_pull_reply
 from meadowworks.runtime import logging as logs
@@ -25,7 +26,6 @@
     0.1  # that a pull waits for the write of drains, so that it carries their acknowledgement
 )
 PULLS_PER_SHUFFLE = 5  # peer records are exchanged with one pull in so many
-MAX_CONFIG_BYTES = 64 << 20  # decompressed
 log = logs.get_logger("gossip")
 
 
--- a/meadowworks/controlplane/server.py
+++ b/meadowworks/controlplane/server.py
@@ -15,6 +15,7 @@
 from meadowworks.registry.backends import BackendDirectory
 from meadowworks.runtime import logging as logs
 from meadowworks.runtime.background_tasks import BackgroundTasks
+from meadowworks.runtime.clock import NS_PER_SECOND
 from meadowworks.runtime.cluster_view import ClusterView
 from meadowworks.runtime.http_server import HttpServer
 from meadowworks.runtime.live_settings import LiveSettings
@@ -22,12 +23,13 @@
 from meadowworks.runtime.process import run_program
 from meadowworks.runtime.server_connection import RequestLimits
 
-DISCOVERY_INTERVAL_S = 0.25  # after which pulls from peers that have become known begin
-MAX_HEADER_BYTES, HEADER_TIMEOUT_S, IDLE_TIMEOUT_S = 65536, 3.0, 30.0
+DISCOVERY_INTERVAL_S = 0.25  # until a peer that has become known is pulled from
+MAX_HEADER_BYTES = 65536
+HEADER_TIMEOUT_S = 3.0  # headers are sent at once: a client that takes longer only holds a connection
+IDLE_TIMEOUT_S = 30.0  # longer than between heartbeats, pulls and consensus requests: these keep theirs
 HAND_OVER_SHARE = 0.5  # of the grace period; the rest is left for calls under way
 MAX_FINISH_S, FINISH_SHARE = 1.5, 0.5  # for calls under way: so long, or this share of the grace period
 FINISH_POLL_INTERVAL_S = 0.05
-NS_PER_SECOND = 1e9
 log = logs.get_logger("control-plane")
 
 
--- a/meadowworks/controlplane/zone_loads.py
+++ b/meadowworks/controlplane/zone_loads.py
@@ -6,8 +6,7 @@
 
 from meadowworks.gossip.updates import UpdateStore
 from meadowworks.load_balancing.load_reports import LOAD_REPORT_PREFIX, LoadReport
-
-NS_PER_MS = 1_000_000
+from meadowworks.runtime.clock import NS_PER_MS
 
 
 class ZoneLoads:
