--- a/meadowworks/controlplane/node.py
+++ b/meadowworks/controlplane/node.py
@@ -12,8 +12,9 @@
 from meadowworks.controlplane.notifier import Notifier
 from meadowworks.controlplane.zone_loads import ZoneLoads
 from meadowworks.gossip.updates import KeyUpdate
+from meadowworks.registry.backend_state import BACKEND_KEY_PREFIX
 from meadowworks.registry.drain_log import DrainLog
-from meadowworks.registry.heartbeats import BACKEND_KEY_PREFIX, HeartbeatRegistry
+from meadowworks.registry.heartbeats import HeartbeatRegistry
 from meadowworks.runtime.background_tasks import BackgroundTasks
 from meadowworks.runtime.clock import now_ns
 from meadowworks.runtime.cluster_view import ClusterView
