--- a/meadowworks/modelcheck/__init__.py
+++ b/meadowworks/modelcheck/__init__.py
@@ -1,5 +1,5 @@
-"""Explores the product's own machines exhaustively in small worlds, and says which property breaks, and how.
+"""Exhaustive model checking of the product's own state machines in small worlds.
 
-It decides nothing about the product: models put the machines into worlds, `explore` visits every state,
-`live` looks for what is never answered, `faults` takes guards out to see that the properties can fail.
+It decides nothing about the product: `models` put the machines into worlds, `explorer` visits every state,
+`liveness` looks for what is never answered, and `seeded_faults` take guards out to see that properties break.
 """
--- /dev/null
+++ b/meadowworks/modelcheck/catalog.py
@@ -0,0 +1,81 @@
+"""The models and seeded faults that `check` knows, by the names that its users give."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import replace
+
+from meadowworks.modelcheck.model import Model
+from meadowworks.modelcheck.models import (
+    attempt,
+    connection,
+    consensus,
+    forwarding,
+    gossip,
+    policy,
+    quota,
+    registry,
+    replica,
+)
+from meadowworks.modelcheck.seeded_fault import SeededFault
+from meadowworks.modelcheck.seeded_faults.attempt import ATTEMPT_FAULTS
+from meadowworks.modelcheck.seeded_faults.connection import CONNECTION_FAULTS
+from meadowworks.modelcheck.seeded_faults.consensus import CONSENSUS_FAULTS
+from meadowworks.modelcheck.seeded_faults.forwarding import FORWARDING_FAULTS
+from meadowworks.modelcheck.seeded_faults.gossip import GOSSIP_FAULTS
+from meadowworks.modelcheck.seeded_faults.policy import POLICY_FAULTS
+from meadowworks.modelcheck.seeded_faults.quota import QUOTA_FAULTS
+from meadowworks.modelcheck.seeded_faults.registry import REGISTRY_FAULTS
+from meadowworks.modelcheck.seeded_faults.replica import REPLICA_FAULTS
+from meadowworks.modelcheck.seeded_faults.upstream import UPSTREAM_FAULTS
+
+MODELS: dict[str, Callable[[bool], Model]] = {  # each builds its model with small or with larger worlds
+    "attempt": attempt.model,
+    "connection": connection.model,
+    "module": policy.model,
+    "grants": quota.model,
+    "timetable": consensus.model,
+    "replica": replica.model,
+    "carriage": forwarding.model,
+    "telegraph": gossip.model,
+    "roster": registry.model,
+}
+SEEDED_FAULTS: tuple[SeededFault, ...] = (  # in the order in which `check` lists them
+    *ATTEMPT_FAULTS,
+    *CONNECTION_FAULTS,
+    *QUOTA_FAULTS,
+    *POLICY_FAULTS,
+    *CONSENSUS_FAULTS,
+    *REPLICA_FAULTS,
+    *FORWARDING_FAULTS,
+    *UPSTREAM_FAULTS,
+    *GOSSIP_FAULTS,
+    *REGISTRY_FAULTS,
+)
+
+
+class UnknownNameError(ValueError):
+    """The name of no model, or of no seeded fault."""
+
+
+def model_of(name: str, large: bool, max_depth: int = 0) -> Model:
+    """Build a model.
+
+    :param max_depth: replaces the model's own bound on steps, unless it is 0.
+    :raises UnknownNameError: if there is no such model.
+    """
+    if name not in MODELS:
+        raise UnknownNameError(f"there is no model {name!r}: there are {', '.join(MODELS)}")
+    model = MODELS[name](large)
+    return replace(model, max_depth=max_depth) if max_depth else model
+
+
+def fault_of(name: str) -> SeededFault:
+    """Find a seeded fault.
+
+    :raises UnknownNameError: if there is no such fault.
+    """
+    for fault in SEEDED_FAULTS:
+        if fault.name == name:
+            return fault
+    raise UnknownNameError(f"there is no fault {name!r}")
--- a/meadowworks/modelcheck/model.py
+++ b/meadowworks/modelcheck/model.py
@@ -1,42 +1,59 @@
-"""What a model is: worlds that can be stepped, frozen and told apart, and properties in plain words."""
+"""What a model consists of: worlds that take steps, and the properties that must hold of them."""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Hashable, Iterable, Sequence
 from dataclasses import dataclass
-from typing import Any, Protocol
+from typing import Any, Literal, Protocol
 
-NO_EXCEPTION = "no fault"  # the property that no step raises
+NO_EXCEPTION = "no fault"  # name of the property that no step raises
 NO_DEADLOCK = "no deadlock"
-Step = tuple[Any, ...]  # a name and small numbers or words: goes into JSON and back
+Step = tuple[Any, ...]  # a name, then small numbers or words: goes into JSON and back
+Scope = Literal["state", "step", "end"]
 
 
 class World(Protocol):
-    """A small world around a machine. `do` takes one of the steps that `enabled` named; `did` is what came of
-    the last step, for the properties of steps."""
+    """A small world around a state machine of the product, in one of its states.
+
+    `outcomes` is what came of the last step, for the properties that are checked on steps.
+    """
 
     outcomes: list[tuple[Any, ...]]
 
-    def enabled(self) -> Iterable[Step]: ...
-    def take_step(self, step: Step) -> None: ...
-    def freeze(self) -> Any: ...  # so that thaw gives the same world again; what is kept while it waits
-    def key(self) -> Hashable: ...  # numbers, words and tuples alone; equal for worlds that are alike
+    def enabled(self) -> Iterable[Step]:
+        """Name the steps that can be taken in this state."""
+        ...
+
+    def take_step(self, step: Step) -> None:
+        """Take one of the steps that `enabled` named."""
+        ...
+
+    def freeze(self) -> Any:
+        """Return a compact copy, from which the model's `thaw` makes the same world again."""
+        ...
+
+    def key(self) -> Hashable:
+        """Return numbers, strings and tuples alone, equal for worlds that count as one state."""
+        ...
 
 
 @dataclass(frozen=True, slots=True)
 class Property:
-    """`on` is state (of each state), step (of each step's outcome) or end (of states without a step)."""
+    """A condition that must hold of each state, of each step's outcomes, or of states without a step."""
 
     name: str
     description: str
     holds: Callable[[Any], bool]
-    checked_on: str = "state"
+    checked_on: Scope = "state"
 
 
 @dataclass(frozen=True, slots=True)
 class LivenessProperty:
-    """Something is owed while `waits` is true, and must not be owed for ever. Each of `fair` names steps of
-    which one is taken at last, if from some time on one could be taken at any moment."""
+    """Something is owed while `is_pending` is true, and must not be owed for ever.
+
+    Each of `fair_steps` selects a set of steps under weak fairness: one of them is taken at last if, from
+    some time on, one could be taken at any moment.
+    """
 
     name: str
     description: str
@@ -45,13 +62,18 @@
 
 
 def steps_starting_with(*prefix: Any) -> Callable[[Step], bool]:
-    """The steps that begin so, for `Live.fair`."""
+    """Select the steps that begin with these items, for `LivenessProperty.fair_steps`."""
     return lambda step: step[: len(prefix)] == prefix
 
 
 @dataclass(frozen=True, slots=True)
 class Model:
-    """`say` puts a step into plain words. `depth` bounds the steps where the states have no end (0: none)."""
+    """A transition system and its properties.
+
+    `thaw` restores a frozen world, `describe_step` puts a step into plain words, `max_depth` bounds the steps
+    where the states have no end (0: none), and `metrics` are measured in each state, of which the greatest
+    values are reported. A world without a step is a deadlock unless it `may_terminate`.
+    """
 
     name: str
     description: str
@@ -60,15 +82,38 @@
     describe_step: Callable[[Step], str]
     properties: tuple[Property, ...]
     liveness: tuple[LivenessProperty, ...] = ()
-    may_terminate: Callable[[Any], bool] = lambda world: True  # may end here; else it is a deadlock
+    may_terminate: Callable[[Any], bool] = lambda world: True  # noqa: ARG005 (the default of a predicate)
     max_depth: int = 0
-    metrics: Callable[[Any], dict[str, float]] | None = None  # of each state; the greatest is reported
+    metrics: Callable[[Any], dict[str, float]] | None = None
+
+    def properties_on(self, scope: Scope) -> list[Property]:
+        """Return the properties that are checked on states, steps or ends."""
+        return [prop for prop in self.properties if prop.checked_on == scope]
+
+
+IMPLICIT_PROPERTIES = (
+    Property(NO_EXCEPTION, "no step ends in an exception or a broken assertion", lambda _: True),
+    Property(NO_DEADLOCK, "where nothing can happen any more, nothing is owed", lambda _: True),
+)
+
+
+def reported_properties(model: Model) -> list[tuple[str, str]]:
+    """Return name and description of all that is checked of a model, in the order of reports."""
+    stated: tuple[Property | LivenessProperty, ...] = (
+        *model.properties,
+        *model.liveness,
+        *IMPLICIT_PROPERTIES,
+    )
+    return [(prop.name, prop.description) for prop in stated]
 
 
 @dataclass(frozen=True, slots=True)
 class Counterexample:
-    """A property that broke, with the shortest path to it: the start's place, the steps, and for what is
-    never answered the steps of the cycle that goes on for ever."""
+    """A broken property with the shortest path to it.
+
+    The path is the index of the start and the steps from there; for a liveness property also the steps of the
+    cycle that can go on for ever.
+    """
 
     name: str
     description: str
@@ -80,7 +125,7 @@
 
 @dataclass(slots=True)
 class Result:
-    """What an exploration found. `left_out` says in words what it did not look at; empty where complete."""
+    """What an exploration found. `left_out` says in words what it did not visit; empty where complete."""
 
     model_name: str
     states: int = 0
@@ -93,4 +138,5 @@
 
     @property
     def complete(self) -> bool:
+        """Whether every state was visited."""
         return not self.left_out
--- a/meadowworks/modelcheck/seeded_faults/attempt.py
+++ b/meadowworks/modelcheck/seeded_faults/attempt.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from meadowworks.modelcheck.fault import SeededFault
+from meadowworks.modelcheck.seeded_fault import SeededFault
 
 AGAIN, MACHINE = "meadowworks.attempts.retry_policy:", "meadowworks.attempts.machine:AttemptMachine."
 ATTEMPT_FAULTS = (
--- a/meadowworks/modelcheck/seeded_faults/consensus.py
+++ b/meadowworks/modelcheck/seeded_faults/consensus.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from meadowworks.modelcheck.fault import SeededFault
 from meadowworks.modelcheck.model import NO_EXCEPTION
+from meadowworks.modelcheck.seeded_fault import SeededFault
 
 REGISTER, REPLICA = "meadowworks.consensus.register:", "meadowworks.consensus.replica:"
 CONTENT = ("one content", "lasts")
--- a/meadowworks/modelcheck/seeded_faults/policy.py
+++ b/meadowworks/modelcheck/seeded_faults/policy.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from meadowworks.modelcheck.fault import SeededFault
 from meadowworks.modelcheck.model import NO_EXCEPTION
+from meadowworks.modelcheck.seeded_fault import SeededFault
 
 RULES = "meadowworks.policy:Controller."
 POLICY_FAULTS = (
--- a/meadowworks/modelcheck/seeded_faults/registry.py
+++ b/meadowworks/modelcheck/seeded_faults/registry.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from meadowworks.modelcheck.fault import SeededFault
+from meadowworks.modelcheck.seeded_fault import SeededFault
 
 FENCES = "meadowworks.registry.drain_log:DrainLog."
 REGISTRY_FAULTS = (
--- a/meadowworks/modelcheck/seeded_faults/replica.py
+++ b/meadowworks/modelcheck/seeded_faults/replica.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from meadowworks.modelcheck.fault import SeededFault
+from meadowworks.modelcheck.seeded_fault import SeededFault
 
 REGISTER, REPLICA = "meadowworks.consensus.register:", "meadowworks.consensus.replica:"
 ACCEPTOR, BOX = REGISTER + "Acceptor.", REPLICA + "Replica."
--- a/meadowworks/modelcheck/seeded_faults/upstream.py
+++ b/meadowworks/modelcheck/seeded_faults/upstream.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from meadowworks.modelcheck.fault import SeededFault
+from meadowworks.modelcheck.seeded_fault import SeededFault
 
 CLIENTS, BREAKS, KEPT, NAMELESS, BETWEEN = tuple(range(9)), (9,), (10,), (12,), (14,)  # worlds of the model
 LINE = "meadowworks.runtime.http_connection:ClientConnection."
--- /dev/null
+++ b/tests/modelcheck/test_policy_model.py
@@ -0,0 +1,56 @@
+"""Paths through the model of the decision logic that only larger worlds reach, each with its guard."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import pytest
+
+from meadowworks.modelcheck.model import Step
+from meadowworks.modelcheck.models import policy as module
+from meadowworks.modelcheck.seeded_fault import SeededFault, injected_fault
+from meadowworks.modelcheck.seeded_faults.policy import RULES
+
+# Two paths that only four steps reach, each with the guard that keeps it.
+NEAR = (
+    (
+        6,
+        (("list", 0, "ready"), ("list", 0, "draining"), ("leave", 0), ("join", 0)),
+        module.drains_first,
+        ("on_proxy_joined", "not (b := self.backends[p]).ready or", "(b := self.backends[p]) and"),
+    ),
+    (
+        6,
+        (("list", 0, "ready"), ("start", 0), ("leave", 0), ("join", 0)),
+        module.cold_spared,
+        ("on_proxy_joined", "or self.cold(now, b) and w > b.weight * self.part(now, b)", ""),
+    ),
+    (
+        3,
+        (("leave", 1), ("list", 1, "ready"), ("start", 1), ("tick",)),
+        module.cold_spared,
+        ("wanted", "(min(1.0, a) if self.cold(now, b) else a)", "a"),
+    ),
+)
+
+
+@pytest.mark.parametrize(("start", "steps", "holds", "guard"), NEAR, ids=["drains", "restarted", "abroad"])
+def test_paths_of_four_steps_keep_the_rules_and_break_them_without_their_guard(
+    start: int, steps: tuple[Step, ...], holds: Any, guard: tuple[str, str, str]
+) -> None:
+    def held() -> bool:
+        world = module.STARTS[start]()
+        module.play(world, *steps)
+        return bool(holds(world))
+
+    at, was, now = guard
+    assert held()
+    with injected_fault(SeededFault("", "module", RULES + at, was, now, ())):
+        assert not held()
+
+
+def test_what_is_forgotten_before_it_is_looked_at_again_stops_nobody() -> None:
+    world = module.quiet()
+    world.module.later(world.now, lambda: world.module.retain(99, True))
+    world.take_step(("tick",))
+    assert 99 not in world.module.backends
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -10,7 +10,7 @@
 import pytest
 from loguru import logger
 
-from meadowworks.modelcheck.fault import SeededFault, injected_fault
+from meadowworks.modelcheck.seeded_fault import SeededFault, injected_fault
 from meadowworks.simulation.fleet import Fleet
 from tests.helpers import SECOND, SETTINGS
 
