--- a/tests/gateway/test_state.py
+++ b/tests/gateway/test_state.py
@@ -15,18 +15,17 @@
 from meadowworks.cli.operations import differences
 from meadowworks.config.route_table import load_route_table
 from meadowworks.config.validation import InvalidConfiguration, ValidConfiguration, validate_configuration
-from meadowworks.consensus import register
-from meadowworks.consensus.register import (
-    Acceptor,
+from meadowworks.consensus.acceptor import Acceptor
+from meadowworks.consensus.messages import (
     AcceptRequest,
-    Ballot,
-    CommittedValue,
-    Epoch,
+    BallotRejectedReply,
     PrepareRequest,
     PromiseReply,
     VersionDecidedReply,
 )
-from meadowworks.consensus.replica import Replica, load_acceptor
+from meadowworks.consensus.metadata import load_acceptor
+from meadowworks.consensus.replica import Replica
+from meadowworks.consensus.values import Ballot, CommittedValue, Epoch, digest
 from meadowworks.gossip import messages as post
 from meadowworks.gossip.peer_sampling import PEER_EXPIRY_NS, PartialView, PeerRecord
 from meadowworks.gossip.updates import MAX_TOMBSTONES, SOURCE_EXPIRY_NS, KeyUpdate, SourceDelta, UpdateStore
@@ -187,7 +186,7 @@
 def test_a_mutated_message_between_controllers_is_garbled_or_harmless() -> None:
     me = PeerRecord("a", "10.0.0.1", 7000, "north", True, "a.1", 5)
     figures = [[["i", 1, 0, 5, 1, 1, 0]], [["s", 1]]]
-    pull = post.PullRequest(me, (me,), {"s": 3}, 1, 100, figures, 4, ("b.1", 7))
+    pull = post.PullRequest(me, (me,), {"s": 3}, 1, 100, figures, 4, post.DrainAcknowledgement("b.1", 7))
     answer = post.PullReply(me, (me,), (SourceDelta("s", True, 3, ((3, "k", 1),)),), True, (2, b"{}"))
     garbled = 0
     for whole, read in ((pull, post.decode_pull_request), (answer, post.decode_pull_reply)):
@@ -315,21 +314,19 @@
     found.install(Epoch(1, (("d", "h:1"),)), found.export_state())
     found.handle(PrepareRequest(1, 3, Ballot(1, 4, "p")))
     found.handle(AcceptRequest(1, 3, Ballot(1, 4, "p"), b"three"))
-    disk.save(replica.collect_update())
+    disk.save(replica.writes.collect_update())
     shutil.copytree(tmp_path / "d", tmp_path / "after")  # as the power goes: what is on the disk, unclosed
     found.learn(3, b"three")
-    disk.save(replica.collect_update())
+    disk.save(replica.writes.collect_update())
     shutil.copytree(tmp_path / "d", tmp_path / "later")
     again = acceptor(SqliteStore(tmp_path / "after"))
     assert again.member_id == "d" and again.may_vote() and again.epoch == found.epoch
-    assert again.handle(PrepareRequest(1, 3, Ballot(1, 3, "q"))) == register.BallotRejectedReply(
-        Ballot(1, 4, "p")
-    )
+    assert again.handle(PrepareRequest(1, 3, Ballot(1, 3, "q"))) == BallotRejectedReply(Ballot(1, 4, "p"))
     promised = PromiseReply(Ballot(1, 5, "q"), Ballot(1, 4, "p"), b"three")
     assert again.handle(PrepareRequest(1, 3, Ballot(1, 5, "q"))) == promised
     later = acceptor(SqliteStore(tmp_path / "later"))
     assert later.committed == CommittedValue(3, b"three") and not later.slots
-    assert later.history == {3: register.digest(b"three")}
+    assert later.history == {3: digest(b"three")}
     assert isinstance(later.handle(PrepareRequest(1, 2, Ballot(1, 9, "q"))), VersionDecidedReply)
 
 
