--- a/tests/test_seeded_faults.py
+++ b/tests/modelcheck/test_seeded_fault_names.py
@@ -15,8 +15,8 @@
 import pytest
 
 import meadowworks
-from meadowworks.modelcheck.fault import SeededFault, target_function
-from meadowworks.modelcheck.faults import FAULTS
+from meadowworks.modelcheck.catalog import SEEDED_FAULTS
+from meadowworks.modelcheck.seeded_fault import SeededFault, target_function
 
 STRINGS = re.compile(r"\"[^\"]*\"|'[^']*'")
 NAMES = re.compile(r"\b[A-Za-z_]\w*\b")
@@ -33,10 +33,10 @@
     return {name for path in paths for name in NAMES.findall(path.read_text(encoding="utf-8"))}
 
 
-@pytest.mark.parametrize("fault", FAULTS, ids=lambda fault: fault.name)
+@pytest.mark.parametrize("fault", SEEDED_FAULTS, ids=lambda fault: fault.name)
 def test_what_a_fault_puts_in_names_only_what_there_is(fault: SeededFault, product_names: set[str]) -> None:
-    source = inspect.getsource(sys.modules[target_function(fault.at).__module__])
-    replacement = STRINGS.sub("", fault.now)
+    source = inspect.getsource(sys.modules[target_function(fault.target).__module__])
+    replacement = STRINGS.sub("", fault.replacement)
     in_module = {*NAMES.findall(source), *keyword.kwlist, *dir(builtins)}
     assert set(BARE_NAMES.findall(replacement)) <= in_module
     assert set(ATTRIBUTES.findall(replacement)) <= product_names | CONTAINER_METHODS
