--- a/tests/modelcheck/test_check_command.py
+++ b/tests/modelcheck/test_check_command.py
@@ -48,7 +48,7 @@
 @pytest.mark.parametrize(
     ("words", "said"),
     [
-        (["chek"], "there is no word 'chek'"),
+        (["chek"], "there is no command 'chek'"),
         (["check", "atempt"], "there is no model 'atempt'"),
         (["lab", "speed"], "there is no measurement 'speed'"),
         (["check", "--most", "0"], "--most is a whole number above 0"),
