--- a/meadowworks/modelcheck/seeded_faults/gossip.py
+++ b/meadowworks/modelcheck/seeded_faults/gossip.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from meadowworks.modelcheck.fault import SeededFault
+from meadowworks.modelcheck.seeded_fault import SeededFault
 
 NEWS, BEATS = "meadowworks.gossip.updates:", "meadowworks.registry.heartbeats:HeartbeatRegistry."
 FENCES = "meadowworks.registry.drain_log:DrainLog."
@@ -13,22 +13,22 @@
             (
                 "a late beat takes a drain back",
                 BEATS + "heartbeat",
-                "state = max(told, key=STATE_RANK.__getitem__)",
-                'state = status["state"]',
+                "state = furthest_state(heartbeat.state, self._drain_state(instance_id), known_state)",
+                "state = heartbeat.state",
                 ("never back", "own words"),
             ),
             (
                 "the newest word counts, not the furthest",
                 "meadowworks.registry.backends:BackendDirectory.merged_state",
-                "rank = max(STATE_RANK[s.state] for s in sources.values())",
-                "rank = STATE_RANK[list(sources.values())[-1].state]",
+                "rank = max(STATE_RANK[report.state] for report in reports.values())",
+                "rank = STATE_RANK[list(reports.values())[-1].state]",
                 ("never back", "acknowledged", "same list", "own words"),
             ),
             (
                 "a signalbox's first word of a life stands",
                 "meadowworks.registry.backends:BackendDirectory.on_update",
-                "sources[event.source] = said",
-                "sources.setdefault(event.source, said)",
+                "reports[update.source] = report",
+                "reports.setdefault(update.source, report)",
                 ("own words",),
             ),
             (
@@ -41,21 +41,21 @@
             (
                 "one that calls a life quiet is enough",
                 "meadowworks.registry.backends:BackendDirectory.merged_state",
-                "all(s.suspect for s in alive.values())",
-                "any(s.suspect for s in alive.values())",
+                "all(report.suspect for report in alive)",
+                "any(report.suspect for report in alive)",
                 ("quiet by all",),
             ),
             (
                 "a receipt is not waited for",
                 FENCES + "is_replicated",
-                "self.acknowledged_versions.get(host, -1) >= version",
+                "self.acknowledged_versions.get(host, NO_VERSION) >= version",
                 "version >= 0",
                 ("acknowledged",),
             ),
             (
                 "a receipt of any version is one",
                 FENCES + "is_replicated",
-                "self.acknowledged_versions.get(host, -1) >= version",
+                "self.acknowledged_versions.get(host, NO_VERSION) >= version",
                 "host in self.acknowledged_versions",
                 ("acknowledged",),
             ),
@@ -104,8 +104,8 @@
             (
                 "a silent life is gone for good",
                 BEATS + "tick",
-                "life.suspect = True",
-                "life.state = GONE",
+                "registration.suspect = True",
+                "registration.state = GONE",
                 ("none buried alive",),
             ),
         )
