--- a/meadowworks/quota/__init__.py
+++ b/meadowworks/quota/__init__.py
@@ -1,7 +1,7 @@
-"""One budget in shares, with all grants under it, while reports are late and proxies come and go.
+"""A quota of calls at once, in leased shares, while reports are late and holders come and go.
 
-Decides who may have how many calls under way at once. It never decides the estimate by more than the median
-of the views, nor which call is let in under a share. No I/O, no clock. The source is the design's paper,
-"Distributed Adaptive Concurrency"; the ordinary path of `meadowworks/policy/` is one level for all proxies
-instead, so this is for fronts whose proxies hold shares.
+Decides who may have how many calls in flight at once. It never estimates by more than the median of the
+holders' estimates, nor decides which call is let in under a share. No I/O, no clock. The source is the
+design's paper, "Distributed Adaptive Concurrency"; the usual path of `meadowworks/policy/` is one admission
+limit for all proxies instead, so this is for fronts whose proxies hold shares.
 """
