--- /dev/null
+++ b/tests/consensus/test_lease.py
@@ -0,0 +1,63 @@
+"""The lease: what a majority has confirmed, and from when it counts."""
+
+from __future__ import annotations
+
+from meadowworks.consensus.lease import LeaseTracker
+from meadowworks.consensus.timing import PEER_EXPIRY_NS
+from meadowworks.consensus.values import AcceptorSlot, Ballot, Epoch
+from tests.consensus.helpers import A, B, C, member
+
+
+def test_the_lease_counts_from_when_the_request_of_the_slowest_of_a_majority_left() -> None:
+    lease = LeaseTracker(member("a"))
+    assert lease.known_as_of_ns(100) is None  # this replica alone is no majority
+    lease.on_query_reply(now_ns=50, sent_ns=10, reply=member("b").query_reply())
+    assert lease.known_as_of_ns(100) == 10
+    lease.on_query_reply(now_ns=60, sent_ns=40, reply=member("c").query_reply())
+    assert lease.known_as_of_ns(100) == 40
+
+
+def test_a_reply_that_speaks_of_a_version_unknown_here_counts_once_that_is_committed_here() -> None:
+    own, other = member("a"), member("b")
+    ballot = Ballot(1, 1, "c.1")
+    other.slots[3] = AcceptorSlot(ballot, ballot, b"three")
+    lease = LeaseTracker(own)
+    lease.on_query_reply(now_ns=50, sent_ns=10, reply=other.query_reply())
+    assert lease.known_as_of_ns(100) is None
+    own.learn(3, b"three")
+    lease.on_value_committed()
+    assert lease.known_as_of_ns(100) == 10
+
+
+def test_what_this_replica_has_accepted_and_does_not_know_to_be_chosen_holds_its_own_vote_back() -> None:
+    own = member("a")
+    lease = LeaseTracker(own)
+    lease.query_self(20)
+    ballot = Ballot(1, 1, "c.1")
+    own.slots[1] = AcceptorSlot(ballot, ballot, b"one")
+    lease.on_query_reply(now_ns=50, sent_ns=40, reply=member("b").query_reply())
+    assert lease.known_as_of_ns(100) == 20
+
+
+def test_replies_of_an_older_epoch_do_not_count_and_those_before_a_new_one_no_longer() -> None:
+    own = member("a")
+    lease = LeaseTracker(own)
+    lease.on_query_reply(now_ns=50, sent_ns=10, reply=member("b").query_reply())
+    assert own.on_epoch(Epoch(2, (A, B, C)))
+    lease.on_new_epoch()
+    lease.on_query_reply(now_ns=60, sent_ns=20, reply=member("b").query_reply())  # of epoch 1 still
+    lease.on_query_reply(now_ns=60, sent_ns=20, reply=member("c").query_reply())
+    assert lease.known_as_of_ns(100) is None
+
+
+def test_an_empty_disk_at_a_known_address_takes_the_place_and_a_silent_one_is_forgotten() -> None:
+    lease = LeaseTracker(member("a"))
+    old, new = member("b"), member("b")
+    new.member_id = "b2"
+    lease.on_query_reply(now_ns=1, sent_ns=0, reply=old.query_reply())
+    lease.on_query_reply(now_ns=2, sent_ns=1, reply=new.query_reply())
+    assert set(lease.peers) == {"b2"}
+    lease.expire_peers(2 + PEER_EXPIRY_NS)
+    assert set(lease.peers) == {"b2"}
+    lease.expire_peers(3 + PEER_EXPIRY_NS)
+    assert not lease.peers
