--- a/meadowworks/modelcheck/seeded_faults/forwarding.py
+++ b/meadowworks/modelcheck/seeded_faults/forwarding.py
@@ -82,7 +82,7 @@
                 "a reset is proof",
                 JOURNEY + "on_attempt_ended",
                 "self.attempts[number].state = outcome",
-                "self.attempts[number].state = outcome if status or outcome != DROPPED else 2",
+                "self.attempts[number].state = outcome if status or outcome != FAILED else 2",
                 ("at most once", "promises kept"),
             ),
             (
