--- a/meadowworks/forwarding/connection_pool.py
+++ b/meadowworks/forwarding/connection_pool.py
@@ -1,31 +1,29 @@
-"""Lines to backends, kept by life: none is used for another life, and none outlives its own.
-
-Decides which kept line may carry a request, how busy a backend is taken to be, and whom to avoid for a
-moment after it could not be reached.
-"""
+"""Idle connections to backends, by instance: none is used for another instance, and none outlives its own."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 from typing import Generic, Protocol, TypeVar
 
-from meadowworks.forwarding.latency_estimate import update_service_time
+from meadowworks.forwarding.endpoint_load import EndpointLoad
 
 SECOND = 1_000_000_000
-DEFAULT_KEEP_ALIVE_NS = 4 * SECOND  # that a line is kept where its backend tells no time
-KEEP_ALIVE_MARGIN_NS = (
-    SECOND  # before the time that it tells: guards against a request that crosses its close
-)
-MAX_IDLE_CONNECTIONS = 24  # idle lines a life
-UNREACHABLE_PENALTY_NS = SECOND  # that a backend which could not be reached is passed over
-BACKEND_LOAD_TTL_NS = 400_000_000  # for so long what a backend told of its load counts, ever less
-OTHER_PROXIES_SHARE = 0.6  # part of a home backend's calls that are taken to be of other junctions
-ZONE_LOAD_TTL_NS = 3 * SECOND  # for so long what the figures of its zone say of it does
+# How long an idle connection is kept whose backend names no time in `Keep-Alive`: less than the usual 5 s.
+DEFAULT_KEEP_ALIVE_NS = 4 * SECOND
+# How long before the named time it is closed: guards against a request that crosses the backend's close.
+KEEP_ALIVE_MARGIN_NS = SECOND
+# Idle connections to one instance: about its slots, so that a burst over does not hold descriptors.
+MAX_IDLE_CONNECTIONS = 24
 
 
 class PoolableConnection(Protocol):
-    def usable(self) -> bool: ...
-    def close(self) -> None: ...
+    """What the pool needs of a connection."""
+
+    def usable(self) -> bool:
+        """Whether it may carry another request."""
+
+    def close(self) -> None:
+        """End it."""
 
 
 ConnectionT = TypeVar("ConnectionT", bound=PoolableConnection)
@@ -33,101 +31,73 @@
 
 @dataclass(slots=True)
 class EndpointPool(Generic[ConnectionT]):
-    """One life."""
+    """One instance: its load and its idle connections."""
 
-    in_flight: int = 0  # tries of this junction
-    others_in_flight: float = 0.0  # calls of others, as last told
-    load_reported_ns: int = 0
-    zone_load: float = 0.0  # calls there by its zone's figures
-    zone_load_ns: int = -ZONE_LOAD_TTL_NS
-    service_time_ns: float | None = None  # nanoseconds that it takes for a call alone
-    avoided_until_ns: int = 0
-    idle: list[tuple[int, ConnectionT]] = field(default_factory=list)  # until when, and the line; newest last
+    load: EndpointLoad = field(default_factory=EndpointLoad)
+    idle: list[tuple[int, ConnectionT]] = field(default_factory=list)  # kept until when; the newest last
 
 
 class ConnectionPool(Generic[ConnectionT]):
-    """Stalls by life."""
+    """The instances that requests are sent to, by id. Times are of a steady clock, in nanoseconds."""
 
     def __init__(self) -> None:
         self.endpoints: dict[str, EndpointPool[ConnectionT]] = {}
 
     def endpoint(self, backend_id: str) -> EndpointPool[ConnectionT]:
+        """The pool of an instance; a new one if there is none."""
         if (found := self.endpoints.get(backend_id)) is None:
             found = self.endpoints[backend_id] = EndpointPool()
         return found
 
+    def load(self, backend_id: str) -> EndpointLoad:
+        """The load of an instance."""
+        return self.endpoint(backend_id).load
+
+    def known_load(self, backend_id: str) -> EndpointLoad | None:
+        """The load of an instance, unless it has been evicted."""
+        found = self.endpoints.get(backend_id)
+        return None if found is None else found.load
+
     def acquire(self, now: int, backend_id: str) -> ConnectionT | None:
-        """A kept line that may carry a request."""
-        stall = self.endpoint(backend_id)
-        while stall.idle:
-            until, line = stall.idle.pop()
-            if now < until and line.usable():
-                return line
-            line.close()
+        """The newest idle connection that may carry a request, if any; the caller owns it."""
+        endpoint = self.endpoint(backend_id)
+        while endpoint.idle:
+            until_ns, connection = endpoint.idle.pop()
+            if now < until_ns and connection.usable():
+                return connection
+            connection.close()
         return None
 
     def release(self, now: int, backend_id: str, connection: ConnectionT, keep_alive_s: int | None) -> None:
-        """Keeps a line after a whole answer, for less than its backend says that it will."""
-        stall = self.endpoints.get(backend_id)
-        span = DEFAULT_KEEP_ALIVE_NS if keep_alive_s is None else keep_alive_s * SECOND - KEEP_ALIVE_MARGIN_NS
-        if stall is None or span <= 0 or len(stall.idle) >= MAX_IDLE_CONNECTIONS or not connection.usable():
-            return connection.close()
-        stall.idle.append((now + span, connection))
-
-    def attempt_started(self, backend_id: str) -> None:
-        self.endpoint(backend_id).in_flight += 1
+        """Take a connection back after a complete response, or close it.
 
-    def attempt_ended(self, backend_id: str) -> None:
-        if stall := self.endpoints.get(backend_id):
-            stall.in_flight -= 1
-
-    def record_backend_load(self, now: int, backend_id: str, running: int, waiting: int) -> None:
-        """What an answer says of its backend's load, this answer's own call left out."""
-        if stall := self.endpoints.get(backend_id):
-            stall.others_in_flight = max(0.0, running + waiting - stall.in_flight)
-            stall.load_reported_ns = now
-
-    def record_zone_load(self, now: int, backend_id: str, in_flight: float) -> None:
-        """What the junctions of its zone say of a backend's load, a moment ago."""
-        stall = self.endpoint(backend_id)
-        stall.zone_load, stall.zone_load_ns = in_flight, now
-
-    def record_service_time(self, backend_id: str, elapsed_ns: int, load: float, capacity: float) -> None:
-        """A call was answered that found `busy` others there."""
-        if stall := self.endpoints.get(backend_id):
-            stall.service_time_ns = update_service_time(stall.service_time_ns, elapsed_ns, load, capacity)
-
-    def mark_unreachable(self, now: int, backend_id: str) -> None:
-        self.endpoint(backend_id).avoided_until_ns = now + UNREACHABLE_PENALTY_NS
-
-    def estimated_load(self, now: int, backend_id: str, same_zone: bool) -> float:
-        """Calls that it is taken to be at work on: this junction's, and others' as it told. As that grows
-        old, what the zones' figures say takes its place: guards against a backend that looks idle because
-        it is too busy to answer."""
-        stall = self.endpoints.get(backend_id)
-        if stall is None:
-            return 0.0
-        fresh = max(0.0, 1 - (now - stall.load_reported_ns) / BACKEND_LOAD_TTL_NS)
-        far = stall.zone_load if now - stall.zone_load_ns < ZONE_LOAD_TTL_NS else stall.others_in_flight
-        return (
-            stall.in_flight
-            + stall.others_in_flight * fresh
-            + far * (OTHER_PROXIES_SHARE if same_zone else 1.0) * (1 - fresh)
+        :param keep_alive_s: how long its backend says that it keeps the connection; None if it does not say
+        """
+        endpoint = self.endpoints.get(backend_id)
+        idle_ns = (
+            DEFAULT_KEEP_ALIVE_NS if keep_alive_s is None else keep_alive_s * SECOND - KEEP_ALIVE_MARGIN_NS
         )
+        if endpoint is None or idle_ns <= 0 or not connection.usable():
+            return connection.close()
+        if len(endpoint.idle) >= MAX_IDLE_CONNECTIONS:
+            return connection.close()
+        endpoint.idle.append((now + idle_ns, connection))
+        return None
 
-    def is_avoided(self, now: int, backend_id: str) -> bool:
-        stall = self.endpoints.get(backend_id)
-        return stall is not None and now < stall.avoided_until_ns
+    def record_zone_load(self, now: int, backend_id: str, in_flight: float) -> None:
+        """Record what the proxies of an instance's zone have said of its load."""
+        self.load(backend_id).record_zone_load(now, in_flight)
 
     def evict(self, now: int, live_backend_ids: set[str]) -> None:
-        """Ends lines of lives that are over, and those that have been idle for long enough."""
-        for ident, stall in list(self.endpoints.items()):
-            good = [
-                (u, line) for u, line in stall.idle if now < u and ident in live_backend_ids and line.usable()
-            ]
-            for kept in stall.idle:
-                if kept not in good:
-                    kept[1].close()
-            stall.idle = good
-            if ident not in live_backend_ids and not stall.in_flight:
-                del self.endpoints[ident]
+        """Close connections to instances that are gone, and those that were idle for long enough."""
+        for backend_id, endpoint in list(self.endpoints.items()):
+            is_live = backend_id in live_backend_ids
+            kept = []
+            for until_ns, connection in endpoint.idle:
+                if is_live and now < until_ns and connection.usable():
+                    kept.append((until_ns, connection))
+                else:
+                    connection.close()
+            endpoint.idle = kept
+            if not is_live and not endpoint.load.in_flight:
+                del self.endpoints[backend_id]
--- a/meadowworks/forwarding/response_check.py
+++ b/meadowworks/forwarding/response_check.py
@@ -1,4 +1,4 @@
-"""What an answer proves of the try that it ends. Source: the users' page on the protocol."""
+"""What a response proves of the attempt that it ends. Source: the users' page on the protocol."""
 
 from __future__ import annotations
 
@@ -9,13 +9,18 @@
 
 NOT_RUN_STATUSES = (408, 421, 429, 503)  # statuses that promise that a request has not run
 
-HeaderLookup = Callable[[bytes], bytes | None]  # the value of a header, named in small letters
+HeaderLookup = Callable[[bytes], bytes | None]  # the value of a header, named in lower case
 
 
 @dataclass(frozen=True, slots=True)
 class ResponseVerdict:
-    """`state` as `attempts` names it. `sound`: the answer is this request's own and may go to its client.
-    `over`: another life answers at the address. `keep`: its line may carry a further request."""
+    """What a response is worth.
+
+    :param outcome: what is known of the attempt, as `meadowworks.attempts.retry_policy` names it
+    :param is_valid: the response is this request's own, and may go to its client
+    :param incarnation_ended: another instance answers at the backend's address
+    :param reusable: the connection may carry a further request
+    """
 
     outcome: int
     is_valid: bool = True
@@ -24,7 +29,10 @@
 
 
 def outcome_of_status(status: int, not_run: bool) -> int:
-    """What an answer of a backend says of a try, by its status and whether it states that it did not run."""
+    """What a backend's response says of an attempt.
+
+    :param not_run: whether the response states that the request did not run
+    """
     if not_run or status == 421:
         return NEVER_RAN
     return FAILED if status >= 500 or status in NOT_RUN_STATUSES else ANSWERED
@@ -33,15 +41,16 @@
 def rejection_reason(
     request_id: bytes | None, status: int, header: HeaderLookup, first_on_connection: bool
 ) -> str | None:
-    """Why an answer is not that of the request with the id `asked`, whole; nothing if it is. `first`: its
-    line has carried no request before, so a failure that names no request can be no other's."""
-    told = header(b"x-request-id")
-    if (
-        request_id is not None
-        and told != request_id
-        and (told is not None or status < 300 or not first_on_connection)
-    ):
-        return "another request's answer"
+    """Why a response is not the complete one to the request `request_id`; None if it is.
+
+    :param first_on_connection: the connection has carried no request before, so a failure that names no
+        request can be no other's
+    """
+    named = header(b"x-request-id")
+    if request_id is not None and named != request_id:
+        names_other = named is not None or status < 300 or not first_on_connection
+        if names_other:
+            return "another request's response"
     if 200 <= status < 300 and header(b"x-backend-seal") is None:
         return "a success without a seal"
     if header(b"content-encoding") not in (None, b"identity"):
@@ -50,11 +59,18 @@
 
 
 def check_response(
-    request_id: bytes | None, backend_id: bytes, status: int, header: HeaderLookup, first_on_connection: bool
+    request_id: bytes | None,
+    backend_id: bytes,
+    status: int,
+    header: HeaderLookup,
+    first_on_connection: bool,
 ) -> ResponseVerdict:
-    """What a whole answer on a line to `life` proves; `first`: it is to the line's first request."""
+    """What a complete response on a connection to the instance `backend_id` proves.
+
+    :param first_on_connection: it answers the connection's first request
+    """
     if rejection_reason(request_id, status, header, first_on_connection):
-        # Guards against a late answer to an earlier request in this one's place, which would be taken for
+        # Guards against a late response to an earlier request in this one's place, which would be taken for
         # this one's: as its success, or as proof that it did not run.
         return ResponseVerdict(FAILED, is_valid=False, reusable=False)
     if status == 421:
--- a/meadowworks/forwarding/retry_budget.py
+++ b/meadowworks/forwarding/retry_budget.py
@@ -1,19 +1,26 @@
-"""How many further tries a junction may make at a service, without a word between junctions.
+"""How many retries a proxy may send to a service, without a word between proxies.
 
-The bound holds for the sum over all junctions in every window: so many for each request, and a slack. Each
-junction lives within its own requests' part and an allowance so small that all of them stay in the slack.
+The operator's bound holds for the sum over all proxies in every window: so many retries for each request, and
+a slack. Each proxy lives within its own requests' part, and an allowance so small that all of them together
+stay within the slack.
 """
 
 from __future__ import annotations
 
 from collections import deque
 
-REQUEST_SHARE = 0.9  # of the ratio that is used: requests are counted by others at other moments
-ALLOWANCE = 2  # further tries in a window beyond the requests' part
+# Part of the ratio that is used: other proxies count their requests at other moments.
+REQUEST_SHARE = 0.9
+# Retries in a window beyond the requests' part: a proxy with few requests may retry too.
+ALLOWANCE = 2
 
 
 class RetryBudget:
-    """`window_ns` is the bound's; times are monotonic."""
+    """The requests and retries of one service in a sliding window.
+
+    :param ratio: retries allowed for each request
+    :param window_ns: the length of the window, by a steady clock in nanoseconds
+    """
 
     def __init__(self, ratio: float, window_ns: int) -> None:
         self.ratio, self.window_ns = ratio * REQUEST_SHARE, window_ns
@@ -21,19 +28,20 @@
         self.retries: deque[int] = deque()
 
     def record_request(self, now: int) -> None:
+        """Count a request that came at the time `now`."""
         self.requests.append(now)
 
     def take_retry(self, now: int) -> bool:
-        """Whether a further try may be sent; it is counted if so."""
-        again, came = self.window_counts(now)
-        if again + 1 > self.ratio * came + ALLOWANCE:
+        """Whether a retry may be sent; it is counted if so."""
+        retries, requests = self.window_counts(now)
+        if retries + 1 > self.ratio * requests + ALLOWANCE:
             return False
         self.retries.append(now)
         return True
 
     def window_counts(self, now: int) -> tuple[int, int]:
-        """Further tries and requests in the window that ends now."""
-        for seen in (self.requests, self.retries):
-            while seen and seen[0] <= now - self.window_ns:
-                seen.popleft()
+        """Retries and requests in the window that ends now."""
+        for times in (self.requests, self.retries):
+            while times and times[0] <= now - self.window_ns:
+                times.popleft()
         return len(self.retries), len(self.requests)
--- a/meadowworks/modelcheck/models/forwarding.py
+++ b/meadowworks/modelcheck/models/forwarding.py
@@ -104,11 +104,11 @@
         for life, address in zip(LIVES, ADDRESSES, strict=True):
             self.say(life, address, "up")
         if self.scene.kept:
-            self.yard.attempt_started("a")
+            self.yard.load("a").in_flight += 1
             line = self.open("a")
             line.carried = 1
             self.yard.release(0, "a", line, 60)
-            self.yard.attempt_ended("a")
+            self.yard.load("a").in_flight -= 1
         self.begin()
 
     def silent(self, source: str) -> int:
@@ -130,12 +130,14 @@
         lines = {
             place: 1.0
             for place, life in enumerate(LIVES)
-            if (known := self.lives.instances.get(life))
-            and known.accepts_requests
-            and not self.yard.is_avoided(self.now, life)
+            if (known := self.lives.instances.get(life)) and known.accepts_requests and not self.avoided(life)
         }
         return lines, {place: 100.0 * MS for place in lines}
 
+    def avoided(self, life: str) -> bool:
+        load = self.yard.known_load(life)
+        return load is not None and load.is_avoided(self.now)
+
     def begin(self) -> None:
         safe = self.scene.safe
         limit = self.now + LIMIT_MS * MS
@@ -175,13 +177,13 @@
     def send(self, r: int, number: int, life: str) -> None:
         if life in self.drained:
             self.wrong += ("drains kept",)
-        self.yard.attempt_started(life)
+        self.yard.load(life).in_flight += 1
         line = self.yard.acquire(self.now, life)
         if line is None:
             address = ADDRESSES[LIVES.index(life)]
             if address not in self.at:  # nobody there: the connection never comes up
-                self.yard.mark_unreachable(self.now, life)
-                self.yard.attempt_ended(life)
+                self.yard.load(life).mark_unreachable(self.now)
+                self.yard.load(life).in_flight -= 1
                 return self.ended(r, number, NEVER_RAN, 0)
             line = self.open(self.at[address])
         line.carried += 1
@@ -196,7 +198,7 @@
     def close(self, flight: Flight) -> None:
         """The try is over for the junction."""
         self.flights = [f if f is not flight else replace(f, heard=False) for f in self.flights]
-        self.yard.attempt_ended(flight.want)
+        self.yard.load(flight.want).in_flight -= 1
 
     # -- steps
 
@@ -367,8 +369,8 @@
                 [
                     (
                         life,
-                        s.in_flight,
-                        s.avoided_until_ns,
+                        s.load.in_flight,
+                        s.load.avoided_until_ns,
                         tuple([(u, line.number, line.life, line.open, line.carried) for u, line in s.idle]),
                     )
                     for life, s in sorted(self.yard.endpoints.items())
--- a/meadowworks/modelcheck/seeded_faults/forwarding.py
+++ b/meadowworks/modelcheck/seeded_faults/forwarding.py
@@ -31,15 +31,15 @@
             (
                 "ids of failures are not compared",
                 ANSWERS + "rejection_reason",
-                "(told is not None or status < 300 or not first_on_connection)",
-                "(status < 300 or told is None and not first_on_connection)",
+                "named is not None or status < 300 or not first_on_connection",
+                "status < 300 or named is None and not first_on_connection",
                 ("at most once", "promises kept"),
             ),
             (
                 "a failure that names no request is taken on a line that carried others",
                 ANSWERS + "rejection_reason",
-                " or not first_on_connection)",
-                ")",
+                " or not first_on_connection",
+                "",
                 ("at most once", "promises kept"),
             ),
             (
--- a/meadowworks/proxy/server.py
+++ b/meadowworks/proxy/server.py
@@ -36,13 +36,8 @@
 from meadowworks.load_balancing.load_reports import LoadReport
 from meadowworks.load_balancing.service import BackendLoad, ServiceBalancer
 from meadowworks.proxy.control_plane_selection import ControlPlaneSelector
-from meadowworks.proxy.upstream_attempt import (
-    AttemptResult,
-    UpstreamRequest,
-    forwarded_request_headers,
-    forwarded_response_headers,
-    send_attempt,
-)
+from meadowworks.proxy.http_headers import forwarded_request_headers, forwarded_response_headers, parse_ms
+from meadowworks.proxy.upstream_attempt import AttemptResult, UpstreamRequest, send_attempt
 from meadowworks.registry.backends import BackendDirectory, BackendInstance
 from meadowworks.registry.heartbeats import DRAINING
 from meadowworks.runtime import logging as logs
@@ -486,8 +481,8 @@
     async def run_attempt(
         self, backend: BackendInstance, request: UpstreamRequest, limit_ns: int, share: MemoryReservation
     ) -> AttemptResult:
-        busy = self.connection_pool.estimated_load(
-            now_ns(), backend.instance_id, backend.zone == self.settings.zone
+        busy = self.connection_pool.load(backend.instance_id).estimate(
+            now_ns(), backend.zone == self.settings.zone
         )
         if backend.zone != self.settings.zone:
             self.increment("tries abroad")
@@ -500,9 +495,8 @@
         if good and tried.response is not None:
             if service := self.services.get(backend.service):
                 service.record_response(len(tried.response.body))
-            self.connection_pool.record_service_time(
-                backend.instance_id, tried.elapsed_ns, busy, backend.capacity
-            )
+            if load := self.connection_pool.known_load(backend.instance_id):
+                load.record_service_time(tried.elapsed_ns, busy, backend.capacity)
         if tried.incarnation_ended:
             log.info("{} is over: another answers at its address", backend.instance_id)
             self.backends.mark_superseded(backend.instance_id)
@@ -530,12 +524,13 @@
                 home = known.zone == self.settings.zone
                 if lines is service.weights:
                     kept[place] = weight
-                if self.connection_pool.is_avoided(now, ident):
+                load = self.connection_pool.load(ident)
+                if load.is_avoided(now):
                     continue
                 found = own if home else abroad
                 found[place] = max(weight, found.get(place, 0.0))
-                busy[place] = self.connection_pool.estimated_load(now, ident, home)
-                if (need := self.connection_pool.endpoint(ident).service_time_ns) is not None:
+                busy[place] = load.estimate(now, home)
+                if (need := load.service_time_ns) is not None:
                     needs[place] = need
         lines, waits, free = choose_endpoints(own, abroad, busy, needs, target_ns, service.response_bytes)
         return (lines, waits, free) if lines else (kept, {}, False)
@@ -628,13 +623,6 @@
     return not task.cancelled() and task.result().outcome == ANSWERED
 
 
-def parse_ms(text: bytes | None, otherwise: float) -> float:
-    try:
-        return float(text) if text is not None else otherwise
-    except ValueError:
-        return otherwise
-
-
 async def serve(settings: NodeSettings, shutdown_requested: asyncio.Future[None]) -> None:
     await ProxyServer(settings).serve(shutdown_requested)
 
--- a/tests/gateway/test_callers.py
+++ b/tests/gateway/test_callers.py
@@ -220,7 +220,7 @@
         found.append(await second)
     found.append(await send_attempt(yard, there, request(b"three"), now_ns() + SECOND))
     for stall in yard.endpoints.values():
-        assert not stall.in_flight
+        assert not stall.load.in_flight
         for _, line in stall.idle:
             line.close()
     made.raw.close()
--- a/tests/gateway/test_carriage.py
+++ b/tests/gateway/test_carriage.py
@@ -24,12 +24,8 @@
 from meadowworks.forwarding.latency_estimate import choose_endpoints, estimate_delays, local_zone_suffices
 from meadowworks.forwarding.response_check import outcome_of_status
 from meadowworks.forwarding.retry_budget import RetryBudget
-from meadowworks.proxy.upstream_attempt import (
-    AttemptResult,
-    UpstreamRequest,
-    forwarded_request_headers,
-    send_attempt,
-)
+from meadowworks.proxy.http_headers import forwarded_request_headers
+from meadowworks.proxy.upstream_attempt import AttemptResult, UpstreamRequest, send_attempt
 from meadowworks.runtime.http_connection import ClientConnection
 from meadowworks.runtime.process import now_ns
 from tests.gateway.helpers import SECOND, Raw, backend
@@ -168,11 +164,12 @@
 
 def test_a_backend_too_busy_to_answer_does_not_look_idle() -> None:
     yard: ConnectionPool[ClientConnection] = ConnectionPool()
-    yard.attempt_started("b")
-    yard.record_backend_load(0, "b", 2, 6)
-    assert yard.estimated_load(0, "b", True) == 8.0
+    load = yard.load("b")
+    load.in_flight += 1
+    load.record_backend_load(0, 2, 6)
+    assert load.estimate(0, True) == 8.0
     yard.record_zone_load(SECOND, "b", 9.0)
-    assert yard.estimated_load(2 * SECOND, "b", True) > 5.0
+    assert load.estimate(2 * SECOND, True) > 5.0
 
 
 SEAL = b"X-Backend-Seal: s\r\n"
--- a/tests/gateway/test_ends.py
+++ b/tests/gateway/test_ends.py
@@ -228,7 +228,8 @@
             await until(
                 lambda: not node.http_server.pending_count(), "it is over long before its deadline", 1.0
             )
-            assert not any(stall.in_flight or stall.idle for stall in node.connection_pool.endpoints.values())
+            pools = node.connection_pool.endpoints.values()
+            assert not any(pool.load.in_flight or pool.idle for pool in pools)
         else:
             await until(lambda: not node.http_server.server_state.connections, "the connection is gone")
             assert node.http_server.pending_count() == 1  # it has been wanted, and may have run: it goes on
@@ -261,7 +262,7 @@
         tasks.cancel_after(task, 0.01, share.release)
         await until(task.done, "it is ended", 2.0)
         await until(lambda: not tasks.running, "it is told")
-        assert task.cancelled() and not room.reserved_bytes and not yard.endpoints["me"].in_flight
+        assert task.cancelled() and not room.reserved_bytes and not yard.load("me").in_flight
         server.close()
 
     asyncio.run(main())
