--- a/meadowworks/forwarding/endpoint_load.py
+++ b/meadowworks/forwarding/endpoint_load.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass
 
-from meadowworks.forwarding.latency_estimate import update_service_time
+from meadowworks.forwarding.endpoint_selection import update_service_time
 
 SECOND = 1_000_000_000
 # A backend that could not be reached is passed over for so long: a restart takes a second or more.
--- a/meadowworks/modelcheck/models/forwarding.py
+++ b/meadowworks/modelcheck/models/forwarding.py
@@ -14,16 +14,22 @@
 from typing import Any
 
 from meadowworks.attempts.retry_policy import FAILED, NEVER_RAN
-from meadowworks.forwarding.attempts import (
+from meadowworks.forwarding.connection_pool import ConnectionPool
+from meadowworks.forwarding.endpoint_selection import EndpointChoices
+from meadowworks.forwarding.request_attempts import (
     MS,
+    AttemptEnded,
+    Command,
+    Event,
     ForwardResponse,
     RejectRequest,
     RequestAttempts,
+    RequestReceived,
     SendAttempt,
+    TimerExpired,
     choose_retry_policy,
     retry_rules,
 )
-from meadowworks.forwarding.connection_pool import ConnectionPool
 from meadowworks.forwarding.response_check import NOT_RUN_STATUSES, check_response
 from meadowworks.forwarding.retry_budget import RetryBudget
 from meadowworks.gossip.updates import KeyUpdate
@@ -126,13 +132,13 @@
 
     # -- the junction, as its shell does it
 
-    def seen(self) -> tuple[dict[int, float], dict[int, float]]:
+    def seen(self) -> EndpointChoices:
         lines = {
             place: 1.0
             for place, life in enumerate(LIVES)
             if (known := self.lives.instances.get(life)) and known.accepts_requests and not self.avoided(life)
         }
-        return lines, {place: 100.0 * MS for place in lines}
+        return EndpointChoices(lines, {place: 100.0 * MS for place in lines})
 
     def avoided(self, life: str) -> bool:
         load = self.yard.known_load(life)
@@ -145,12 +151,16 @@
             retry_rules(safe, LIMIT_MS * MS, TARGET_MS * MS),
             choose_retry_policy(safe, self.scene.tries, False),
             limit,
+            self.budget,
         )
         self.budget.record_request(self.now)
         self.asked.append(Asked(journey))
-        self.follow(len(self.asked) - 1, journey.start(self.now, *self.seen(), 0.0))
+        self.follow(len(self.asked) - 1, self.handle(journey, RequestReceived()))
 
-    def follow(self, r: int, step: Any) -> None:
+    def handle(self, journey: RequestAttempts, event: Event) -> Command:
+        return journey.handle_event(event, self.now, self.seen(), 0.0)
+
+    def follow(self, r: int, step: Command) -> None:
         one = self.asked[r]
         match step:
             case SendAttempt(number, place):
@@ -190,10 +200,8 @@
         self.flights.append(Flight(r, number, life, line))
 
     def ended(self, r: int, number: int, state: int, status: int) -> None:
-        journey = self.asked[r].journey
-        lines, waits = self.seen()
-        again = lambda: self.budget.take_retry(self.now)  # noqa: E731
-        self.follow(r, journey.on_attempt_ended(self.now, number, state, status, lines, waits, 0.0, again))
+        event = AttemptEnded(number, state, status)
+        self.follow(r, self.handle(self.asked[r].journey, event))
 
     def close(self, flight: Flight) -> None:
         """The try is over for the junction."""
@@ -293,9 +301,8 @@
 
     def do_due(self, r: int) -> None:
         journey = self.asked[r].journey
-        self.now = max(self.now, journey.wait(self.now).until_ns)
-        again = lambda: self.budget.take_retry(self.now)  # noqa: E731
-        self.follow(r, journey.on_timer(self.now, *self.seen(), 0.0, again, True))
+        self.now = max(self.now, journey.next_timer_ns(self.now))
+        self.follow(r, self.handle(journey, TimerExpired()))
 
     def do_repeat(self) -> None:
         self.repeats -= 1
--- a/meadowworks/modelcheck/models/wires.py
+++ b/meadowworks/modelcheck/models/wires.py
@@ -19,16 +19,20 @@
 from typing import Any, cast
 
 from meadowworks.attempts.retry_policy import CANCELLED
-from meadowworks.forwarding.attempts import (
+from meadowworks.forwarding.connection_pool import ConnectionPool
+from meadowworks.forwarding.endpoint_selection import EndpointChoices
+from meadowworks.forwarding.request_attempts import (
     MS,
+    AttemptEnded,
+    ClientDisconnected,
     ForwardResponse,
     RejectRequest,
     RequestAttempts,
+    RequestReceived,
     SendAttempt,
     choose_retry_policy,
     retry_rules,
 )
-from meadowworks.forwarding.connection_pool import ConnectionPool
 from meadowworks.forwarding.response_check import NOT_RUN_STATUSES
 from meadowworks.modelcheck.model import Step
 from meadowworks.proxy import upstream_attempt as forward
@@ -40,7 +44,7 @@
 from meadowworks.runtime.peer_client import PeerClient
 
 LIVES = ("a", "b")
-LINES = {place: 1.0 for place in range(len(LIVES))}
+CHOICES = EndpointChoices({place: 1.0 for place in range(len(LIVES))}, {})
 LIMIT_NS = 1000 * MS
 TURNS = 60  # of the loop, after which every task must wait for bytes
 BEFORE = "before"  # whose call a kept line has carried
@@ -74,6 +78,13 @@
     return head + body, len(head)
 
 
+class RetriesAllowed:
+    """A retry budget that is never exhausted."""
+
+    def take_retry(self, now: int) -> bool:
+        return True
+
+
 class Wire:
     """A transport whose far side is the model's."""
 
@@ -253,13 +264,16 @@
         r, scene = len(self.asked), self.scene
         safe = scene.calls == "safe"
         journey = RequestAttempts(
-            retry_rules(safe, LIMIT_NS, LIMIT_NS), choose_retry_policy(safe, 2, False), self.now + LIMIT_NS
+            retry_rules(safe, LIMIT_NS, LIMIT_NS),
+            choose_retry_policy(safe, 2, False),
+            self.now + LIMIT_NS,
+            RetriesAllowed(),
         )
         self.asked.append(Asked(journey))
         if self.between():
             self.start(r, 1, self.peer.call(b"/pull", b"", 1e6))
         else:
-            self.follow(r, journey.start(self.now, LINES, {}, 0.0))
+            self.follow(r, journey.handle_event(RequestReceived(), self.now, CHOICES, 0.0))
 
     def start(self, r: int, number: int, what: Any) -> None:
         self.asked[r].tasks[number] = asyncio.get_running_loop().create_task(what)
@@ -287,12 +301,8 @@
         tried = AttemptResult(CANCELLED, None, 0) if task.cancelled() else task.result()
         one.replies[number] = tried.response
         if not one.told:
-            self.follow(
-                r,
-                one.journey.on_attempt_ended(
-                    self.now, number, tried.outcome, tried.status, LINES, {}, 0.0, lambda: True
-                ),
-            )
+            event = AttemptEnded(number, tried.outcome, tried.status)
+            self.follow(r, one.journey.handle_event(event, self.now, CHOICES, 0.0))
 
     def tell(self, r: int, status: int, body: bytes = b"") -> None:
         one = self.asked[r]
@@ -431,7 +441,7 @@
         one.left = True
         for task in one.tasks.values():
             task.cancel()
-        one.journey.on_client_gone()
+        one.journey.handle_event(ClientDisconnected(), self.now, CHOICES, 0.0)
         self.tell(r, 504)
 
     # -- states
--- a/meadowworks/modelcheck/seeded_faults/forwarding.py
+++ b/meadowworks/modelcheck/seeded_faults/forwarding.py
@@ -7,7 +7,7 @@
 AGAIN, MACHINE = "meadowworks.attempts.retry_policy:", "meadowworks.attempts.machine:AttemptMachine."
 CLIENTS, BREAKS, KEPT, NAMELESS, BETWEEN = tuple(range(9)), (9,), (10,), (12,), (14,)  # worlds of the model
 JOURNEY, ANSWERS = (
-    "meadowworks.forwarding.attempts:RequestAttempts.",
+    "meadowworks.forwarding.request_attempts:RequestAttempts.",
     "meadowworks.forwarding.response_check:",
 )
 FORWARDING_FAULTS = (
@@ -66,28 +66,28 @@
             ),
             (
                 "what was given up is told 503",
-                JOURNEY + "reject",
-                "if none_ran([*self.attempts.values()]):",
+                JOURNEY + "_reject",
+                "if retries.none_ran([*self.attempts.values()]):",
                 "if True:",
                 ("promises kept",),
             ),
             (
                 "a backend's own 503 goes to the client",
-                JOURNEY + "on_attempt_ended",
+                JOURNEY + "_on_attempt_ended",
                 "if outcome == FAILED and status and status not in NOT_RUN_STATUSES:",
                 "if outcome == FAILED and status:",
                 ("promises kept",),
             ),
             (
                 "a reset is proof",
-                JOURNEY + "on_attempt_ended",
+                JOURNEY + "_on_attempt_ended",
                 "self.attempts[number].state = outcome",
                 "self.attempts[number].state = outcome if status or outcome != FAILED else 2",
                 ("at most once", "promises kept"),
             ),
             (
                 "one try more than allowed",
-                "meadowworks.forwarding.attempts:choose_retry_policy",
+                "meadowworks.forwarding.request_attempts:choose_retry_policy",
                 "if max_attempts <= 1 or overloaded:",
                 "if overloaded:",
                 ("tries bounded",),
@@ -101,9 +101,9 @@
             ),
             (
                 "a request whose tries are spent waits",
-                JOURNEY + "retry_or_finish",
-                "return self.reject(now, chance)",
-                "return self.wait(now)",
+                JOURNEY + "_retry_or_finish",
+                "return self._reject(now, chance)",
+                "return self._wait(now)",
                 ("told at once",),
             ),
         )
--- a/meadowworks/modelcheck/seeded_faults/upstream.py
+++ b/meadowworks/modelcheck/seeded_faults/upstream.py
@@ -7,7 +7,7 @@
 CLIENTS, BREAKS, KEPT, NAMELESS, BETWEEN = tuple(range(9)), (9,), (10,), (12,), (14,)  # worlds of the model
 LINE = "meadowworks.runtime.http_connection:ClientConnection."
 JOURNEY, ANSWERS = (
-    "meadowworks.forwarding.attempts:RequestAttempts.",
+    "meadowworks.forwarding.request_attempts:RequestAttempts.",
     "meadowworks.forwarding.response_check:",
 )
 UPSTREAM_FAULTS = tuple(
--- a/meadowworks/proxy/server.py
+++ b/meadowworks/proxy/server.py
@@ -14,19 +14,29 @@
 
 from meadowworks.attempts.retry_policy import ANSWERED, CANCELLED, NEVER_RAN, retry_after_ns
 from meadowworks.config.route_table import Route, RouteTable, load_route_table_steps
-from meadowworks.forwarding.attempts import (
+from meadowworks.forwarding.connection_pool import ConnectionPool
+from meadowworks.forwarding.endpoint_selection import (
+    NO_ENDPOINTS,
+    EndpointChoices,
+    choose_endpoints,
+    estimate_delays,
+    local_zone_suffices,
+)
+from meadowworks.forwarding.memory_budget import MemoryBudget, MemoryReservation
+from meadowworks.forwarding.request_attempts import (
     RETRY_AFTER_BASE_NS,
-    Command,
+    AttemptEnded,
+    CancelAttempts,
+    ClientDisconnected,
     ForwardResponse,
     RejectRequest,
     RequestAttempts,
+    RequestReceived,
     SendAttempt,
+    TimerExpired,
     choose_retry_policy,
     retry_rules,
 )
-from meadowworks.forwarding.connection_pool import ConnectionPool
-from meadowworks.forwarding.latency_estimate import choose_endpoints, estimate_delays, local_zone_suffices
-from meadowworks.forwarding.memory_budget import MemoryBudget, MemoryReservation
 from meadowworks.forwarding.retry_budget import RetryBudget
 from meadowworks.forwarding.staleness import StalenessTracker
 from meadowworks.gossip import messages as post
@@ -413,22 +423,22 @@
             retry_rules(route.safe, limit_ns - now, int(target_ns)),
             choose_retry_policy(route.safe, route.max_attempts, jammed),
             limit_ns,
+            budget,
         )
-        again = lambda: budget.take_retry(now_ns())  # noqa: E731
         offered = False  # to a backend, over a connection that was up
         tasks: dict[asyncio.Task[AttemptResult], int] = {}
         replies: dict[int, Response | None] = {}
-        lines: dict[int, float] = {}
-        waits: dict[int, float] = {}
+        choices = NO_ENDPOINTS
 
         def left() -> None:
-            if journey.on_client_gone():
+            command = journey.handle_event(ClientDisconnected(), now_ns(), NO_ENDPOINTS, 0.0)
+            if isinstance(command, CancelAttempts):
                 for task in tasks:
                     task.cancel()
                     self.count_failure(route, "ended, its client gone")
 
-        step: Command = journey.start(
-            now, *self.select_endpoints(service, target_ns, now)[:2], self.random.random()
+        step = journey.handle_event(
+            RequestReceived(), now, self.select_endpoints(service, target_ns, now), self.random.random()
         )
         try:
             if caller is not None:
@@ -449,7 +459,7 @@
                 if isinstance(step, SendAttempt):
                     backend = self.backends.instances[service.endpoint_ids.name_by_index[step.endpoint]]
                     tasks[self.tasks.start(self.run_attempt(backend, request, limit_ns, share))] = step.number
-                until = journey.wait(now_ns()).until_ns
+                until = journey.next_timer_ns(now_ns())
                 done, _ = await asyncio.wait(
                     tasks, timeout=max(0.0, (until - now_ns()) / 1e9), return_when=asyncio.FIRST_COMPLETED
                 )
@@ -457,17 +467,20 @@
                 if answered := next((t for t in done if is_answered(t)), None):
                     done = {answered}  # the client gets it: there is nothing to choose
                 else:
-                    lines, waits, free = self.select_endpoints(service, target_ns, later)
+                    choices = self.select_endpoints(service, target_ns, later)
                 if not done:
-                    step = journey.on_timer(later, lines, waits, self.random.random(), again, free)
+                    step = journey.handle_event(TimerExpired(), later, choices, self.random.random())
                     continue
                 for task in done:
                     number = tasks.pop(task)
                     tried = AttemptResult(CANCELLED, None, 0) if task.cancelled() else task.result()
                     replies[number] = tried.response
                     offered = offered or tried.outcome != NEVER_RAN or tried.response is not None
-                    step = journey.on_attempt_ended(
-                        later, number, tried.outcome, tried.status, lines, waits, self.random.random(), again
+                    step = journey.handle_event(
+                        AttemptEnded(number, tried.outcome, tried.status),
+                        later,
+                        choices,
+                        self.random.random(),
                     )
                     if isinstance(step, ForwardResponse):
                         break
@@ -503,9 +516,7 @@
             self.refresh_endpoints()
         return tried
 
-    def select_endpoints(
-        self, service: ServiceBalancer, target_ns: float, now: int
-    ) -> tuple[dict[int, float], dict[int, float], bool]:
+    def select_endpoints(self, service: ServiceBalancer, target_ns: float, now: int) -> EndpointChoices:
         """The lines that a request may take now, how long each would take, and whether a slot is free."""
         names = service.endpoint_ids.name_by_index
         kept: dict[int, float] = {}
@@ -515,7 +526,7 @@
         needs: dict[int, float] = {}
         for lines in (service.weights, service.remote_weights):
             if lines is service.remote_weights and local_zone_suffices(own, busy, needs):
-                return own, estimate_delays(own, busy, needs), True
+                return EndpointChoices(own, estimate_delays(own, busy, needs))
             for place, weight in lines.items():
                 ident = names[place]
                 known = self.backends.instances.get(ident)
@@ -532,8 +543,8 @@
                 busy[place] = load.estimate(now, home)
                 if (need := load.service_time_ns) is not None:
                     needs[place] = need
-        lines, waits, free = choose_endpoints(own, abroad, busy, needs, target_ns, service.response_bytes)
-        return (lines, waits, free) if lines else (kept, {}, False)
+        choices = choose_endpoints(own, abroad, busy, needs, target_ns, service.response_bytes)
+        return choices if choices.weights else EndpointChoices(kept, {}, False)
 
     def count_failure(self, route: Route, what: str) -> None:
         prices = self.route_failures.setdefault(route.name, {})
--- a/tests/gateway/test_carriage.py
+++ b/tests/gateway/test_carriage.py
@@ -11,17 +11,25 @@
 from pytest_bdd import given, parsers, scenarios, then, when
 
 from meadowworks.attempts.retry_policy import ANSWERED, FAILED, NEVER_RAN
-from meadowworks.forwarding.attempts import (
+from meadowworks.forwarding.connection_pool import ConnectionPool
+from meadowworks.forwarding.endpoint_selection import (
+    EndpointChoices,
+    choose_endpoints,
+    estimate_delays,
+    local_zone_suffices,
+)
+from meadowworks.forwarding.request_attempts import (
+    AttemptEnded,
     ForwardResponse,
     RejectRequest,
     RequestAttempts,
+    RequestReceived,
     SendAttempt,
+    TimerExpired,
     Wait,
     choose_retry_policy,
     retry_rules,
 )
-from meadowworks.forwarding.connection_pool import ConnectionPool
-from meadowworks.forwarding.latency_estimate import choose_endpoints, estimate_delays, local_zone_suffices
 from meadowworks.forwarding.response_check import outcome_of_status
 from meadowworks.forwarding.retry_budget import RetryBudget
 from meadowworks.proxy.http_headers import forwarded_request_headers
@@ -31,7 +39,27 @@
 from tests.gateway.helpers import SECOND, Raw, backend
 
 scenarios("features/carriage.feature")
-LINES = {1: 2.0, 2: 2.0}
+CHOICES = EndpointChoices({1: 2.0, 2: 2.0}, {})
+FULL = CHOICES._replace(slot_free=False)
+
+
+class RetriesAllowed:
+    """A retry budget that allows all, or none."""
+
+    def __init__(self, allowed: bool = True) -> None:
+        self.allowed = allowed
+
+    def take_retry(self, now: int) -> bool:
+        return self.allowed
+
+
+def attempts_of(
+    safe: bool, target_ns: int = SECOND, limit_ns: int = 2 * SECOND, tries: int = 2, retries: bool = True
+) -> RequestAttempts:
+    rules, policy = retry_rules(safe, limit_ns, target_ns), choose_retry_policy(safe, tries, False)
+    return RequestAttempts(rules, policy, limit_ns, RetriesAllowed(retries))
+
+
 ENDS = {
     "no connection": (NEVER_RAN, 0),
     "a reset": (FAILED, 0),
@@ -47,17 +75,15 @@
 @given(parsers.parse("a {kind} request with two backends and {tries:d} tries"), target_fixture="journey")
 def a_request(kind: str, tries: int) -> RequestAttempts:
     safe = kind == "safe"
-    return RequestAttempts(
-        retry_rules(safe, 2 * SECOND, SECOND), choose_retry_policy(safe, tries, False), 2 * SECOND
-    )
+    return attempts_of(safe, tries=tries)
 
 
 @when(parsers.parse("its first try ends by {end}"), target_fixture="step")
 def first_ends(journey: RequestAttempts, end: str) -> Any:
-    first = journey.start(0, LINES, {}, 0.3)
+    first = journey.handle_event(RequestReceived(), 0, CHOICES, 0.3)
     assert isinstance(first, SendAttempt)
     state, status = ENDS[end]
-    return journey.on_attempt_ended(1000, first.number, state, status, LINES, {}, 0.3, lambda: True)
+    return journey.handle_event(AttemptEnded(first.number, state, status), 1000, CHOICES, 0.3)
 
 
 @then(parsers.parse("it is {outcome}"))
@@ -74,41 +100,32 @@
 
 
 def test_a_silent_safe_try_has_another_beside_it_and_the_first_answer_counts() -> None:
-    journey = RequestAttempts(
-        retry_rules(True, 2 * SECOND, SECOND // 2), choose_retry_policy(True, 2, False), 2 * SECOND
-    )
-    first = journey.start(0, LINES, {}, 0.1)
+    journey = attempts_of(True, SECOND // 2)
+    first = journey.handle_event(RequestReceived(), 0, CHOICES, 0.1)
     assert isinstance(first, SendAttempt)
     assert first.wait_until_ns == SECOND // 4
-    full = journey.on_timer(first.wait_until_ns, LINES, {}, 0.1, lambda: True, slot_free=False)
+    full = journey.handle_event(TimerExpired(), first.wait_until_ns, FULL, 0.1)
     assert full == Wait(SECOND // 2)  # it would take another's turn
-    second = journey.on_timer(SECOND // 2, LINES, {}, 0.1, lambda: True, slot_free=False)
+    second = journey.handle_event(TimerExpired(), SECOND // 2, FULL, 0.1)
     assert isinstance(second, SendAttempt) and second.endpoint != first.endpoint
-    assert isinstance(
-        journey.on_attempt_ended(SECOND, second.number, NEVER_RAN, 503, LINES, {}, 0.1, lambda: True), Wait
-    )
-    assert isinstance(
-        journey.on_attempt_ended(SECOND, first.number, ANSWERED, 200, LINES, {}, 0.1, lambda: True),
-        ForwardResponse,
-    )
+    not_run = AttemptEnded(second.number, NEVER_RAN, 503)
+    assert isinstance(journey.handle_event(not_run, SECOND, CHOICES, 0.1), Wait)
+    answered = AttemptEnded(first.number, ANSWERED, 200)
+    assert isinstance(journey.handle_event(answered, SECOND, CHOICES, 0.1), ForwardResponse)
 
 
 def test_a_silent_unsafe_try_is_waited_for_alone_and_never_promised_not_to_have_run() -> None:
-    journey = RequestAttempts(
-        retry_rules(False, 2 * SECOND, SECOND // 2), choose_retry_policy(False, 2, False), 2 * SECOND
-    )
-    first = journey.start(0, LINES, {}, 0.1)
+    journey = attempts_of(False, SECOND // 2)
+    first = journey.handle_event(RequestReceived(), 0, CHOICES, 0.1)
     assert isinstance(first, SendAttempt) and first.wait_until_ns == 2 * SECOND
-    step = journey.on_timer(2 * SECOND, LINES, {}, 0.1, lambda: True)
+    step = journey.handle_event(TimerExpired(), 2 * SECOND, CHOICES, 0.1)
     assert isinstance(step, RejectRequest) and (step.status, step.retry_after_ns) == (504, 0)
 
 
 def test_without_room_in_the_budget_no_further_try_is_sent() -> None:
-    journey = RequestAttempts(
-        retry_rules(True, 2 * SECOND, SECOND), choose_retry_policy(True, 2, False), 2 * SECOND
-    )
-    journey.start(0, LINES, {}, 0.1)
-    step = journey.on_attempt_ended(1, 1, FAILED, 0, LINES, {}, 0.1, lambda: False)
+    journey = attempts_of(True, retries=False)
+    journey.handle_event(RequestReceived(), 0, CHOICES, 0.1)
+    step = journey.handle_event(AttemptEnded(1, FAILED, 0), 1, CHOICES, 0.1)
     assert isinstance(step, RejectRequest) and step.status == 502
     budget = RetryBudget(0.2, 10 * SECOND)
     for k in range(100):
@@ -119,10 +136,9 @@
 
 
 def test_with_no_hope_of_an_answer_in_time_it_is_refused_at_once() -> None:
-    journey = RequestAttempts(
-        retry_rules(False, SECOND, SECOND), choose_retry_policy(False, 2, False), SECOND
-    )
-    step = journey.start(0, LINES, {1: 3.0 * SECOND, 2: 3.0 * SECOND}, 0.1)
+    journey = attempts_of(False, SECOND, SECOND)
+    slow = CHOICES._replace(delays_ns={1: 3.0 * SECOND, 2: 3.0 * SECOND})
+    step = journey.handle_event(RequestReceived(), 0, slow, 0.1)
     assert isinstance(step, RejectRequest) and step.status == 503 and step.retry_after_ns < SECOND
 
 
--- a/tests/gateway/test_ends.py
+++ b/tests/gateway/test_ends.py
@@ -10,16 +10,23 @@
 import pytest
 
 from meadowworks.attempts.retry_policy import CANCELLED, FAILED
-from meadowworks.forwarding.attempts import (
+from meadowworks.forwarding.connection_pool import ConnectionPool
+from meadowworks.forwarding.endpoint_selection import EndpointChoices
+from meadowworks.forwarding.memory_budget import MemoryBudget, MemoryReservation
+from meadowworks.forwarding.request_attempts import (
+    AttemptEnded,
+    CancelAttempts,
+    ClientDisconnected,
     RejectRequest,
     RequestAttempts,
+    RequestReceived,
     SendAttempt,
+    TimerExpired,
     Wait,
     choose_retry_policy,
     retry_rules,
 )
-from meadowworks.forwarding.connection_pool import ConnectionPool
-from meadowworks.forwarding.memory_budget import MemoryBudget, MemoryReservation
+from meadowworks.forwarding.retry_budget import RetryBudget
 from meadowworks.local.system import SystemLayout, free_ports
 from meadowworks.proxy.upstream_attempt import UpstreamRequest, send_attempt
 from meadowworks.runtime import node_settings
@@ -184,14 +191,15 @@
 
 @pytest.mark.parametrize("safe", [True, False])
 def test_for_a_client_that_has_gone_nothing_more_is_sent(safe: bool) -> None:
-    journey = RequestAttempts(
-        retry_rules(safe, 2 * SECOND, SECOND // 2), choose_retry_policy(safe, 3, False), 2 * SECOND
-    )
-    lines = {1: 1.0, 2: 1.0, 3: 1.0}
-    first = journey.start(0, lines, {}, 0.1)
-    assert isinstance(first, SendAttempt) and journey.on_client_gone() == safe
-    assert isinstance(journey.on_timer(SECOND, lines, {}, 0.1, lambda: True), Wait)
-    step = journey.on_attempt_ended(SECOND, 1, CANCELLED if safe else FAILED, 0, lines, {}, 0.1, lambda: True)
+    rules, policy = retry_rules(safe, 2 * SECOND, SECOND // 2), choose_retry_policy(safe, 3, False)
+    journey = RequestAttempts(rules, policy, 2 * SECOND, RetryBudget(1.0, 10 * SECOND))
+    choices = EndpointChoices({1: 1.0, 2: 1.0, 3: 1.0}, {})
+    first = journey.handle_event(RequestReceived(), 0, choices, 0.1)
+    left = journey.handle_event(ClientDisconnected(), 1, choices, 0.1)
+    assert isinstance(first, SendAttempt) and isinstance(left, CancelAttempts) == safe
+    assert isinstance(journey.handle_event(TimerExpired(), SECOND, choices, 0.1), Wait)
+    ended = AttemptEnded(1, CANCELLED if safe else FAILED, 0)
+    step = journey.handle_event(ended, SECOND, choices, 0.1)
     assert isinstance(step, RejectRequest) and step.status == 502 and len(journey.attempts) == 1
 
 
