--- a/meadowworks/load_balancing/__init__.py
+++ b/meadowworks/load_balancing/__init__.py
@@ -1,1 +1,1 @@
-"""The decision module in a junction: one `rules.Controller` a service, and the host that it acts through."""
+"""Load balancing in a proxy: a policy controller for each service, and the load reports it decides by."""
--- a/meadowworks/proxy/server.py
+++ b/meadowworks/proxy/server.py
@@ -44,7 +44,7 @@
 from meadowworks.gossip.updates import KeyUpdate, UpdateStore
 from meadowworks.load_balancing.load_reports import LOAD_REPORT_PREFIX as FIGURES
 from meadowworks.load_balancing.load_reports import LoadReport
-from meadowworks.load_balancing.service import BackendLoad, ServiceBalancer
+from meadowworks.load_balancing.service_balancer import BackendLoad, ServiceBalancer
 from meadowworks.proxy.control_plane_selection import ControlPlaneSelector
 from meadowworks.proxy.http_headers import forwarded_request_headers, forwarded_response_headers, parse_ms
 from meadowworks.proxy.upstream_attempt import AttemptResult, UpstreamRequest, send_attempt
--- a/meadowworks/simulation/hollow.py
+++ b/meadowworks/simulation/hollow.py
@@ -26,7 +26,7 @@
 from meadowworks.gossip.updates import KeyUpdate, SourceDelta, UpdateStore
 from meadowworks.load_balancing.load_reports import LOAD_REPORT_PREFIX as FIGURES
 from meadowworks.load_balancing.load_reports import LoadReport
-from meadowworks.load_balancing.service import BackendLoad, ServiceBalancer
+from meadowworks.load_balancing.service_balancer import BackendLoad, ServiceBalancer
 from meadowworks.registry.backends import BackendDirectory
 from meadowworks.registry.heartbeats import BACKEND_KEY_PREFIX as BACKENDS
 from meadowworks.registry.heartbeats import HeartbeatRegistry
--- a/tests/gateway/test_state.py
+++ b/tests/gateway/test_state.py
@@ -30,7 +30,7 @@
 from meadowworks.gossip import messages as post
 from meadowworks.gossip.peer_sampling import PEER_EXPIRY_NS, PartialView, PeerRecord
 from meadowworks.gossip.updates import MAX_TOMBSTONES, SOURCE_EXPIRY_NS, KeyUpdate, SourceDelta, UpdateStore
-from meadowworks.load_balancing.service import BackendLoad, ServiceBalancer
+from meadowworks.load_balancing.service_balancer import BackendLoad, ServiceBalancer
 from meadowworks.local.system import Ports, SystemLayout, build_configuration
 from meadowworks.proxy.control_plane_selection import ControlPlaneSelector
 from meadowworks.registry.backends import BackendDirectory, BackendInstance
