--- a/meadowworks/forwarding/__init__.py
+++ b/meadowworks/forwarding/__init__.py
@@ -1,1 +1,1 @@
-"""One request from read to answered: attempts, time left, the budget of further tries, lines by life."""
+"""The decisions on one request, free of I/O: its attempts, their endpoints, and what bounds them."""
--- a/meadowworks/forwarding/endpoint_selection.py
+++ b/meadowworks/forwarding/endpoint_selection.py
@@ -61,8 +61,10 @@
 def local_zone_suffices(
     local: Mapping[int, float], load: Mapping[int, float], service_times: Mapping[int, float]
 ) -> bool:
-    """Whether `choose_endpoints` would take the local endpoints alone, whatever there is in other zones:
-    a slot is free, and all service times are known."""
+    """Whether `choose_endpoints` would take the local endpoints alone, whatever there is in other zones.
+
+    So it is where a slot is free, and all service times are known.
+    """
     return local.keys() <= service_times.keys() and has_free_slot(local, load)
 
 
@@ -74,8 +76,9 @@
     target_ns: float,
     response_bytes: float = 0.0,
 ) -> EndpointChoices:
-    """The endpoints of the local zone, and those of other zones too if no local slot is free and no local
-    endpoint is likely to answer within the latency target.
+    """The endpoints of the local zone, and those of other zones too where the local ones are too busy.
+
+    They are if no slot is free there, and no endpoint is likely to answer within the latency target.
 
     :param target_ns: the route's latency target
     :param response_bytes: what a response of the service measures as a rule
--- a/meadowworks/forwarding/request_attempts.py
+++ b/meadowworks/forwarding/request_attempts.py
@@ -190,8 +190,11 @@
         return self._retry_or_finish(now, choices, chance)
 
     def _on_timer(self, now: int, choices: EndpointChoices, chance: float) -> Command:
-        """Hedge: an attempt was waited for long enough, and another may go beside it, whose response counts
-        as well. Where a slot is free it goes sooner. At the deadline all is over."""
+        """Hedge: an attempt was waited for long enough, and another may go beside it.
+
+        The first response counts. Where a slot is free the second request goes sooner. At the deadline all
+        is over.
+        """
         if now >= self.deadline_ns:
             return self._reject(now, chance)
         for one in self.attempts.values():
--- a/meadowworks/proxy/__main__.py
+++ b/meadowworks/proxy/__main__.py
@@ -1,3 +1,5 @@
+"""The proxy's entry point."""
+
 import gc
 
 gc.disable()  # until the start is over: it makes much and drops little
--- a/meadowworks/proxy/control_plane_selection.py
+++ b/meadowworks/proxy/control_plane_selection.py
@@ -1,4 +1,4 @@
-"""Where a junction pulls its news from: one signalbox at a time, the nearest that is sure of its news."""
+"""Which control-plane node a proxy pulls from: the nearest one that has a lease and answers."""
 
 from __future__ import annotations
 
@@ -6,29 +6,38 @@
 
 from meadowworks.gossip.peer_sampling import PeerRecord
 
-PENALTY_NS = 1_500_000_000  # that one which gave no answer, or is not sure, is passed over
+# A node that gave no reply, or has no lease, is passed over for so long: about one pull.
+PENALTY_NS = 1_500_000_000
 
 
 class ControlPlaneSelector:
-    """Junctions of a zone choose alike, so that their figures come together at one signalbox."""
+    """Proxies of a zone choose alike, so that their load reports come together at one node."""
 
     def __init__(self, zone: str) -> None:
         self.zone = zone
-        self.avoided_until_ns: dict[str, int] = {}
+        self.avoided_until_ns: dict[str, int] = {}  # by host
 
     def choose(
-        self, now: int, cards: list[PeerRecord], seeds: list[tuple[str, int]]
+        self, now: int, nodes: list[PeerRecord], seeds: list[tuple[str, int]]
     ) -> tuple[str, int] | None:
-        """An address to pull from; nothing if none is known. `seeds` are those that no card speaks for."""
-        rows = [(c.zone != self.zone, self.rank(c.host), c.host, c.port) for c in cards]
-        rows += [(True, self.rank(host), host, port) for host, port in seeds]
-        if not rows:
+        """The host and port to pull from; None if no node is known.
+
+        :param nodes: the control-plane nodes that are known
+        :param seeds: the addresses that none of them has
+        """
+        candidates = [(node.zone != self.zone, self.rank(node.host), node.host, node.port) for node in nodes]
+        candidates += [(True, self.rank(host), host, port) for host, port in seeds]
+        if not candidates:
             return None
-        best = min(rows, key=lambda row: (max(0, self.avoided_until_ns.get(row[2], 0) - now), row))
-        return best[2], best[3]
+        *_, host, port = min(
+            candidates, key=lambda found: (max(0, self.avoided_until_ns.get(found[2], 0) - now), found)
+        )
+        return host, port
 
     def rank(self, host: str) -> int:
+        """The place of a node in the order that all proxies of the zone share."""
         return xxhash.xxh32_intdigest(f"{self.zone} {host}")
 
     def mark_failed(self, now: int, host: str) -> None:
+        """Pass a node over for a moment."""
         self.avoided_until_ns[host] = now + PENALTY_NS
--- /dev/null
+++ b/meadowworks/proxy/control_plane_view.py
@@ -0,0 +1,137 @@
+"""What a proxy knows from the control plane: the configuration in force, and the backends.
+
+The control plane's nodes tell it in updates and configurations; nothing here waits or sends.
+"""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Callable
+
+from meadowworks.config.route_table import RouteTable
+from meadowworks.forwarding.connection_pool import ConnectionPool
+from meadowworks.forwarding.staleness import StalenessTracker
+from meadowworks.gossip.updates import UpdateStore
+from meadowworks.load_balancing.service_balancer import ServiceBalancer
+from meadowworks.proxy.settings_reload import ReloadableSettings
+from meadowworks.registry.backends import BackendDirectory
+from meadowworks.registry.heartbeats import DRAINING
+from meadowworks.runtime import logging as logs
+from meadowworks.runtime.http_connection import ClientConnection
+from meadowworks.runtime.process import now_ns
+
+MS, SECOND = 1_000_000, 1_000_000_000
+# After the start: how long a lease holder is waited for, and then a backend of every service. The platform's
+# next poll of readyz comes within it.
+STARTUP_GRACE_NS = 3 * SECOND
+# The latency target of a service that no route names.
+DEFAULT_TARGET_MS = 1000.0
+log = logs.get_logger("proxy")
+
+
+class ControlPlaneView:
+    """The proxy's copy of the control plane's state.
+
+    :param incarnation: the id of this process, under which it would publish updates itself
+    """
+
+    def __init__(
+        self, settings: ReloadableSettings, incarnation: str, pool: ConnectionPool[ClientConnection]
+    ) -> None:
+        self._settings = settings
+        self._pool = pool
+        self._random = random.Random()
+        self.gossip = UpdateStore(incarnation)
+        self.backends = BackendDirectory(lambda name: self.gossip.silence_ns(now_ns(), name), now_ns)
+        self.gossip.update_listeners.append(self.backends.on_update)
+        self.staleness = StalenessTracker()
+        self.route_table: RouteTable | None = None
+        self.route_table_listeners: list[Callable[[RouteTable], None]] = []
+        self.balancers: dict[str, ServiceBalancer] = {}  # by service
+        self.started_ns = now_ns()
+        self.first_listed_ns = 0  # when the first list of backends was taken as one to serve by
+
+    @property
+    def config_version(self) -> int:
+        """The version of the configuration in force; 0 if there is none."""
+        return self.route_table.version if self.route_table else 0
+
+    def apply_route_table(self, table: RouteTable) -> None:
+        """Put a version in force, as a whole: what begins from now on goes by it. Never an older one."""
+        if self.route_table is not None and table.version <= self.route_table.version:
+            return
+        self.route_table = table
+        for listener in self.route_table_listeners:
+            listener(table)
+        for name in table.max_connections:
+            target_ns = int(table.latency_targets_ms.get(name, DEFAULT_TARGET_MS) * MS) or SECOND
+            self._set_latency_target(name, target_ns)
+        log.info("configuration version {:08x} is in force", table.version)
+        self.backends.changed_ids |= set(self.backends.instances)
+        self.refresh_endpoints()
+
+    def _set_latency_target(self, service: str, target_ns: int) -> None:
+        if service in self.balancers:
+            self.balancers[service].set_latency_target(target_ns)
+            return
+        settings = self._settings.current
+        self.balancers[service] = ServiceBalancer(
+            service, settings.zones, settings.zone, target_ns, self._random.getrandbits(32), now_ns()
+        )
+
+    def refresh_endpoints(self) -> None:
+        """Hand backends that have changed to their services' balancers."""
+        if not self.backends.changed_ids:
+            return
+        for instance_id in self.backends.changed_ids:
+            instance = self.backends.instances.get(instance_id)
+            if instance is not None and instance.state == DRAINING:
+                log.info("backend {} is draining: no new requests go there", instance_id)
+        self.backends.changed_ids.clear()
+        by_service, now = self.backends.instances_by_service(), now_ns()
+        for name, balancer in self.balancers.items():
+            balancer.update_backends(now, by_service.get(name, []))
+        self.evict_connections(now)
+
+    def mark_superseded(self, instance_id: str) -> None:
+        """Take a backend out: another instance has answered at its address."""
+        log.info("backend {} is gone: another instance answers at its address", instance_id)
+        self.backends.mark_superseded(instance_id)
+        self.refresh_endpoints()
+
+    def evict_connections(self, now: int) -> None:
+        """Close idle connections that are not needed any more."""
+        self._pool.evict(now, set(self.backends.instances))
+
+    def on_reply(self, sent_ns: int, has_lease: bool, now: int) -> None:
+        """Record that a node of the control plane has answered.
+
+        :param sent_ns: when the request left
+        :param has_lease: whether the node holds a lease: its state is the newest
+        :param now: when the reply was taken in
+        """
+        self.staleness.on_reply(sent_ns, has_lease)
+        self.mark_backends_listed(now)
+
+    def mark_backends_listed(self, now: int) -> None:
+        """Serve by the list that is there: once a lease holder has told it, or after a while without one."""
+        waited_long = now - self.started_ns > STARTUP_GRACE_NS
+        if not self.first_listed_ns and (self.staleness.ever_confirmed or waited_long):
+            self.first_listed_ns = now
+
+    def is_ready(self, now: int) -> bool:
+        """Whether requests can be served: there is a configuration, and a backend of every service.
+
+        A service without a backend is not waited for longer than `STARTUP_GRACE_NS`.
+        """
+        if self.route_table is None or not self.first_listed_ns:
+            return False
+        has_backends = all(self.balancers[name].weights for name in self.route_table.latency_targets_ms)
+        return has_backends or now - self.first_listed_ns > STARTUP_GRACE_NS
+
+    def expire(self, now: int) -> None:
+        """Let go of what sources have said that are silent. To be called every second."""
+        self.gossip.expire_sources(now)
+        self.backends.refresh_all()
+        self.refresh_endpoints()
+        self.mark_backends_listed(now)
--- /dev/null
+++ b/meadowworks/proxy/internal_api.py
@@ -0,0 +1,71 @@
+"""What a proxy tells on its internal port (`/status`), and the platform on `readyz`."""
+
+from __future__ import annotations
+
+import json
+from collections.abc import Callable
+from typing import Any
+
+from meadowworks.proxy.control_plane_view import ControlPlaneView
+from meadowworks.proxy.counters import ProxyCounters
+from meadowworks.proxy.forwarder import Forwarder
+from meadowworks.proxy.request_handler import Receive, Send
+from meadowworks.proxy.settings_reload import ReloadableSettings
+from meadowworks.runtime.http_server import Scope, read_body, send_response
+from meadowworks.runtime.process import now_ns
+
+# Requests on the internal port have no body; guards against one that does not end.
+MAX_BODY_BYTES = 65536
+
+
+class InternalApi:
+    """Read-only: nothing that is asked here changes the proxy.
+
+    :param is_ready: whether the platform may send clients here
+    """
+
+    def __init__(
+        self,
+        settings: ReloadableSettings,
+        view: ControlPlaneView,
+        forwarder: Forwarder,
+        counters: ProxyCounters,
+        is_ready: Callable[[], bool],
+    ) -> None:
+        self._settings = settings
+        self._view = view
+        self._forwarder = forwarder
+        self._counters = counters
+        self._is_ready = is_ready
+
+    async def handle_readiness(self, scope: Scope, receive: Receive, send: Send) -> None:  # noqa: ARG002
+        """Answer the platform's poll: 200 while clients may be sent here, else 503."""
+        await send_response(send, 200 if self._is_ready() else 503)
+
+    async def handle(self, scope: Scope, receive: Receive, send: Send) -> None:
+        """Answer `/status`; an ASGI application."""
+        await read_body(receive, MAX_BODY_BYTES)
+        if scope["path"] != "/status":
+            return await send_response(send, 404)
+        return await send_response(send, 200, json.dumps(self.status()).encode())
+
+    def status(self) -> dict[str, Any]:
+        """The state of the proxy, as the command line reads it."""
+        now, view = now_ns(), self._view
+        return {
+            "node": self._settings.current.node,
+            "ready": self._is_ready(),
+            "fresh": view.staleness.is_fresh(now),
+            "version": f"{view.config_version:08x}",
+            "answers": self._counters.responses,
+            "prices": self._counters.route_failures,
+            "services": self._services(now),
+            "backends": view.backends.summary(),
+        }
+
+    def _services(self, now: int) -> dict[str, Any]:
+        retry_windows = self._forwarder.retry_windows(now)
+        return {
+            name: {**balancer.explain(now), "further tries": retry_windows.get(name, (0, 0))}
+            for name, balancer in self._view.balancers.items()
+        }
--- /dev/null
+++ b/meadowworks/proxy/load_reporting.py
@@ -0,0 +1,125 @@
+"""Load reports: what this proxy has met at the backends, and what the proxies of each zone have together.
+
+A proxy's report goes to the control plane with its pulls. The sums by zone come back as updates, and are what
+the balancers decide by.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable, Mapping, Sequence
+from typing import Any
+
+from meadowworks.attempts.retry_policy import ANSWERED
+from meadowworks.forwarding.connection_pool import ConnectionPool
+from meadowworks.gossip.updates import KeyUpdate
+from meadowworks.load_balancing.load_reports import LOAD_REPORT_PREFIX, BackendSums, LoadReport
+from meadowworks.load_balancing.service_balancer import BackendLoad
+from meadowworks.proxy.control_plane_view import ControlPlaneView
+from meadowworks.proxy.settings_reload import ReloadableSettings
+from meadowworks.proxy.upstream_attempt import AttemptResult
+from meadowworks.runtime import logging as logs
+from meadowworks.runtime.http_connection import ClientConnection
+from meadowworks.runtime.process import now_ns
+
+MS = 1_000_000
+OWN_REPORT_MS = 1000  # what a report of this proxy's own covers that stands in for its zone's
+log = logs.get_logger("proxy")
+
+
+class LoadReporter:
+    """Counts what this proxy meets, and hands the zones' reports to the balancers."""
+
+    def __init__(
+        self,
+        settings: ReloadableSettings,
+        view: ControlPlaneView,
+        pool: ConnectionPool[ClientConnection],
+    ) -> None:
+        self._settings = settings
+        self._view = view
+        self._pool = pool
+        self._unsent = LoadReport()
+        self._last_second = LoadReport()
+        view.gossip.update_listeners.append(self.on_update)
+
+    # -- this proxy's own report
+
+    def record_request(self, service: str) -> None:
+        """Count a request that was admitted or rejected by the proxy itself."""
+        self._unsent.record_request(service)
+        self._last_second.record_request(service)
+
+    def record_attempt(self, instance_id: str, result: AttemptResult) -> None:
+        """Count an attempt that has ended."""
+        answered, elapsed_ms = result.outcome == ANSWERED, result.elapsed_ns / MS
+        for report in (self._unsent, self._last_second):
+            report.record_attempt(instance_id, answered, elapsed_ms)
+            if result.backend_load is not None:
+                report.record_backend_load(
+                    instance_id, result.backend_load.running, result.backend_load.waiting
+                )
+
+    def take_unsent(self) -> LoadReport:
+        """What was counted since the last time, to be sent now."""
+        report, self._unsent = self._unsent, LoadReport()
+        return report
+
+    def put_back(self, report: LoadReport) -> None:
+        """Add up again what could not be sent."""
+        self._unsent.merge(report.pack())
+
+    # -- the zones' reports
+
+    def on_update(self, update: KeyUpdate) -> None:
+        """Take in the report of a zone, as the control plane has added it up."""
+        zone = update.key.removeprefix(LOAD_REPORT_PREFIX)
+        if not update.key.startswith(LOAD_REPORT_PREFIX) or update.value is None:
+            return
+        if zone not in self._settings.current.zones:
+            return
+        try:
+            covers_ms, backends, requests = update.value
+            self.apply_zone_report(zone, int(covers_ms), backends, dict(requests))
+        except (TypeError, ValueError) as error:
+            log.warning("ignored a malformed load report of zone {}: {}", zone, error)
+
+    def apply_zone_report(
+        self, zone: str, covers_ms: int, backends: Iterable[Sequence[Any]], requests: Mapping[str, int]
+    ) -> None:
+        """Hand a zone's sums to the balancers.
+
+        :param covers_ms: the time over which they were counted
+        :param backends: the fields of `BackendSums` of each backend
+        :param requests: the requests of each service
+        """
+        now, zone_number = now_ns(), self._settings.current.zones.index(zone)
+        loads: dict[str, dict[str, BackendLoad]] = {}
+        for row in backends:
+            sums = BackendSums(*row)
+            instance = self._view.backends.instances.get(sums.instance_id)
+            if instance is None:
+                continue
+            mean_ns = int(sums.elapsed_ms * MS / max(1, sums.attempts - sums.failures))
+            queue_length = sums.waiting / sums.loads if sums.loads else -1.0
+            loads.setdefault(instance.service, {})[sums.instance_id] = BackendLoad(
+                sums.attempts, sums.failures, mean_ns, queue_length
+            )
+            if sums.loads:
+                in_flight = (sums.running + sums.waiting) / sums.loads
+                self._pool.record_zone_load(now, sums.instance_id, in_flight)
+        covers_ns = max(1, covers_ms) * MS
+        for name, balancer in self._view.balancers.items():
+            balancer.record_zone_report(
+                now, zone_number, loads.get(name, {}), requests.get(name, 0), covers_ns
+            )
+
+    def replace_overdue(self, now: int) -> None:
+        """Let this proxy's own counts of the last second stand in for its zone's report if that is overdue.
+
+        To be called every second.
+        """
+        own, self._last_second = self._last_second, LoadReport()
+        settings = self._settings.current
+        local_zone = settings.zones.index(settings.zone)
+        if any(balancer.report_overdue(now, local_zone) for balancer in self._view.balancers.values()):
+            self.apply_zone_report(settings.zone, OWN_REPORT_MS, own.backend_sums(), own.service_requests)
--- /dev/null
+++ b/meadowworks/proxy/request_handler.py
@@ -0,0 +1,188 @@
+"""The way of one client request through the proxy, from its headers to the end of its response."""
+
+from __future__ import annotations
+
+import json
+import random
+from collections.abc import Awaitable, Callable
+from dataclasses import dataclass
+from typing import Any
+
+import xxhash
+
+from meadowworks.config.route_table import Route, RouteTable
+from meadowworks.forwarding.memory_budget import MemoryBudget, MemoryReservation
+from meadowworks.forwarding.request_attempts import RejectRequest
+from meadowworks.proxy import counters as names
+from meadowworks.proxy.control_plane_view import ControlPlaneView
+from meadowworks.proxy.counters import ProxyCounters
+from meadowworks.proxy.forwarder import ClientContext, Forwarder
+from meadowworks.proxy.http_headers import forwarded_request_headers, forwarded_response_headers, parse_ms
+from meadowworks.proxy.upstream_attempt import UpstreamRequest
+from meadowworks.runtime.http_connection import Headers, Response
+from meadowworks.runtime.http_server import BodyError, HttpConnection, Scope, read_body, send_response
+from meadowworks.runtime.process import now_ns
+
+MS, SECOND = 1_000_000, 1_000_000_000
+# How long a body in chunks may take, if its client names no time.
+BODY_TIMEOUT_S = 30.0
+# Responses of the proxy's own. In 300 ms a node with a lease is found, if there is one; in a second other
+# requests have given memory back.
+NOT_CONFIGURED = RejectRequest(503, 300 * MS)
+VIEW_IS_STALE = RejectRequest(503, 300 * MS)
+OUT_OF_MEMORY = RejectRequest(503, SECOND)
+NO_ROUTE_BODY = b'{"err":"there is no such route"}'
+REJECTED_BODY = b'{"err":"no backend answered"}'
+
+Receive = Callable[[], Awaitable[Any]]
+Send = Callable[[Any], Awaitable[None]]
+
+
+@dataclass(slots=True)
+class RequestHead:
+    """A request without its body."""
+
+    method: bytes
+    request_target: bytes  # in origin form
+    headers: Headers  # names in lower case
+    host: str
+    request_id: bytes | None  # X-Request-Id
+    deadline: bytes | None  # X-Deadline-Ms
+    connection: HttpConnection | None  # the client's, unless it has gone already
+
+    @property
+    def path(self) -> str:
+        """The path of the request target, without the query."""
+        return self.request_target.partition(b"?")[0].decode("latin-1")
+
+    @property
+    def client_gone(self) -> bool:
+        """Whether nobody waits for the response any more."""
+        return self.connection is not None and self.connection.disconnected
+
+
+def read_head(scope: Scope) -> RequestHead:
+    """The head of a request as the server has parsed it."""
+    host, request_id, deadline = "", None, None
+    for name, value in scope["headers"]:
+        if name == b"host":
+            host = value.decode("latin-1")
+        elif name == b"x-request-id":
+            request_id = value
+        elif name == b"x-deadline-ms":
+            deadline = value
+    return RequestHead(
+        scope["method"].encode(),
+        scope["target"],
+        scope["headers"],
+        host,
+        request_id,
+        deadline,
+        scope.get("connection"),
+    )
+
+
+class RequestHandler:
+    """Serves the requests of all clients."""
+
+    def __init__(
+        self, view: ControlPlaneView, forwarder: Forwarder, memory: MemoryBudget, counters: ProxyCounters
+    ) -> None:
+        self._view = view
+        self._forwarder = forwarder
+        self._memory = memory
+        self._counters = counters
+        self._random = random.Random()
+
+    async def handle(self, scope: Scope, receive: Receive, send: Send) -> None:
+        """Serve one request; an ASGI application."""
+        received_ns = now_ns()
+        table = self._view.route_table
+        if table is None:
+            return await self._reject(send, NOT_CONFIGURED)
+        head = read_head(scope)
+        body = await self._read_body(receive, head, table)
+        if isinstance(body, BodyError):
+            return await self._reject_body(send, body)
+        route = table.find_route(head.host, head.path)
+        if route is None:
+            return await self._reject_route(send)
+        if head.client_gone:
+            return self._counters.increment(names.CLIENT_GONE)
+        with MemoryReservation(self._memory) as memory:
+            if not memory.reserve(len(body)):
+                return await self._reject(send, OUT_OF_MEMORY)
+            context = self._context(route, head, received_ns, memory)
+            await self._exchange(send, route, table, head, body, context)
+        return None
+
+    async def _read_body(self, receive: Receive, head: RequestHead, table: RouteTable) -> bytes | BodyError:
+        timeout_s = min(BODY_TIMEOUT_S, parse_ms(head.deadline, BODY_TIMEOUT_S * 1000) / 1000)
+        return await read_body(receive, table.max_body_bytes, self._memory, timeout_s)
+
+    def _context(
+        self, route: Route, head: RequestHead, received_ns: int, memory: MemoryReservation
+    ) -> ClientContext:
+        """Who waits for the response, and until when."""
+        limit_ms = min(route.deadline_ms, parse_ms(head.deadline, route.deadline_ms))
+        return ClientContext(received_ns + int(limit_ms * MS), memory, head.connection)
+
+    def _pick_service(self, route: Route, request_id: bytes | None) -> str:
+        """A service of the route by weight; the same one for retries of the client, which keep their id."""
+        if request_id:
+            return route.pick_service(xxhash.xxh32_intdigest(request_id) / 2**32)
+        return route.pick_service(self._random.random())
+
+    async def _exchange(
+        self,
+        send: Send,
+        route: Route,
+        table: RouteTable,
+        head: RequestHead,
+        body: bytes,
+        context: ClientContext,
+    ) -> None:
+        """Have the request answered by a backend, and send its response to the client."""
+        request = UpstreamRequest(
+            head.method, head.request_target, forwarded_request_headers(head.headers), body, head.request_id
+        )
+        service = self._pick_service(route, head.request_id)
+        try:
+            result = await self._forwarder.forward(route, service, request, context)
+            if head.client_gone:
+                self._counters.increment(names.CLIENT_GONE)
+            elif isinstance(result, RejectRequest):
+                await self._reject(send, result)
+            else:
+                await self._respond(send, result, table)
+        except TimeoutError:
+            # Guards against a client that does not read its response, which is held in memory for it.
+            self._counters.count_route_failure(route.name, names.RESPONSE_ABORTED)
+            if head.connection is not None:
+                head.connection.transport.abort()
+
+    async def _respond(self, send: Send, response: Response, table: RouteTable) -> None:
+        self._counters.increment(str(response.status))
+        headers = forwarded_response_headers(response)
+        await send_response(send, response.status, response.body, headers, table.idle_timeout_ms / 1000)
+
+    async def _reject(self, send: Send, rejection: RejectRequest) -> None:
+        self._counters.increment(names.own_response(rejection.status))
+        headers = [(b"content-type", b"application/json")]
+        if rejection.retry_after_ns:
+            headers.append((b"retry-after", f"{rejection.retry_after_ns / 1e9:.3f}".encode()))
+        await send_response(send, rejection.status, REJECTED_BODY, headers)
+
+    async def _reject_body(self, send: Send, error: BodyError) -> None:
+        self._counters.increment(f"bodies {error.counter}")
+        if error is BodyError.OUT_OF_MEMORY:
+            return await self._reject(send, OUT_OF_MEMORY)
+        status = 413 if error is BodyError.TOO_LARGE else 408
+        return await send_response(send, status, json.dumps({"err": f"the body is {error.value}"}).encode())
+
+    async def _reject_route(self, send: Send) -> None:
+        if not self._view.staleness.is_fresh(now_ns()):
+            # Guards against a configuration of before a partition or a freeze, which may lack a route that
+            # exists.
+            return await self._reject(send, VIEW_IS_STALE)
+        return await send_response(send, 404, NO_ROUTE_BODY)
--- a/tests/gateway/golden_product.py
+++ b/tests/gateway/golden_product.py
@@ -443,8 +443,8 @@
 async def sent_pull(junction: ProxyServer) -> tuple[bytes, bytes]:
     """The path and the body under which a junction pulls."""
     recorder = Recorder()
-    junction.peer_client = lambda host, port: recorder  # type: ignore[assignment,method-assign,return-value]
-    await junction.pull_once()
+    junction.control_plane.peer_client = lambda host, port: recorder  # type: ignore[assignment,method-assign,return-value]
+    await junction.control_plane.pull_once()
     (found,) = recorder.sent
     return found
 
@@ -460,10 +460,10 @@
 
 def junction_learns(junction: ProxyServer, configuration: bytes, said: Mapping[str, Any]) -> None:
     """Configuration and news, as if a signalbox had told them."""
-    junction.apply_route_table(load_configuration(configuration))
+    junction.view.apply_route_table(load_configuration(configuration))
     for key, value in said.items():
-        junction.gossip.notify_update(KeyUpdate("source", key, value))
-    junction.refresh_endpoints()
+        junction.view.gossip.notify_update(KeyUpdate("source", key, value))
+    junction.view.refresh_endpoints()
 
 
 def signalbox_learns(
@@ -476,7 +476,11 @@
 
 
 def inner_door(program: Any) -> Any:
-    return program.handle_peer_request if isinstance(program, ControlPlaneServer) else program.handle_internal
+    return (
+        program.handle_peer_request
+        if isinstance(program, ControlPlaneServer)
+        else program.internal_api.handle
+    )
 
 
 def control_door(box: ControlPlaneServer) -> Any:
--- a/tests/gateway/test_ends.py
+++ b/tests/gateway/test_ends.py
@@ -246,7 +246,7 @@
             assert any(stall.idle for stall in node.connection_pool.endpoints.values())
         gate.set()
         assert [ident for made in fleet.backends for ident in made.handled_request_ids] == ["gone"]
-        assert node.counters == {"clients gone": 1} and not node.memory_budget.reserved_bytes
+        assert node.counters.responses == {"clients gone": 1} and not node.memory_budget.reserved_bytes
 
     fleet.run(whole())
 
@@ -284,8 +284,8 @@
         began = now_ns()
         assert (await fleet.serve(0, b"POST", b"/order/a")).status == 504  # it may have run
         assert now_ns() - began < 1.9 * SECOND  # its client waits for 1.5
-        ((name, counted),) = node.route_failures.items()
-        names = [route.name for route in node.route_table.routes_by_host["local.example"].values()]
+        ((name, counted),) = node.counters.route_failures.items()
+        names = [route.name for route in node.view.route_table.routes_by_host["local.example"].values()]
         assert counted == {"broken off": 1} and name in names
         for made in fleet.backends:
             made.server.shutdown()
@@ -294,7 +294,7 @@
         began = now_ns()
         refused = await fleet.serve(0, b"POST", b"/order/b")
         assert refused.status == 503 and refused.header(b"retry-after") and now_ns() - began < SECOND
-        assert node.route_failures == {name: {"broken off": 1}}
+        assert node.counters.route_failures == {name: {"broken off": 1}}
         never.set()
 
     fleet.run(whole())
@@ -319,7 +319,7 @@
             lambda: sum(len(made.handled_request_ids) for made in fleet.backends) == 2, "they are at work"
         )
         await replaced(fleet, 1, 2, {"/new/": ("safe", "lookup")})
-        await until(lambda: node.route_table.version == 2, "the next version is in force")
+        await until(lambda: node.view.route_table.version == 2, "the next version is in force")
         settings = fleet.plan.node_settings(3, tmp_path / "disk-3", True)
         settings["network"]["seeds"] = settings["network"]["seeds"][:1]
         path = tmp_path / "settings.json"
@@ -339,16 +339,16 @@
 def test_a_fault_in_one_pull_does_not_end_the_next(fleet: Fleet) -> None:  # noqa: F811
     async def whole() -> None:
         node = await plan(fleet)
-        work, failed = node.apply_route_table, []
+        work, failed = node.view.apply_route_table, []
 
         def fails(table: Any) -> None:
-            node.apply_route_table = work
+            node.view.apply_route_table = work
             failed.append(table.version)
             raise RuntimeError("as if something were wrong with it")
 
-        node.apply_route_table = fails
+        node.view.apply_route_table = fails
         await replaced(fleet, 1, 2, ROUTES)
-        await until(lambda: node.route_table.version == 2, "it is in force all the same")
+        await until(lambda: node.view.route_table.version == 2, "it is in force all the same")
         assert failed == [2]
 
     fleet.run(whole())
--- a/tests/gateway/test_fleet.py
+++ b/tests/gateway/test_fleet.py
@@ -21,7 +21,8 @@
 from meadowworks.forwarding.staleness import MAX_AGE_NS
 from meadowworks.local.backend import StubBackend
 from meadowworks.local.system import SystemLayout, build_configuration, free_ports
-from meadowworks.proxy.server import STARTUP_GRACE_NS, ProxyServer
+from meadowworks.proxy.control_plane_view import STARTUP_GRACE_NS
+from meadowworks.proxy.server import ProxyServer
 from meadowworks.runtime import node_settings
 from meadowworks.runtime.errors import RequestError
 from meadowworks.runtime.http_connection import connect
@@ -180,7 +181,9 @@
 @then("it is acknowledged and changes nothing")
 def changes_nothing(fleet: Fleet) -> None:
     fleet.run(
-        until(lambda: all(fleet.nodes[k].route_table.version == 5 for k in (3, 4)), "version 5 is in force")
+        until(
+            lambda: all(fleet.nodes[k].view.route_table.version == 5 for k in (3, 4)), "version 5 is in force"
+        )
     )
     assert fleet.run(fleet.read(2)) == json.loads(build_configuration(5, ROUTES))
 
@@ -274,14 +277,14 @@
             await fleet.kill(place)
         await until(lambda: not fleet.nodes[0].holds_lease(), "its lease has ended")
         await fleet.start(4)
-        await until(lambda: len(fleet.nodes[4].gossip.sources) > 1, "it has been told")
+        await until(lambda: len(fleet.nodes[4].view.gossip.sources) > 1, "it has been told")
 
     fleet.run(whole())
 
 
 @then("it is not ready, and tells nobody that a route is not there")
 def not_ready(fleet: Fleet) -> None:
-    assert fleet.nodes[4].route_table is None and not fleet.nodes[4].is_ready()
+    assert fleet.nodes[4].view.route_table is None and not fleet.nodes[4].is_ready()
     unknown = fleet.run(fleet.serve(1, b"GET", b"/new/a"))
     assert unknown.status == 503 and float(unknown.header(b"retry-after")) < 1
 
@@ -289,10 +292,10 @@
 @then("after a while it still has no table from there, and says when to come back")
 def no_table(fleet: Fleet) -> None:
     node = fleet.nodes[4]
-    node.started_ns -= STARTUP_GRACE_NS
-    node.mark_backends_listed(now_ns())
-    node.first_listed_ns -= STARTUP_GRACE_NS  # its other services' backends are not waited for longer
-    assert node.route_table is None and not node.is_ready() and not node.staleness.ever_confirmed
+    node.view.started_ns -= STARTUP_GRACE_NS
+    node.view.mark_backends_listed(now_ns())
+    node.view.first_listed_ns -= STARTUP_GRACE_NS  # its other services' backends are not waited for longer
+    assert node.view.route_table is None and not node.is_ready() and not node.view.staleness.ever_confirmed
     for target in (b"/read/a", b"/new/a"):
         refused = fleet.run(fleet.serve(1, b"GET", target))
         assert refused.status == 503 and float(refused.header(b"retry-after")) < 1
@@ -302,12 +305,12 @@
 def picture_old(fleet: Fleet) -> None:
     async def whole() -> None:
         node = fleet.nodes[4]
-        work, node.staleness.on_reply = node.staleness.on_reply, lambda asked, sure: None
-        node.staleness.confirmed_ns -= MAX_AGE_NS
+        work, node.view.staleness.on_reply = node.view.staleness.on_reply, lambda asked, sure: None
+        node.view.staleness.confirmed_ns -= MAX_AGE_NS
         assert node.is_ready()
         status = (await fleet.serve(1, b"GET", b"/new/a")).status
-        node.staleness.on_reply = work
-        await until(lambda: node.staleness.is_fresh(now_ns()), "it is told again")
+        node.view.staleness.on_reply = work
+        await until(lambda: node.view.staleness.is_fresh(now_ns()), "it is told again")
         assert (await fleet.serve(1, b"GET", b"/new/a")).status == 404
         assert status == 503
 
@@ -328,7 +331,9 @@
         await fleet.start(1)
         await fleet.start(2)
         node = fleet.nodes[4]
-        await until(lambda: node.is_ready() and node.staleness.is_fresh(now_ns()), "it is ready, and knows")
+        await until(
+            lambda: node.is_ready() and node.view.staleness.is_fresh(now_ns()), "it is ready, and knows"
+        )
 
     fleet.run(whole())
 
@@ -337,9 +342,12 @@
 def never_back(fleet: Fleet) -> None:
     assert fleet.run(fleet.serve(1, b"GET", b"/new/a")).status == 404
     node = fleet.nodes[4]
-    node.apply_route_table(load_route_table(build_configuration(7, ROUTES)))
-    node.apply_route_table(load_route_table(build_configuration(6, {"/new/": ("safe", "lookup")})))
-    assert node.route_table.version == 7 and node.route_table.find_route("local.example", "/new/a") is None
+    node.view.apply_route_table(load_route_table(build_configuration(7, ROUTES)))
+    node.view.apply_route_table(load_route_table(build_configuration(6, {"/new/": ("safe", "lookup")})))
+    assert (
+        node.view.route_table.version == 7
+        and node.view.route_table.find_route("local.example", "/new/a") is None
+    )
 
 
 @when("a backend of the south beats at the first signalbox, which is of the north")
@@ -404,7 +412,7 @@
     assert {node["votes"] for node in json.loads(said("nodes", box, "--json"))["members"]} >= {True}
     rows = said("backends", junction).splitlines()
     assert rows[0].split() == ["id", "service", "address", "zone", "state"] and len(rows) == 5
-    fleet.nodes[3].services["lookup"].controller.backends[0].rung = 2
+    fleet.nodes[3].view.balancers["lookup"].controller.backends[0].rung = 2
     told = json.loads(said("why", "lookup", junction, "--json"))
     assert told["service"] == "lookup" and told["level"] == 1.0 and set(told["zones"]) == {"north", "south"}
     assert set(told["table"]) | set(told["abroad"]) == {"b0", "b1"}
--- a/tests/gateway/test_words.py
+++ b/tests/gateway/test_words.py
@@ -13,7 +13,7 @@
 from meadowworks.cli import members
 from meadowworks.local.commands import PROJECT_ROOT, example_commands
 from meadowworks.local.system import Ports, SystemLayout
-from meadowworks.proxy.server import ProxyServer
+from meadowworks.proxy.counters import ProxyCounters
 
 
 @pytest.mark.parametrize(
@@ -98,15 +98,13 @@
     assert members.known_addresses(old, "h1:7") == ["h2:7"]
 
 
-def test_an_idle_junction_says_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_idle_proxy_logs_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     said: list[Any] = []
-    monkeypatch.setattr("meadowworks.proxy.server.log.info", lambda *words: said.append(words))
-    junction = ProxyServer.__new__(ProxyServer)
-    junction.counters, junction.logged_counters, junction.retry_budgets = {}, {}, {}
-    junction.http_server = type("Idle", (), {"pending_count": lambda self: 0})()
-    junction.log_counters()
+    monkeypatch.setattr("meadowworks.proxy.counters.log.info", lambda *words: said.append(words))
+    counters = ProxyCounters()
+    counters.log_changes(0, {})
     assert not said
-    junction.counters["200"] = 1
-    junction.log_counters()
-    junction.log_counters()
+    counters.increment("200")
+    counters.log_changes(0, {})
+    counters.log_changes(0, {})
     assert len(said) == 1
