--- a/meadowworks/modelcheck/seeded_faults/replica.py
+++ b/meadowworks/modelcheck/seeded_faults/replica.py
@@ -4,39 +4,41 @@
 
 from meadowworks.modelcheck.fault import SeededFault
 
-REGISTER, REPLICA = "meadowworks.consensus.register:", "meadowworks.consensus.replica:"
-ACCEPTOR, BOX = REGISTER + "Acceptor.", REPLICA + "Replica."
+PACKAGE = "meadowworks.consensus."
+ACCEPTOR, PROPOSER = PACKAGE + "acceptor:Acceptor.", PACKAGE + "proposer:Proposer."
+METADATA, WRITE_QUEUE = PACKAGE + "metadata:", PACKAGE + "write_queue:WriteQueue."
+REPLICA, RUNNER = PACKAGE + "replica:Replica.", PACKAGE + "operation_runner:OperationRunner."
 REPLICA_FAULTS = (
     *(
         SeededFault(name, "replica", at, was, now, breaks, start_indices=starts)
         for name, at, was, now, breaks, starts in (
             (
                 "a reply leaves before its write",
-                BOX + "on_request",
-                'self.defer_until_written(("tell", ticket, member_id, self.handle_request(now_ns, request)))',
-                'self.ready.append(("tell", ticket, member_id, self.handle_request(now_ns, request)))',
+                REPLICA + "on_request",
+                "self.writes.defer(",
+                "self.writes.ready.append(",
                 ("told rests on the disk",),
                 (),
             ),
             (
                 "an own answer counts before its write",
-                BOX + "send_round",
-                "self.defer_until_written(own)",
-                "self.ready.append(own)",
+                RUNNER + "send_round",
+                "self.writes.defer(",
+                "self.writes.ready.append(",
                 ("own rests on the disk",),
                 (),
             ),
             (
                 "what is not yet handed out to be written is not waited for",
-                BOX + "defer_until_written",
-                "if self.has_unwritten_changes():",
+                WRITE_QUEUE + "defer",
+                "if self._acceptor.has_unwritten_changes():",
                 "if False:",
                 ("told rests on the disk", "own rests on the disk"),
                 (),
             ),
             (
                 "a write on its way is not waited for",
-                BOX + "defer_until_written",
+                WRITE_QUEUE + "defer",
                 "elif self.write_in_flight:",
                 "elif False:",
                 ("told rests on the disk", "own rests on the disk"),
@@ -44,7 +46,7 @@
             ),
             (
                 "any write opens all gates",
-                BOX + "on_persisted",
+                WRITE_QUEUE + "on_persisted",
                 "while self.awaiting_write and self.awaiting_write[0][0] <= write_id:",
                 "while self.awaiting_write:",
                 ("told rests on the disk", "own rests on the disk"),
@@ -52,7 +54,7 @@
             ),
             (
                 "what waits for the next write is let go by the last",
-                BOX + "defer_until_written",
+                WRITE_QUEUE + "defer",
                 "self.awaiting_write.append((self.last_write_id + 1, item))",
                 "self.awaiting_write.append((self.last_write_id, item))",
                 ("told rests on the disk", "own rests on the disk", "lasts"),
@@ -60,7 +62,7 @@
             ),
             (
                 "a job asks before the life is on the disk",
-                BOX + "begin_attempt",
+                RUNNER + "begin_attempt",
                 "if not self.started:",
                 "if False:",
                 ("life first",),
@@ -68,15 +70,15 @@
             ),
             (
                 "a start does not wait for its write",
-                BOX + "start",
-                'self.defer_until_written(("started",))',
+                REPLICA + "start",
+                "self.writes.defer(Started())",
                 "self.started = True",
                 ("life first", "one ballot"),
                 (),
             ),
             (
                 "a new life is not written",
-                BOX + "start",
+                REPLICA + "start",
                 "self.acceptor.metadata_changed = True",
                 "pass",
                 ("life first",),
@@ -84,7 +86,7 @@
             ),
             (
                 "a ballot has the life alone in its name",
-                BOX + "new_proposer",
+                RUNNER + "new_proposer",
                 "{self.acceptor.member_id}.{self.acceptor.incarnation}",
                 "{self.acceptor.incarnation}",
                 ("one ballot",),
@@ -92,7 +94,7 @@
             ),
             (
                 "a write leaves the life out",
-                BOX + "collect_update",
+                METADATA + "acceptor_metadata",
                 '"life": acceptor.incarnation,',
                 '"life": 0,',
                 ("never back",),
@@ -100,15 +102,15 @@
             ),
             (
                 "another's content is acknowledged as the own",
-                BOX + "on_operation_reply",
-                "Committed() if value == operation.value else Conflict()",
+                RUNNER + "_on_chosen",
+                "Committed() if chosen.value == operation.value else Conflict()",
                 "Committed()",
                 ("one content",),
                 (6,),
             ),
             (
                 "an acknowledgement does not wait for a majority",
-                REGISTER + "Proposer.on_reply",
+                PROPOSER + "_on_accepted",
                 "if len(self.acceptances) < self.epoch.majority:",
                 "if False:",
                 ("lasts",),
@@ -116,7 +118,7 @@
             ),
             (
                 "what was promised or accepted is not written",
-                ACCEPTOR + "handle",
+                ACCEPTOR + "vote",
                 "self.changed_slots.add(request.version)",
                 "pass",
                 ("told rests on the disk", "own rests on the disk", "whole"),
@@ -172,7 +174,7 @@
             ),
             (
                 "a write holds no slots",
-                BOX + "collect_update",
+                WRITE_QUEUE + "collect_update",
                 "for v in acceptor.changed_slots",
                 "for v in ()",
                 ("told rests on the disk", "own rests on the disk", "whole"),
@@ -180,7 +182,7 @@
             ),
             (
                 "a write leaves the seal out",
-                BOX + "collect_update",
+                METADATA + "acceptor_metadata",
                 "None if acceptor.sealed_by is None else encode_epoch(acceptor.sealed_by)",
                 "None",
                 ("told rests on the disk", "own rests on the disk", "whole"),
@@ -188,7 +190,7 @@
             ),
             (
                 "a write does not say who is installed",
-                BOX + "collect_update",
+                METADATA + "acceptor_metadata",
                 '"installed": acceptor.installed,',
                 '"installed": False,',
                 ("never back", "whole"),
--- a/meadowworks/proxy/forwarder.py
+++ b/meadowworks/proxy/forwarder.py
@@ -37,8 +37,8 @@
 from meadowworks.proxy.upstream_attempt import AttemptResult, UpstreamRequest, send_attempt
 from meadowworks.registry.backends import BackendInstance
 from meadowworks.runtime.http_connection import ClientConnection, Response
-from meadowworks.runtime.http_server import HttpConnection
 from meadowworks.runtime.process import BackgroundTasks, now_ns
+from meadowworks.runtime.server_connection import HttpConnection
 
 MS, SECOND = 1_000_000, 1_000_000_000
 # A request that was held for this part of its route's latency target, and reached no backend, is counted as a
--- a/meadowworks/proxy/internal_api.py
+++ b/meadowworks/proxy/internal_api.py
@@ -9,10 +9,11 @@
 from meadowworks.proxy.control_plane_view import ControlPlaneView
 from meadowworks.proxy.counters import ProxyCounters
 from meadowworks.proxy.forwarder import Forwarder
-from meadowworks.proxy.request_handler import Receive, Send
 from meadowworks.proxy.settings_reload import ReloadableSettings
-from meadowworks.runtime.http_server import Scope, read_body, send_response
+from meadowworks.runtime.asgi import Receive, Scope, Send
 from meadowworks.runtime.process import now_ns
+from meadowworks.runtime.request_body import read_body
+from meadowworks.runtime.response_writer import send_response
 
 # Requests on the internal port have no body; guards against one that does not end.
 MAX_BODY_BYTES = 65536
--- a/meadowworks/proxy/request_handler.py
+++ b/meadowworks/proxy/request_handler.py
@@ -4,9 +4,7 @@
 
 import json
 import random
-from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
-from typing import Any
 
 import xxhash
 
@@ -19,9 +17,12 @@
 from meadowworks.proxy.forwarder import ClientContext, Forwarder
 from meadowworks.proxy.http_headers import forwarded_request_headers, forwarded_response_headers, parse_ms
 from meadowworks.proxy.upstream_attempt import UpstreamRequest
+from meadowworks.runtime.asgi import Receive, Scope, Send
 from meadowworks.runtime.http_connection import Headers, Response
-from meadowworks.runtime.http_server import BodyError, HttpConnection, Scope, read_body, send_response
 from meadowworks.runtime.process import now_ns
+from meadowworks.runtime.request_body import BodyError, read_body
+from meadowworks.runtime.response_writer import send_response
+from meadowworks.runtime.server_connection import HttpConnection
 
 MS, SECOND = 1_000_000, 1_000_000_000
 # How long a body in chunks may take, if its client names no time.
@@ -34,9 +35,6 @@
 NO_ROUTE_BODY = b'{"err":"there is no such route"}'
 REJECTED_BODY = b'{"err":"no backend answered"}'
 
-Receive = Callable[[], Awaitable[Any]]
-Send = Callable[[Any], Awaitable[None]]
-
 
 @dataclass(slots=True)
 class RequestHead:
--- a/meadowworks/proxy/server.py
+++ b/meadowworks/proxy/server.py
@@ -142,7 +142,7 @@
 
     def _apply_limits(self, table: RouteTable) -> None:
         """Put the limits of a configuration in force for open connections and new ones."""
-        limits = self.http_server.state.limits
+        limits = self.http_server.limits
         limits.max_header_bytes = table.max_header_bytes
         limits.header_timeout_s = table.header_timeout_ms / 1000
         limits.idle_timeout_s = table.idle_timeout_ms / 1000
