--- a/meadowworks/modelcheck/seeded_faults/forwarding.py
+++ b/meadowworks/modelcheck/seeded_faults/forwarding.py
@@ -4,61 +4,59 @@
 
 from meadowworks.modelcheck.fault import SeededFault
 
-AGAIN, MACHINE = "meadowworks.attempts.retry_policy:", "meadowworks.attempts.machine:AttemptMachine."
-CLIENTS, BREAKS, KEPT, NAMELESS, BETWEEN = tuple(range(9)), (9,), (10,), (12,), (14,)  # worlds of the model
-JOURNEY, ANSWERS = (
-    "meadowworks.forwarding.request_attempts:RequestAttempts.",
-    "meadowworks.forwarding.response_check:",
-)
+RETRY_POLICY = "meadowworks.attempts.retry_policy:"
+REQUEST_WORLDS = tuple(range(9))  # the first worlds of the model: those of forwarding_world
+ATTEMPTS = "meadowworks.forwarding.request_attempts:RequestAttempts."
+RESPONSE_CHECK = "meadowworks.forwarding.response_check:"
 FORWARDING_FAULTS = (
     *(
-        SeededFault(name, "carriage", at, was, now, breaks, start_indices=CLIENTS)
+        SeededFault(name, "carriage", at, was, now, breaks, start_indices=REQUEST_WORLDS)
         for name, at, was, now, breaks in (
             (
                 "any failure of a backend is proof",
-                ANSWERS + "outcome_of_status",
+                RESPONSE_CHECK + "outcome_of_status",
                 "if not_run or status == 421:",
                 "if not_run or status >= 400:",
                 ("at most once", "promises kept"),
             ),
             (
                 "another request's answer is taken",
-                ANSWERS + "check_response",
+                RESPONSE_CHECK + "check_response",
                 "if rejection_reason(request_id, status, header, first_on_connection):",
                 "if False:",
                 ("own answer", "at most once", "promises kept"),
             ),
             (
                 "ids of failures are not compared",
-                ANSWERS + "rejection_reason",
+                RESPONSE_CHECK + "rejection_reason",
                 "named is not None or status < 300 or not first_on_connection",
                 "status < 300 or named is None and not first_on_connection",
                 ("at most once", "promises kept"),
             ),
             (
                 "a failure that names no request is taken on a line that carried others",
-                ANSWERS + "rejection_reason",
+                RESPONSE_CHECK + "rejection_reason",
                 " or not first_on_connection",
                 "",
                 ("at most once", "promises kept"),
             ),
             (
                 "a line with a spoilt answer is kept",
-                ANSWERS + "check_response",
+                RESPONSE_CHECK + "check_response",
                 "return ResponseVerdict(FAILED, is_valid=False, reusable=False)",
                 "return ResponseVerdict(NEVER_RAN, is_valid=False, reusable=False)",
                 ("at most once", "promises kept"),
             ),
             (
                 "a line to another life is kept",
-                ANSWERS + "check_response",
+                RESPONSE_CHECK + "check_response",
                 "!= backend_id, reusable=False",
                 "!= backend_id",
                 ("own lines",),
             ),
             (
                 "an unsafe request has another try beside it",
-                AGAIN + "retry_obstacle",
+                RETRY_POLICY + "retry_obstacle",
                 "if not none_ran(attempts) and not "
                 "(route_policy.idempotent and retry_policy >= RETRY_ANY_FAILURE):",
                 "if False:",
@@ -66,21 +64,21 @@
             ),
             (
                 "what was given up is told 503",
-                JOURNEY + "_reject",
+                ATTEMPTS + "_reject",
                 "if retries.none_ran([*self.attempts.values()]):",
                 "if True:",
                 ("promises kept",),
             ),
             (
                 "a backend's own 503 goes to the client",
-                JOURNEY + "_on_attempt_ended",
+                ATTEMPTS + "_on_attempt_ended",
                 "if outcome == FAILED and status and status not in NOT_RUN_STATUSES:",
                 "if outcome == FAILED and status:",
                 ("promises kept",),
             ),
             (
                 "a reset is proof",
-                JOURNEY + "_on_attempt_ended",
+                ATTEMPTS + "_on_attempt_ended",
                 "self.attempts[number].state = outcome",
                 "self.attempts[number].state = outcome if status or outcome != FAILED else 2",
                 ("at most once", "promises kept"),
@@ -101,7 +99,7 @@
             ),
             (
                 "a request whose tries are spent waits",
-                JOURNEY + "_retry_or_finish",
+                ATTEMPTS + "_retry_or_finish",
                 "return self._reject(now, chance)",
                 "return self._wait(now)",
                 ("told at once",),
--- a/meadowworks/modelcheck/seeded_faults/upstream.py
+++ b/meadowworks/modelcheck/seeded_faults/upstream.py
@@ -4,30 +4,28 @@
 
 from meadowworks.modelcheck.fault import SeededFault
 
-CLIENTS, BREAKS, KEPT, NAMELESS, BETWEEN = tuple(range(9)), (9,), (10,), (12,), (14,)  # worlds of the model
-LINE = "meadowworks.runtime.http_connection:ClientConnection."
-JOURNEY, ANSWERS = (
-    "meadowworks.forwarding.request_attempts:RequestAttempts.",
-    "meadowworks.forwarding.response_check:",
-)
+# Worlds of the model, those of http_connection_scenarios: faults, idle connections, no ids, between nodes.
+FAULTS, IDLE, WITHOUT_IDS, BETWEEN_NODES = (9,), (10,), (12,), (14,)
+CONNECTION = "meadowworks.runtime.http_connection:ClientConnection."
+RESPONSE_CHECK = "meadowworks.forwarding.response_check:"
 UPSTREAM_FAULTS = tuple(
     SeededFault(name, "carriage", at, was, now, breaks, start_indices=starts)
     for name, at, was, now, breaks, starts in (
         (
             "bytes behind an answer stay on its line",
-            LINE + "_after_response",
+            CONNECTION + "_after_response",
             "if self._http11.has_surplus_data or self._stream.buffer:",
             "if False:",
             ("clean lines",),
-            KEPT,
+            IDLE,
         ),
         (
             "a line is used on which bytes have come while it rested",
-            LINE + "usable",
+            CONNECTION + "usable",
             " and not self._http11.has_expired()",
             "",
             ("clean lines",),
-            KEPT,
+            IDLE,
         ),
         (
             "a kept line is taken without a look",
@@ -35,23 +33,23 @@
             " and connection.usable()",
             "",
             ("clean lines",),
-            KEPT,
+            IDLE,
         ),
         (
             "an answer without a length ends with its connection",
-            LINE + "request",
+            CONNECTION + "request",
             "if not complete or not _has_end_of_its_own(method, response):",
             "if False:",
             ("wrong caller",),
-            BREAKS,
+            FAULTS,
         ),
         (
             "a line that breaks is proof",
-            LINE + "request",
+            CONNECTION + "request",
             'raise ConnectionBrokenError(f"connection broken: {error}")',
             'raise ConnectError(f"connection broken: {error}")',
             ("ran twice",),
-            BREAKS,
+            FAULTS,
         ),
         (
             "a call without an id goes on a kept line",
@@ -59,23 +57,23 @@
             " if request.request_id is not None else None",
             "",
             ("wrong caller",),
-            NAMELESS,
+            WITHOUT_IDS,
         ),
         (
             "a late answer is taken for the next call's",
-            ANSWERS + "check_response",
+            RESPONSE_CHECK + "check_response",
             "if rejection_reason(request_id, status, header, first_on_connection):",
             "if False:",
             ("wrong caller",),
-            KEPT,
+            IDLE,
         ),
         (
             "a promise without a name is taken on a kept line",
-            ANSWERS + "rejection_reason",
+            RESPONSE_CHECK + "rejection_reason",
             " or not first_on_connection",
             "",
             ("ran twice", "clean lines"),
-            KEPT,
+            IDLE,
         ),
         (
             "a line is kept whose answer was another's",
@@ -83,7 +81,7 @@
             "if verdict.reusable:",
             "if True:",
             ("clean lines",),
-            KEPT,
+            IDLE,
         ),
         (
             "a line whose answer was another's is let go as it is",
@@ -91,7 +89,7 @@
             "connection.close()\n    if not verdict.is_valid:",
             "pass\n    if not verdict.is_valid:",
             ("no line left",),
-            KEPT,
+            IDLE,
         ),
         (
             "a reply to another question is taken",
@@ -99,7 +97,7 @@
             "if reply.header(CALL_ID_HEADER) != question:",
             "if False:",
             ("wrong caller",),
-            BETWEEN,
+            BETWEEN_NODES,
         ),
     )
 )
--- a/meadowworks/simulation/forward.py
+++ b/meadowworks/simulation/forward.py
@@ -1,5 +1,8 @@
-"""What a forwarded request costs a junction, beside a bare uvicorn answer, in one run: processor time a
-request of each process, by turns. `python -m meadowworks.simulation.forward [REQUESTS]`."""
+"""What a forwarded request costs a proxy, beside a bare response of its server library.
+
+Both are processor time for each request, measured by turns in one run:
+`python -m meadowworks.simulation.forward [REQUESTS]`.
+"""
 
 from __future__ import annotations
 
@@ -8,8 +11,9 @@
 import subprocess
 import sys
 import tempfile
+from collections.abc import AsyncIterator
+from contextlib import asynccontextmanager
 from pathlib import Path
-from typing import Any
 
 from meadowworks.local.backend import StubBackend
 from meadowworks.local.commands import DEMO_ROUTES
@@ -21,109 +25,145 @@
     build_configuration,
     free_ports,
 )
+from meadowworks.runtime.asgi import Receive, Scope, Send
 from meadowworks.runtime.errors import RequestError
 from meadowworks.runtime.http_connection import ClientConnection, connect
 from meadowworks.runtime.http_server import HttpServer
 from meadowworks.runtime.response_writer import send_response
 
-TURNS = 4
+TURNS = 4  # each process is measured so often: guards against a machine that is busy for a while
+DEFAULT_REQUESTS = 2000
+LOCAL_SUBNET = 78  # of the loopback network: each program that starts local systems has its own
+CONTROL_PLANE_NODES, PROXIES = 3, 1
 HEADERS = [(b"host", b"local.example"), (b"x-request-id", b"q"), (b"x-deadline-ms", b"1500")]
+RESPONSE_BODY = b"x" * 30  # as long as a stub backend's
+MAX_RESPONSE_BYTES = 65536
+CONNECT_TIMEOUT_S = 0.5
+POLL_S, MAX_POLLS = 0.05, 200  # until the processes serve: ten seconds
 
 
-def spent_s(pid: int) -> float:
-    """User and system time of a process."""
+def processor_time_s(pid: int) -> float:
+    """The user and system time that a process has taken."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-async def bare(port: int) -> None:
-    async def app(scope: Any, receive: Any, send: Any) -> None:
-        await send_response(send, 200, b"x" * 30, [(b"x-request-id", b"q")])
+async def serve_bare_responses(port: int) -> None:
+    """Answer every request at once; the program of the process to compare with."""
+
+    async def app(scope: Scope, receive: Receive, send: Send) -> None:  # noqa: ARG001
+        await send_response(send, 200, RESPONSE_BODY, [(b"x-request-id", b"q")])
 
     await HttpServer(app).listen("127.0.0.1", port)
     await asyncio.Event().wait()
 
 
-async def load(line: ClientConnection, count: int) -> None:
+async def send_requests(connection: ClientConnection, count: int) -> None:
+    """Send requests one after the other, each of which must be answered with 200."""
     for _ in range(count):
-        reply = await line.request(b"GET", b"/read/x", HEADERS, b"", 65536)
-        assert reply.status == 200, reply.status
+        response = await connection.request(b"GET", b"/read/x", HEADERS, b"", MAX_RESPONSE_BYTES)
+        assert response.status == 200, response.status
 
 
-async def reached(host: str, port: int) -> ClientConnection:
-    for _ in range(200):
+async def connect_when_serving(host: str, port: int) -> ClientConnection:
+    """A connection on which a request has been answered with 200."""
+    for _ in range(MAX_POLLS):
         try:
-            line = await connect(host, port, 0.5)
-            if (await line.request(b"GET", b"/read/x", HEADERS, b"", 65536)).status == 200:
-                return line
+            connection = await connect(host, port, CONNECT_TIMEOUT_S)
+            response = await connection.request(b"GET", b"/read/x", HEADERS, b"", MAX_RESPONSE_BYTES)
+            if response.status == 200:
+                return connection
         except RequestError:
             pass
-        await asyncio.sleep(0.05)
+        await asyncio.sleep(POLL_S)
     raise SystemExit(f"nothing serves at {host}:{port}")
 
 
+async def connect_to_control_plane(layout: SystemLayout) -> ClientConnection:
+    """A connection to the API of the first control-plane node."""
+    for _ in range(MAX_POLLS):
+        try:
+            return await connect(*layout.control_addresses()[0], CONNECT_TIMEOUT_S)
+        except RequestError:
+            await asyncio.sleep(POLL_S)
+    raise SystemExit("no control-plane node serves")
+
+
+async def replace_configuration(layout: SystemLayout) -> None:
+    """Put the demonstration's routes in force."""
+    connection = await connect_to_control_plane(layout)
+    body = build_configuration(1, DEMO_ROUTES)
+    headers = [(b"host", b"c"), (b"content-length", str(len(body)).encode())]
+    path = b"/api/Config.Replace"
+    while (await connection.request(b"POST", path, headers, body, MAX_RESPONSE_BYTES)).status != 200:
+        await asyncio.sleep(2 * POLL_S)
+    connection.close()
+
+
+@asynccontextmanager
+async def running_backends(layout: SystemLayout) -> AsyncIterator[None]:
+    """A stub backend of each service in each zone, with its heartbeats."""
+    heartbeats = []
+    for service in ("lookup", "orders"):
+        for zone in ZONES:
+            backend = StubBackend(f"{service}-{zone}", service, zone, layout.ip_address(20))
+            await backend.start()
+            sending = backend.run_heartbeats(layout.control_addresses(), HEARTBEAT_INTERVAL_MS / 1000)
+            heartbeats.append(asyncio.create_task(sending))
+    try:
+        yield
+    finally:
+        for task in heartbeats:
+            task.cancel()
+
+
+async def measure_by_turns(connections: dict[int, ClientConnection], count: int) -> dict[int, float]:
+    """The processor time for each request in milliseconds, by process.
+
+    :param connections: a connection to each process, by its id
+    :param count: the requests to each process
+    """
+    per_turn = count // TURNS
+    taken_s = dict.fromkeys(connections, 0.0)
+    for _ in range(TURNS):
+        for pid, connection in connections.items():
+            before_s = processor_time_s(pid)
+            await send_requests(connection, per_turn)
+            taken_s[pid] += processor_time_s(pid) - before_s
+    return {pid: 1000 * seconds / (per_turn * TURNS) for pid, seconds in taken_s.items()}
+
+
+def start_bare_server(port: int) -> subprocess.Popen[bytes]:
+    """A process that answers every request at once."""
+    code = f"import asyncio; from {__spec__.name} import serve_bare_responses as s; asyncio.run(s({port}))"
+    env = {**os.environ, "PYTHONPATH": str(PROJECT_ROOT)}
+    return subprocess.Popen([sys.executable, "-c", code], env=env)
+
+
 async def measure(count: int, folder: Path) -> None:
-    plan = SystemLayout(78, free_ports(), 3, 1)
-    parts = [start_node(plan, place, folder) for place in range(4)]
+    """Start a system and a bare server, measure both, and print what was found."""
+    layout = SystemLayout(LOCAL_SUBNET, free_ports(), CONTROL_PLANE_NODES, PROXIES)
+    nodes = [start_node(layout, place, folder) for place in range(CONTROL_PLANE_NODES + PROXIES)]
     port = free_ports().http
-    env = {**os.environ, "PYTHONPATH": str(PROJECT_ROOT)}
-    code = f"import asyncio; from meadowworks.simulation.forward import bare; asyncio.run(bare({port}))"
-    plain = subprocess.Popen([sys.executable, "-c", code], env=env)
-    tasks = []
+    bare_server = start_bare_server(port)
     try:
-        for svc in ("lookup", "orders"):
-            for zone in ZONES:
-                backend = StubBackend(f"{svc}-{zone}", svc, zone, plan.ip_address(20))
-                await backend.start()
-                tasks.append(
-                    asyncio.create_task(
-                        backend.run_heartbeats(plan.control_addresses(), HEARTBEAT_INTERVAL_MS / 1000)
-                    )
-                )
-        ctl = await reached_ctl(plan)
-        body = build_configuration(1, DEMO_ROUTES)
-        while (
-            await ctl.request(
-                b"POST",
-                b"/api/Config.Replace",
-                [(b"host", b"c"), (b"content-length", str(len(body)).encode())],
-                body,
-                65536,
-            )
-        ).status != 200:
-            await asyncio.sleep(0.1)
-        lines = {
-            parts[3].pid: await reached(*plan.proxy_addresses()[0]),
-            plain.pid: await reached("127.0.0.1", port),
-        }
-        taken = dict.fromkeys(lines, 0.0)
-        for _ in range(TURNS):
-            for pid, line in lines.items():
-                before = spent_s(pid)
-                await load(line, count // TURNS)
-                taken[pid] += spent_s(pid) - before
-        one, two = (1000 * taken[pid] / (count // TURNS * TURNS) for pid in lines)
+        async with running_backends(layout):
+            await replace_configuration(layout)
+            connections = {
+                nodes[-1].pid: await connect_when_serving(*layout.proxy_addresses()[0]),
+                bare_server.pid: await connect_when_serving("127.0.0.1", port),
+            }
+            forwarded_ms, bare_ms = (await measure_by_turns(connections, count)).values()
         print(
-            f"forwarded {one:.2f} ms, bare {two:.2f} ms of processor a request, ratio {one / two:.1f}, "
-            f"{count} requests each by turns"
+            f"forwarded {forwarded_ms:.2f} ms, bare {bare_ms:.2f} ms of processor a request, "
+            f"ratio {forwarded_ms / bare_ms:.1f}, {count} requests each by turns"
         )
     finally:
-        for task in tasks:
-            task.cancel()
-        for part in (*parts, plain):
-            part.kill()
-            part.wait()
-
-
-async def reached_ctl(plan: SystemLayout) -> ClientConnection:
-    for _ in range(200):
-        try:
-            return await connect(*plan.control_addresses()[0], 0.5)
-        except RequestError:
-            await asyncio.sleep(0.05)
-    raise SystemExit("no signalbox serves")
+        for process in (*nodes, bare_server):
+            process.kill()
+            process.wait()
 
 
 if __name__ == "__main__":
     with tempfile.TemporaryDirectory(prefix="meadowworks-") as where:
-        asyncio.run(measure(int(sys.argv[1]) if len(sys.argv) > 1 else 2000, Path(where)))
+        asyncio.run(measure(int(sys.argv[1]) if len(sys.argv) > 1 else DEFAULT_REQUESTS, Path(where)))
--- a/meadowworks/simulation/pauses.py
+++ b/meadowworks/simulation/pauses.py
@@ -29,7 +29,7 @@
 from meadowworks.runtime.compression import compress_steps, decompress_steps
 from meadowworks.runtime.cooperative import run_cooperatively
 from meadowworks.runtime.node_settings import parse_settings
-from meadowworks.simulation.forward import reached_ctl
+from meadowworks.simulation.forward import connect_to_control_plane
 
 OBSERVE_AFTER_S = 4.0  # that is looked at with nothing to do, and after an acknowledgement
 
@@ -146,7 +146,7 @@
 
 
 async def wait_until_reachable(plan: SystemLayout) -> None:
-    (await reached_ctl(plan)).close()
+    (await connect_to_control_plane(plan)).close()
 
 
 def read_pauses(parts: list[subprocess.Popen[str]]) -> list[tuple[float, float]]:
