--- a/meadowworks/load_balancing/service_balancer.py
+++ b/meadowworks/load_balancing/service_balancer.py
@@ -15,8 +15,8 @@
 from meadowworks.load_balancing.policy_settings import REPORT_INTERVAL_NS, policy_settings
 from meadowworks.policy import Controller
 from meadowworks.policy.interface import EndpointEntry
+from meadowworks.registry.backend_state import DRAINING, UP
 from meadowworks.registry.backends import BackendInstance
-from meadowworks.registry.heartbeats import DRAINING, UP
 
 SECOND = 1_000_000_000
 # How long a backend is slow after its start, until one has said so itself.
--- a/meadowworks/proxy/control_plane_view.py
+++ b/meadowworks/proxy/control_plane_view.py
@@ -14,8 +14,8 @@
 from meadowworks.gossip.updates import UpdateStore
 from meadowworks.load_balancing.service_balancer import ServiceBalancer
 from meadowworks.proxy.settings_reload import ReloadableSettings
+from meadowworks.registry.backend_state import DRAINING
 from meadowworks.registry.backends import BackendDirectory
-from meadowworks.registry.heartbeats import DRAINING
 from meadowworks.runtime import logging as logs
 from meadowworks.runtime.http_connection import ClientConnection
 from meadowworks.runtime.process import now_ns
--- a/tests/gateway/test_endpoint_selection.py
+++ b/tests/gateway/test_endpoint_selection.py
@@ -4,7 +4,8 @@
 
 from itertools import product
 
-from meadowworks.forwarding.endpoint_selection import EndpointChoices, choose_endpoints, estimate_delays, local_zone_suffices
+from meadowworks.forwarding.endpoint_selection import (
+    EndpointChoices,
     choose_endpoints,
     estimate_delays,
     local_zone_suffices,
