--- a/meadowworks/simulation/commands.py
+++ b/meadowworks/simulation/commands.py
@@ -62,9 +62,10 @@
     if what == "cost":
         return cost.main()
     if what == "control":
-        from meadowworks.simulation import campaign  # needs apsw
+        from meadowworks.simulation.control import command  # needs apsw
 
-        return campaign.main(point, seeds, without, guards, 4 if processes is None else processes, as_json)
+        workers = 4 if processes is None else processes
+        return command.run_control(point, seeds, without, guards, workers, as_json)
     if what == "report":
         return write_report(files or [], page)
     if what != "scale":
--- /dev/null
+++ b/meadowworks/simulation/control/invariants.py
@@ -0,0 +1,175 @@
+"""What must never be seen in a scenario, checked from outside of all machines."""
+
+from __future__ import annotations
+
+from collections import defaultdict
+from collections.abc import Mapping
+from functools import partial
+from typing import Any
+
+from meadowworks.consensus.codec import decode_epoch
+from meadowworks.consensus.effects import Persist
+from meadowworks.consensus.messages import AcceptRequest, Request
+from meadowworks.consensus.timing import LEASE_DURATION_NS
+from meadowworks.consensus.values import AcceptorSlot, Ballot, CommittedValue, Epoch, digest
+from meadowworks.simulation.control.cluster import Cluster
+from meadowworks.simulation.control.counts import ScenarioCounts
+from meadowworks.simulation.control.node import ControlPlaneNode
+from meadowworks.simulation.event_scheduler import MS, SECOND
+
+MAX_MESSAGES = 20  # that a scenario keeps
+CONTACT_SLACK_NS = 20 * MS  # a lease may rest on a message that left so long before the lease's time
+READ_AFTER_ACKNOWLEDGEMENT = 0.2  # the chance that a node is read right after an acknowledgement
+
+
+class InvariantChecker:
+    """Follows what every machine writes and says.
+
+    `messages` say what was violated; `epoch_in_force` is the newest epoch that a majority of its members has
+    installed, -1 before there is one.
+    """
+
+    def __init__(self, cluster: Cluster) -> None:
+        self.counts = ScenarioCounts(days=1)
+        self.messages: list[str] = []
+        self.epoch_in_force = -1
+        self._cluster = cluster
+        self._chosen: dict[int, set[bytes]] = defaultdict(set)  # values by version
+        self._acknowledged: list[tuple[int, int]] = []  # time, highest version acknowledged until then
+        self._accepted_by: dict[tuple[int, Ballot], set[str]] = defaultdict(set)  # members
+        self._installed_by: dict[int, set[str]] = defaultdict(set)  # members by epoch
+        self._epochs: dict[int, Epoch] = {}
+        self._epoch_of: dict[str, int] = {}  # by member
+        self._members_of_epoch: dict[int, tuple[tuple[str, str], ...]] = {}
+
+    def report_violation(self, column: str, detail: str) -> None:
+        """Count a violation in one of the columns."""
+        setattr(self.counts, column, getattr(self.counts, column) + 1)
+        if len(self.messages) < MAX_MESSAGES:
+            self.messages.append(f"{self._cluster.now / SECOND:.3f} {column}: {detail}")
+        self._cluster.log("!", f"{column}: {detail}")
+
+    # -- what is chosen
+
+    def on_chosen(self, version: int, value: bytes, source: str) -> None:
+        """Note that a value counts as chosen, for which there may be one only."""
+        values = self._chosen[version]
+        if version > 0 and value not in values:
+            values.add(value)
+            if len(values) == 2:
+                self.report_violation("confirmed_twice", f"{version} is {values} ({source})")
+
+    def on_persisted(self, node: ControlPlaneNode, effect: Persist) -> None:
+        """Note what is on a disk now."""
+        member, metadata = node.replica.acceptor.member_id, effect.update.metadata
+        if metadata is not None:
+            self._epoch_of[member] = metadata["epoch"][0]
+        for version, slot in effect.update.slots.items():
+            if slot is not None and version and slot.accepted.epoch >= 1:
+                self._on_accepted(node, member, version, slot)
+        if metadata is not None and metadata["installed"]:
+            self._on_installed(member, metadata)
+
+    def _on_accepted(self, node: ControlPlaneNode, member: str, version: int, slot: AcceptorSlot) -> None:
+        if slot.accepted.epoch != self._epoch_of[member]:
+            return  # a copy that came with a change of members
+        voters = self._accepted_by[version, slot.accepted]
+        if member in voters:
+            return
+        voters.add(member)
+        epoch = self._epochs.get(slot.accepted.epoch)
+        if epoch is not None and len([one for one in voters if epoch.has_member(one)]) == epoch.majority:
+            self.on_chosen(version, slot.value, node.address)
+
+    def _on_installed(self, member: str, metadata: Mapping[str, Any]) -> None:
+        epoch = decode_epoch(metadata["epoch"])
+        number = epoch.number
+        if self._members_of_epoch.setdefault(number, epoch.members) != epoch.members:
+            self.report_violation("confirmed_twice", f"epoch {number} has two sets of members")
+        self._epochs[number] = epoch
+        if epoch.has_member(member) or number == 0:
+            self._installed_by[number].add(member)
+        if len(self._installed_by[number]) >= epoch.majority and number > self.epoch_in_force:
+            self.epoch_in_force = number
+            self._cluster.log("*", f"epoch {number} in force: {[address for _, address in epoch.members]}")
+
+    # -- what operators are told
+
+    def newest_acknowledged(self, at_ns: int) -> int:
+        """Return the highest version that was acknowledged at or before a time."""
+        for when_ns, version in reversed(self._acknowledged):
+            if when_ns <= at_ns:
+                return version
+        return 0
+
+    def on_acknowledged(self, version: int, value: bytes, node: ControlPlaneNode) -> None:
+        """Check that what a node acknowledges is committed there, and have some nodes read it."""
+        committed = node.replica.acceptor.committed
+        if committed.version == version:
+            self.on_chosen(version, value, f"acknowledged by {node.address}")
+        elif committed.version < version:
+            self.report_violation("acked_then_lost", f"{version} acknowledged at {committed.version}")
+        cluster = self._cluster
+        if version > self.newest_acknowledged(cluster.now):
+            self._acknowledged.append((cluster.now, version))
+            for other in cluster.nodes.values():
+                if other.up and cluster.random.random() < READ_AFTER_ACKNOWLEDGEMENT:
+                    soon_ns = cluster.random.randrange(4 * MS)
+                    read = partial(other.deliver, other.incarnation, other.read)
+                    cluster.scheduler.call_later(soon_ns, read)
+
+    def on_conflict(self, version: int, value: bytes, node: ControlPlaneNode) -> None:
+        """Check that a value which is refused was not chosen."""
+        chosen = {digest(one) for one in self._chosen[version]}
+        for other in self._cluster.nodes.values():
+            if other.driver and (known := other.replica.acceptor.history.get(version)):
+                chosen.add(known)
+        if digest(value) in chosen or not chosen:
+            detail = f"{version} by {node.address}; chosen: {len(chosen)}"
+            self.report_violation("refused_though_taken", detail)
+
+    # -- what is served
+
+    def check_lease(self, node: ControlPlaneNode) -> None:
+        """Check what a proxy or backend would be told by a node that holds its lease."""
+        if not node.replica.holds_lease(node.local_time()):
+            return
+        now = self._cluster.now
+        version = node.replica.acceptor.committed.version
+        newest = self.newest_acknowledged(now - LEASE_DURATION_NS)
+        if version < newest and not node.stale_reported:
+            node.stale_reported = True  # once an incarnation
+            self.report_violation("old_served", f"{node.address} is sure of {version} < {newest}")
+        contacts, required = self._count_contacts(node, now - LEASE_DURATION_NS - CONTACT_SLACK_NS)
+        if contacts < required and not node.minority_reported:
+            node.minority_reported = True
+            detail = f"{node.address} is sure, heard {contacts} of {required}"
+            self.report_violation("served_without_majority", detail)
+
+    def on_read(self, node: ControlPlaneNode, started_ns: int, committed: CommittedValue) -> None:
+        """Check what a quorum read that began at a time has returned."""
+        newest = self.newest_acknowledged(started_ns)
+        if committed.version < newest:
+            self.report_violation("old_served", f"{node.address} reads {committed.version} < {newest}")
+        if committed.version:
+            self.on_chosen(committed.version, committed.value, f"read at {node.address}")
+        contacts, required = self._count_contacts(node, started_ns)
+        if contacts < required:
+            detail = f"{node.address} reads, heard {contacts} of {required}"
+            self.report_violation("served_without_majority", detail)
+
+    def _count_contacts(self, node: ControlPlaneNode, since_ns: int) -> tuple[int, int]:
+        """Return of how many members a node may have heard what left since a time, and how many it needs."""
+        acceptor, last_contact = node.replica.acceptor, self._cluster.network.last_contact
+        epoch = acceptor.newest_epoch()
+        contacts = sum(
+            member in (acceptor.member_id, acceptor.founder_id)
+            or last_contact.get((address, node.address), -1) >= since_ns
+            for member, address in epoch.members
+        )
+        return contacts, epoch.majority
+
+    def on_late_acceptance(self, node: ControlPlaneNode, request: Request) -> None:
+        """Note that a member whose epoch has ended accepts something in it."""
+        version = request.version if isinstance(request, AcceptRequest) else 0
+        self.report_violation("led_with_old", f"{node.address} takes {version} late")
--- /dev/null
+++ b/meadowworks/simulation/control/pull.py
@@ -0,0 +1,121 @@
+"""One pull between two control planes, which keeps their state and leases fresh."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from functools import partial
+from typing import TYPE_CHECKING
+
+from meadowworks.consensus.messages import QueryReply
+from meadowworks.consensus.values import CommittedValue, DigestHistory, Epoch
+from meadowworks.simulation.event_scheduler import MS, SECOND, Callback
+
+if TYPE_CHECKING:
+    from meadowworks.simulation.control.node import ControlPlaneNode
+
+HOLD_NS = SECOND // 2  # that a pull without news waits at its target
+TIMEOUT_NS = SECOND
+NEXT_PULL_NS = 10 * MS
+RETRY_NS = 300 * MS  # after a pull at a machine that is down
+
+
+@dataclass(frozen=True, slots=True, eq=False)
+class HeldPull:
+    """A pull that waits at its target for a newer version or epoch than the asker has."""
+
+    version: int
+    epoch: int
+    answer: Callback
+
+    def lacks(self, version: int, epoch: int) -> bool:
+        """Tell whether the asker lacks a version or an epoch."""
+        return self.version < version or self.epoch < epoch
+
+
+@dataclass(frozen=True, slots=True)
+class PullAnswer:
+    """What a pull brings: the target's state, and what it has that is newer."""
+
+    state: QueryReply
+    epoch: Epoch | None
+    committed: CommittedValue | None
+    history: DigestHistory
+
+
+class Pull:
+    """One pull by a node at a target, from its sending until the next one is due."""
+
+    def __init__(self, node: ControlPlaneNode, target: ControlPlaneNode) -> None:
+        acceptor = node.replica.acceptor
+        self._node, self._target = node, target
+        self._cluster = node.cluster
+        self._incarnation = node.incarnation
+        self._sent_ns = node.local_time()
+        self._version, self._epoch = acceptor.committed.version, acceptor.newest_epoch().number
+        self._is_open = True
+
+    def send(self) -> None:
+        """Send the pull; it ends by its answer or its time-out."""
+        node, target = self._node, self._target
+        if not target.up:
+            self._end(RETRY_NS)
+            return
+        time_out = partial(node.deliver, self._incarnation, partial(self._end, NEXT_PULL_NS))
+        self._cluster.scheduler.call_later(TIMEOUT_NS, time_out)
+        self._cluster.network.send(node.address, target.address, self._arrive)
+
+    def _end(self, wait_ns: int) -> None:
+        if self._is_open:
+            self._is_open = False
+            again = partial(self._node.pull, self._incarnation, self._target.address)
+            self._cluster.scheduler.call_later(wait_ns, again)
+
+    # -- at the target
+
+    def _arrive(self) -> None:
+        target = self._target
+        if not target.up:
+            return
+        answer = partial(self._answer, target.incarnation)
+        acceptor = target.replica.acceptor
+        held = HeldPull(self._version, self._epoch, answer)
+        if held.lacks(acceptor.committed.version, acceptor.epoch.number):
+            answer()
+            return
+        target.running.held_pulls.append(held)
+        self._cluster.scheduler.call_later(HOLD_NS, partial(self._end_hold, held))
+
+    def _end_hold(self, held: HeldPull) -> None:
+        if held in self._target.running.held_pulls:
+            self._target.running.held_pulls.remove(held)
+            held.answer()
+
+    def _answer(self, target_incarnation: int) -> None:
+        if self._target.up and target_incarnation == self._target.incarnation:
+            self._target.deliver(target_incarnation, self._send_answer)
+
+    def _send_answer(self) -> None:
+        acceptor = self._target.replica.acceptor
+        has_newer_epoch = acceptor.installed and acceptor.epoch.number > self._epoch
+        has_newer_version = acceptor.committed.version > self._version
+        answer = PullAnswer(
+            acceptor.query_reply(),
+            acceptor.epoch if has_newer_epoch else None,
+            acceptor.committed if has_newer_version else None,
+            acceptor.digest_history(),
+        )
+        arrive = partial(self._node.deliver, self._incarnation, partial(self._on_answer, answer))
+        self._cluster.network.send(self._target.address, self._node.address, arrive)
+
+    # -- at the node again
+
+    def _on_answer(self, answer: PullAnswer) -> None:
+        if not self._is_open:
+            return  # the call was given up
+        replica, now = self._node.replica, self._node.local_time()
+        if answer.epoch is not None:
+            replica.on_epoch(now, answer.epoch)
+        replica.on_query_reply(now, self._sent_ns, answer.state)
+        if answer.committed is not None:
+            replica.on_committed_value(now, answer.committed, answer.history)
+        self._end(NEXT_PULL_NS)
--- /dev/null
+++ b/meadowworks/simulation/control/replica_driver.py
@@ -0,0 +1,230 @@
+"""Drives the product's `Replica` for one incarnation of a simulated control plane, as the program does."""
+
+from __future__ import annotations
+
+import sqlite3
+from collections.abc import Callable
+from dataclasses import dataclass
+from functools import partial
+from typing import TYPE_CHECKING
+
+from meadowworks.consensus.effects import (
+    CompleteOperation,
+    Effect,
+    LogEntry,
+    Persist,
+    SendReply,
+    SendRequest,
+    ValueCommitted,
+)
+from meadowworks.consensus.messages import AcceptRequest, Reply, Request
+from meadowworks.consensus.operations import LEAVE_WAITER_ID
+from meadowworks.consensus.replica import Replica
+from meadowworks.consensus.values import NO_BALLOT, Ballot, CommittedValue
+from meadowworks.simulation.control.pull import HeldPull
+from meadowworks.simulation.control.simulated_disk import SimulatedStore
+from meadowworks.simulation.event_scheduler import MS, SECOND
+
+if TYPE_CHECKING:
+    from meadowworks.simulation.control.node import ControlPlaneNode
+
+CALL_TIMEOUT_NS = SECOND  # that any reply is waited for
+OPERATION_TIMEOUT_NS = 900 * MS  # that a control plane takes for a change or a read
+TIMER_RESOLUTION_NS = MS // 10
+SLOW_WRITE_RATE = 0.02
+SLOW_WRITE_MS, WRITE_MS = (20, 250), (1, 6)
+MAX_OPERATIONS_TO_DEATH = 14  # of the disk, that a write under way may still do
+
+OnOutcome = Callable[[object], None]
+
+
+@dataclass(frozen=True, slots=True, eq=False)
+class RequestOrigin:
+    """Whom a reply goes to."""
+
+    driver: ReplicaDriver
+    request_id: int
+
+
+class ReplicaDriver:
+    """Does what a replica wants done, and tells it what comes.
+
+    `held_pulls` are pulls by others that wait for news of this replica.
+    """
+
+    def __init__(self, node: ControlPlaneNode, replica: Replica, store: SimulatedStore) -> None:
+        self.replica = replica
+        self.held_pulls: list[HeldPull] = []
+        self._node, self._cluster, self._store = node, node.cluster, store
+        self._incarnation = node.incarnation
+        self._pending_write: Persist | None = None
+        self._timer_ns = 0
+        self._operation_count = 0
+        self._outcome_callbacks: dict[int, OnOutcome] = {}
+
+    # -- effects
+
+    def run_effects(self) -> None:
+        """Do what the replica wants done, answer pulls that have waited for it, and set its timer."""
+        while effects := self.replica.take_effects():
+            for effect in effects:
+                self._run_effect(effect)
+        self._cluster.checker.check_lease(self._node)
+        self._answer_held_pulls()
+        self._set_timer()
+
+    def _run_effect(self, effect: Effect) -> None:
+        match effect:
+            case Persist():
+                self._begin_write(effect)
+            case SendRequest(request_id, address, request):
+                self._send_request(request_id, address, request)
+            case SendReply(origin, member_id, reply):
+                self._send_reply(origin, member_id, reply)
+            case CompleteOperation(waiter_id, outcome):
+                if (callback := self._outcome_callbacks.pop(waiter_id, None)) is not None:
+                    callback(outcome)
+            case ValueCommitted(committed):
+                source = f"in force at {self._node.address}"
+                self._cluster.checker.on_chosen(committed.version, committed.value, source)
+                self._node.log(f"in force: {committed.version}")
+            case LogEntry(text):
+                self._node.log(text)
+
+    def _answer_held_pulls(self) -> None:
+        acceptor = self.replica.acceptor
+        version, epoch = acceptor.committed.version, acceptor.epoch.number
+        answered = [pull for pull in self.held_pulls if pull.lacks(version, epoch)]
+        self.held_pulls = [pull for pull in self.held_pulls if pull not in answered]
+        for pull in answered:
+            pull.answer()
+
+    # -- writes
+
+    def _begin_write(self, effect: Persist) -> None:
+        self._pending_write = effect
+        chance = self._cluster.random
+        is_slow = self._node.slow_disk or chance.random() < SLOW_WRITE_RATE
+        wait_ms = chance.uniform(*(SLOW_WRITE_MS if is_slow else WRITE_MS))
+        end_write = partial(self._node.deliver, self._incarnation, partial(self._end_write, effect))
+        self._cluster.scheduler.call_later(int(wait_ms * MS), end_write)
+
+    def _end_write(self, effect: Persist) -> None:
+        now = self._node.local_time()
+        if self._cluster.random.random() < self._cluster.write_failure_rate:
+            self.replica.on_persist_failed(now, effect.write_id)
+            return
+        self._store.save(effect.update)
+        self._pending_write = None
+        self._cluster.checker.on_persisted(self._node, effect)
+        self.replica.on_persisted(now, effect.write_id)
+        counts, acceptor = self._cluster.checker.counts, self.replica.acceptor
+        counts.most_slots = max(counts.most_slots, len(acceptor.slots))
+        counts.most_history = max(counts.most_history, len(acceptor.history))
+        counts.disk_kb = max(counts.disk_kb, self._node.disk.size_bytes() // 1024)
+
+    def break_off_write(self, power_lost: bool) -> None:
+        """Let a write that is under way do some of its operations on the disk, or all."""
+        if self._pending_write is None:
+            return
+        effect, self._pending_write = self._pending_write, None
+        self._node.disk.operations_left = self._cluster.random.randrange(MAX_OPERATIONS_TO_DEATH)
+        try:
+            self._store.save(effect.update)
+        except sqlite3.Error:
+            return
+        if not power_lost:  # a killed process may have ended its write
+            self._cluster.checker.on_persisted(self._node, effect)
+
+    def abandon_store(self) -> None:
+        """Close the store of a process that is gone."""
+        self._store.abandon()
+
+    # -- the timer
+
+    def _set_timer(self) -> None:
+        scheduler = self._cluster.scheduler
+        tick_ns = self._node.to_simulated_time(self.replica.next_tick_ns())
+        due_ns = max(scheduler.now + TIMER_RESOLUTION_NS, tick_ns)
+        if not self._timer_ns or due_ns < self._timer_ns or self._timer_ns <= scheduler.now:
+            self._timer_ns = due_ns
+            scheduler.call_at(due_ns, partial(self._on_timer, due_ns))
+
+    def _on_timer(self, due_ns: int) -> None:
+        if self._node.incarnation == self._incarnation and self._timer_ns == due_ns:
+            self._node.deliver(self._incarnation, self._tick)
+
+    def _tick(self) -> None:
+        self._timer_ns = 0
+        self.replica.tick(self._node.local_time())
+
+    # -- requests and replies
+
+    def _send_request(self, request_id: int, address: str, request: Request) -> None:
+        node, scheduler = self._node, self._cluster.scheduler
+        target = self._cluster.nodes.get(address)
+        time_out = partial(node.deliver, self._incarnation, partial(self._on_time_out, request_id))
+        if target is None or not target.up:
+            scheduler.call_later(MS, time_out)
+            return
+        scheduler.call_later(CALL_TIMEOUT_NS, time_out)
+        arrive = partial(target.on_request, RequestOrigin(self, request_id), request)
+        self._cluster.network.send(node.address, address, arrive)
+
+    def _on_time_out(self, request_id: int) -> None:
+        self.replica.on_request_failed(self._node.local_time(), request_id)
+
+    def on_request(self, origin: RequestOrigin, request: Request) -> None:
+        """Take a request of another node, and check that a member whose epoch has ended accepts nothing."""
+        acceptor = self.replica.acceptor
+        epoch_is_over = acceptor.sealed_by is not None or acceptor.newest_epoch().number > request.epoch
+        before = self._accepted_ballot(request)
+        self.replica.on_request(self._node.local_time(), origin, request)
+        if epoch_is_over and self._accepted_ballot(request) not in (before, NO_BALLOT):
+            self._cluster.checker.on_late_acceptance(self._node, request)
+
+    def _accepted_ballot(self, request: Request) -> Ballot:
+        """Return under which ballot the acceptor has accepted what a request asks for."""
+        if not isinstance(request, AcceptRequest):
+            return NO_BALLOT
+        slot = self.replica.acceptor.slots.get(request.version)
+        return slot.accepted if slot else NO_BALLOT
+
+    def _send_reply(self, origin: RequestOrigin, member_id: str, reply: Reply) -> None:
+        asker = origin.driver
+        take = partial(asker.on_reply, origin.request_id, member_id, reply)
+        arrive = partial(asker._node.deliver, asker._incarnation, take)
+        self._cluster.network.send(self._node.address, asker._node.address, arrive)
+
+    def on_reply(self, request_id: int, member_id: str, reply: Reply) -> None:
+        """Take the reply to an own request."""
+        self.replica.on_reply(self._node.local_time(), request_id, member_id, reply)
+
+    # -- operations
+
+    def submit(self, version: int, value: bytes, on_outcome: OnOutcome) -> None:
+        """Take an operator's change."""
+        waiter_id, now = self._add_waiter(on_outcome), self._node.local_time()
+        self.replica.propose(now, waiter_id, version, value, now + OPERATION_TIMEOUT_NS)
+
+    def read(self) -> None:
+        """Do a quorum read, and have the checker look at its result."""
+        started_ns = self._cluster.now
+
+        def on_outcome(outcome: object) -> None:
+            if isinstance(outcome, CommittedValue):
+                self._cluster.checker.on_read(self._node, started_ns, outcome)
+
+        waiter_id, now = self._add_waiter(on_outcome), self._node.local_time()
+        self.replica.read(now, waiter_id, now + OPERATION_TIMEOUT_NS)
+
+    def leave(self, timeout_ns: int, on_outcome: OnOutcome) -> None:
+        """Hand over before the process ends."""
+        self._outcome_callbacks[LEAVE_WAITER_ID] = on_outcome
+        now = self._node.local_time()
+        self.replica.leave(now, now + timeout_ns)
+
+    def _add_waiter(self, on_outcome: OnOutcome) -> int:
+        self._operation_count += 1
+        self._outcome_callbacks[self._operation_count] = on_outcome
+        return self._operation_count
--- /dev/null
+++ b/meadowworks/simulation/control/workload.py
@@ -0,0 +1,87 @@
+"""Operators who change the configuration, and readers."""
+
+from __future__ import annotations
+
+from functools import partial
+
+from meadowworks.simulation.control.cluster import Cluster
+from meadowworks.simulation.control.node import ControlPlaneNode
+from meadowworks.simulation.control.operator_update import OPERATOR_TIMEOUT_NS, OperatorUpdate
+from meadowworks.simulation.event_scheduler import MS, Callback
+
+RECENT_UPDATES = 6  # of which one may be sent again
+READ_GAP_MS = (50, 400)
+Range = tuple[int, int]  # least, and one above the greatest
+
+
+class Workload:
+    """The updates of a scenario; `highest_version` is the highest that was sent."""
+
+    def __init__(self, cluster: Cluster) -> None:
+        self.updates: list[OperatorUpdate] = []
+        self.highest_version = 0
+        self._cluster = cluster
+
+    def claim_next_version(self) -> int:
+        """Return the next version, which then counts as sent."""
+        self.highest_version += 1
+        return self.highest_version
+
+    def create(
+        self,
+        version: int,
+        value: bytes,
+        reply_loss: float,
+        *,
+        send_twice: bool = False,
+        first_node: ControlPlaneNode | None = None,
+        timeout_ns: int = OPERATOR_TIMEOUT_NS,
+    ) -> OperatorUpdate:
+        """Send an update that nobody sends again."""
+        self.highest_version = max(self.highest_version, version)
+        return OperatorUpdate(self._cluster, version, value, reply_loss, send_twice, first_node, timeout_ns)
+
+    def send(
+        self, version: int, value: bytes, reply_loss: float, first_node: ControlPlaneNode | None = None
+    ) -> None:
+        """Send an update that may be sent again."""
+        self.updates.append(self.create(version, value, reply_loss, first_node=first_node))
+
+    def submit(self, reply_loss: float = 0.05, rivals: int = 0) -> None:
+        """Send the next version; rivals send their own under the same number, some the same."""
+        chance = self._cluster.random
+        version = self.highest_version + chance.choice([1, 1, 1, 2, 5])
+        values = [f"{version}-{number}".encode() for number in range(rivals + 1)]
+        for number in range(rivals + 1):
+            value = values[number] if number == 0 or chance.random() < 0.8 else values[0]
+            wait_ns = 0 if number == 0 else chance.randrange(50 * MS)
+            self._cluster.scheduler.call_later(
+                wait_ns, partial(self._send_to_some, version, value, reply_loss)
+            )
+
+    def _send_to_some(self, version: int, value: bytes, reply_loss: float) -> None:
+        send_twice = self._cluster.random.random() < 0.3
+        self.updates.append(self.create(version, value, reply_loss, send_twice=send_twice))
+
+    def resend(self) -> None:
+        """Send one of the last updates again as it was, whether or not its answer came."""
+        if self.updates:
+            update = self._cluster.random.choice(self.updates[-RECENT_UPDATES:])
+            self._send_to_some(update.version, update.value, 0.2)
+
+    def read_somewhere(self) -> None:
+        """Read at any node that is up."""
+        node = self._cluster.random.choice(list(self._cluster.nodes.values()))
+        if node.up:
+            node.deliver(node.incarnation, node.read)
+
+    def repeat(self, start_ns: int, end_ns: int, action: Callback, gap_ms: Range) -> None:
+        """Do something again and again between two times."""
+        cluster = self._cluster
+
+        def act() -> None:
+            if cluster.now < end_ns:
+                action()
+                cluster.scheduler.call_later(cluster.random.randrange(*gap_ms) * MS, act)
+
+        cluster.scheduler.call_at(start_ns, act)
--- a/tests/gateway/golden_product.py
+++ b/tests/gateway/golden_product.py
@@ -515,13 +515,12 @@
 @contextmanager
 def days_not_played() -> Iterator[None]:
     """The laboratory's days are left out: its object has the same names without them."""
-    from meadowworks.simulation import (
-        campaign,  # with what else the laboratory needs: messages are tested without
-    )
-    from meadowworks.simulation.control import ScenarioCounts
+    # Here, since it needs what else the laboratory needs: messages are tested without.
+    from meadowworks.simulation.control import command
+    from meadowworks.simulation.control.counts import ScenarioCounts
 
-    nothing: tuple[ScenarioCounts, list[str], bool] = (ScenarioCounts(), [], True)
-    with patch.object(campaign, "run_seeds", lambda *words: nothing):
+    nothing = command.RunOutcome(ScenarioCounts(), [], True)
+    with patch.object(command, "run_seeds", lambda *words: nothing):
         yield
 
 
--- /dev/null
+++ b/tests/simulation/test_control_scenarios.py
@@ -0,0 +1,65 @@
+"""`lab control`: a few seeds of each scenario, and some guards that are missed when they are gone."""
+
+from __future__ import annotations
+
+import pytest
+
+from meadowworks.cli import main as commands
+from meadowworks.simulation.control.command import run_seed, run_seeds
+from meadowworks.simulation.control.guards import GUARDS_BY_NAME
+from meadowworks.simulation.control.scenarios import SCENARIOS
+
+
+@pytest.mark.parametrize("point", sorted(SCENARIOS))
+def test_scenarios_without_a_violation(point: int) -> None:
+    outcome = run_seeds(point, range(3), "", 1)
+    assert outcome.complete
+    assert outcome.counts.days == 3
+    assert outcome.counts.acked > 0
+    assert not outcome.counts.violations(), outcome.messages
+
+
+def test_the_same_seed_gives_the_same_scenario() -> None:
+    assert run_seed(2, "", 5) == run_seed(2, "", 5)
+
+
+@pytest.mark.parametrize(
+    ("name", "column"),
+    [
+        ("lease", "served_without_majority"),
+        ("read-majority", "served_without_majority"),
+        ("one-content", "confirmed_twice"),
+        ("history", "refused_though_taken"),
+        ("sync", "never_level"),
+        ("replace", "never_level"),
+    ],
+)
+def test_a_guard_that_is_gone_is_missed(name: str, column: str) -> None:
+    outcome = run_seeds(GUARDS_BY_NAME[name].point, range(2), name, 1)
+    assert outcome.counts.violations().get(column), outcome.counts
+
+
+def test_a_guard_is_back_after_its_scenario() -> None:
+    run_seed(2, "one-content", 0)
+    assert not run_seeds(2, range(1), "", 1).counts.violations()
+
+
+@pytest.mark.parametrize("name", sorted(GUARDS_BY_NAME))
+def test_each_guard_names_members_of_the_product(name: str) -> None:
+    for patch in GUARDS_BY_NAME[name].patches:
+        assert hasattr(patch.owner, patch.name)
+
+
+@pytest.mark.parametrize(
+    "words",
+    [
+        ["--point", "9"],
+        ["--seeds", "3"],
+        ["--seeds", "4:4"],
+        ["--without", "nothing"],
+        ["--processes", "17"],
+    ],
+)
+def test_bad_input_is_told_in_a_line(words: list[str], capsys: pytest.CaptureFixture[str]) -> None:
+    assert commands.main(["lab", "control", *words]) == 2
+    assert capsys.readouterr().err.count("\n") == 1
