--- a/meadowworks/modelcheck/models/gossip_world.py
+++ b/meadowworks/modelcheck/models/gossip_world.py
@@ -334,6 +334,7 @@
             repr((sorted(node.replied.items()), sorted(node.heartbeats.unknown_departures))),
             repr(sorted((key, instance.state) for key, instance in node.directory.instances.items())),
             repr(sorted(node.heartbeats.registrations.items())),
+            node.view.local.heartbeat,  # a restart before or after pulls leaves another
             tuple(sorted(node.peer_heartbeats().items())),
         )
 
