--- a/meadowworks/gossip/messages.py
+++ b/meadowworks/gossip/messages.py
@@ -46,7 +46,8 @@
     :ivar version_vector: by source, the newest version that it holds.
     :ivar config_version: the version of the configuration that it holds; 0 for none.
     :ivar max_wait_ms: for how long the reply may be held back for want of urgent updates.
-    :ivar load_report: what a proxy has counted since its last pull.
+    :ivar load_report: what a proxy has counted since its last pull, as ``load_balancing.load_reports``
+        encodes it.
     :ivar epoch_number: the newest epoch of members that a control-plane node knows; None from a proxy.
     :ivar drain_acknowledgement: of the node asked, from a control-plane node.
     """
@@ -114,6 +115,7 @@
         )
 
     def encode_consensus_fields(self) -> list[Any]:
+        """Returns the fields between control-plane nodes, as they stand at a reply's end."""
         if self.acceptor_state is None and self.epoch is None:
             return [None, None, []]
         from meadowworks.consensus import codec
@@ -144,7 +146,10 @@
 def decode_consensus_fields(
     seen: Any, epoch: Any, history: Any
 ) -> tuple[QueryReply | None, Epoch | None, DigestHistory]:
-    """Raises ValueError, TypeError or KeyError."""
+    """Reads the fields between control-plane nodes.
+
+    :raises ValueError, TypeError, KeyError: if they are malformed.
+    """
     if seen is None and epoch is None and history == []:
         return None, None, ()
     from meadowworks.consensus import codec
@@ -152,7 +157,7 @@
 
     found = None if seen is None else codec.decode(seen)
     if not (found is None or isinstance(found, QueryReply)):
-        raise ValueError("not what a disk says of itself")
+        raise ValueError("no state of an acceptor")
     return found, None if epoch is None else codec.decode_epoch(epoch), codec.decode_history(history)
 
 
--- a/meadowworks/modelcheck/models/gossip.py
+++ b/meadowworks/modelcheck/models/gossip.py
@@ -6,13 +6,8 @@
 
 from meadowworks.gossip.updates import SourceLog
 from meadowworks.modelcheck.model import Model, Property, Step
-from meadowworks.modelcheck.models.gossip_world import (
-    CONTROL_PLANE,
-    DRAINED_BACKEND,
-    Budget,
-    GossipWorld,
-    thaw,
-)
+from meadowworks.modelcheck.models.gossip_node import CONTROL_PLANE, DRAINED_BACKEND
+from meadowworks.modelcheck.models.gossip_world import Budget, GossipWorld, thaw
 from meadowworks.registry.backend_state import (
     BACKEND_KEY_PREFIX,
     GONE,
--- a/meadowworks/modelcheck/models/gossip_world.py
+++ b/meadowworks/modelcheck/models/gossip_world.py
@@ -16,18 +16,16 @@
 from typing import Any
 
 from meadowworks.gossip.messages import decode_delta, encode_delta
-from meadowworks.gossip.peer_sampling import PartialView, PeerRecord
+from meadowworks.gossip.peer_sampling import PeerRecord
 from meadowworks.gossip.updates import SourceDelta
 from meadowworks.modelcheck.model import Step
-from meadowworks.modelcheck.models.registry_node import RegistryNode, heartbeat_document
-from meadowworks.registry.backend_state import BACKEND_KEY_PREFIX, DRAINING, GONE, SUSPECT, UP
+from meadowworks.modelcheck.models.gossip_node import CONTROL_PLANE, DRAINED_BACKEND, PROXY, Node
+from meadowworks.modelcheck.models.registry_node import heartbeat_document
+from meadowworks.registry.backend_state import BACKEND_KEY_PREFIX, DRAINING, GONE, UP
 from meadowworks.registry.heartbeats import CallAccepted, CallOutcome
 
-CONTROL_PLANE, PROXY = (0, 1), 2  # hosts
 PULLS = ((0, 1), (1, 0), (PROXY, 0), (PROXY, 1))  # who pulls from whom
-DRAINED_BACKEND, FORGOTTEN_BACKEND = "x", "y"
-RANK_OF_STATE = {UP: 0, SUSPECT: 0, DRAINING: 1, GONE: 2}
-UNKNOWN_RANK = -1
+FORGOTTEN_BACKEND = "y"  # its key is deleted
 
 
 @dataclass(frozen=True, slots=True)
@@ -51,39 +49,6 @@
     pulls: int = 5
 
 
-class Node(RegistryNode):
-    """One process on a host, and the peers that it knows.
-
-    :ivar replied: by host, the incarnation that replied last.
-    """
-
-    def __init__(self, host: int, incarnation: int) -> None:
-        super().__init__(f"{host}.{incarnation}", max_tombstones=0)
-        self.host, self.incarnation = host, incarnation
-        self.replied: dict[int, str] = {}
-        is_voter = host != PROXY
-        record = PeerRecord(
-            self.source_id, f"h{host}", 1, "z", is_voter, self.source_id, heartbeat=100 * incarnation
-        )
-        self.view = PartialView(record, 1)
-
-    def rank(self) -> int:
-        """Returns how far it takes the drained backend to be gone.
-
-        A backend whose address is not known yet has a state all the same.
-        """
-        instance = self.directory.instances.get(DRAINED_BACKEND)
-        if instance is not None:
-            return RANK_OF_STATE.get(instance.state, UNKNOWN_RANK)
-        if DRAINED_BACKEND in self.directory.reports:
-            return RANK_OF_STATE[self.directory.merged_state(DRAINED_BACKEND)]
-        return UNKNOWN_RANK
-
-    def peer_heartbeats(self) -> dict[str, int]:
-        """Returns the heartbeat counter of each peer in its view, by host."""
-        return {host: entry.record.heartbeat for host, entry in self.view.peers.items()}
-
-
 @dataclass(frozen=True, slots=True)
 class DelayedReply:
     """A reply on its way to a host."""
