--- a/meadowworks/modelcheck/seeded_faults/replica.py
+++ b/meadowworks/modelcheck/seeded_faults/replica.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from meadowworks.modelcheck.fault import SeededFault
+from meadowworks.modelcheck.seeded_fault import SeededFault
 
 PACKAGE = "meadowworks.consensus."
 ACCEPTOR, PROPOSER = PACKAGE + "acceptor:Acceptor.", PACKAGE + "proposer:Proposer."
