--- a/meadowworks/simulator_adapter/__init__.py
+++ b/meadowworks/simulator_adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator's wire as a host of the decision module."""
+"""The simulator's wire as a host of the policy: `wire` reads batches, `events` lines, `host` answers."""
--- a/meadowworks/simulator_adapter/__main__.py
+++ b/meadowworks/simulator_adapter/__main__.py
@@ -1,4 +1,4 @@
-"""Reads batches on standard input, calls the module, writes its answers to standard output."""
+"""Reads batches on standard input, calls the policy, writes its answers to standard output."""
 
 from __future__ import annotations
 
@@ -6,10 +6,20 @@
 
 from meadowworks.simulator_adapter.wire import WireError, serve
 
-if __name__ == "__main__":
+
+def main() -> int:
+    """Runs the adapter.
+
+    :returns: its exit status: 2 for input that the wire does not allow.
+    """
     try:
         with open(sys.stdin.fileno(), encoding="utf-8", errors="replace", closefd=False) as source:
             serve(source, sys.stdout)
-    except WireError as trouble:
-        print(f"wirehost: {trouble}", file=sys.stderr)
-        sys.exit(2)
+    except WireError as error:
+        print(f"meadowworks.simulator_adapter: {error}", file=sys.stderr)
+        return 2
+    return 0
+
+
+if __name__ == "__main__":
+    sys.exit(main())
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -38,7 +38,7 @@
 from meadowworks.fleet.settings import flatten, read_settings
 from meadowworks.fleet.streams import ProxyStreams
 from meadowworks.fleet.table_updates import TableUpdates
-from meadowworks.simulator_adapter.wire import ControllerInstance
+from meadowworks.simulator_adapter.host import ControllerInstance
 from tests.helpers import LANES, NESTED, Desk, Peer, Program
 
 NAMES = dict(enumerate(("s-0", "s-1", "s-2")))
