--- a/meadowworks/modelcheck/models/consensus/model.py
+++ b/meadowworks/modelcheck/models/consensus/model.py
@@ -10,37 +10,33 @@
 from meadowworks.modelcheck.models.consensus.world import Memo, World, thaw_world
 
 
+STEP_DESCRIPTIONS = {
+    "begin": "proposer {} begins",
+    "ask": "proposer {} asks disk {} and hears it",
+    "lost": "proposer {} asks disk {}, whose reply is lost",
+    "late": "held-up request {} comes to disk {}",
+    "wipe": "disk {} is replaced by an empty one at its address",
+    "gone": "machine {} is lost with its disk",
+    "crash": "box {} loses power and comes back with its disk",
+    "off": "box {} is started anew and told not to vote",
+    "on": "box {} is started anew and told to vote",
+    "tell": "disk {} tells disk {} what is chosen",
+    "hear": "disk {} hears which epoch disk {} is in",
+    "bring": "disk {} installs disk {} in its epoch",
+    "cut": "the core is cut",
+}
+
+
 def describe_step(step: Step) -> str:
-    """A step in words, as paths are printed."""
-    kind, *rest = step
-    match kind, rest:
-        case "begin", [p]:
-            return f"proposer {p} begins"
-        case "ask", [p, k]:
-            return f"proposer {p} asks disk {k} and hears it"
-        case "lost", [p, k]:
-            return f"proposer {p} asks disk {k}, whose reply is lost"
-        case "late", [place, k]:
-            return f"held-up request {place} comes to disk {k}"
-        case "wipe", [k]:
-            return f"disk {k} is replaced by an empty one at its address"
-        case "gone", [k]:
-            return f"machine {k} is lost with its disk"
-        case "crash", [k]:
-            return f"box {k} loses power and comes back with its disk"
-        case "off", [k]:
-            return f"box {k} is started anew and told not to vote"
-        case "on", [k]:
-            return f"box {k} is started anew and told to vote"
-        case "tell", [k, j]:
-            return f"disk {k} tells disk {j} what is chosen"
-        case "hear", [k, j]:
-            return f"disk {k} hears which epoch disk {j} is in"
-        case "bring", [k, j]:
-            return f"disk {k} installs disk {j} in its epoch"
-        case "cut", []:
-            return "the core is cut"
-    raise ValueError(f"no such step: {step!r}")
+    """A step in words, as paths are printed.
+
+    :raises ValueError: if it is no step of this model.
+    """
+    kind, *numbers = step
+    description = STEP_DESCRIPTIONS.get(kind)
+    if description is None or description.count("{}") != len(numbers):
+        raise ValueError(f"no such step: {step!r}")
+    return description.format(*numbers)
 
 
 def initial_worlds(large: bool, memo: Memo) -> list[World]:
