--- a/meadowworks/modelcheck/models/consensus/model.py
+++ b/meadowworks/modelcheck/models/consensus/model.py
@@ -9,7 +9,6 @@
 from meadowworks.modelcheck.models.consensus.scenario_table import scenarios
 from meadowworks.modelcheck.models.consensus.world import Memo, World, thaw_world
 
-
 STEP_DESCRIPTIONS = {
     "begin": "proposer {} begins",
     "ask": "proposer {} asks disk {} and hears it",
