--- a/meadowworks/consensus/values.py
+++ b/meadowworks/consensus/values.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-# An operator that repeats an order is told by the digest whether it was the order that was committed. 256
-# versions are more than are committed while a client may still repeat one.
+# Past versions whose digests are kept, 16 bytes each: a client that repeats a proposal is told whether its
+# value was the one committed. One older than these is taken to be (`OperationRunner.outcome_of`).
 HISTORY_LENGTH = 256
 UNKNOWN_EPOCH = -1  # the number of no epoch: below that of every epoch
 MEMBERSHIP_VERSION = 0  # the version whose value is the list of the next epoch's members
