--- /dev/null
+++ b/meadowworks/simulation/scale/proxy_stub.py
@@ -0,0 +1,58 @@
+"""A proxy as its control plane sees it, at a small part of the cost."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import replace
+from typing import Any
+
+from meadowworks.gossip.messages import PullReply, PullRequest
+from meadowworks.gossip.peer_sampling import PeerRecord
+from meadowworks.simulation.scale.control_plane import MAX_HOLD_MS
+from meadowworks.simulation.scale.proxy import PULLS_PER_PEER_EXCHANGE
+from meadowworks.simulation.scale.resource_meter import ResourceMeter
+
+
+class ProxyStub:
+    """Sends the pulls of a proxy by the product's codec and keeps no more of replies than a version vector.
+
+    :param load_report: draws what a proxy would have counted since the pull before.
+    """
+
+    def __init__(self, record: PeerRecord, load_report: Callable[[], Any], meter: ResourceMeter) -> None:
+        self.record, self.meter = record, meter
+        self.version_vector: dict[str, int] = {}
+        self.configuration_version = 0
+        self._load_report = load_report
+        self._pulls_answered = 0
+
+    def restart(self, record: PeerRecord) -> None:
+        """Begin a new incarnation, which knows nothing."""
+        self.record = record
+        self.version_vector, self.configuration_version = {}, 0
+
+    def build_pull(self, heartbeat: int) -> bytes:
+        """Return a pull of updates."""
+        self.record = replace(self.record, heartbeat=heartbeat)
+        says_who = self._pulls_answered % PULLS_PER_PEER_EXCHANGE == 0
+        records = (self.record,) if says_who else ()
+        request = PullRequest(
+            self.record,
+            records,
+            self.version_vector,
+            self.configuration_version,
+            MAX_HOLD_MS,
+            self._load_report(),
+        )
+        body = request.encode()
+        self.meter.sent(len(body))
+        return body
+
+    def on_pull_reply(self, body: bytes, reply: PullReply) -> None:
+        """Note what the reply to a pull has brought."""
+        self.meter.received(len(body))
+        self._pulls_answered += 1
+        for delta in reply.deltas:
+            self.version_vector[delta.source] = delta.latest_version
+        if reply.config is not None:
+            self.configuration_version = reply.config[0]
--- /dev/null
+++ b/meadowworks/simulation/scale/pulls.py
@@ -0,0 +1,215 @@
+"""Pulls in simulated time: of proxies at control planes, and of control planes at each other."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from functools import partial
+
+from meadowworks.gossip.messages import PullReply
+from meadowworks.gossip.peer_sampling import PEER_EXPIRY_NS
+from meadowworks.simulation.event_scheduler import MS, SECOND
+from meadowworks.simulation.scale.control_plane import START_SECONDS
+from meadowworks.simulation.scale.deployment import (
+    AnyProxyHost,
+    ControlPlaneHost,
+    Deployment,
+    ProxyHost,
+    StubHost,
+)
+from meadowworks.simulation.scale.proxy import PULLS_PER_PEER_EXCHANGE, SimulatedProxy
+from meadowworks.simulation.scale.pull_exchange import PullExchange
+from meadowworks.simulation.scale.scheduler import SimulatedNode
+
+PULL_TIMEOUT_NS, REPLICATION_PULL_TIMEOUT_NS = 1600 * MS, 2 * SECOND  # as the programs have them
+PROXY_RETRY_NS, REPLICATION_RETRY_NS = 100 * MS, 200 * MS  # after a pull that failed
+QUARTER_SECOND_NS = SECOND // 4
+
+
+@dataclass(slots=True)
+class PullCost:
+    """What replies have cost the proxies that are simulated whole, for stubs to take as long."""
+
+    cpu_ns: float = 0.0
+    reply_bytes: float = 0.0
+
+    def add(self, cpu_ns: int, reply_bytes: int) -> None:
+        """Count one reply."""
+        self.cpu_ns += cpu_ns
+        self.reply_bytes += reply_bytes
+
+    def estimate_ns(self, reply_bytes: int) -> int:
+        """Return what a reply of a size costs; 0 before there was one."""
+        return int(self.cpu_ns / self.reply_bytes * reply_bytes) if self.reply_bytes else 0
+
+
+class Pulls:
+    """Keeps all pulls going.
+
+    :param on_answered: is told of each proxy whose pull was answered.
+    :param on_configuration: is told of each proxy that has a new configuration in force, and its version.
+    """
+
+    def __init__(
+        self,
+        deployment: Deployment,
+        on_answered: Callable[[SimulatedNode], None],
+        on_configuration: Callable[[SimulatedNode, int], None],
+    ) -> None:
+        self._deployment = deployment
+        self._scheduler = deployment.scheduler
+        self._on_answered, self._on_configuration = on_answered, on_configuration
+        self._costs = {False: PullCost(), True: PullCost()}  # by whether a configuration came
+        self._records = {host.node.name: host.program.peers.local for host in deployment.control_planes}
+        self._by_address = {host.address: host for host in deployment.control_planes}
+
+    # -- beginnings
+
+    def start_control_plane(self, host: ControlPlaneHost) -> None:
+        """Begin a control plane's turns and its pulls at all others."""
+        deployment, start = self._deployment, self._deployment.now
+        second_ns = start + deployment.random_offset_ns(1.0)
+        self._scheduler.call_at(second_ns, partial(self._control_plane_second, host))
+        for target in deployment.control_planes:
+            if target is not host:
+                pull_ns = start + deployment.random_offset_ns(0.1)
+                self._scheduler.call_at(pull_ns, partial(self._pull_updates, host, target, 0))
+
+    def start_proxy(self, host: ProxyHost) -> None:
+        """Begin the pulls and turns of a proxy's present incarnation."""
+        offset_ns = self._deployment.random_offset_ns
+        incarnation = host.node.incarnation
+        self._scheduler.call_later(offset_ns(1.0), lambda: self._proxy_pull(host, incarnation))
+        self._scheduler.call_later(offset_ns(1.0), lambda: self._proxy_second(host, incarnation))
+        self._scheduler.call_later(offset_ns(0.25), lambda: self._proxy_quarter_second(host, incarnation))
+
+    def start_stub(self, host: StubHost) -> None:
+        """Begin a stub's pulls, some time within a second."""
+        self._scheduler.call_later(self._deployment.random_offset_ns(1.0), partial(self.pull_of_stub, host))
+
+    # -- control planes
+
+    def _control_plane_second(self, host: ControlPlaneHost) -> None:
+        def turn() -> None:
+            host.program.each_second()
+            self._scheduler.call_after_work(SECOND, partial(self._control_plane_second, host))
+
+        self._scheduler.enqueue(host.node, turn)
+
+    def _pull_updates(self, host: ControlPlaneHost, target: ControlPlaneHost, pull_number: int) -> None:
+        """Pull another control plane's updates, again and again."""
+        scheduler = self._scheduler
+
+        def on_reply(body: bytes, _reply: PullReply) -> None:
+            host.program.on_pull_reply(body)
+            scheduler.call_after_work(0, partial(self._pull_updates, host, target, pull_number + 1))
+
+        def on_failure() -> None:
+            if target.address in host.program.peers.peers:
+                again = partial(self._pull_updates, host, target, pull_number)
+                scheduler.call_later(REPLICATION_RETRY_NS, again)
+            else:  # its record has expired; one that comes back is met again
+                scheduler.call_later(SECOND, on_failure)
+
+        def send() -> None:
+            with_peers = pull_number % PULLS_PER_PEER_EXCHANGE == 0
+            body = host.program.build_pull(with_peers)
+            exchange = PullExchange(self._deployment, host.node, target, on_reply, on_failure)
+            exchange.send(body, REPLICATION_PULL_TIMEOUT_NS)
+
+        scheduler.enqueue(host.node, send)
+
+    # -- proxies
+
+    def control_plane_for(self, host: AnyProxyHost) -> ControlPlaneHost:
+        """Return where a proxy pulls now; records of control planes that are lost go after a time."""
+        now = self._deployment.now
+        have_expired = now - self._deployment.failed.lost_ns > PEER_EXPIRY_NS
+        expired = self._scheduler.powered_off if have_expired else set()
+        records = [record for name, record in self._records.items() if name not in expired]
+        chosen = host.selection.choose(now, records, [])
+        return self._by_address[chosen[0] if chosen else ""]
+
+    def _proxy_pull(self, host: ProxyHost, incarnation: int) -> None:
+        node, scheduler = host.node, self._scheduler
+        if node.incarnation != incarnation:
+            return
+        proxy, target = host.program, self.control_plane_for(host)
+
+        def on_reply(body: bytes, reply: PullReply) -> None:
+            proxy.on_pull_reply(body)
+            has_configuration = reply.config is not None
+            self._costs[has_configuration].add(proxy.meter.turn_ns, len(body))
+            version = proxy.route_table.version if proxy.route_table else 0
+
+            def after_work() -> None:
+                self._on_answered(node)
+                if has_configuration:
+                    self._on_configuration(node, version)
+                self._proxy_pull(host, incarnation)
+
+            scheduler.call_after_work(0, after_work)
+
+        def on_failure() -> None:
+            host.selection.mark_failed(self._deployment.now, target.address)
+            scheduler.call_later(PROXY_RETRY_NS, partial(self._proxy_pull, host, incarnation))
+
+        def send() -> None:
+            self._count_requests(proxy)
+            exchange = PullExchange(self._deployment, node, target, on_reply, on_failure)
+            exchange.send(proxy.build_pull(), PULL_TIMEOUT_NS)
+
+        scheduler.enqueue(node, send)
+
+    def _count_requests(self, proxy: SimulatedProxy) -> None:
+        """Let a proxy count what it would have forwarded since its pull before."""
+        requests = proxy.load_report.service_requests
+        for instance, *counts in (self._deployment.draw_load_report(proxy.zone) or [[]])[0]:
+            proxy.load_report.backend_counts[instance] = list(counts)
+            proxy.own_load_report.backend_counts[instance] = list(counts)
+            service = self._deployment.backends[instance].service
+            requests[service] = requests.get(service, 0) + counts[0]
+
+    def _proxy_second(self, host: ProxyHost, incarnation: int) -> None:
+        def turn() -> None:
+            if host.node.incarnation == incarnation:
+                host.program.each_second()
+                self._scheduler.call_after_work(SECOND, partial(self._proxy_second, host, incarnation))
+
+        self._scheduler.enqueue(host.node, turn)
+
+    def _proxy_quarter_second(self, host: ProxyHost, incarnation: int) -> None:
+        def turn() -> None:
+            if host.node.incarnation == incarnation:
+                host.program.each_quarter_second()
+                again = partial(self._proxy_quarter_second, host, incarnation)
+                self._scheduler.call_after_work(QUARTER_SECOND_NS, again)
+
+        self._scheduler.enqueue(host.node, turn)
+
+    def pull_of_stub(self, host: StubHost) -> None:
+        """Send a stub's pull, and the next one when a whole proxy would be done with the reply."""
+        node, stub, scheduler = host.node, host.program, self._scheduler
+        target = self.control_plane_for(host)
+
+        def on_reply(body: bytes, reply: PullReply) -> None:
+            stub.on_pull_reply(body, reply)
+            has_configuration = reply.config is not None
+            work_ns = self._costs[has_configuration].estimate_ns(len(body))
+
+            def after_work() -> None:
+                self._on_answered(node)
+                if reply.config is not None:
+                    self._on_configuration(node, reply.config[0])
+                self.pull_of_stub(host)
+
+            scheduler.call_after_work(work_ns if self._deployment.settings.cpu else 0, after_work)
+
+        def on_failure() -> None:
+            host.selection.mark_failed(self._deployment.now, target.address)
+            scheduler.call_later(PROXY_RETRY_NS, partial(self.pull_of_stub, host))
+
+        if node.name not in scheduler.powered_off:
+            body = stub.build_pull(START_SECONDS + node.incarnation + self._deployment.now // SECOND)
+            exchange = PullExchange(self._deployment, node, target, on_reply, on_failure)
+            exchange.send(body, PULL_TIMEOUT_NS)
