--- a/meadowworks/simulation/scale/proxy.py
+++ b/meadowworks/simulation/scale/proxy.py
@@ -12,7 +12,7 @@
 from meadowworks.gossip.peer_sampling import PartialView, PeerRecord
 from meadowworks.gossip.updates import KeyUpdate, UpdateStore
 from meadowworks.load_balancing.load_reports import LOAD_REPORT_PREFIX, LoadReport
-from meadowworks.load_balancing.service import BackendLoad, ServiceBalancer
+from meadowworks.load_balancing.service_balancer import BackendLoad, ServiceBalancer
 from meadowworks.registry.backends import BackendDirectory
 from meadowworks.simulation.event_scheduler import MS, SECOND
 from meadowworks.simulation.scale.control_plane import MAX_HOLD_MS, PEERS_PER_EXCHANGE, Clock
