--- a/meadowworks/cli/main.py
+++ b/meadowworks/cli/main.py
@@ -27,7 +27,7 @@
 
 COMMANDS = {
     "check": Command("meadowworks.modelcheck.commands", "check", "explore all states of the state machines"),
-    "days": Command("meadowworks.simulation.regression", "days", "play recorded scenarios in a simulator"),
+    "days": Command("meadowworks.simulation.bench_days", "days", "play recorded scenarios in a simulator"),
     "lab": Command("meadowworks.simulation.commands", "lab", "simulate and measure the state machines"),
     "local": Command("meadowworks.local.commands", "local", "start a small gateway here, to try it"),
     "status": Command("meadowworks.cli.status", "status", "what a node knows"),
--- a/tests/test_regression.py
+++ b/tests/simulation/test_bench_days.py
@@ -1,4 +1,4 @@
-"""The days of our own and the word that plays them, with a stand-in for the bench."""
+"""The project's own days and the command that plays them, with a stand-in for the bench."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import pytest
 
 from meadowworks.cli.main import main
-from meadowworks.simulation.regression import DAYS_FOLDER
+from meadowworks.simulation.bench_days import DAYS_FOLDER
 
 POINTS = ("cut-", "race-", "loss-", "storm-", "answers-")
 KINDS = """release replace_with_reuse scale_in answer_lost garble node_kill roll_term herd_kill replace_core
@@ -104,7 +104,8 @@
 ) -> None:
     assert play(tmp_path, *words) == 2
     said = capsys.readouterr()
-    assert said.out == "" and said.err.count("\n") == 1
+    assert said.out == ""
+    assert said.err.count("\n") == 1
 
 
 def test_a_bench_or_site_that_is_not_there_is_status_2(tmp_path: Path) -> None:
