--- a/tests/gateway/helpers.py
+++ b/tests/gateway/helpers.py
@@ -10,6 +10,21 @@
 from meadowworks.runtime.http_connection import ClientConnection, Response, connect
 
 SECOND = 1_000_000_000
+HEARTBEAT = {
+    "addr": "10.0.0.9:8080",
+    "details": {"svc": "s", "ver": "v1", "zone": "north", "capacity": 2},
+    "status": {"state": "up", "calls": 4, "warmupMs": 0},
+}
+
+
+def recording_publisher(published: list[Any]) -> Callable[[str, Any], int]:
+    """Return a publisher that keeps the values; a version is their number."""
+
+    def publish(key: str, value: Any) -> int:
+        published.append(value)
+        return len(published)
+
+    return publish
 
 
 async def until(holds: Callable[[], bool], what: str, wait_s: float = 10.0) -> None:
--- a/tests/gateway/test_agreement.py
+++ b/tests/gateway/test_agreement.py
@@ -49,7 +49,7 @@
     digest,
 )
 from meadowworks.gossip import messages as post
-from tests.gateway.test_state import mutants
+from tests.gateway.mutations import mutants
 
 A, B, C, D, E = (("a", "h:0"), ("b", "h:1"), ("c", "h:2"), ("d", "h:3"), ("e", "h:4"))
 ABC = Epoch(1, (A, B, C))
--- /dev/null
+++ b/tests/gateway/test_config_command.py
@@ -0,0 +1,19 @@
+"""`meadowworks config diff`: differences are reported by name."""
+
+from __future__ import annotations
+
+import copy
+import json
+
+from meadowworks.cli.config import differences
+from meadowworks.local.system import build_configuration
+
+CONFIG = json.loads(build_configuration(7, {"/a/": ("safe", "s"), "/a/b/": ("unsafe", "t")}))
+
+
+def test_a_difference_is_reported_by_name() -> None:
+    other = copy.deepcopy(CONFIG)
+    other["vhosts"][0]["prefixes"][1]["tries"] = 9
+    assert differences(CONFIG, other) == ["vhosts.local.example.prefixes.r1.tries: 2 -> 9"]
+    del other["vhosts"][0]["prefixes"][0]
+    assert len(differences(CONFIG, other)) == 2 and not differences(CONFIG, CONFIG)
--- a/tests/gateway/test_validation.py
+++ b/tests/gateway/test_validation.py
@@ -21,7 +21,7 @@
 )
 from meadowworks.runtime.schema_support import first_error
 from tests.gateway.configurations import CONFIG
-from tests.gateway.test_state import mutants
+from tests.gateway.mutations import mutants
 
 
 def reference_verdict(body: bytes) -> ValidConfiguration | InvalidConfiguration:
