--- a/tests/gateway/test_peer_sampling.py
+++ b/tests/gateway/test_peer_sampling.py
@@ -10,9 +10,6 @@
     old, new = (
         PeerRecord("n0", "10.0.0.0", 7000, "z", True, incarnation, heartbeat)
         for incarnation, heartbeat in (("l0", 900), ("l1", 400))
-    )
-        PeerRecord("n0", "10.0.0.0", 7000, "z", True, incarnation, heartbeat)
-        for incarnation, heartbeat in incarnations
     )
     one, other = PartialView(new, 1), PartialView(PeerRecord("n1", "10.0.0.1", 7000, "z", True, "m", 1), 2)
     other.merge(1, [old])
