--- a/meadowworks/cli/members.py
+++ b/meadowworks/cli/members.py
@@ -5,7 +5,7 @@
 import json
 from concurrent.futures import ThreadPoolExecutor
 from dataclasses import dataclass
-from typing import Annotated, Any, NamedTuple
+from typing import Annotated, NamedTuple
 
 from cappa import Arg
 
@@ -76,13 +76,23 @@
 def known_addresses(status: Status, address: str) -> list[str]:
     """Return the peer addresses of the members and of other voters that a node knows; ports are alike."""
     port = address.rpartition(":")[2]
-    voters = [f"{peer[1]}:{port}" for peer in _peers(status) if peer[3]]
+    voters = [f"{peer.host}:{port}" for peer in _peers(status) if peer.votes]
     return [*map(str, (status.get("members_of_epoch") or {}).values()), *voters]
 
 
-def _peers(status: Status) -> list[list[Any]]:
-    """Return name, host, zone, whether it votes, and more, of each node that a node knows."""
-    return [peer for peer in status.get("members") or () if len(peer) > 3]
+class Peer(NamedTuple):
+    """What a node's status says of another node."""
+
+    name: str
+    host: str
+    zone: str
+    votes: bool
+
+
+def _peers(status: Status) -> list[Peer]:
+    """Return whom a node knows; a row may have further cells."""
+    size = len(Peer._fields)
+    return [Peer(*row[:size]) for row in status.get("members") or () if len(row) >= size]
 
 
 @dataclass(frozen=True, slots=True)
@@ -109,32 +119,37 @@
     listed: set[str] = set()
     for disk, address in sorted(membership.members.items(), key=lambda pair: pair[1]):
         status = nodes.get(address)
-        if _is_replaced(disk, status):
-            assert status is not None
-            reason = f"gone: another disk is at its address, {str(status['disk'])[:DISK_LENGTH]}"
-            rows.append(MemberRow(disk[:DISK_LENGTH], address, None, None, None, "no", reason))
-            continue
-        listed.add(address)
-        rows.append(_row(disk, address, status, reason_not_in(status, membership, address in non_voting)))
+        if (other_disk := _other_disk(disk, status)) is not None:
+            rows.append(_replaced_row(disk, address, other_disk))
+        else:
+            listed.add(address)
+            reason = reason_not_in(status, membership, address in non_voting)
+            rows.append(_row(disk, address, status, reason))
     for address in sorted(nodes.keys() - listed):
         status = nodes[address]
         if status is not None or not membership.members:
-            rows.append(_row("", address, status, reason_not_in(status, membership, address in non_voting)))
+            reason = reason_not_in(status, membership, address in non_voting)
+            rows.append(_row("", address, status, reason))
     return membership.epoch, rows
 
 
-def _is_replaced(disk: str, status: Status | None) -> bool:
-    """Whether another disk answers at a member's address."""
-    if status is None or disk.startswith(BOOTSTRAP_PREFIX):
-        return False
-    return status.get("disk") not in (disk, None)
+def _other_disk(disk: str, status: Status | None) -> str | None:
+    """Return the id of the disk that answers at a member's address in place of its own."""
+    if status is None or disk.startswith(BOOTSTRAP_PREFIX) or status.get("disk") in (disk, None):
+        return None
+    return str(status["disk"])
+
+
+def _replaced_row(disk: str, address: str, other_disk: str) -> MemberRow:
+    reason = f"gone: another disk is at its address, {other_disk[:DISK_LENGTH]}"
+    return MemberRow(disk[:DISK_LENGTH], address, None, None, None, "no", reason)
 
 
 def is_non_voting(statuses: Statuses, address: str) -> bool:
     """Whether any node knows the one at an address as one that does not vote."""
     host = address.rpartition(":")[0]
     peers = [peer for status in statuses.values() if status for peer in _peers(status)]
-    return any(peer[1] == host and not peer[3] for peer in peers)
+    return any(peer.host == host and not peer.votes for peer in peers)
 
 
 def _row(disk: str, address: str, status: Status | None, reason: str) -> MemberRow:
