--- a/tests/gateway/test_service_balancer.py
+++ b/tests/gateway/test_service_balancer.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from meadowworks.load_balancing.service import BackendLoad, ServiceBalancer
+from meadowworks.load_balancing.service_balancer import BackendLoad, ServiceBalancer
 from meadowworks.registry.backends import BackendInstance
 from tests.gateway.helpers import SECOND
 
