--- a/tests/consensus/test_codec.py
+++ b/tests/consensus/test_codec.py
@@ -35,7 +35,7 @@
 )
 from meadowworks.gossip import messages as post
 from tests.consensus.helpers import ABC
-from tests.gateway.test_state import mutants
+from tests.gateway.mutations import mutants
 
 MESSAGES = [
     PrepareRequest(1, 2, Ballot(1, 3, "p")),
