--- /dev/null
+++ b/tests/fleet/test_messages.py
@@ -0,0 +1,62 @@
+"""Lines of the protocol and answers of discovery."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import pytest
+
+from meadowworks.fleet.messages import (
+    BackendReport,
+    ProxyHello,
+    UnknownMessageError,
+    decode,
+    parse_endpoint_list,
+)
+
+
+def test_lines_of_the_protocol_are_read_in_its_units() -> None:
+    told = b"upstream_stats site=a target=s-5 count=4 fail=1 mean=41.7 over=1000.0 util=inflight:7,util:0.61"
+    assert decode(told) == BackendReport(
+        "a", "s-5", 4, 1, 41_700_000, 1_000_000_000, {"inflight": 7.0, "util": 0.61}
+    )
+    assert decode(b"attach id=17 site=a rps=21.5 new=1\r") == ProxyHello(17, "a", 21.5, True)
+    none_good = decode(b"upstream_stats site=a target=s-5 count=2 fail=2 over=500")
+    assert none_good == BackendReport("a", "s-5", 2, 2, 0, 500_000_000, {})
+    with pytest.raises(ValueError, match="5 of 4"):
+        decode(told.replace(b"fail=1", b"fail=5"))
+
+
+@pytest.mark.parametrize("answer", [None, [], {}, {"index": 1, "snapshot": True}, {"endpoints": []}])
+def test_a_list_without_sense_is_an_error(answer: Any) -> None:
+    with pytest.raises(ValueError, match="without sense"):
+        parse_endpoint_list(answer)
+
+
+@pytest.mark.parametrize(
+    "line",
+    [
+        "client_stats id=1_0 lane=a count=1 fail=0 over=1",
+        "client_stats id=\u0661 lane=a count=1 fail=0 over=1",
+        "client_stats id=0 lane=a count=+1 fail=0 over=1",
+        "client_stats id=0 lane=a count=1.5 fail=0 over=1",
+        "client_stats id=0 lane=a count=1 fail=0 over=0",
+        "client_stats id=0 lane=a count=1 fail=0 over=nan",
+        "client_stats id=0 lane=a count=1 fail=0 over=1 count=2",
+        "client_stats id=0 lane=a count fail=0 over=1",
+        "client_stats id=0 lane=a count=1 fail=0 over=" + "9" * 400,
+        "client_stats id=0 lane=a count=1 fail=0",
+        "upstream_stats site=a target=b count=1 fail=0 mean=-1 over=1000",
+        "upstream_stats site=a target=b count=1 fail=0 mean=2 over=1000 util=queue",
+        "upstream_stats site=a target=b count=1 fail=0 mean=2 over=1000 util=queue:1,queue:2",
+        "attach id=0 site=a rps=1e999 new=1",
+        "attach id=0 site=a rps=1 new=maybe",
+        "done id=0 seq=x ms=1",
+    ],
+)
+def test_a_field_spoilt_is_told_from_what_is_no_message(line: str) -> None:
+    with pytest.raises(ValueError) as found:
+        decode(line.encode())
+    assert not isinstance(found.value, UnknownMessageError)
+    with pytest.raises(UnknownMessageError):
+        decode(b"x" + line.encode())
--- /dev/null
+++ b/tests/fleet/test_names.py
@@ -0,0 +1,12 @@
+"""Indices of names."""
+
+from __future__ import annotations
+
+from meadowworks.fleet.names import NameIndex
+
+
+def test_a_name_that_was_freed_comes_back_under_another_index() -> None:
+    names = NameIndex()
+    old = names.index("s-1")
+    names.release(old)
+    assert not names.name_by_index and names.index("s-1") != old and len(names.index_by_name) == 1
--- a/tests/test_node.py
+++ b/tests/fleet/test_server.py
@@ -11,7 +11,7 @@
 import pytest
 
 from meadowworks.fleet.discovery import MIN_POLL_INTERVAL_S
-from tests.helpers import NESTED, PATIENCE_S, Desk, Peer, Program, listed, play
+from tests.fleet.program import NESTED, PATIENCE_S, Desk, Peer, Program, listed, play
 
 THREE = listed("s-1"), listed("s-2"), listed("s-9", "west")
 
--- a/tests/test_rules.py
+++ b/tests/policy/test_controller.py
@@ -10,7 +10,7 @@
 from meadowworks.policy.interface import AttemptReport
 from meadowworks.policy.state import EJECTION_WEIGHTS
 from meadowworks.policy.weights import MIN_BACKENDS
-from tests.helpers import ROUTES, SECOND, SETTINGS, Fleet, entry, started
+from tests.policy.harness import ROUTES, SECOND, SETTINGS, Fleet, entry, started
 
 STEP = st.one_of(
     st.tuples(st.just("join"), st.integers(0, 5), st.integers(0, 1)),
--- a/tests/test_fleet.py
+++ b/tests/simulation/test_fleet_rules.py
@@ -12,7 +12,7 @@
 
 from meadowworks.modelcheck.seeded_fault import SeededFault, injected_fault
 from meadowworks.simulation.fleet import SimulatedFleet
-from tests.helpers import SECOND, SETTINGS
+from tests.policy.harness import SECOND, SETTINGS
 
 RULES = "meadowworks.policy:Controller."
 ZONES, ROUTES = ("east", "west"), ("look", "book")
