--- a/meadowworks/simulation/scale/control_plane.py
+++ b/meadowworks/simulation/scale/control_plane.py
@@ -12,6 +12,8 @@
 from dataclasses import dataclass
 from typing import Any
 
+from meadowworks.controlplane.pull_handler import MAX_WAIT_MS, PROXY_BATCHING_DELAY_S
+from meadowworks.controlplane.zone_loads import ZoneLoads
 from meadowworks.gossip.messages import (
     PullReply,
     PullRequest,
@@ -21,17 +23,15 @@
 )
 from meadowworks.gossip.peer_sampling import PartialView, PeerRecord
 from meadowworks.gossip.updates import KeyUpdate, SourceDelta, UpdateStore
-from meadowworks.load_balancing.load_reports import LOAD_REPORT_PREFIX, LoadReport
 from meadowworks.registry.backend_state import BACKEND_KEY_PREFIX
 from meadowworks.registry.backends import BackendDirectory
 from meadowworks.registry.heartbeats import HeartbeatRegistry
-from meadowworks.simulation.event_scheduler import MS, Callback
+from meadowworks.simulation.event_scheduler import MS, SECOND, Callback
 from meadowworks.simulation.scale.resource_meter import ResourceMeter
 
 CONTROL_PLANE_PORT = 7540
-PEERS_PER_EXCHANGE = 7  # records in a sample of the known peers
-MAX_HOLD_MS = 1000  # that a pull without news waits
-BATCH_NS = 150 * MS  # that a proxy's pull waits for more updates to go with the first
+PEER_SAMPLING_SEED = 7
+BATCHING_DELAY_NS = int(PROXY_BATCHING_DELAY_S * SECOND)
 COMPRESSION_LEVEL = 6
 ACKNOWLEDGEMENT_BYTES = 2  # of an answer to a heartbeat: an empty JSON object
 START_SECONDS = 1_764_000_000  # the heartbeat of a first incarnation, as by the calendar
@@ -65,6 +65,15 @@
     answered: bool = False
 
 
+class CopyableZoneLoads(ZoneLoads):
+    """The product's sums of load reports, which another control plane can take over."""
+
+    def copy_from(self, other: CopyableZoneLoads) -> None:
+        """Add what another control plane has summed so far."""
+        for zone, report in other._reports.items():
+            self.add(zone, report.pack())
+
+
 class SimulatedControlPlane:
     """One control plane.
 
@@ -83,17 +92,17 @@
         required_replicas: int = 1,
     ) -> None:
         self.meter = meter
-        self.peers = PartialView(record, PEERS_PER_EXCHANGE)
+        self.peers = PartialView(record, PEER_SAMPLING_SEED)
         self.gossip = UpdateStore(record.incarnation)
         self.backends = BackendDirectory(lambda name: self.gossip.silence_ns(clock(), name), clock)
         self.gossip.update_listeners += [self._on_update, self.backends.on_update]
         self.heartbeats = HeartbeatRegistry(self.gossip.publish, heartbeat_ms)
         self.configuration = VersionedContent()
-        self.load_reports: dict[str, LoadReport] = {}  # by zone
+        self.zone_loads = CopyableZoneLoads(self.gossip, clock())
         self._clock, self._call_later = clock, call_later
         self._compressed = VersionedContent()
         self._held_pulls: dict[int, HeldPull] = {}
-        self._reported_ns, self._pulse = clock(), 0
+        self._pulse = 0
         self._required_replicas = required_replicas
         self._unacknowledged_drains: dict[int, Callback] = {}  # by version of the own updates
         self._replicated_versions: dict[str, int] = {}  # of the own updates, by host of who has them
@@ -123,7 +132,7 @@
             has_configuration = self.configuration.version <= held.request.config_version
             wait_ns = 0
             if has_configuration and not held.request.sender.is_voter:
-                wait_ns = min(BATCH_NS, max(0, held.deadline_ns - self._clock()))
+                wait_ns = min(BATCHING_DELAY_NS, max(0, held.deadline_ns - self._clock()))
             self._call_later(wait_ns, lambda held=held: self._answer_if_due(held))  # type: ignore[misc]
 
     # -- pulls by others
@@ -133,7 +142,7 @@
         self.meter.received(len(body))
         request = self.meter.timed("read a pull", lambda: decode_pull_request(body))
         self.meter.timed("note a pull", lambda: self._note_pull(request))
-        hold_ns = min(request.max_wait_ms, MAX_HOLD_MS) * MS
+        hold_ns = min(request.max_wait_ms, MAX_WAIT_MS) * MS
         held = HeldPull(request, self._clock() + hold_ns, on_reply)
         self._call_later(hold_ns, lambda: self._on_hold_expired(held))
         self._answer_if_due(held)
@@ -146,7 +155,7 @@
             self._replicated_versions[sender.host] = own_version
             self._acknowledge_drains()
         if request.load_report:
-            self.load_reports.setdefault(sender.zone, LoadReport()).merge(request.load_report)
+            self.zone_loads.add(sender.zone, request.load_report)
 
     def _on_hold_expired(self, held: HeldPull) -> None:
         if not held.answered and self._held_pulls.pop(id(held), None) is not None:
@@ -230,7 +239,7 @@
         local = self.peers.local
         records = tuple(self.peers.shuffle_sample()[1:]) or (local,) if with_peers else ()
         vector = self.gossip.remote_version_vector()
-        return PullRequest(local, records, vector, self.configuration.version, MAX_HOLD_MS)
+        return PullRequest(local, records, vector, self.configuration.version, MAX_WAIT_MS)
 
     def on_pull_reply(self, body: bytes) -> None:
         """Take the reply to an own pull."""
@@ -266,22 +275,9 @@
 
     def publish_load_reports(self) -> None:
         """Publish the sums of a second by zone, and that this control plane lives."""
-        now = self._clock()
         self._pulse += 1
         self.gossip.publish("pulse", self._pulse)
-        covers_ms = (now - self._reported_ns) // MS
-        self._reported_ns = now
-        published = self.gossip.sources[self.gossip.source_id].entries
-        for zone, sums in self.load_reports.items():
-            key = LOAD_REPORT_PREFIX + zone
-            if sums or published.get(key, (0, None))[1]:
-                self.gossip.publish(key, [covers_ms, *sums.pack()] if sums else None)
-        self.load_reports = {zone: LoadReport() for zone in self.load_reports}
-
-    def copy_load_reports(self, other: SimulatedControlPlane) -> None:
-        """Take over what another control plane has summed so far."""
-        for zone, sums in other.load_reports.items():
-            self.load_reports.setdefault(zone, LoadReport()).merge(sums.pack())
+        self.zone_loads.publish(self._clock())
 
     def encoded_heartbeats(self) -> dict[str, Any]:
         """Return what the program keeps of its backends on the disk, by instance."""
--- a/meadowworks/simulation/scale/proxy.py
+++ b/meadowworks/simulation/scale/proxy.py
@@ -11,24 +11,24 @@
 from meadowworks.gossip.messages import PullReply, PullRequest, decode_pull_reply
 from meadowworks.gossip.peer_sampling import PartialView, PeerRecord
 from meadowworks.gossip.updates import KeyUpdate, UpdateStore
-from meadowworks.load_balancing.load_reports import LOAD_REPORT_PREFIX, LoadReport
+from meadowworks.load_balancing.load_reports import LOAD_REPORT_PREFIX, BackendSums, LoadReport
 from meadowworks.load_balancing.service_balancer import BackendLoad, ServiceBalancer
+from meadowworks.proxy.control_plane_client import PULLS_PER_OWN_RECORD
+from meadowworks.proxy.control_plane_view import DEFAULT_TARGET_MS
+from meadowworks.proxy.load_reporting import OWN_REPORT_MS
+from meadowworks.proxy.pull_schedule import LONG_POLL_MS
 from meadowworks.registry.backends import BackendDirectory
 from meadowworks.simulation.event_scheduler import MS, SECOND
-from meadowworks.simulation.scale.control_plane import MAX_HOLD_MS, PEERS_PER_EXCHANGE, Clock
+from meadowworks.simulation.scale.control_plane import PEER_SAMPLING_SEED, Clock
 from meadowworks.simulation.scale.resource_meter import ResourceMeter
 
-PULLS_PER_PEER_EXCHANGE = 5  # each fifth pull says who this is
-DEFAULT_TARGET_MS = 1000.0  # of a service to which no route leads
-OWN_REPORT_COVERS_MS = 1000
-
 
 class SimulatedProxy:
     """One proxy; `load_report` is what it counts for the next pull, `own_load_report` for itself."""
 
     def __init__(self, record: PeerRecord, zones: list[str], clock: Clock, meter: ResourceMeter) -> None:
         self.zone, self.meter = record.zone, meter
-        self.peers = PartialView(record, PEERS_PER_EXCHANGE)
+        self.peers = PartialView(record, PEER_SAMPLING_SEED)
         self.gossip = UpdateStore(record.incarnation)
         self.backends = BackendDirectory(lambda name: self.gossip.silence_ns(clock(), name), clock)
         self.gossip.update_listeners += [self.backends.on_update, self._on_update]
@@ -52,17 +52,18 @@
         """Hand a zone's figures to the services that they are about."""
         now = self._clock()
         by_service: dict[str, dict[str, BackendLoad]] = {}
-        for instance_id, tries, failed, spent_ms, reports, running, waiting in backends:
-            instance = self.backends.instances.get(instance_id)
+        for row in backends:
+            sums = BackendSums(*row)
+            instance = self.backends.instances.get(sums.instance_id)
             if instance is None:
                 continue
-            mean_ns = int(spent_ms * MS / max(1, tries - failed))
-            queued = waiting / reports if reports else -1.0
-            by_service.setdefault(instance.service, {})[instance_id] = BackendLoad(
-                tries, failed, mean_ns, queued
-            )
-            if reports:
-                self._pool.record_zone_load(now, instance_id, (running + waiting) / reports)
+            mean_ns = int(sums.elapsed_ms * MS / max(1, sums.attempts - sums.failures))
+            queued = sums.waiting / sums.loads if sums.loads else -1.0
+            load = BackendLoad(sums.attempts, sums.failures, mean_ns, queued)
+            by_service.setdefault(instance.service, {})[sums.instance_id] = load
+            if sums.loads:
+                in_flight = (sums.running + sums.waiting) / sums.loads
+                self._pool.record_zone_load(now, sums.instance_id, in_flight)
         covers_ns = max(1, covers_ms) * MS
         for name, service in self._services.items():
             counts = by_service.get(name, {})
@@ -70,13 +71,8 @@
 
     def _apply_route_table(self, table: RouteTable) -> None:
         self.route_table = table
-        targets_ms: dict[str, float] = {}
-        for routes in table.routes_by_host.values():
-            for route in routes.values():
-                for name, _ in route.weighted_services:
-                    targets_ms[name] = max(targets_ms.get(name, 0.0), route.target_ms)
         for name in table.max_connections:
-            target_ns = int(targets_ms.get(name, DEFAULT_TARGET_MS) * MS) or SECOND
+            target_ns = int(table.latency_targets_ms.get(name, DEFAULT_TARGET_MS) * MS) or SECOND
             if name in self._services:
                 self._services[name].set_latency_target(target_ns)
             else:
@@ -104,13 +100,13 @@
         return body
 
     def _next_pull(self) -> PullRequest:
-        says_who = self._pulls_answered % PULLS_PER_PEER_EXCHANGE == 0
+        says_who = self._pulls_answered % PULLS_PER_OWN_RECORD == 0
         records = (self.peers.local,) if says_who else ()
         counted, self.load_report = self.load_report, LoadReport()
         version = self.route_table.version if self.route_table else 0
         report = counted.pack() if counted else None
         vector = self.gossip.remote_version_vector()
-        return PullRequest(self.peers.local, records, vector, version, MAX_HOLD_MS, report)
+        return PullRequest(self.peers.local, records, vector, version, LONG_POLL_MS, report)
 
     def on_pull_reply(self, body: bytes) -> None:
         """Take the reply to a pull, with a new route table if there is one."""
@@ -155,7 +151,7 @@
         now, own_zone = self._clock(), self._zones.index(self.zone)
         own, self.own_load_report = self.own_load_report, LoadReport()
         if any(service.report_overdue(now, own_zone) for service in self._services.values()):
-            self._apply_load_report(self.zone, OWN_REPORT_COVERS_MS, own.pack()[0], own.service_requests)
+            self._apply_load_report(self.zone, OWN_REPORT_MS, own.pack()[0], own.service_requests)
 
     def each_quarter_second(self) -> None:
         """Let the policy of each service take its turn."""
--- a/meadowworks/simulation/scale/proxy_stub.py
+++ b/meadowworks/simulation/scale/proxy_stub.py
@@ -8,8 +8,8 @@
 
 from meadowworks.gossip.messages import PullReply, PullRequest
 from meadowworks.gossip.peer_sampling import PeerRecord
-from meadowworks.simulation.scale.control_plane import MAX_HOLD_MS
-from meadowworks.simulation.scale.proxy import PULLS_PER_PEER_EXCHANGE
+from meadowworks.proxy.control_plane_client import PULLS_PER_OWN_RECORD
+from meadowworks.proxy.pull_schedule import LONG_POLL_MS
 from meadowworks.simulation.scale.resource_meter import ResourceMeter
 
 
@@ -34,14 +34,14 @@
     def build_pull(self, heartbeat: int) -> bytes:
         """Return a pull of updates."""
         self.record = replace(self.record, heartbeat=heartbeat)
-        says_who = self._pulls_answered % PULLS_PER_PEER_EXCHANGE == 0
+        says_who = self._pulls_answered % PULLS_PER_OWN_RECORD == 0
         records = (self.record,) if says_who else ()
         request = PullRequest(
             self.record,
             records,
             self.version_vector,
             self.configuration_version,
-            MAX_HOLD_MS,
+            LONG_POLL_MS,
             self._load_report(),
         )
         body = request.encode()
--- a/meadowworks/simulation/scale/pull_exchange.py
+++ b/meadowworks/simulation/scale/pull_exchange.py
@@ -6,12 +6,13 @@
 from functools import partial
 
 from meadowworks.gossip.messages import PullReply
-from meadowworks.simulation.event_scheduler import MS, Callback
+from meadowworks.runtime.peer_client import CONNECT_TIMEOUT_S
+from meadowworks.simulation.event_scheduler import SECOND, Callback
 from meadowworks.simulation.scale.control_plane import OnReply
 from meadowworks.simulation.scale.deployment import ControlPlaneHost, Deployment
 from meadowworks.simulation.scale.scheduler import SimulatedNode
 
-CONNECT_TIMEOUT_NS = 250 * MS  # at a node that gave no answer before
+CONNECT_TIMEOUT_NS = int(CONNECT_TIMEOUT_S * SECOND)  # at a node that gave no answer before
 
 
 @dataclass(slots=True, eq=False)
--- a/meadowworks/simulation/scale/pulls.py
+++ b/meadowworks/simulation/scale/pulls.py
@@ -6,9 +6,12 @@
 from dataclasses import dataclass
 from functools import partial
 
+from meadowworks.controlplane.pull_client import PULLS_PER_SHUFFLE, RETRY_S
 from meadowworks.gossip.messages import PullReply
 from meadowworks.gossip.peer_sampling import PEER_EXPIRY_NS
-from meadowworks.simulation.event_scheduler import MS, SECOND
+from meadowworks.proxy.pull_schedule import FAILURE_PAUSE_S, PULL_TIMEOUT_S
+from meadowworks.proxy.timers import POLICY_TICK_S
+from meadowworks.simulation.event_scheduler import SECOND
 from meadowworks.simulation.scale.control_plane import START_SECONDS
 from meadowworks.simulation.scale.deployment import (
     AnyProxyHost,
@@ -17,13 +20,13 @@
     ProxyHost,
     StubHost,
 )
-from meadowworks.simulation.scale.proxy import PULLS_PER_PEER_EXCHANGE, SimulatedProxy
+from meadowworks.simulation.scale.proxy import SimulatedProxy
 from meadowworks.simulation.scale.pull_exchange import PullExchange
 from meadowworks.simulation.scale.scheduler import SimulatedNode
 
-PULL_TIMEOUT_NS, REPLICATION_PULL_TIMEOUT_NS = 1600 * MS, 2 * SECOND  # as the programs have them
-PROXY_RETRY_NS, REPLICATION_RETRY_NS = 100 * MS, 200 * MS  # after a pull that failed
-QUARTER_SECOND_NS = SECOND // 4
+PULL_TIMEOUT_NS, PROXY_RETRY_NS = int(PULL_TIMEOUT_S * SECOND), int(FAILURE_PAUSE_S * SECOND)
+REPLICATION_TIMEOUT_NS, REPLICATION_RETRY_NS = 2 * SECOND, int(RETRY_S * SECOND)
+POLICY_TICK_NS = int(POLICY_TICK_S * SECOND)
 
 
 @dataclass(slots=True)
@@ -112,10 +115,10 @@
                 scheduler.call_later(SECOND, on_failure)
 
         def send() -> None:
-            with_peers = pull_number % PULLS_PER_PEER_EXCHANGE == 0
+            with_peers = pull_number % PULLS_PER_SHUFFLE == 0
             body = host.program.build_pull(with_peers)
             exchange = PullExchange(self._deployment, host.node, target, on_reply, on_failure)
-            exchange.send(body, REPLICATION_PULL_TIMEOUT_NS)
+            exchange.send(body, REPLICATION_TIMEOUT_NS)
 
         scheduler.enqueue(host.node, send)
 
@@ -183,7 +186,7 @@
             if host.node.incarnation == incarnation:
                 host.program.each_quarter_second()
                 again = partial(self._proxy_quarter_second, host, incarnation)
-                self._scheduler.call_after_work(QUARTER_SECOND_NS, again)
+                self._scheduler.call_after_work(POLICY_TICK_NS, again)
 
         self._scheduler.enqueue(host.node, turn)
 
--- a/meadowworks/simulation/scale/results.py
+++ b/meadowworks/simulation/scale/results.py
@@ -185,7 +185,7 @@
         if instance in deployment.backends:
             body = json.loads(deployment.heartbeat_body(instance))
             started.heartbeats.heartbeat(deployment.now, instance, body)
-    started.copy_load_reports(model)
+    started.zone_loads.copy_from(model.zone_loads)
     return started
 
 
