--- a/meadowworks/load_balancing/service_balancer.py
+++ b/meadowworks/load_balancing/service_balancer.py
@@ -14,7 +14,7 @@
 from meadowworks.fleet.names import NameIndex
 from meadowworks.load_balancing.policy_settings import REPORT_INTERVAL_NS, policy_settings
 from meadowworks.policy import Controller
-from meadowworks.policy.interface import EndpointEntry
+from meadowworks.policy.interface import AttemptReport, EndpointEntry
 from meadowworks.registry.backend_state import DRAINING, UP
 from meadowworks.registry.backends import BackendInstance
 
@@ -122,8 +122,8 @@
 
     def set_latency_target(self, target_ns: int) -> None:
         """Set the time within which the operator wants responses, as a new configuration says."""
-        old = self.controller.set
-        self.controller.set = replace(old, routes=(replace(old.routes[0], slo_ns=target_ns),))
+        old = self.controller.settings
+        self.controller.settings = replace(old, routes=(replace(old.routes[0], slo_ns=target_ns),))
 
     def update_backends(self, now: int, backends: Iterable[BackendInstance]) -> None:
         """Hand what has changed to the policy, of the backends of this service as they are now."""
@@ -156,10 +156,9 @@
             if endpoint is None:
                 continue
             queue = {} if load.queue_length < 0 else {"queue": load.queue_length}
-            self.controller.on_backend_report(
-                now, zone, endpoint, load.attempts, load.failures, load.latency_ns, covers_ns, queue
-            )
-        self.controller.on_demand_report(now, zone, 0, requests, 0, covers_ns)
+            report = AttemptReport(load.attempts, load.failures, load.latency_ns, covers_ns, queue)
+            self.controller.on_backend_report(now, zone, endpoint, report)
+        self.controller.on_demand_report(now, zone, 0, requests, covers_ns)
         self._reported_ns[zone] = now
 
     def record_response(self, size: int) -> None:
@@ -185,7 +184,7 @@
         if backend.warm_at_ns and self._slow_start_ns == DEFAULT_SLOW_START_NS:
             # The backends say how long they are slow: that takes the place of the usual time.
             self._slow_start_ns = backend.warm_at_ns - backend.first_seen_ns
-            self.controller.set = replace(self.controller.set, cold_ns=self._slow_start_ns)
+            self.controller.settings = replace(self.controller.settings, slow_start_ns=self._slow_start_ns)
         self._backend_states[backend.instance_id] = backend.state
         return EndpointEntry(
             self.endpoint_ids.index(backend.instance_id),
@@ -215,8 +214,8 @@
         return {
             "level": self.admission_ratio,
             "further tries allowed": bool(self.max_retries),
-            "asked": round(policy.asking, 2),
-            "proven": round(policy.proven, 2),
+            "asked": round(policy.demand, 2),
+            "proven": round(policy.proven_rate, 2),
             "zones": self._explain_zones(now),
             "table": self._named(self.weights),
             "abroad": self._named(self.remote_weights),
@@ -226,12 +225,12 @@
     def _explain_zones(self, now: int) -> dict[str, Any]:
         return {
             name: {
-                "view": round(view.calls, 2),
-                "asked": round(view.asked, 2),
-                "keeps": round(view.keep, 3),
-                "waiting": round(view.crowd, 2),
-                "jammed": view.jam,
-                "calm": view.calm,
+                "view": round(view.capacity, 2),
+                "asked": round(view.admitted_rate, 2),
+                "keeps": round(view.local_share, 3),
+                "waiting": round(view.mean_queue, 2),
+                "jammed": view.overloaded,
+                "calm": view.latency_ok,
                 "figures_s": self._report_age_s(now, zone),
             }
             for (name, zone), view in zip(self.zone_index.items(), self.controller.views, strict=True)
@@ -251,12 +250,13 @@
         names, policy = self.endpoint_ids.name_by_index, self.controller
         return {
             names[endpoint]: {
-                "rung": backend.rung,
-                "part": round(policy.part(now, backend), 3),
+                "rung": backend.ejection_step,
+                "part": round(policy.weight_factor(now, backend), 3),
                 "ready": backend.ready,
             }
             for endpoint, backend in policy.backends.items()
-            if endpoint in names and (backend.rung or not backend.ready or policy.part(now, backend) < 1)
+            if endpoint in names
+            and (backend.ejection_step or not backend.ready or policy.weight_factor(now, backend) < 1)
         }
 
 
