--- a/meadowworks/controlplane/compressed_config.py
+++ b/meadowworks/controlplane/compressed_config.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 import asyncio
-from typing import NamedTuple
 
 from meadowworks.consensus.values import CommittedValue
+from meadowworks.gossip.messages import CompressedConfig
 from meadowworks.runtime.background_tasks import BackgroundTasks
 from meadowworks.runtime.compression import compress_steps
 from meadowworks.runtime.cooperative import run_cooperatively
@@ -13,13 +13,6 @@
 MAX_CONFIG_BYTES = 64 << 20  # uncompressed: bounds the memory that a call or a reply can make a node take
 
 
-class CompressedConfig(NamedTuple):
-    """A version of the configuration, compressed by zlib."""
-
-    version: int = 0
-    data: bytes = b""
-
-
 class ConfigCompressor:
     """Compresses each version once, however many pulls wait for it."""
 
--- a/meadowworks/controlplane/pull_handler.py
+++ b/meadowworks/controlplane/pull_handler.py
@@ -96,7 +96,7 @@
         node, acceptor = self._node, self._node.acceptor
         has_lease = node.holds_lease()
         latest = self._compressor.latest
-        config = (latest.version, latest.data) if self._lacks_config(pull) else None
+        config = latest if self._lacks_config(pull) else None
         peers = self._peers_for(pull)
         if pull.epoch_number is None:
             return PullReply(node.cluster.peers.local, peers, tuple(deltas), has_lease, config)
--- a/meadowworks/gossip/messages.py
+++ b/meadowworks/gossip/messages.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any, NamedTuple
 
 import msgpack
@@ -37,6 +37,13 @@
     version: int
 
 
+class CompressedConfig(NamedTuple):
+    """A version of the configuration, compressed by zlib; 0 and nothing where none is held."""
+
+    version: int = 0
+    data: bytes = b""
+
+
 @dataclass(frozen=True, slots=True)
 class PullRequest:
     """Asks a control-plane node for the updates that the sender lacks.
@@ -86,7 +93,7 @@
     :ivar peers: a sample of its view, if the request carried one.
     :ivar has_lease: whether a majority of disks has answered the node recently; without it what the node
         says may be out of date.
-    :ivar config: the version and the compressed text of a configuration newer than the requester's.
+    :ivar config: the configuration, if it is newer than the requester's.
     :ivar acceptor_state: between control-plane nodes, what the node's acceptor says of itself.
     :ivar epoch: between control-plane nodes, the members, if the requester knows older ones.
     :ivar decided_digests: between control-plane nodes, digests of earlier versions, beside ``config``.
@@ -96,7 +103,7 @@
     peers: tuple[PeerRecord, ...]
     deltas: tuple[SourceDelta, ...]
     has_lease: bool
-    config: tuple[int, bytes] | None = field(default=None)
+    config: CompressedConfig | None = None
     acceptor_state: QueryReply | None = None
     epoch: Epoch | None = None
     decided_digests: DigestHistory = ()
@@ -196,7 +203,7 @@
             tuple(map(decode_peer, peers)),
             tuple(map(decode_delta, deltas)),
             bool(has_lease),
-            None if config is None else (int(config[0]), config[1]),
+            None if config is None else CompressedConfig(int(config[0]), config[1]),
             *decode_consensus_fields(acceptor_state, epoch, digests),
         )
     except DECODE_ERRORS as error:
--- a/meadowworks/simulation/scale/control_plane.py
+++ b/meadowworks/simulation/scale/control_plane.py
@@ -13,6 +13,7 @@
 from typing import Any
 
 from meadowworks.gossip.messages import (
+    CompressedConfig,
     PullReply,
     PullRequest,
     decode_pull_reply,
@@ -106,12 +107,12 @@
             self.configuration = VersionedContent(version, content)
             self._wake_pulls()
 
-    def compressed_configuration(self) -> tuple[int, bytes]:
+    def compressed_configuration(self) -> CompressedConfig:
         """Return the version and its content, compressed once for all as the program does."""
         if self._compressed.version != self.configuration.version:
             content = zlib.compress(self.configuration.content, COMPRESSION_LEVEL)
             self._compressed = VersionedContent(self.configuration.version, content)
-        return self._compressed.version, self._compressed.content
+        return CompressedConfig(self._compressed.version, self._compressed.content)
 
     def _on_update(self, update: KeyUpdate) -> None:
         if update.key.startswith(BACKEND_KEY_PREFIX):
--- a/tests/gateway/golden_product.py
+++ b/tests/gateway/golden_product.py
@@ -135,8 +135,9 @@
 
 # -- messages between controllers
 
-Pull: Any = post.PullRequest  # a pair stands for an acknowledgement
-News = post.PullReply
+# Plain pairs stand for an acknowledgement and for a configuration: their types are tuples with names.
+Pull: Any = post.PullRequest
+News: Any = post.PullReply
 Unreadable = post.DECODE_ERRORS  # what the readers of messages raise
 
 
--- a/tests/gateway/test_backend_directory.py
+++ b/tests/gateway/test_backend_directory.py
@@ -21,19 +21,19 @@
         (quiet, up, "up"),
         (up, quiet, "up"),
     ):
-        directory = BackendDirectory(lambda name: 0, lambda: 0)
+        directory = BackendDirectory(lambda _: 0, lambda: 0)
         directory.on_update(KeyUpdate("one", "b/i", up))
         directory.on_update(KeyUpdate("one", "b/i", first))
         directory.on_update(KeyUpdate("two", "b/i", second))
         assert directory.instances["i"].state == state, (first, second)
-    registry, accepted = HeartbeatRegistry(lambda key, value: 7, 1000), CallAccepted(7)
+    registry, accepted = HeartbeatRegistry(lambda *_: 7, 1000), CallAccepted(7)
     assert registry.heartbeat(0, "i", HEARTBEAT) == CallAccepted(0)
     drained = {**HEARTBEAT, "status": {"state": "draining", "calls": 5}}
     assert registry.heartbeat(1, "i", drained) == accepted
-    assert (
-        registry.heartbeat(2, "i", HEARTBEAT) == accepted and registry.registrations["i"].state == "draining"
-    )  # a late one
-    assert registry.leave(3, "i") == accepted and registry.heartbeat(4, "i", drained) == accepted
+    assert registry.heartbeat(2, "i", HEARTBEAT) == accepted  # a late one
+    assert registry.registrations["i"].state == "draining"
+    assert registry.leave(3, "i") == accepted
+    assert registry.heartbeat(4, "i", drained) == accepted
     assert registry.registrations["i"].state == "gone"
 
 
--- a/tests/gateway/test_gossip_messages.py
+++ b/tests/gateway/test_gossip_messages.py
@@ -15,7 +15,8 @@
     load_report = [[["i", 1, 0, 5, 1, 1, 0]], [["s", 1]]]
     acknowledgement = messages.DrainAcknowledgement("b.1", 7)
     pull = messages.PullRequest(me, (me,), {"s": 3}, 1, 100, load_report, 4, acknowledgement)
-    reply = messages.PullReply(me, (me,), (SourceDelta("s", True, 3, ((3, "k", 1),)),), True, (2, b"{}"))
+    config = messages.CompressedConfig(2, b"{}")
+    reply = messages.PullReply(me, (me,), (SourceDelta("s", True, 3, ((3, "k", 1),)),), True, config)
     malformed = 0
     for whole, read in ((pull, messages.decode_pull_request), (reply, messages.decode_pull_reply)):
         raw = messages.decode(whole.encode())
--- a/tests/gateway/test_heartbeat_registry.py
+++ b/tests/gateway/test_heartbeat_registry.py
@@ -1,4 +1,4 @@
-"""Heartbeats at one node: malformed ones are rejected, and backends are restored after a total loss."""
+"""Heartbeats and departures at one node, the bounds on what it registers, and what a restart restores."""
 
 from __future__ import annotations
 
@@ -6,11 +6,19 @@
 from pathlib import Path
 from typing import Any
 
-from meadowworks.gossip import messages as post
+from meadowworks.gossip import messages
 from meadowworks.gossip.updates import KeyUpdate
 from meadowworks.registry.backends import BackendDirectory
-from meadowworks.registry.heartbeats import HeartbeatRegistry, InvalidCall
+from meadowworks.registry.heartbeats import (
+    MAX_UNKNOWN_DEPARTURES,
+    RETENTION_NS,
+    CallAccepted,
+    HeartbeatRegistry,
+    InvalidCall,
+    RegistryFull,
+)
 from meadowworks.storage.sqlite_store import SqliteStore
+from tests.gateway.durable_node import DurableNode, heartbeat
 from tests.gateway.helpers import HEARTBEAT, SECOND, recording_publisher
 from tests.gateway.mutations import mutants
 
@@ -23,10 +31,11 @@
         found = registry.heartbeat(0, "i", mutant)
         seen += isinstance(found, InvalidCall)
         assert isinstance(found, InvalidCall) == (not published)
-        directory = BackendDirectory(lambda name: 0, lambda: 0)
+        directory = BackendDirectory(lambda _: 0, lambda: 0)
         for value in published:
             directory.on_update(KeyUpdate("source", "b/i", value))
-            assert directory.instances["i"].state == "up" and directory.instances["i"].port == 8080
+            assert directory.instances["i"].state == "up"
+            assert directory.instances["i"].port == 8080
     assert seen > 30
 
 
@@ -37,10 +46,12 @@
     registry.heartbeat(0, "j", HEARTBEAT)
     registry.leave(1, "j")
     disk = SqliteStore(tmp_path / "d")
-    disk.save_backend_hints({ident: post.encode(value) for ident, value in registry.durable_values().items()})
+    disk.save_backend_hints(
+        {ident: messages.encode(value) for ident, value in registry.durable_values().items()}
+    )
     shutil.copytree(tmp_path / "d", tmp_path / "after")
     rows = {
-        ident: post.decode(value)
+        ident: messages.decode(value)
         for ident, value in SqliteStore(tmp_path / "after").load_backend_hints().items()
     }
     assert set(rows) == {"i"}
@@ -50,3 +61,50 @@
     assert published["b/i"][:5] == ["s", "10.0.0.9:8080", "north", 2.0, "up"]
     later.tick(105 * SECOND)  # no heartbeat since
     assert published["b/i"][-1] == 1
+
+
+def test_the_departure_of_an_unknown_instance_registers_nothing_and_holds_once_it_is_known() -> None:
+    a, b = DurableNode("a"), DurableNode("b")
+    assert a.heartbeats.leave(0, "made-up") == CallAccepted(0)
+    assert not a.heartbeats.registrations
+    assert a.updates.remote_version_vector() == {}
+    assert a.heartbeats.heartbeat(1, "made-up", heartbeat()) == CallAccepted(0)  # a late one
+    assert not a.heartbeats.registrations
+    assert a.heartbeats.leave(0, "") == a.heartbeats.leave(0, "x" * 201) == InvalidCall("no id")
+    b.heartbeats.heartbeat(0, "i", heartbeat())
+    assert a.heartbeats.leave(0, "i") == CallAccepted(0)  # b's update is on its way
+    a.pull(b)
+    a.heartbeats.tick(SECOND)
+    assert a.heartbeats.registrations["i"].state == "gone"
+    assert a.drain_log.unsynced == {"i"}
+    b.heartbeats.heartbeat(0, "j", heartbeat())
+    a.pull(b)
+    left = a.heartbeats.leave(0, "j")
+    assert isinstance(left, CallAccepted)
+    assert left.version
+    assert a.directory.instances["j"].state == "gone"
+    for k in range(MAX_UNKNOWN_DEPARTURES + 9):
+        a.heartbeats.leave(2 * SECOND, f"x{k}")
+    assert len(a.heartbeats.unknown_departures) == MAX_UNKNOWN_DEPARTURES
+    assert a.updates.sources["a.1"].latest_version < 5
+    a.heartbeats.tick(3 * SECOND + RETENTION_NS)
+    assert not a.heartbeats.unknown_departures
+
+
+def test_registrations_are_bounded_and_the_one_silent_for_the_longest_gives_way() -> None:
+    node = DurableNode("a")  # takes four
+    for k in range(4):
+        assert node.heartbeats.heartbeat(k, f"i{k}", heartbeat()) == CallAccepted(0)
+    assert node.heartbeats.heartbeat(5, "i0", heartbeat(sequence=2)) == CallAccepted(0)
+    assert node.heartbeats.heartbeat(6, "i4", heartbeat()) == RegistryFull()
+    assert node.heartbeats.leave(6, "i1") != RegistryFull()
+    later = 6 * SECOND
+    assert node.heartbeats.heartbeat(later, "i4", heartbeat()) == CallAccepted(0)
+    assert "i2" not in node.heartbeats.registrations
+    assert set(node.heartbeats.registrations) == {"i0", "i1", "i3", "i4"}
+    assert len(node.directory.instances) == 4
+    details = heartbeat()["details"]
+    for too_long in ({"svc": "s" * 201}, {"zone": "z" * 201}, {"ver": "v" * 201}):
+        document = heartbeat(details={**details, **too_long})
+        assert isinstance(node.heartbeats.heartbeat(0, "l", document), InvalidCall)
+    assert isinstance(node.heartbeats.heartbeat(0, "l", heartbeat(addr="h" * 201 + ":1")), InvalidCall)
--- a/tests/gateway/test_peer_sampling.py
+++ b/tests/gateway/test_peer_sampling.py
@@ -19,7 +19,8 @@
     other.merge(4, [one.local])
     assert other.peers["10.0.0.0"].record.incarnation == "l1"
     one.merge(5, [one.local])
-    assert one.local.heartbeat == 901 and not set(one.peers) - {"10.0.0.1"}
+    assert one.local.heartbeat == 901
+    assert not set(one.peers) - {"10.0.0.1"}
 
 
 def test_peers_shuffle_until_all_voters_are_known_and_silent_ones_are_forgotten() -> None:
@@ -34,7 +35,8 @@
     nodes[6].merge(9, [PeerRecord("n0", "10.0.0.0", 7000, "z", True, "l0", 0)])
     assert nodes[6].peers["10.0.0.0"].record.heartbeat == 1  # an old record replaces no newer one
     nodes[6].expire(PEER_EXPIRY_NS + 10)
-    assert not nodes[6].peers and nodes[6].undiscovered_seeds([("10.0.0.1", 9)], 7000) == [("10.0.0.1", 7000)]
+    assert not nodes[6].peers
+    assert nodes[6].undiscovered_seeds([("10.0.0.1", 9)], 7000) == [("10.0.0.1", 7000)]
     upstream = ControlPlaneSelector("z")
     far = PeerRecord("f", "10.0.9.9", 7000, "y", True, "f", 1)
     assert upstream.choose(0, [far, records[0]], []) == ("10.0.0.0", 7000)
--- a/tests/gateway/test_update_store.py
+++ b/tests/gateway/test_update_store.py
@@ -1,15 +1,17 @@
-"""Updates by source: a snapshot first, then changes; an old delta changes nothing."""
+"""Updates by source: snapshots, changes and old deltas, and sources that end."""
 
 from __future__ import annotations
 
 from meadowworks.gossip.updates import MAX_TOMBSTONES, SOURCE_EXPIRY_NS, KeyUpdate, SourceDelta, UpdateStore
+from tests.gateway.durable_node import DurableNode, heartbeat
+from tests.gateway.helpers import SECOND
 
 
-def pull_updates(vector_of: UpdateStore, holder: UpdateStore, now: int = 0) -> list[SourceDelta]:
-    pieces = holder.deltas_since(vector_of.remote_version_vector(), vector_of.source_id)
-    for piece in pieces:
-        vector_of.apply(now, piece)
-    return pieces
+def pull_updates(reader: UpdateStore, holder: UpdateStore, now_ns: int = 0) -> list[SourceDelta]:
+    deltas = holder.deltas_since(reader.remote_version_vector(), reader.source_id)
+    for delta in deltas:
+        reader.apply(now_ns, delta)
+    return deltas
 
 
 def test_updates_come_as_a_snapshot_then_as_changes_and_an_old_delta_changes_nothing() -> None:
@@ -20,28 +22,45 @@
         source.publish(f"b/{k}", k)
     pull_updates(middle, source)
     [snapshot] = [p for p in pull_updates(reader, middle) if p.source == "s"]
-    assert snapshot.is_snapshot and len(snapshot.changes) == 5
+    assert snapshot.is_snapshot
+    assert len(snapshot.changes) == 5
     source.publish("b/0", "new")
     pull_updates(middle, source)
     [change] = [p for p in pull_updates(reader, middle) if p.source == "s"]
-    assert not change.is_snapshot and len(change.changes) == 1
+    assert not change.is_snapshot
+    assert len(change.changes) == 1
     source.publish("b/9", "newer than the snapshot")
     pull_updates(middle, source)
     pull_updates(reader, middle)
     events.clear()
     reader.apply(0, snapshot)  # comes late
-    assert (
-        not events and "b/9" in reader.sources["s"].entries and reader.sources["s"].entries["b/0"][1] == "new"
-    )
+    assert not events
+    assert "b/9" in reader.sources["s"].entries
+    assert reader.sources["s"].entries["b/0"][1] == "new"
     for k in range(MAX_TOMBSTONES + 9):
         source.publish(f"t{k}", None)
     pull_updates(middle, source)
-    assert [p.is_snapshot for p in pull_updates(reader, middle) if p.source == "s"] == [
-        True
-    ]  # it fell behind
-    assert reader.sources["s"].latest_version == source.sources["s"].latest_version and not pull_updates(
-        reader, middle
-    )
+    [delta] = [p for p in pull_updates(reader, middle) if p.source == "s"]
+    assert delta.is_snapshot  # the reader fell behind
+    assert reader.sources["s"].latest_version == source.sources["s"].latest_version
+    assert not pull_updates(reader, middle)
     middle.publish("pulse", 1)
     pull_updates(reader, middle, SOURCE_EXPIRY_NS)
-    assert reader.expire_sources(SOURCE_EXPIRY_NS + 1) == ["s"] and set(reader.sources) == {"r", "m"}
+    assert reader.expire_sources(SOURCE_EXPIRY_NS + 1) == ["s"]
+    assert set(reader.sources) == {"r", "m"}
+
+
+def test_an_expired_source_takes_its_keys_along_unless_no_source_is_heard() -> None:
+    updates, notified = UpdateStore("me"), list[KeyUpdate]()
+    a, b = DurableNode("a"), DurableNode("b")
+    a.heartbeats.heartbeat(0, "i", heartbeat())
+    b.heartbeats.heartbeat(0, "j", heartbeat())
+    for node in (a, b):
+        for delta in node.updates.deltas_since({}, "me"):
+            updates.apply(0, delta)
+    updates.update_listeners.append(notified.append)
+    assert updates.expire_sources(61 * SECOND) == []  # it is this process that is cut off
+    assert not notified
+    updates.sources["b.1"].last_update_ns = 60 * SECOND
+    assert updates.expire_sources(61 * SECOND) == ["a.1"]
+    assert notified == [KeyUpdate("a.1", "b/i", None)]
