--- a/meadowworks/proxy/control_plane_client.py
+++ b/meadowworks/proxy/control_plane_client.py
@@ -17,11 +17,11 @@
 from meadowworks.proxy.pull_schedule import PullSchedule
 from meadowworks.proxy.settings_reload import ReloadableSettings
 from meadowworks.runtime import logging as logs
+from meadowworks.runtime.clock import now_ns
 from meadowworks.runtime.compression import decompress_steps
 from meadowworks.runtime.cooperative import run_cooperatively
 from meadowworks.runtime.errors import InvariantError, RequestError
 from meadowworks.runtime.peer_client import PeerClient
-from meadowworks.runtime.process import now_ns
 from meadowworks.runtime.steps import Steps
 
 # Guards against a reply that would fill the memory when it is decompressed.
--- a/meadowworks/proxy/control_plane_view.py
+++ b/meadowworks/proxy/control_plane_view.py
@@ -17,8 +17,8 @@
 from meadowworks.registry.backend_state import DRAINING
 from meadowworks.registry.backends import BackendDirectory
 from meadowworks.runtime import logging as logs
+from meadowworks.runtime.clock import now_ns
 from meadowworks.runtime.http_connection import ClientConnection
-from meadowworks.runtime.process import now_ns
 
 MS, SECOND = 1_000_000, 1_000_000_000
 # After the start: how long a lease holder is waited for, and then a backend of every service. The platform's
--- a/meadowworks/proxy/forwarder.py
+++ b/meadowworks/proxy/forwarder.py
@@ -36,8 +36,9 @@
 from meadowworks.proxy.settings_reload import ReloadableSettings
 from meadowworks.proxy.upstream_attempt import AttemptResult, UpstreamRequest, send_attempt
 from meadowworks.registry.backends import BackendInstance
+from meadowworks.runtime.background_tasks import BackgroundTasks
+from meadowworks.runtime.clock import now_ns
 from meadowworks.runtime.http_connection import ClientConnection, Response
-from meadowworks.runtime.process import BackgroundTasks, now_ns
 from meadowworks.runtime.server_connection import HttpConnection
 
 MS, SECOND = 1_000_000, 1_000_000_000
--- a/meadowworks/proxy/internal_api.py
+++ b/meadowworks/proxy/internal_api.py
@@ -11,7 +11,7 @@
 from meadowworks.proxy.forwarder import Forwarder
 from meadowworks.proxy.settings_reload import ReloadableSettings
 from meadowworks.runtime.asgi import Receive, Scope, Send
-from meadowworks.runtime.process import now_ns
+from meadowworks.runtime.clock import now_ns
 from meadowworks.runtime.request_body import read_body
 from meadowworks.runtime.response_writer import send_response
 
--- a/meadowworks/proxy/load_reporting.py
+++ b/meadowworks/proxy/load_reporting.py
@@ -18,8 +18,8 @@
 from meadowworks.proxy.settings_reload import ReloadableSettings
 from meadowworks.proxy.upstream_attempt import AttemptResult
 from meadowworks.runtime import logging as logs
+from meadowworks.runtime.clock import now_ns
 from meadowworks.runtime.http_connection import ClientConnection
-from meadowworks.runtime.process import now_ns
 
 MS = 1_000_000
 OWN_REPORT_MS = 1000  # what a report of this proxy's own covers that stands in for its zone's
--- a/meadowworks/proxy/request_handler.py
+++ b/meadowworks/proxy/request_handler.py
@@ -18,8 +18,8 @@
 from meadowworks.proxy.http_headers import forwarded_request_headers, forwarded_response_headers, parse_ms
 from meadowworks.proxy.upstream_attempt import UpstreamRequest
 from meadowworks.runtime.asgi import Receive, Scope, Send
+from meadowworks.runtime.clock import now_ns
 from meadowworks.runtime.http_connection import Headers, Response
-from meadowworks.runtime.process import now_ns
 from meadowworks.runtime.request_body import BodyError, read_body
 from meadowworks.runtime.response_writer import send_response
 from meadowworks.runtime.server_connection import HttpConnection
--- a/meadowworks/proxy/server.py
+++ b/meadowworks/proxy/server.py
@@ -21,10 +21,12 @@
 from meadowworks.proxy.timers import Timers
 from meadowworks.registry.backends import BackendDirectory
 from meadowworks.runtime import logging as logs
+from meadowworks.runtime.background_tasks import BackgroundTasks
+from meadowworks.runtime.clock import now_ns
 from meadowworks.runtime.http_connection import ClientConnection
 from meadowworks.runtime.http_server import HttpServer
 from meadowworks.runtime.node_settings import NodeSettings
-from meadowworks.runtime.process import BackgroundTasks, now_ns, run_program
+from meadowworks.runtime.process import run_program
 
 # Part of the machine's memory that request and response bodies may take; the rest is the program's.
 BODY_MEMORY_SHARE = 0.4
--- a/meadowworks/proxy/timers.py
+++ b/meadowworks/proxy/timers.py
@@ -10,7 +10,8 @@
 from meadowworks.proxy.forwarder import Forwarder
 from meadowworks.proxy.load_reporting import LoadReporter
 from meadowworks.runtime import logging as logs
-from meadowworks.runtime.process import BackgroundTasks, now_ns
+from meadowworks.runtime.background_tasks import BackgroundTasks
+from meadowworks.runtime.clock import now_ns
 
 HOUSEKEEPING_INTERVAL_S = 1.0
 # The balancers' own turns come every half second: twice as often, so that none comes late by a whole turn.
--- a/meadowworks/proxy/upstream_attempt.py
+++ b/meadowworks/proxy/upstream_attempt.py
@@ -12,9 +12,9 @@
 from meadowworks.forwarding.response_check import check_response
 from meadowworks.proxy.http_headers import keep_alive_timeout_s
 from meadowworks.registry.backends import BackendInstance
+from meadowworks.runtime.clock import now_ns
 from meadowworks.runtime.errors import RequestError
 from meadowworks.runtime.http_connection import ClientConnection, Headers, Response, connect
-from meadowworks.runtime.process import now_ns
 
 MS = 1_000_000
 # A machine without power is silent: another backend is tried while the client still waits.
--- a/meadowworks/runtime/process.py
+++ b/meadowworks/runtime/process.py
@@ -10,8 +10,6 @@
 from typing import Any
 
 from meadowworks.runtime import logging as logs
-from meadowworks.runtime.background_tasks import BackgroundTasks as BackgroundTasks
-from meadowworks.runtime.clock import now_ns as now_ns
 from meadowworks.runtime.errors import SettingsError
 from meadowworks.runtime.node_settings import NodeSettings, load_settings
 
--- a/tests/gateway/test_fleet.py
+++ b/tests/gateway/test_fleet.py
@@ -25,10 +25,10 @@
 from meadowworks.proxy.control_plane_view import STARTUP_GRACE_NS
 from meadowworks.proxy.server import ProxyServer
 from meadowworks.runtime import node_settings
+from meadowworks.runtime.clock import now_ns
 from meadowworks.runtime.errors import RequestError
 from meadowworks.runtime.http_connection import connect
 from meadowworks.runtime.http_server import HttpServer
-from meadowworks.runtime.process import now_ns
 from tests.gateway.helpers import ask, until
 
 scenarios("features/fleet.feature")
--- a/tests/gateway/test_memory_budget.py
+++ b/tests/gateway/test_memory_budget.py
@@ -8,8 +8,9 @@
 from meadowworks.forwarding.connection_pool import ConnectionPool
 from meadowworks.forwarding.memory_budget import MemoryBudget, MemoryReservation
 from meadowworks.proxy.upstream_attempt import UpstreamRequest, send_attempt
+from meadowworks.runtime.background_tasks import BackgroundTasks
+from meadowworks.runtime.clock import now_ns
 from meadowworks.runtime.http_connection import ClientConnection
-from meadowworks.runtime.process import BackgroundTasks, now_ns
 from tests.gateway.helpers import SECOND, Raw, backend, until
 from tests.gateway.test_fleet import ROUTES, Fleet, fleet  # noqa: F401  # the fixture
 
--- a/tests/gateway/test_request_handler.py
+++ b/tests/gateway/test_request_handler.py
@@ -10,8 +10,8 @@
 import pytest
 
 from meadowworks.runtime import node_settings
+from meadowworks.runtime.clock import now_ns
 from meadowworks.runtime.http_connection import connect
-from meadowworks.runtime.process import now_ns
 from tests.gateway.helpers import SECOND, ask, until
 from tests.gateway.test_fleet import ROUTES, Fleet, fleet  # noqa: F401  # the fixture
 
--- a/tests/gateway/test_upstream_attempt.py
+++ b/tests/gateway/test_upstream_attempt.py
@@ -11,8 +11,8 @@
 from meadowworks.attempts.retry_policy import ANSWERED, FAILED, NEVER_RAN
 from meadowworks.forwarding.connection_pool import ConnectionPool
 from meadowworks.proxy.upstream_attempt import AttemptResult, UpstreamRequest, send_attempt
+from meadowworks.runtime.clock import now_ns
 from meadowworks.runtime.http_connection import ClientConnection
-from meadowworks.runtime.process import now_ns
 from tests.gateway.helpers import SECOND, Raw, backend, until
 
 scenarios("features/upstream_attempt.feature")
