--- a/meadowworks/proxy/endpoint_selector.py
+++ b/meadowworks/proxy/endpoint_selector.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from collections.abc import Mapping
-from dataclasses import dataclass, field
 
 from meadowworks.forwarding.connection_pool import ConnectionPool
 from meadowworks.forwarding.endpoint_selection import (
@@ -18,14 +17,19 @@
 from meadowworks.runtime.http_connection import ClientConnection
 
 
-@dataclass(slots=True)
 class EndpointSnapshot:
-    """The endpoints of a service as they are at one moment, by number."""
+    """The endpoints of a service as they are at one moment, by number.
 
-    local: dict[int, float] = field(default_factory=dict)  # weights in the proxy's zone
-    remote: dict[int, float] = field(default_factory=dict)  # weights in other zones
-    load: dict[int, float] = field(default_factory=dict)  # requests in flight
-    service_times: dict[int, float] = field(default_factory=dict)  # nanoseconds, where it is known
+    Made for each request and each of its events: a plain class with slots is the quickest to make.
+    """
+
+    __slots__ = ("load", "local", "remote", "service_times")
+
+    def __init__(self) -> None:
+        self.local: dict[int, float] = {}  # weights in the proxy's zone
+        self.remote: dict[int, float] = {}  # weights in other zones
+        self.load: dict[int, float] = {}  # requests in flight
+        self.service_times: dict[int, float] = {}  # nanoseconds, where it is known
 
 
 class EndpointSelector:
@@ -77,7 +81,8 @@
                 continue
             is_local = instance.zone == local_zone
             candidates = found.local if is_local else found.remote
-            candidates[endpoint] = max(weight, candidates.get(endpoint, 0.0))
+            if weight > candidates.get(endpoint, 0.0):
+                candidates[endpoint] = weight
             found.load[endpoint] = load.estimate(now, is_local)
             if load.service_time_ns is not None:
                 found.service_times[endpoint] = load.service_time_ns
