--- a/meadowworks/modelcheck/seeded_faults/forwarding.py
+++ b/meadowworks/modelcheck/seeded_faults/forwarding.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from meadowworks.modelcheck.fault import SeededFault
+from meadowworks.modelcheck.seeded_fault import SeededFault
 
 RETRY_POLICY = "meadowworks.attempts.retry_policy:"
 REQUEST_WORLDS = tuple(range(9))  # the first worlds of the model: those of forwarding_world
--- a/meadowworks/modelcheck/seeded_faults/upstream.py
+++ b/meadowworks/modelcheck/seeded_faults/upstream.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from meadowworks.modelcheck.fault import SeededFault
+from meadowworks.modelcheck.seeded_fault import SeededFault
 
 # Worlds of the model, those of http_connection_scenarios: faults, idle connections, no ids, between nodes.
 FAULTS, IDLE, WITHOUT_IDS, BETWEEN_NODES = (9,), (10,), (12,), (14,)
