--- a/meadowworks/local/commands.py
+++ b/meadowworks/local/commands.py
@@ -10,7 +10,7 @@
 
 from cappa import Arg
 
-from meadowworks.cli.main import CommandError
+from meadowworks.cli.errors import CommandError
 from meadowworks.cli.node_client import call_node
 from meadowworks.local.processes import PROJECT_ROOT, Process, running_backends, running_nodes
 from meadowworks.local.system import (
--- a/meadowworks/local/hostile_clients.py
+++ b/meadowworks/local/hostile_clients.py
@@ -17,7 +17,7 @@
 
 from cappa import Arg
 
-from meadowworks.cli.main import CommandError
+from meadowworks.cli.errors import CommandError
 from meadowworks.cli.node_client import call_node
 from meadowworks.local.commands import DEMO_SERVICES, put_configuration
 from meadowworks.local.hostile_behaviours import BEHAVIOURS, GET_REQUEST, Behaviour, Client
--- a/meadowworks/modelcheck/baseline_explorer.py
+++ b/meadowworks/modelcheck/baseline_explorer.py
@@ -1,4 +1,4 @@
-"""The plainest explorer there is, as a baseline: a queue, and every state's key kept whole."""
+"""The plainest explorer there is, as a baseline: a queue, and the key of every state."""
 
 from __future__ import annotations
 
--- a/meadowworks/modelcheck/commands.py
+++ b/meadowworks/modelcheck/commands.py
@@ -15,7 +15,7 @@
 from rich.console import Console
 from rich.progress import Progress, SpinnerColumn, TextColumn
 
-from meadowworks.cli.main import CommandError
+from meadowworks.cli.errors import CommandError
 from meadowworks.modelcheck import report
 from meadowworks.modelcheck.baseline_explorer import compare_with_baseline
 from meadowworks.modelcheck.catalog import MODELS, SEEDED_FAULTS, model_of
@@ -39,12 +39,11 @@
     baseline: Annotated[bool, Arg(long=True, help="time the plain explorer beside this one")] = False,
     as_json: Annotated[bool, Arg(long="--json", help="one JSON object on standard output")] = False,
 ) -> int:
-    """Explore the product's state machines whole and say which property breaks, with the shortest path.
+    """Explore the product's state machines exhaustively and say which property breaks, by the shortest path.
 
-    :returns: exit code 0 if all properties hold and all faults are found, else 1.
-    :raises CommandError: for an option that makes no sense.
-    :raises ValueError: for an unknown model, or a file that can't be replayed.
+    Status 0 if all properties hold and all seeded faults are found, 1 if not.
     """
+    # The docstring is the text of --help.
     bounds = Bounds(parse_bound(most, "--most"), parse_bound(depth, "--depth"))
     if workers < 0:
         raise CommandError("--workers is 0 or more")
@@ -53,7 +52,7 @@
         return replay_file(play, as_json)
     names = [model] if model else list(MODELS)
     for name in names:
-        model_of(name, large)  # an unknown one is told before anything is done
+        model_of(name, large)  # an unknown name is refused before anything is done
     if baseline:
         return compare_explorers(names, workers, as_json)
     with_faults = seeded and not large  # the larger worlds would take hours for all faults
--- a/meadowworks/modelcheck/liveness.py
+++ b/meadowworks/modelcheck/liveness.py
@@ -1,4 +1,4 @@
-"""Liveness: runs on which something is owed for ever, under weak fairness.
+"""Liveness: runs on which an obligation stays pending for ever, under weak fairness.
 
 Weak fairness: a set of steps that could be taken from some time on without a break is taken at last. A run
 that breaks a liveness property rests in a pending state where no fair step can be taken, or ends in a
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True)
 class PendingGraph:
-    """The steps that leave pending states, by fingerprints, and which properties each state owes.
+    """The steps that leave pending states, by fingerprints, and which properties are pending in each state.
 
     Row by row, `sources`, `targets` and `steps` hold a step's two states and its number; `pending` maps a
     state to the indices of the liveness properties that are pending in it.
@@ -37,7 +37,7 @@
     pending: dict[int, list[int]] = field(default_factory=dict)
 
     def mark_pending(self, fingerprint: int, properties: list[int]) -> None:
-        """Note which properties a state owes, before its steps are added."""
+        """Note which properties are pending in a state, before its steps are added."""
         self.pending[fingerprint] = properties
 
     def add(self, source: int, target: int, step: int) -> None:
@@ -71,9 +71,9 @@
 
 @dataclass(slots=True)
 class _PropertyGraph:
-    """The states that owe one property, sorted by fingerprint, and the steps that leave them.
+    """The states in which one property is pending, sorted by fingerprint, and the steps that leave them.
 
-    States go by index here. `stays` tells of each step whether it leads to a state that owes the property too
+    States go by index here. `stays` tells of each step whether it leads to another such state
     (else its target means nothing), `in_fair_set` per fair set whether the step belongs to it.
     """
 
@@ -98,7 +98,7 @@
     fair_sets: Sequence[frozenset[int]],
     depth_of: Callable[[int], int],
 ) -> UnansweredRun | None:
-    """Find a run on which a property is owed for ever, the one that begins nearest to a start.
+    """Find a run on which a property stays pending for ever, the one that begins nearest to a start.
 
     :param fair_sets: the numbers of the steps of each fair set.
     :param depth_of: gives a state's distance from the start, by its fingerprint.
@@ -137,8 +137,8 @@
 def _graph_of_property(
     graph: PendingGraph, property_index: int, fair_sets: Sequence[frozenset[int]]
 ) -> _PropertyGraph:
-    owing = sorted(state for state, properties in graph.pending.items() if property_index in properties)
-    states = np.array(owing, dtype=np.uint64)
+    pending = sorted(state for state, properties in graph.pending.items() if property_index in properties)
+    states = np.array(pending, dtype=np.uint64)
     if not len(states):
         nothing = np.zeros(0, dtype=np.int64)
         return _PropertyGraph(states, nothing, nothing, nothing, np.zeros(0, dtype=bool), [])
--- a/meadowworks/modelcheck/model.py
+++ b/meadowworks/modelcheck/model.py
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LivenessProperty:
-    """Something is owed while `is_pending` is true, and must not be owed for ever.
+    """An obligation that may be pending in a state, and must not stay so for ever.
 
     Each of `fair_steps` selects a set of steps under weak fairness: one of them is taken at last if, from
     some time on, one could be taken at any moment.
--- a/meadowworks/modelcheck/replay.py
+++ b/meadowworks/modelcheck/replay.py
@@ -33,7 +33,7 @@
 
 
 def _broken_in(model: Model, world: World) -> list[str]:
-    """Name what is broken in a state, with what is owed for ever if a run rests there."""
+    """Name what is broken in a state, with what stays pending for ever if a run rests there."""
     broken = [prop.name for prop in model.properties_on("state") if not prop.holds(world)]
     steps = list(world.enabled())
     if not steps:
@@ -48,14 +48,14 @@
 
 
 def unanswered_on_cycle(model: Model, start: World, cycle: Sequence[Step]) -> list[str]:
-    """Name what is owed all the way round a cycle that comes back to where it began.
+    """Name what is pending all the way round a cycle that comes back to where it began.
 
     Worlds with one key are one state, so a step may go by another name in the world at hand: one with the
     same first word is taken then.
 
     :raises ValueError: for a step that can't be taken.
     """
-    world, start_key, owed = start, start.key(), list(model.liveness)
+    world, start_key, pending = start, start.key(), list(model.liveness)
     for step in cycle:
         enabled = list(world.enabled())
         same = [one for one in enabled if one == step] or [one for one in enabled if one[0] == step[0]]
@@ -63,5 +63,5 @@
             raise ValueError(f"{model.describe_step(step)!r}: cannot be taken there")
         world = model.thaw(world.freeze())
         world.take_step(same[0])
-        owed = [live for live in owed if live.is_pending(world)]
-    return [live.name for live in owed] if world.key() == start_key else []
+        pending = [live for live in pending if live.is_pending(world)]
+    return [live.name for live in pending] if world.key() == start_key else []
--- a/meadowworks/simulation/__init__.py
+++ b/meadowworks/simulation/__init__.py
@@ -1,2 +1,5 @@
-"""A laboratory in simulated time: stand-in servers, proxies, channels and discovery round the product's own
-controllers. It decides nothing that a controller decides, and nothing of the product imports it."""
+"""The product's own state machines among simulated surroundings, in simulated time.
+
+`control` plays control planes under losses, `scale` programs by the hundred, `fleet` the fleet controller
+among stand-ins for proxies and servers. Nothing here decides what the product decides, and the product imports none.
+"""
--- a/meadowworks/simulation/bench_days.py
+++ b/meadowworks/simulation/bench_days.py
@@ -19,7 +19,7 @@
 
 from cappa import Arg
 
-from meadowworks.cli.main import CommandError
+from meadowworks.cli.errors import CommandError
 
 DAYS_FOLDER = Path(__file__).parent / "days"
 MAX_JOBS = 8
@@ -162,9 +162,9 @@
 ) -> int:
     """Play the project's own days on a site.
 
-    :returns: exit code 0 if all pass, 1 if a rule was broken, a gate was missed or a day could not be played.
-    :raises CommandError: for options that make no sense.
+    Status 0 if all pass, 1 if a rule was broken, a gate was missed or a day could not be played.
     """
+    # The docstring is the text of --help.
     if not 1 <= jobs <= MAX_JOBS:
         raise CommandError(f"{jobs} days at a time: 1 to {MAX_JOBS}")
     if not 0 <= seeds <= MAX_SEEDS:
--- a/meadowworks/simulation/commands.py
+++ b/meadowworks/simulation/commands.py
@@ -7,7 +7,7 @@
 
 from cappa import Arg
 
-from meadowworks.cli.main import CommandError
+from meadowworks.cli.errors import CommandError
 from meadowworks.simulation import cost
 from meadowworks.simulation.scale.command import SeriesSettings, run_scale, write_report
 from meadowworks.simulation.scale.series import AXIS_VALUES
@@ -60,9 +60,9 @@
 ) -> int:
     """Measure the product's state machines: as ratios within one run, under losses, or at a size.
 
-    :returns: an exit code.
-    :raises CommandError: for a word or an option that makes no sense.
+    Status 0 if all was played to its end, and of control if nothing was violated.
     """
+    # The docstring is the text of --help.
     if what == "cost":
         return cost.main()
     if what == "control":
--- a/meadowworks/simulation/control/command.py
+++ b/meadowworks/simulation/control/command.py
@@ -11,7 +11,7 @@
 from dataclasses import asdict, dataclass
 from functools import partial
 
-from meadowworks.cli.main import CommandError
+from meadowworks.cli.errors import CommandError
 from meadowworks.simulation.control.counts import ScenarioCounts
 from meadowworks.simulation.control.guards import GUARDS, GUARDS_BY_NAME, MASKED_GUARDS, without_guard
 from meadowworks.simulation.control.scenarios import SCENARIOS, run_scenario
--- a/meadowworks/simulation/control/pull.py
+++ b/meadowworks/simulation/control/pull.py
@@ -13,14 +13,14 @@
 if TYPE_CHECKING:
     from meadowworks.simulation.control.node import ControlPlaneNode
 
-HOLD_NS = SECOND // 2  # that a pull without news waits at its target
+LONG_POLL_NS = SECOND // 2  # that a pull without news waits at its target
 TIMEOUT_NS = SECOND
 NEXT_PULL_NS = 10 * MS
 RETRY_NS = 300 * MS  # after a pull at a machine that is down
 
 
 @dataclass(frozen=True, slots=True, eq=False)
-class HeldPull:
+class PendingPull:
     """A pull that waits at its target for a newer version or epoch than the asker has."""
 
     version: int
@@ -78,17 +78,17 @@
             return
         answer = partial(self._answer, target.incarnation)
         acceptor = target.replica.acceptor
-        held = HeldPull(self._version, self._epoch, answer)
-        if held.lacks(acceptor.committed.version, acceptor.epoch.number):
+        pending = PendingPull(self._version, self._epoch, answer)
+        if pending.lacks(acceptor.committed.version, acceptor.epoch.number):
             answer()
             return
-        target.running.held_pulls.append(held)
-        self._cluster.scheduler.call_later(HOLD_NS, partial(self._end_hold, held))
+        target.running.pending_pulls.append(pending)
+        self._cluster.scheduler.call_later(LONG_POLL_NS, partial(self._end_wait, pending))
 
-    def _end_hold(self, held: HeldPull) -> None:
-        if held in self._target.running.held_pulls:
-            self._target.running.held_pulls.remove(held)
-            held.answer()
+    def _end_wait(self, pending: PendingPull) -> None:
+        if pending in self._target.running.pending_pulls:
+            self._target.running.pending_pulls.remove(pending)
+            pending.answer()
 
     def _answer(self, target_incarnation: int) -> None:
         if self._target.up and target_incarnation == self._target.incarnation:
--- a/meadowworks/simulation/control/replica_driver.py
+++ b/meadowworks/simulation/control/replica_driver.py
@@ -21,7 +21,7 @@
 from meadowworks.consensus.operations import LEAVE_WAITER_ID
 from meadowworks.consensus.replica import Replica
 from meadowworks.consensus.values import NO_BALLOT, Ballot, CommittedValue
-from meadowworks.simulation.control.pull import HeldPull
+from meadowworks.simulation.control.pull import PendingPull
 from meadowworks.simulation.control.simulated_disk import SimulatedStore
 from meadowworks.simulation.event_scheduler import MS, SECOND
 
@@ -49,12 +49,12 @@
 class ReplicaDriver:
     """Does what a replica wants done, and tells it what comes.
 
-    `held_pulls` are pulls by others that wait for news of this replica.
+    `pending_pulls` are pulls by others that wait for news of this replica.
     """
 
     def __init__(self, node: ControlPlaneNode, replica: Replica, store: SimulatedStore) -> None:
         self.replica = replica
-        self.held_pulls: list[HeldPull] = []
+        self.pending_pulls: list[PendingPull] = []
         self._node, self._cluster, self._store = node, node.cluster, store
         self._incarnation = node.incarnation
         self._pending_write: Persist | None = None
@@ -70,7 +70,7 @@
             for effect in effects:
                 self._run_effect(effect)
         self._cluster.checker.check_lease(self._node)
-        self._answer_held_pulls()
+        self._answer_pending_pulls()
         self._set_timer()
 
     def _run_effect(self, effect: Effect) -> None:
@@ -91,11 +91,11 @@
             case LogEntry(text):
                 self._node.log(text)
 
-    def _answer_held_pulls(self) -> None:
+    def _answer_pending_pulls(self) -> None:
         acceptor = self.replica.acceptor
         version, epoch = acceptor.committed.version, acceptor.epoch.number
-        answered = [pull for pull in self.held_pulls if pull.lacks(version, epoch)]
-        self.held_pulls = [pull for pull in self.held_pulls if pull not in answered]
+        answered = [pull for pull in self.pending_pulls if pull.lacks(version, epoch)]
+        self.pending_pulls = [pull for pull in self.pending_pulls if pull not in answered]
         for pull in answered:
             pull.answer()
 
--- a/meadowworks/simulation/scale/command.py
+++ b/meadowworks/simulation/scale/command.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import Any
 
-from meadowworks.cli.main import CommandError
+from meadowworks.cli.errors import CommandError
 from meadowworks.simulation.scale import report, series
 from meadowworks.simulation.scale.settings import LOSSES, ScaleSettings
 from meadowworks.simulation.scale.simulation import measure
--- a/meadowworks/simulation/scale/control_plane.py
+++ b/meadowworks/simulation/scale/control_plane.py
@@ -56,7 +56,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class HeldPull:
+class PendingPull:
     """A pull that waits for updates, until `deadline_ns` at most."""
 
     request: PullRequest
@@ -101,13 +101,13 @@
         self.zone_loads = CopyableZoneLoads(self.gossip, clock())
         self._clock, self._call_later = clock, call_later
         self._compressed = VersionedContent()
-        self._held_pulls: dict[int, HeldPull] = {}
+        self._pending_pulls: dict[int, PendingPull] = {}
         self._pulse = 0
         self._required_replicas = required_replicas
         self._unacknowledged_drains: dict[int, Callback] = {}  # by version of the own updates
         self._replicated_versions: dict[str, int] = {}  # of the own updates, by host of who has them
 
-    # -- configuration and held pulls
+    # -- configuration and pending pulls
 
     def adopt_configuration(self, version: int, content: bytes) -> None:
         """Take a newer configuration and hand it to all who wait."""
@@ -127,13 +127,13 @@
             self._wake_pulls()
 
     def _wake_pulls(self) -> None:
-        for key, held in list(self._held_pulls.items()):
-            del self._held_pulls[key]
-            has_configuration = self.configuration.version <= held.request.config_version
+        for key, pending in list(self._pending_pulls.items()):
+            del self._pending_pulls[key]
+            has_configuration = self.configuration.version <= pending.request.config_version
             wait_ns = 0
-            if has_configuration and not held.request.sender.is_voter:
-                wait_ns = min(BATCHING_DELAY_NS, max(0, held.deadline_ns - self._clock()))
-            self._call_later(wait_ns, lambda held=held: self._answer_if_due(held))  # type: ignore[misc]
+            if has_configuration and not pending.request.sender.is_voter:
+                wait_ns = min(BATCHING_DELAY_NS, max(0, pending.deadline_ns - self._clock()))
+            self._call_later(wait_ns, lambda pending=pending: self._answer_if_due(pending))  # type: ignore[misc]
 
     # -- pulls by others
 
@@ -142,10 +142,10 @@
         self.meter.received(len(body))
         request = self.meter.timed("read a pull", lambda: decode_pull_request(body))
         self.meter.timed("note a pull", lambda: self._note_pull(request))
-        hold_ns = min(request.max_wait_ms, MAX_WAIT_MS) * MS
-        held = HeldPull(request, self._clock() + hold_ns, on_reply)
-        self._call_later(hold_ns, lambda: self._on_hold_expired(held))
-        self._answer_if_due(held)
+        wait_ns = min(request.max_wait_ms, MAX_WAIT_MS) * MS
+        pending = PendingPull(request, self._clock() + wait_ns, on_reply)
+        self._call_later(wait_ns, lambda: self._on_wait_expired(pending))
+        self._answer_if_due(pending)
 
     def _note_pull(self, request: PullRequest) -> None:
         sender = request.sender
@@ -157,23 +157,23 @@
         if request.load_report:
             self.zone_loads.add(sender.zone, request.load_report)
 
-    def _on_hold_expired(self, held: HeldPull) -> None:
-        if not held.answered and self._held_pulls.pop(id(held), None) is not None:
-            self._answer_if_due(held)
+    def _on_wait_expired(self, pending: PendingPull) -> None:
+        if not pending.answered and self._pending_pulls.pop(id(pending), None) is not None:
+            self._answer_if_due(pending)
 
-    def _answer_if_due(self, held: HeldPull) -> None:
-        if held.answered:
+    def _answer_if_due(self, pending: PendingPull) -> None:
+        if pending.answered:
             return
-        request = held.request
+        request = pending.request
         deltas = self.meter.timed(
             "what it lacks",
             lambda: self.gossip.deltas_since(request.version_vector, request.sender.incarnation),
         )
-        if self._clock() < held.deadline_ns and not self._must_answer(deltas, request):
-            self._held_pulls[id(held)] = held
+        if self._clock() < pending.deadline_ns and not self._must_answer(deltas, request):
+            self._pending_pulls[id(pending)] = pending
             return
-        held.answered = True
-        self.meter.timed("answer a pull", lambda: self._answer_pull(held, deltas))
+        pending.answered = True
+        self.meter.timed("answer a pull", lambda: self._answer_pull(pending, deltas))
 
     def _must_answer(self, deltas: Iterable[SourceDelta], request: PullRequest) -> bool:
         return (
@@ -182,8 +182,8 @@
             or any(key.startswith(BACKEND_KEY_PREFIX) for delta in deltas for _, key, _ in delta.changes)
         )
 
-    def _answer_pull(self, held: HeldPull, deltas: list[SourceDelta]) -> None:
-        request = held.request
+    def _answer_pull(self, pending: PendingPull, deltas: list[SourceDelta]) -> None:
+        request = pending.request
         lacks_configuration = self.configuration.version > request.config_version
         configuration = self.compressed_configuration() if lacks_configuration else None
         records = tuple(self.peers.shuffle_sample()[1:]) if request.peers else ()
@@ -193,7 +193,7 @@
         reply = PullReply(self.peers.local, records, tuple(deltas), True, configuration)
         body = reply.encode()
         self.meter.sent(len(body))
-        held.on_reply(body, reply)
+        pending.on_reply(body, reply)
 
     # -- backends
 
