--- a/meadowworks/modelcheck/models/gossip.py
+++ b/meadowworks/modelcheck/models/gossip.py
@@ -26,7 +26,7 @@
 
 def peer_records_advance(world: GossipWorld) -> bool:
     """No record of a peer is replaced by an older one."""
-    return all(after >= before for kind, before, after in world.outcomes if kind == "card")
+    return all(after >= before for kind, before, after in world.outcomes if kind == "peer")
 
 
 def acknowledged_drain_is_known(world: GossipWorld) -> bool:
--- a/meadowworks/modelcheck/models/gossip_world.py
+++ b/meadowworks/modelcheck/models/gossip_world.py
@@ -139,7 +139,7 @@
             if node.source_id == source_id:
                 self.outcomes.append(("rank", rank, node.rank()))
                 after = node.peer_heartbeats()
-                self.outcomes += [("card", value, after.get(host, -1)) for host, value in heartbeats.items()]
+                self.outcomes += [("peer", value, after.get(host, -1)) for host, value in heartbeats.items()]
 
     def do_drain(self, host: int) -> None:
         """The backend drains, and calls a node."""
