--- a/meadowworks/fleet/connection_state.py
+++ b/meadowworks/fleet/connection_state.py
@@ -227,7 +227,7 @@
     def reject(self, reason: str) -> None:
         """Ends an unidentified connection at once, and tells it why unless it reads nothing."""
         self.close_reason = reason
-        self.host.count(f"strangers ended: {reason}")
+        self.host.count(f"unidentified connections rejected: {reason}")
         self.host.mark_identified()
         self.host.write(encode_rejection(reason))
         if self.host.unsent_bytes():
--- a/meadowworks/fleet/controller.py
+++ b/meadowworks/fleet/controller.py
@@ -208,7 +208,7 @@
         entries = []
         for e in listing.entries:
             if e.zone not in self.zone_indices:
-                count("list entries passed over: unknown zone")
+                count("endpoints passed over: unknown zone")
                 continue
             is_new = e.name not in self.backends.index_by_name
             index = self.backends.index(e.name)
--- a/meadowworks/fleet/discovery.py
+++ b/meadowworks/fleet/discovery.py
@@ -87,16 +87,16 @@
         self.watch_established = True
         if news.is_snapshot or news.entries:
             kind = "whole" if news.is_snapshot else "changes"
-            logger.info("list: index {}, {}, {} entries", news.index, kind, len(news.entries))
+            logger.info("discovery: index {}, {}, {} entries", news.index, kind, len(news.entries))
         self.events.put(news)
         if news.index == old_index and (loop.time() - began) * 2000 < self.watch_wait_ms:
-            count("list answers without a wait")
+            count("discovery answers without a wait")
             await asyncio.sleep(MIN_POLL_INTERVAL_S)
 
     def _on_failure(self, reason: str) -> None:
         self.watching = self.watch_established = False
-        count("list calls failed")
-        logger.warning("list: call failed, {}", reason)
+        count("discovery calls failed")
+        logger.warning("discovery: call failed, the old list stands: {}", reason)
         self.events.put(DiscoveryFailed(reason))
 
     async def fetch_in_time(self, session: aiohttp.ClientSession) -> EndpointList | None:
@@ -141,8 +141,10 @@
         if self.index is not None and news.index < self.index:
             old, self.index = self.index, None
             raise ValueError(f"index went back from {old} to {news.index}")
-        if news.malformed and count("list answers with spoilt entries"):
-            logger.warning("list: {} entries without sense at index {}", news.malformed, news.index)
+        if news.malformed and count("discovery answers with malformed entries"):
+            logger.warning(
+                "discovery: {} malformed entries passed over at index {}", news.malformed, news.index
+            )
         # What a malformed change had to tell is in the whole list; if that is malformed too, it has to do.
         self.index = None if news.malformed and query else news.index
         return news
--- a/meadowworks/fleet/listener.py
+++ b/meadowworks/fleet/listener.py
@@ -102,8 +102,8 @@
                 accepted, _ = await loop.sock_accept(listening)
                 await loop.connect_accepted_socket(lambda: Connection(loop, self), accepted)
             except OSError as error:  # gone again, or not a descriptor left in spite of all
-                if count("connections not taken"):
-                    logger.warning("a connection could not be taken: {}", error)
+                if count("connections not accepted"):
+                    logger.warning("a connection could not be accepted: {}", error)
                 await asyncio.sleep(ACCEPT_RETRY_S)
 
     async def wait_for_slot(self) -> None:
@@ -193,7 +193,7 @@
             self._log_passed_over("unreadable", line, error)
             self.state.on_unreadable_line()
         except ValueError as error:
-            self._log_passed_over("spoilt", line, error)
+            self._log_passed_over("malformed", line, error)
             self.state.on_malformed_message()
         else:
             self.state.on_message(message)
--- a/meadowworks/fleet/server.py
+++ b/meadowworks/fleet/server.py
@@ -85,7 +85,7 @@
         try:
             self.config = new = load_config(os.environ)
         except Exception as error:
-            count("configurations passed over")
+            count("configurations rejected")
             return logger.warning("configuration not taken, the old one stands: {}", error)
         logger.info("configuration read again: discovery at {}", new.discovery_address)
         if new.discovery_address != old.discovery_address:
--- a/meadowworks/policy/admission.py
+++ b/meadowworks/policy/admission.py
@@ -30,17 +30,17 @@
         # What was answered lately can be answered again: guards against a limit that feeds on itself.
         weight = sum(b.weight for b in self.backends.values() if b.ready) + 1e-9
         self.proven_rate = -self.best_rate.add(now, -total / weight) * weight
-        heard = [v for v in self.views if v.capacity >= 0]
-        if not heard:
+        known = [v for v in self.views if v.capacity >= 0]
+        if not known:
             return [-1.0] * len(self.views)
         # Guards against one zone's overload that starves the calm ones, and their ease that feeds it.
-        torn = any(v.overloaded for v in heard) and any(v.latency_ok and not v.overloaded for v in heard)
-        all_calm, fold = all(v.latency_ok for v in self.views), median(v.capacity for v in heard)
+        mixed = any(v.overloaded for v in known) and any(v.latency_ok and not v.overloaded for v in known)
+        all_calm, fold = all(v.latency_ok for v in self.views), median(v.capacity for v in known)
         budgets = []
         for view in self.views:
-            share = CALM_PROVEN_SHARE if (view.latency_ok if torn else all_calm) else PROVEN_SHARE
+            share = CALM_PROVEN_SHARE if (view.latency_ok if mixed else all_calm) else PROVEN_SHARE
             mean = (fold + view.capacity) / 2
-            own = mean if torn and view.overloaded else max(fold, torn * view.capacity)
+            own = mean if mixed and view.overloaded else max(fold, mixed * view.capacity)
             budgets.append(max(own, share * self.proven_rate))
         return budgets
 
--- a/meadowworks/policy/control_channel.py
+++ b/meadowworks/policy/control_channel.py
@@ -23,8 +23,8 @@
         stuck = max(overdue, default=0.0)
         shares = zip(self.queued_lines, RATE_SHARES, strict=True)
         self.queued_lines = [max(stuck, queued - drained * share) for queued, share in shares]
-        fresh = [p for p in users if not p.message_times or p.message_times[-1] != now]  # none in this batch
-        for proxy in fresh:
+        targets = [p for p in users if not p.message_times or p.message_times[-1] != now]  # none sent yet
+        for proxy in targets:
             times = proxy.message_times
             while times and times[0] <= now - settings.message_window_ns:
                 times.popleft()
@@ -32,7 +32,7 @@
                 return 0
         part, rest = rest >= 0, max(0, rest)
         least = min(lines or rest, max(1, int(settings.message_overhead)))  # fewer are not worth a message
-        overhead = settings.message_overhead * len(fresh)
+        overhead = settings.message_overhead * len(targets)
         # Guards against routine updates that wait in the channel past the next, the urgent behind them.
         out = min(self.queued_lines[1], self.sent_lines - self.delivered_lines)
         interval_lines = UPDATE_INTERVAL_NS / SECOND_NS * settings.channel_rate
@@ -45,15 +45,15 @@
             rest = min(rest, max(0, usual - lines)) if lines <= most else most - lines
             if lines + rest < least or lines > most and not part:
                 return 0
-        cost = (lines + rest) * len(users) + overhead + len(fresh)  # a nonce each
-        if fresh and self.nonce_sent_ns != now:
+        cost = (lines + rest) * len(users) + overhead + len(targets)  # a nonce each
+        if targets and self.nonce_sent_ns != now:
             self.nonce_sent_ns, self.nonce = now, (self.nonce + 1) % NONCE_COUNT
             due = now + int(cost / settings.channel_rate * SECOND_NS)
             due += settings.report_interval_ns + settings.max_delay_ns
-            self.pending_nonces.append((self.nonce, due, self.sent_lines, cost / len(fresh)))
+            self.pending_nonces.append((self.nonce, due, self.sent_lines, cost / len(targets)))
             self.host.request_ack(self.nonce)
         self.sent_lines, self.queued_lines = self.sent_lines + cost, [q + cost for q in self.queued_lines]
-        for proxy in fresh:
+        for proxy in targets:
             proxy.message_times.append(now)
         return lines + rest
 
--- a/meadowworks/policy/zone_views.py
+++ b/meadowworks/policy/zone_views.py
@@ -51,9 +51,9 @@
             if gone and all(index not in table for table in self.tables):
                 del self.backends[index]  # guards against a memory of all that ever were
                 self.host.release_backend(index)
-        heard = [b.stats for b in self.backends.values() if b.ready and b.stats.attempts >= MIN_ATTEMPTS]
-        usual = median(s.failures / s.attempts for s in heard) if heard else 0.0
-        latencies = [s.latency_sum / s.successes for s in heard if s.successes >= 1]
+        known = [b.stats for b in self.backends.values() if b.ready and b.stats.attempts >= MIN_ATTEMPTS]
+        usual = median(s.failures / s.attempts for s in known) if known else 0.0
+        latencies = [s.latency_sum / s.successes for s in known if s.successes >= 1]
         slow = max(SLOW_FACTOR * median(latencies), SLO_SHARE * self.slo_ns) if latencies else 0.0
         wait = STEP_REPORTS * self.settings.report_interval_ns + self.settings.max_delay_ns
         for index, b in self.backends.items():
--- a/tests/fleet/test_server.py
+++ b/tests/fleet/test_server.py
@@ -76,7 +76,7 @@
         assert holds("s-1", "s-2")(east)
         await desk.tell(listed("s-1", status="terminating"))
         await east.until(rid("s-1"))
-        assert "list: call failed" in program.log()
+        assert "discovery: call failed" in program.log()
 
     play(act, tmp_path, desk, settings=soon)
 
@@ -113,8 +113,8 @@
         await east.until(holds("s-1", "s-2", "s-3"))  # the sound one; none of the others is taken to be gone
         await desk.tell(listed("s-2", status="terminating"))
         await east.until(rid("s-2"))
-        await program.logged("entries without sense")
-        assert "list: call failed" not in program.log()
+        await program.logged("malformed entries passed over")
+        assert "discovery: call failed" not in program.log()
 
     play(act, tmp_path, desk)
 
@@ -142,7 +142,7 @@
             program.process.send_signal(signal.SIGHUP)
             await next_desk.tell(listed(f"s-{k}"))
             await east.until(lambda p, name=f"s-{k}": name in p.tables["look"])  # type: ignore[misc]
-        assert desk.calls == calls and "list: call failed" not in program.log()
+        assert desk.calls == calls and "discovery: call failed" not in program.log()
 
     play(act, tmp_path, desk)
 
@@ -242,7 +242,7 @@
             await peer.over()
         east.say("hb")
         await east.until(beaten)
-        assert "could not be taken" not in program.log()
+        assert "could not be accepted" not in program.log()
 
     play(act, tmp_path, Desk(*THREE), sockets=64)
 
