--- a/tests/gateway/test_http_server_drain.py
+++ b/tests/gateway/test_http_server_drain.py
@@ -31,7 +31,7 @@
         self.body, self.pace_s = body, pace_s
         self.door = HttpServer(self.app, RequestLimits(4000, 5, 10))
 
-    async def app(self, scope: Any, receive: Any, send: Any) -> None:  # noqa: ARG002
+    async def app(self, scope: Any, receive: Any, send: Any) -> None:
         self.began += 1
         caller = scope["connection"]
         await self.gate.wait()
--- a/tests/gateway/test_peer_client.py
+++ b/tests/gateway/test_peer_client.py
@@ -125,7 +125,7 @@
     async def main() -> None:
         gate = asyncio.Event()
 
-        async def app(scope: Any, receive: Any, send: Any) -> None:  # noqa: ARG001
+        async def app(scope: Any, receive: Any, send: Any) -> None:
             body = await read_body(receive, 100)
             if body == b"held":
                 await gate.wait()
--- a/tests/gateway/test_request_attempts.py
+++ b/tests/gateway/test_request_attempts.py
@@ -45,7 +45,7 @@
     def __init__(self, allowed: bool = True) -> None:
         self.allowed = allowed
 
-    def take_retry(self, now: int) -> bool:  # noqa: ARG002
+    def take_retry(self, now: int) -> bool:
         return self.allowed
 
 
