--- a/meadowworks/modelcheck/models/connection.py
+++ b/meadowworks/modelcheck/models/connection.py
@@ -1,9 +1,10 @@
-"""The life of connections: `node.life.Life`, `node.crowd.Crowd`, `node.streams.Streams`, `node.orders.Orders`
-and `node.mailbox.Mailbox` among peers that say and read what they like, in every order.
+"""The model of the fleet controller's connections.
 
-Two connections say that they are the same proxy, an older and a newer one; a third is a stranger that never
-joins. Both actors' mailboxes and the module's are queues that are taken from whenever the explorer likes, so
-that whatever is under way may be overtaken. The module here only binds who joins and orders changes.
+What is real here: `ConnectionState`, `ConnectionLimit`, `ProxyStreams`, `TableUpdates` and `Mailbox`,
+among peers that say and read what they like, in every order. Two connections say that they are the same
+proxy, an older and a newer one; a third never says who it is. Both actors' mailboxes and the controller's
+are queues that are taken from whenever the explorer likes, so that whatever is in flight may be
+overtaken. The policy here only assigns tables to who joins, and changes weights.
 """
 
 from __future__ import annotations
--- a/meadowworks/simulation/fleet.py
+++ b/meadowworks/simulation/fleet.py
@@ -1,9 +1,11 @@
-"""A fleet in simulated time: the product's controllers (`node.controller.Node`, with its streams, orders and
-the decision module) among stand-ins for all that they speak to. It keeps the rules' books: what the proxies
-then have is held against what their controllers have been told.
+"""A fleet in simulated time, held to the rules of the trial.
 
-Time moves by a heap of due events and never by a clock of the machine; chance is crc32 over a seed and a
-counter.
+The product's controllers (`FleetController`, with its streams, table updates and policy) run among stand-
+ins for all that they speak to. What the proxies then have is compared with what their controllers have
+been told.
+
+Time moves by a heap of due events and never by a clock of the machine; random numbers are crc32 over a
+seed and a counter.
 """
 
 from __future__ import annotations
