--- /dev/null
+++ b/tests/simulation/test_network.py
@@ -0,0 +1,55 @@
+"""The simulated network: messages take time, meet cuts, are lost and doubled by the rates that are set."""
+
+from __future__ import annotations
+
+import random
+
+import pytest
+
+from meadowworks.simulation.control.network import Network
+from meadowworks.simulation.event_scheduler import MS, SECOND, EventScheduler
+
+MESSAGES = 40
+
+
+def send_all(network: Network, arrivals: list[int]) -> None:
+    for number in range(MESSAGES):
+        network.send("a", "b", lambda number=number: arrivals.append(number))  # type: ignore[misc]
+
+
+def build(seed: int = 1) -> tuple[EventScheduler, Network, list[int]]:
+    scheduler = EventScheduler()
+    return scheduler, Network(scheduler, random.Random(seed)), []
+
+
+def test_each_message_arrives_once_and_is_a_contact() -> None:
+    scheduler, network, arrivals = build()
+    scheduler.run_until(SECOND)
+    send_all(network, arrivals)
+    scheduler.run_until(SECOND + 3 * MS)
+    assert sorted(arrivals) == list(range(MESSAGES))
+    assert network.last_contact == {("a", "b"): SECOND}
+
+
+def test_a_cut_goes_one_way_and_what_it_held_up_arrives_after_it() -> None:
+    scheduler, network, arrivals = build()
+    answers: list[int] = []
+    network.cut("a", "b")
+    send_all(network, arrivals)
+    network.send("b", "a", lambda: answers.append(0))
+    scheduler.run_until(SECOND)
+    assert not arrivals
+    assert answers
+    network.heal()
+    scheduler.run_until(2 * SECOND)
+    assert 0 < len(arrivals) < MESSAGES  # some were lost at the cut
+    assert network.last_contact["a", "b"] == 0  # they left before it was mended
+
+
+@pytest.mark.parametrize(("rate", "few", "many"), [("loss_rate", 1, 39), ("duplicate_rate", 41, 79)])
+def test_messages_are_lost_and_doubled(rate: str, few: int, many: int) -> None:
+    scheduler, network, arrivals = build()
+    setattr(network, rate, 0.5)
+    send_all(network, arrivals)
+    scheduler.run_until(SECOND)
+    assert few <= len(arrivals) <= many
