--- a/meadowworks/simulation/scale/control_plane.py
+++ b/meadowworks/simulation/scale/control_plane.py
@@ -15,6 +15,7 @@
 from meadowworks.controlplane.pull_handler import MAX_WAIT_MS, PROXY_BATCHING_DELAY_S
 from meadowworks.controlplane.zone_loads import ZoneLoads
 from meadowworks.gossip.messages import (
+    CompressedConfig,
     PullReply,
     PullRequest,
     decode_pull_reply,
@@ -115,12 +116,12 @@
             self.configuration = VersionedContent(version, content)
             self._wake_pulls()
 
-    def compressed_configuration(self) -> tuple[int, bytes]:
+    def compressed_configuration(self) -> CompressedConfig:
         """Return the version and its content, compressed once for all as the program does."""
         if self._compressed.version != self.configuration.version:
             content = zlib.compress(self.configuration.content, COMPRESSION_LEVEL)
             self._compressed = VersionedContent(self.configuration.version, content)
-        return self._compressed.version, self._compressed.content
+        return CompressedConfig(self._compressed.version, self._compressed.content)
 
     def _on_update(self, update: KeyUpdate) -> None:
         if update.key.startswith(BACKEND_KEY_PREFIX):
