--- /dev/null
+++ b/meadowworks/modelcheck/models/attempt/enabled.py
@@ -0,0 +1,119 @@
+"""Which steps may come next in a world."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator, Sequence
+from typing import TYPE_CHECKING
+
+from meadowworks.attempts.retry_policy import ANSWERED, FAILED, NEVER_RAN
+from meadowworks.modelcheck.model import Step
+from meadowworks.modelcheck.models.attempt.actors import (
+    CRASHED,
+    IN_TABLE,
+    NO_REPLY,
+    NOT_SENT,
+    WAITING,
+    ClientRequest,
+)
+
+if TYPE_CHECKING:
+    from meadowworks.modelcheck.models.attempt.world import World
+
+REPLIES = (ANSWERED, NEVER_RAN, FAILED)
+REPLIES_CUT_OFF = (NEVER_RAN, FAILED)
+ADMITTED, REJECTED = 1, 0
+FIRST_DRAW = 0
+BACKENDS_WITHOUT_CHOICE = 2  # of which a retry has one left to go to, whatever is drawn
+
+
+def enabled_steps(world: World) -> list[Step]:
+    """Name the steps that can be taken now.
+
+    Where no request can come any more and none waits, nobody will be told anything, and nothing else matters.
+    """
+    found = list(client_steps(world))
+    if not world.is_reply_pending() and not any(True for _ in sendable_requests(world)):
+        return found
+    draws = range(draw_count(world) if world.scenario.backend_count > BACKENDS_WITHOUT_CHOICE else 1)
+    found += attempt_steps(world, draws)
+    found += backend_steps(world)
+    if world.retry_policy and world.scenario.policy_may_change:
+        found.append(("strict",))
+    found += proxy_steps(world)
+    if any(machine and machine.calls for machine in world.machines):
+        found += [("pass", draw) for draw in draws]
+    return found
+
+
+def draw_count(world: World) -> int:
+    """Return how many random numbers lead to different backends."""
+    return len(world.table()) or 1
+
+
+def client_steps(world: World) -> Iterator[Step]:
+    """Requests come, and clients go away."""
+    for key, requests in enumerate(world.requests):
+        for index, request in enumerate(requests):
+            if request.state == WAITING:
+                yield "leave", key, index
+            if is_sendable(requests, index):
+                yield from request_steps(world, key, index)
+
+
+def sendable_requests(world: World) -> Iterator[tuple[int, int]]:
+    """Name the requests that may come, by call and index."""
+    for key, requests in enumerate(world.requests):
+        for index in range(len(requests)):
+            if is_sendable(requests, index):
+                yield key, index
+
+
+def is_sendable(requests: Sequence[ClientRequest], index: int) -> bool:
+    """Return whether a request may come: the first always, a repeat if the one before left it room."""
+    if requests[index].state != NOT_SENT:
+        return False
+    return index == 0 or requests[index - 1].may_be_repeated
+
+
+def request_steps(world: World, key: int, index: int) -> Iterator[Step]:
+    """A request comes to any of the proxies, with each random number that makes a difference there."""
+    for proxy, machine in enumerate(world.machines):
+        if machine is None:
+            continue
+        call = machine.calls.get(key)
+        if call is not None and call.outcome is None:
+            yield "ask", key, index, proxy, FIRST_DRAW, ADMITTED
+            continue
+        for draw in range(draw_count(world)):
+            yield "ask", key, index, proxy, draw, ADMITTED
+        yield "ask", key, index, proxy, FIRST_DRAW, REJECTED
+
+
+def attempt_steps(world: World, draws: range) -> Iterator[Step]:
+    """Proxies are told what became of attempts."""
+    for (proxy, number), attempt in world.attempts.items():
+        if attempt.reply == NO_REPLY:
+            for reply in REPLIES_CUT_OFF if attempt.is_cut_off else REPLIES:
+                for draw in draws if reply != ANSWERED else (FIRST_DRAW,):
+                    yield "reply", proxy, number, reply, draw
+        elif attempt.reply == NEVER_RAN:
+            yield "cut", proxy, number
+
+
+def backend_steps(world: World) -> Iterator[Step]:
+    """Backends leave the table, come back to it, and crash."""
+    for backend, state in enumerate(world.backend_states):
+        if state == CRASHED:
+            continue
+        yield "drain" if state == IN_TABLE else "back", backend
+        if world.scenario.backends_may_crash:
+            yield "end", backend
+
+
+def proxy_steps(world: World) -> Iterator[Step]:
+    """Proxies crash and start again."""
+    for proxy, machine in enumerate(world.machines):
+        if machine is None:
+            yield "rise", proxy
+        elif world.crashes_left:
+            yield "die", proxy
