--- a/meadowworks/modelcheck/models/attempt/enabled.py
+++ b/meadowworks/modelcheck/models/attempt/enabled.py
@@ -9,6 +9,7 @@
 from meadowworks.modelcheck.model import Step
 from meadowworks.modelcheck.models.attempt.actors import (
     CRASHED,
+    DRAINED,
     IN_TABLE,
     NO_REPLY,
     NOT_SENT,
@@ -47,7 +48,8 @@
 
 def draw_count(world: World) -> int:
     """Return how many random numbers lead to different backends."""
-    return len(world.table()) or 1
+    states = world.backend_states
+    return len(states) - states.count(DRAINED) or 1
 
 
 def client_steps(world: World) -> Iterator[Step]:
--- a/meadowworks/modelcheck/models/quota/state_key.py
+++ b/meadowworks/modelcheck/models/quota/state_key.py
@@ -34,7 +34,7 @@
         """Return the time of sending from now, or its place among those of the holder."""
         if self._sent is None:
             return sent_ns - self._now
-        return sum(sender == holder_id and other_ns < sent_ns for sender, other_ns in self._sent)
+        return sum([sender == holder_id and other_ns < sent_ns for sender, other_ns in self._sent])
 
 
 def state_key(world: World) -> Key:
@@ -58,9 +58,11 @@
 
 def grant_ranks(world: World) -> Ranks:
     """Rank the numbers of all grants that a holder, an account or a message names."""
-    numbers = {holder.grant_number for holder in world.holders} | {0}
-    numbers.update(number for account in world.budget.accounts.values() for number in account.shares)
-    numbers.update(message.grant_number for message in world.messages)
+    numbers = {0}
+    numbers.update([holder.grant_number for holder in world.holders])
+    numbers.update([message.grant_number for message in world.messages])
+    for account in world.budget.accounts.values():
+        numbers.update(account.shares)
     return {number: rank for rank, number in enumerate(sorted(numbers))}
 
 
