--- a/tests/modelcheck/test_policy_model.py
+++ b/tests/modelcheck/test_policy_model.py
@@ -7,7 +7,8 @@
 import pytest
 
 from meadowworks.modelcheck.model import Step
-from meadowworks.modelcheck.models import policy as module
+from meadowworks.modelcheck.models.policy.initial_worlds import INITIAL_WORLDS, quiet, take_steps
+from meadowworks.modelcheck.models.policy.properties import cold_spared, drains_first
 from meadowworks.modelcheck.seeded_fault import SeededFault, injected_fault
 from meadowworks.modelcheck.seeded_faults.policy import RULES
 
@@ -16,19 +17,19 @@
     (
         6,
         (("list", 0, "ready"), ("list", 0, "draining"), ("leave", 0), ("join", 0)),
-        module.drains_first,
+        drains_first,
         ("on_proxy_joined", "not b.ready or ", ""),
     ),
     (
         6,
         (("list", 0, "ready"), ("start", 0), ("leave", 0), ("join", 0)),
-        module.cold_spared,
+        cold_spared,
         ("on_proxy_joined", "or self.is_too_heavy(now, b, w)", ""),
     ),
     (
         3,
         (("leave", 1), ("list", 1, "ready"), ("start", 1), ("tick",)),
-        module.cold_spared,
+        cold_spared,
         ("target_weights", "(min(1.0, factor) if self.is_warming(now, b) else factor)", "factor"),
     ),
 )
@@ -39,8 +40,8 @@
     start: int, steps: tuple[Step, ...], holds: Any, guard: tuple[str, str, str]
 ) -> None:
     def held() -> bool:
-        world = module.STARTS[start]()
-        module.play(world, *steps)
+        world = INITIAL_WORLDS[start]()
+        take_steps(world, *steps)
         return bool(holds(world))
 
     at, was, now = guard
@@ -50,7 +51,7 @@
 
 
 def test_what_is_forgotten_before_it_is_looked_at_again_stops_nobody() -> None:
-    world = module.quiet()
-    world.module.timers.schedule(world.now, lambda: world.module.retain(99, True))
+    world = quiet()
+    world.controller.timers.schedule(world.now_ns, lambda: world.controller.retain(99, True))
     world.take_step(("tick",))
-    assert 99 not in world.module.backends
+    assert 99 not in world.controller.backends
