--- a/tests/gateway/test_endpoint_selection.py
+++ b/tests/gateway/test_endpoint_selection.py
@@ -31,7 +31,7 @@
     assert choose_endpoints({}, remote, {}, service_times, 400.0).weights == remote
 
 
-def test_where_local_suffices_other_zones_change_nothing() -> None:
+def test_where_the_local_zone_suffices_other_zones_change_nothing() -> None:
     """The short way of the choice, beside the whole one, over small states of three backends.
 
     The short way must be taken in some states and not in others.
--- a/tests/gateway/test_http_server_drain.py
+++ b/tests/gateway/test_http_server_drain.py
@@ -117,7 +117,7 @@
     asyncio.run(main())
 
 
-def test_an_response_that_nobody_takes_is_ended_and_one_that_is_taken_is_whole() -> None:
+def test_a_response_that_nobody_reads_is_ended_and_one_that_is_read_is_complete() -> None:
     async def main() -> None:
         gated = GatedServer(bytes(range(256)) * (32 << 10), 0.2)
         gated.gate.set()
--- a/tests/gateway/test_memory_budget.py
+++ b/tests/gateway/test_memory_budget.py
@@ -50,7 +50,7 @@
     asyncio.run(main())
 
 
-def test_a_attempt_that_nobody_waits_for_ends_at_its_limit_and_gives_its_memory_back() -> None:
+def test_an_attempt_that_nobody_waits_for_ends_at_its_limit_and_gives_its_memory_back() -> None:
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\nhalf of it")
         await reader.read(-1)
--- a/tests/gateway/test_request_attempts.py
+++ b/tests/gateway/test_request_attempts.py
@@ -126,7 +126,7 @@
     assert (command.status, command.retry_after_ns) == (504, 0)
 
 
-def test_without_memory_in_the_budget_no_further_attempt_is_sent() -> None:
+def test_without_a_retry_left_in_the_budget_no_further_attempt_is_sent() -> None:
     attempts = attempts_of(True, retries=False)
     attempts.handle_event(RequestReceived(), 0, CHOICES, 0.1)
     command = attempts.handle_event(AttemptEnded(1, FAILED, 0), 1, CHOICES, 0.1)
