--- a/meadowworks/simulation/control/invariants.py
+++ b/meadowworks/simulation/control/invariants.py
@@ -122,7 +122,7 @@
         """Check that a value which is refused was not chosen."""
         chosen = {digest(one) for one in self._chosen[version]}
         for other in self._cluster.nodes.values():
-            if other.driver and (known := other.replica.acceptor.history.get(version)):
+            if other.has_started and (known := other.replica.acceptor.history.get(version)):
                 chosen.add(known)
         if digest(value) in chosen or not chosen:
             detail = f"{version} by {node.address}; chosen: {len(chosen)}"
--- a/meadowworks/simulation/control/node.py
+++ b/meadowworks/simulation/control/node.py
@@ -36,7 +36,7 @@
     ) -> None:
         self.cluster, self.address, self.voting = cluster, address, voting
         self.disk = SimulatedDisk(cluster.random)
-        self.driver: ReplicaDriver | None = None  # of this or the last incarnation
+        self._driver: ReplicaDriver | None = None
         self.up = self.frozen = self.shutting_down = self.removed = False
         self.incarnation = 0
         self.voter_index = -1
@@ -48,18 +48,23 @@
         self._deferred: list[Callback] = []  # what happens to it while it is frozen
 
     @property
-    def running(self) -> ReplicaDriver:
+    def has_started(self) -> bool:
+        """Whether there has been an incarnation yet."""
+        return self._driver is not None
+
+    @property
+    def driver(self) -> ReplicaDriver:
         """What drives the replica of this or the last incarnation.
 
         :raises AssertionError: before the first.
         """
-        assert self.driver is not None
-        return self.driver
+        assert self._driver is not None
+        return self._driver
 
     @property
     def replica(self) -> Replica:
         """The replica of this or the last incarnation."""
-        return self.running.replica
+        return self.driver.replica
 
     def local_time(self) -> int:
         """Return the time by the machine's own clock."""
@@ -96,11 +101,11 @@
             slots=stored.slots,
         )
         replica = Replica(acceptor, self.cluster.tolerated_failures, self.cluster.random.random)
-        self.driver = ReplicaDriver(self, replica, store)
+        self._driver = ReplicaDriver(self, replica, store)
         epoch, version = acceptor.epoch.number, acceptor.committed.version
         self.log(f"starts: member {acceptor.member_id[:4]} epoch {epoch} at {version}")
         replica.start(self.local_time())
-        self.driver.run_effects()
+        self._driver.run_effects()
         for address in list(self.cluster.nodes):
             if address != self.address:
                 self.begin_pulls(address, PULLS_BEGIN_WITHIN_NS)
@@ -109,7 +114,7 @@
         """End the process at once; if power is lost, what is not synced may be lost with it."""
         if not self.up:
             return
-        self.running.break_off_write(power_lost)
+        self.driver.break_off_write(power_lost)
         self.up = False
         if self.shutting_down:
             self.removed = True  # nobody starts it again
@@ -121,7 +126,7 @@
             self.disk.lose_power()
         else:
             self.disk.kill_process()
-        self.running.abandon_store()
+        self.driver.abandon_store()
         self.log("loses power" if power_lost else "is killed")
 
     def wipe(self) -> None:
@@ -147,7 +152,7 @@
         for action in deferred:
             if self.up:
                 action()
-                self.running.run_effects()
+                self.driver.run_effects()
 
     def deliver(self, incarnation: int, action: Callback) -> None:
         """Let something happen to the process, if it is still the same incarnation."""
@@ -158,7 +163,7 @@
                 self._deferred.append(partial(self.deliver, incarnation, action))
             return
         action()
-        self.running.run_effects()
+        self.driver.run_effects()
 
     def shut_down(self, grace_ns: int) -> None:
         """End the process as SIGTERM does: it hands over, then is gone."""
@@ -175,7 +180,7 @@
                 self._handed_over = isinstance(outcome, Committed)
                 scheduler.call_later(0, finish)
 
-        leave = partial(self.running.leave, grace_ns - HAND_OVER_MARGIN_NS, on_handed_over)
+        leave = partial(self.driver.leave, grace_ns - HAND_OVER_MARGIN_NS, on_handed_over)
         self.deliver(incarnation, leave)
         scheduler.call_later(grace_ns, finish)
 
@@ -188,15 +193,15 @@
     def on_request(self, origin: RequestOrigin, request: Request) -> None:
         """Take a request of another node's replica."""
         if self.up:
-            self.deliver(self.incarnation, partial(self.running.on_request, origin, request))
+            self.deliver(self.incarnation, partial(self.driver.on_request, origin, request))
 
     def submit(self, version: int, value: bytes, on_outcome: OnOutcome) -> None:
         """Take an operator's change."""
-        self.running.submit(version, value, on_outcome)
+        self.driver.submit(version, value, on_outcome)
 
     def read(self) -> None:
         """Do a quorum read."""
-        self.running.read()
+        self.driver.read()
 
     # -- pulls from others
 
--- a/meadowworks/simulation/control/pull.py
+++ b/meadowworks/simulation/control/pull.py
@@ -82,12 +82,12 @@
         if pending.lacks(acceptor.committed.version, acceptor.epoch.number):
             answer()
             return
-        target.running.pending_pulls.append(pending)
+        target.driver.pending_pulls.append(pending)
         self._cluster.scheduler.call_later(LONG_POLL_NS, partial(self._end_wait, pending))
 
     def _end_wait(self, pending: PendingPull) -> None:
-        if pending in self._target.running.pending_pulls:
-            self._target.running.pending_pulls.remove(pending)
+        if pending in self._target.driver.pending_pulls:
+            self._target.driver.pending_pulls.remove(pending)
             pending.answer()
 
     def _answer(self, target_incarnation: int) -> None:
