--- a/meadowworks/attempts/machine.py
+++ b/meadowworks/attempts/machine.py
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FinalReply:
-    """What a client is told, once.
+    """What a client is answered, once.
 
     :ivar kind: answered, throttled or dropped.
     :ivar retry_after_ns: how long to stay away; NO_RETRY_NS where a repeat might run twice.
@@ -46,7 +46,7 @@
 
 
 class Host(Protocol):
-    """What the machine may do. An attempt's number is never given again in a machine's life."""
+    """What the machine may do. An attempt's number is never given again by the same machine."""
 
     def send(self, key: int, number: int, backend: int) -> None:
         """Sends an attempt of the call `key` to a backend."""
@@ -119,7 +119,7 @@
     # -- clients
 
     def on_request(self, now: int, key: int, route: int, waiter: int, repeat: bool) -> None:
-        """A client asks; `repeat` says that it asked before and was told nothing final."""
+        """A client asks; `repeat` says that it asked before and had no final reply."""
         policy, call = self.route_policies[route], self.calls.get(key)
         if call is not None and call.outcome is None:
             # Guards against a client's repeat that runs beside its first: both wait for the one outcome.
@@ -184,7 +184,7 @@
             self.retry_or_give_up(now, key, call)
 
     def on_late_end(self, call: Call, state: int) -> None:
-        """Too late for who asked; a client that comes again is told, and nothing runs twice."""
+        """Too late for who asked; a client that asks again gets the kept reply, and nothing runs twice."""
         if call.outcome is not None and call.outcome.kind == "answered":
             return
         if state == ANSWERED:
@@ -237,7 +237,7 @@
         self.host.send(key, self.attempt_count, backend)
 
     def give_up(self, now: int, key: int, call: Call) -> None:
-        """At once, and not near the deadline: the client is told whether and when to come back."""
+        """At once, and not near the deadline: the reply says whether and when to retry."""
         ran = not none_ran([*call.attempts.values()])
         no_repeat = ran and not self.route_policies[call.route].idempotent
         back_ns = NO_RETRY_NS if no_repeat else self.retry_delay_ns()
--- a/meadowworks/consensus/acceptor.py
+++ b/meadowworks/consensus/acceptor.py
@@ -53,7 +53,7 @@
 
     `member_id` is its name as a member, `founder_id` the one under which it is a member of epoch 0.
     `installed`: it is a member of `epoch` and holds what a member must hold to vote in it. `sealed_by` is the
-    epoch that ended `epoch` at this acceptor. `announced_epoch` is the newest epoch heard of; it is not kept
+    epoch that ended `epoch` at this acceptor. `announced_epoch` is the newest epoch learnt of; it is not kept
     on the disk. `changed_slots`, `metadata_changed` and `committed_changed` tell what must be written before
     a reply leaves.
     """
@@ -77,7 +77,7 @@
     # -- what it is
 
     def newest_epoch(self) -> Epoch:
-        """The newest epoch that it has heard of."""
+        """The newest epoch that it has learnt of."""
         if self.announced_epoch.number >= self.epoch.number:
             return self.announced_epoch
         return self.epoch
@@ -217,7 +217,7 @@
     def on_epoch(self, epoch: Epoch) -> bool:
         """Hears of an epoch that is in force somewhere.
 
-        :returns: whether it is newer than all it has heard of.
+        :returns: whether it is newer than all it has learnt of.
         """
         if epoch.number <= self.newest_epoch().number:
             return False
--- a/meadowworks/consensus/membership.py
+++ b/meadowworks/consensus/membership.py
@@ -21,7 +21,7 @@
     smaller set survives fewer failures.
 
     :param silent_members: members that have not answered for long, the longest first.
-    :param candidates: ids and addresses of those that are in touch and want to be members.
+    :param candidates: ids and addresses of those that are reachable and want to be members.
     :param leaving: the member that shuts down, if any.
     :returns: none if the members are as they should be, or the new set has no majority that is in touch.
     """
--- a/meadowworks/consensus/membership_monitor.py
+++ b/meadowworks/consensus/membership_monitor.py
@@ -92,7 +92,7 @@
         self.started_ns = self.epoch_since_ns = now_ns
 
     def on_new_epoch(self, now_ns: int) -> None:
-        """This replica has heard of an epoch, or become a member of one."""
+        """This replica has learnt of an epoch, or become a member of one."""
         self.epoch_since_ns = now_ns
 
     # -- who answers, and who should be a member
--- a/meadowworks/consensus/messages.py
+++ b/meadowworks/consensus/messages.py
@@ -74,7 +74,7 @@
 class QueryReply:
     """What an acceptor says of itself.
 
-    `may_vote`: it is a member of `epoch`, not sealed, and has heard of no newer epoch. `highest_version`: the
+    `may_vote`: it is a member of `epoch`, not sealed, and knows of no newer epoch. `highest_version`: the
     highest version that it has committed or accepted; whatever was acknowledged before it said so is not
     above the highest of these at any majority. `wants_membership`: it would be a member, with `member_id` at
     `address`.
--- a/meadowworks/consensus/timing.py
+++ b/meadowworks/consensus/timing.py
@@ -25,7 +25,7 @@
 # Epoch 1 waits so long for `2 * tolerated_failures + 1` members before `tolerated_failures + 1` are enough.
 BOOTSTRAP_WAIT_NS = 1_500 * MILLISECOND_NS
 MEMBERSHIP_CHECK_INTERVAL_NS = 250 * MILLISECOND_NS
-PEER_EXPIRY_NS = 60 * SECOND_NS  # a disk that was not heard from for so long is forgotten
+PEER_EXPIRY_NS = 60 * SECOND_NS  # a disk that has sent nothing for so long is forgotten
 # A tick that comes later than this: the process was suspended, and cannot tell who was silent meanwhile.
 STALL_THRESHOLD_NS = SECOND_NS
 WRITE_RETRY_DELAY_NS = 200 * MILLISECOND_NS  # before a write that the disk refused is tried again
--- a/meadowworks/consensus/values.py
+++ b/meadowworks/consensus/values.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-# Past versions whose digests are kept, 16 bytes each: a client that repeats a proposal is told whether its
+# Past versions whose digests are kept, 16 bytes each: a client that repeats a proposal learns whether its
 # value was the one committed. One older than these is taken to be (`OperationRunner.outcome_of`).
 HISTORY_LENGTH = 256
 UNKNOWN_EPOCH = -1  # the number of no epoch: below that of every epoch
--- a/meadowworks/controlplane/compressed_config.py
+++ b/meadowworks/controlplane/compressed_config.py
@@ -22,7 +22,7 @@
         self._under_way: tuple[int, asyncio.Task[bytes]] | None = None
 
     async def compress(self, committed: CommittedValue) -> None:
-        """Make `latest` the committed version, or join whoever is doing so."""
+        """Make `latest` the committed version, or wait for the compression in progress."""
         if self._under_way is None or self._under_way[0] != committed.version:
             steps = compress_steps(committed.value)
             self._under_way = committed.version, self._tasks.start(run_cooperatively(steps))
--- a/meadowworks/fleet/config.py
+++ b/meadowworks/fleet/config.py
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetConfig:
-    """What a controller is told when it starts; SIGHUP makes it read this again.
+    """The configuration with which a controller starts; SIGHUP makes it read this again.
 
     :ivar known_endpoints: the endpoint list as this controller last had it.
     :ivar batch_interval_ns: events for the policy are handled in batches at most this often.
--- a/meadowworks/fleet/discovery.py
+++ b/meadowworks/fleet/discovery.py
@@ -24,7 +24,7 @@
 # connection that has gone silent is noticed soon; a watch that goes on costs discovery nothing.
 WATCH_WAIT_SHARE = 0.2
 MAX_WATCH_WAIT_MS = 60_000
-# Discovery's news counts as told 2 s after a wait is over. The answer to a watch that goes on is missed soon
+# An answer of discovery is due 2 s after a wait is over. The answer to a watch that goes on is missed soon
 # enough to ask again before; a new watch may have to wait for its turn until then.
 ESTABLISHED_WATCH_GRACE_S, NEW_WATCH_GRACE_S = 1.0, 2.0
 CONNECT_TIMEOUT_S = 1.0  # a connection that has not come up by now will not
@@ -69,7 +69,7 @@
         match command:
             case WatchEndpoints(enabled):
                 self.watching = enabled
-            case DiscoveryMoved(address):  # the whole list: what the old one had still to tell is lost
+            case DiscoveryMoved(address):  # the whole list: what the old one had not sent yet is lost
                 self.address, self.index = address, None
                 self.watching, self.watch_established = True, False
 
@@ -78,7 +78,7 @@
         old_index, began = self.index, loop.time()
         try:
             news = await self.fetch_in_time(session)
-        except Exception as error:  # whatever it is, the old list stands and the policy is told
+        except Exception as error:  # whatever it is, the old list stands and the policy is notified
             if not self.commands.arrived.is_set():  # else the old address went before its successor was read
                 self._on_failure(f"{type(error).__name__} {error}")
             return
@@ -103,7 +103,7 @@
         """One call within its time limit.
 
         Guards against giving up, after a stall that outlasted the limit, an answer that lies in the socket:
-        what it told counts as told.
+        what it has sent counts as received.
 
         :returns: the answer; None if a command came first.
         :raises TimeoutError: if there was no answer in time.
--- a/meadowworks/fleet/messages.py
+++ b/meadowworks/fleet/messages.py
@@ -127,7 +127,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UpdateMessage:
-    """What a batch tells a proxy, encoded once for all that are told the same."""
+    """What a batch sends a proxy, encoded once for all that get the same."""
 
     data: bytes
     part_count: int
--- a/meadowworks/fleet/streams.py
+++ b/meadowworks/fleet/streams.py
@@ -1,7 +1,7 @@
 """Which stream each proxy is on, and which nonces were sent on it. A proxy has one stream: its newest.
 
 Decided here: whose end counts as a proxy's leaving, and whose acknowledgement counts. What the proxies are
-told is in `TableUpdates`, which this keeps in step with the streams.
+sent is in `TableUpdates`, which this keeps in step with the streams.
 """
 
 from __future__ import annotations
@@ -70,7 +70,7 @@
         """Puts what has changed since the last call into the streams' mailboxes, one message a proxy.
 
         The channel takes one message after the other, for seconds in a large fleet: a proxy of more calls a
-        second is told first, so that most calls go by the new tables soonest.
+        second is updated first, so that most calls go by the new tables soonest.
 
         :returns: for each message that was made, its proxies and its lines.
         """
--- a/meadowworks/fleet/table_updates.py
+++ b/meadowworks/fleet/table_updates.py
@@ -1,7 +1,7 @@
 """Tables and admissions as each proxy holds them, and the changes of one batch as a message a proxy.
 
 A change is noted once a table, however many proxies use it; a message is made once for all proxies that are
-told the same.
+sent the same.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
         self.tables: dict[int, PublishedTable] = {}
         self.assignments: dict[int, TableAssignment] = {}
         self.changed_tables: set[int] = set()
-        self.new_tables: dict[int, set[int]] = {}  # assigned to a proxy in this batch: told in full
+        self.new_tables: dict[int, set[int]] = {}  # assigned to a proxy in this batch: sent in full
         self.reserved_lines: dict[int, int] = {}  # by proxy, for that
         self.nonce: int | None = None  # carried by each message of this batch
 
@@ -98,7 +98,7 @@
         return () if len(routes) == len(self.routes) else tuple(self.routes[k] for k in routes)
 
     def build_updates(self, assignment: TableAssignment, new: frozenset[int]) -> list[TableUpdate]:
-        """What proxies with this assignment are told, of whose tables some are new to them."""
+        """What is sent to proxies with this assignment, of whose tables some are new to them."""
         admissions = self._admissions_to_send(assignment, new)
         updates = []
         for number in sorted({number for number in assignment if number is not None}):
@@ -125,7 +125,7 @@
         return {tuple(routes): admission for admission, routes in routes_by_admission.items()}
 
     def take_messages(self) -> Iterator[tuple[list[int], list[TableUpdate]]]:
-        """The changes since the last call: a message, and all proxies that are told just that."""
+        """The changes since the last call: a message, and all proxies that get just that."""
         alike: dict[tuple[TableAssignment, frozenset[int]], list[int]] = {}
         for proxy in {*self.new_tables}.union(*(self.tables[n].proxies for n in self.changed_tables)):
             new = frozenset(self.new_tables.get(proxy, ()))
--- a/meadowworks/forwarding/response_check.py
+++ b/meadowworks/forwarding/response_check.py
@@ -7,7 +7,8 @@
 
 from meadowworks.attempts.retry_policy import ANSWERED, FAILED, NEVER_RAN
 
-NOT_RUN_STATUSES = (408, 421, 429, 503)  # statuses that promise that a request has not run
+# Statuses that say that the request has not run: not forwarded as they are without proof of it.
+NOT_RUN_STATUSES = (408, 421, 429, 503)
 
 HeaderLookup = Callable[[bytes], bytes | None]  # the value of a header, named in lower case
 
--- a/meadowworks/forwarding/retry_budget.py
+++ b/meadowworks/forwarding/retry_budget.py
@@ -1,7 +1,7 @@
 """How many retries a proxy may send to a service, without a word between proxies.
 
 The operator's bound holds for the sum over all proxies in every window: so many retries for each request, and
-a slack. Each proxy lives within its own requests' part, and an allowance so small that all of them together
+a slack. Each proxy stays within its own requests' part, and an allowance so small that all of them together
 stay within the slack.
 """
 
--- a/meadowworks/gossip/peer_sampling.py
+++ b/meadowworks/gossip/peer_sampling.py
@@ -98,7 +98,7 @@
             del self.peers[min(candidates, key=lambda host: self.peers[host].last_heartbeat_ns)]
 
     def shuffle_sample(self) -> list[PeerRecord]:
-        """Returns what to tell a neighbour: the own record, then others drawn at random."""
+        """Returns what to send to a peer: the own record, then others drawn at random."""
         records = sorted((entry.record for entry in self.peers.values()), key=lambda record: record.host)
         drawn = sorted(((self._random_fraction(), record) for record in records), key=lambda pair: pair[0])
         return [self.local, *(record for _, record in drawn[: SHUFFLE_SIZE - 1])]
--- a/meadowworks/gossip/updates.py
+++ b/meadowworks/gossip/updates.py
@@ -197,7 +197,7 @@
         silence_ns = {
             name: now_ns - log.last_update_ns for name, log in self.sources.items() if name != self.source_id
         }
-        # Guards against a partition: where no source at all is heard, it is this process that is cut off.
+        # Guards against a partition: where no source at all is received, it is this process that is cut off.
         if all(silent > SOURCE_EXPIRY_NS for silent in silence_ns.values()):
             return []
         expired = [name for name, silent in silence_ns.items() if silent > SOURCE_EXPIRY_NS]
--- a/meadowworks/load_balancing/service_balancer.py
+++ b/meadowworks/load_balancing/service_balancer.py
@@ -85,7 +85,7 @@
         """Do nothing: changes of the list come without being asked for."""
 
     def check_health(self, backend: int) -> None:
-        """Do nothing: health is told by requests alone."""
+        """Do nothing: health is derived from requests alone."""
 
     def release_backend(self, backend: int) -> None:
         """Forget a backend that the policy holds no longer."""
--- a/meadowworks/proxy/control_plane_view.py
+++ b/meadowworks/proxy/control_plane_view.py
@@ -114,7 +114,7 @@
         self.mark_backends_listed(now)
 
     def mark_backends_listed(self, now: int) -> None:
-        """Serve by the list that is there: once a lease holder has told it, or after a while without one."""
+        """Serve by the list that is there: once a lease holder has sent it, or after a while without one."""
         waited_long = now - self.started_ns > STARTUP_GRACE_NS
         if not self.first_listed_ns and (self.staleness.ever_confirmed or waited_long):
             self.first_listed_ns = now
--- a/meadowworks/proxy/upstream_attempt.py
+++ b/meadowworks/proxy/upstream_attempt.py
@@ -74,7 +74,7 @@
 ) -> AttemptResult:
     """Send a request to a backend. Raises nothing but a cancellation; its connection is released or closed.
 
-    :param deadline_ns: when the client's time is over; it is told to the backend
+    :param deadline_ns: when the client's time is over; it is sent to the backend
     :param reserve: reserves memory for each chunk of the response; without it the response is cut off
     """
     started_ns = now_ns()
--- a/meadowworks/quota/machine.py
+++ b/meadowworks/quota/machine.py
@@ -54,8 +54,8 @@
     """The budget, dealt out in leased shares.
 
     :param acknowledged_handoff: what was granted counts until its holder has said that it goes by a later
-        grant. Without it a share counts as given back as soon as a smaller one was sent, and who has not been
-        told goes over the budget.
+        grant. Without it a share counts as given back as soon as a smaller one was sent, and a holder
+        that has not been notified goes over the budget.
     """
 
     def __init__(self, lease_ns: int, acknowledged_handoff: bool) -> None:
--- a/meadowworks/registry/backends.py
+++ b/meadowworks/registry/backends.py
@@ -58,7 +58,7 @@
     """An instance by all reports together.
 
     :ivar state: up, draining, gone or suspect.
-    :ivar first_seen_ns: when this process first heard of it.
+    :ivar first_seen_ns: when this process first learnt of it.
     :ivar warm_at_ns: when its slow start ends, by this process's clock; 0 if it was warm when first seen.
     """
 
@@ -141,7 +141,7 @@
             report for source, report in reports.items() if self.source_silence_ns(source) < SOURCE_TIMEOUT_NS
         ]
         if not alive and all(self.source_silence_ns(name) >= SOURCE_TIMEOUT_NS for name in self._sources):
-            # Guards against a partition: where no source is heard, silence says nothing of the backends.
+            # Guards against a partition: where no source is received, silence says nothing of the backends.
             return UP
         return SUSPECT if all(report.suspect for report in alive) else UP
 
@@ -174,7 +174,7 @@
         }
 
     def _add_instance(self, instance_id: str, report: BackendReport, value: BackendValue) -> None:
-        if not value.address:  # the departure of an instance that its node had never heard of
+        if not value.address:  # the departure of an instance that was unknown to its node
             return
         host, _, port = report.address.rpartition(":")
         now_ns = self.clock()
--- a/meadowworks/registry/heartbeat_schema.py
+++ b/meadowworks/registry/heartbeat_schema.py
@@ -51,7 +51,7 @@
 
 
 class DetailsSchema(LenientSchema):
-    """What stays the same as long as an instance lives."""
+    """What stays the same for an instance's whole lifetime."""
 
     svc = fields.String(required=True, validate=validate.Length(min=1, max=MAX_TEXT_LENGTH))
     zone = fields.String(required=True, validate=validate.Length(max=MAX_TEXT_LENGTH))
--- a/meadowworks/registry/heartbeats.py
+++ b/meadowworks/registry/heartbeats.py
@@ -32,7 +32,7 @@
 # Instances that call this node. Beyond it the one that was silent the longest gives way if it is suspect,
 # otherwise a new one is refused: guards against ids without end.
 MAX_REGISTRATIONS = 16384
-MAX_UNKNOWN_DEPARTURES = 1024  # ids that left before anybody had heard of them; the oldest go first
+MAX_UNKNOWN_DEPARTURES = 1024  # ids that left before anything was known of them; the oldest go first
 
 
 @dataclass(frozen=True, slots=True)
@@ -100,7 +100,7 @@
 
     :ivar suspect_after_ns: the silence after which an instance is suspect.
     :ivar registrations: by instance id; who called last stands last.
-    :ivar unknown_departures: by id of an instance that left and that nobody had heard of, when that was.
+    :ivar unknown_departures: by id of an instance that left before anything was known of it, when that was.
     """
 
     def __init__(
@@ -154,7 +154,7 @@
         """Takes the call of an instance that leaves, or of the platform in its place.
 
         An instance that never called this node may be known elsewhere: its end is published all the same.
-        One that nobody has heard of is remembered, and published as gone once somebody has.
+        One that nothing is known of is remembered, and published as gone once it is reported.
         """
         if not is_valid_id(instance_id):
             return InvalidCall("no id")
--- a/meadowworks/registry/zone_redirects.py
+++ b/meadowworks/registry/zone_redirects.py
@@ -31,7 +31,7 @@
         }
 
     def choose(self, now_ns: int, instance_id: str, addresses: Iterable[str]) -> str | None:
-        """Returns the first address that may be named to an instance, if there is one."""
+        """Returns the first address that may be suggested to an instance, if there is one."""
         for address in addresses:
             if self.avoid_until_ns.get(address, 0) <= now_ns:
                 self._remember(instance_id, address)
--- a/meadowworks/runtime/process.py
+++ b/meadowworks/runtime/process.py
@@ -51,6 +51,6 @@
 
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, request_shutdown)
-    gc.freeze()  # what the start has made lives as long as the process: the collector need not visit it again
+    gc.freeze()  # what the start has made stays as long as the process: the collector need not visit it again
     gc.enable()
     await serve(settings, shutdown_requested)
--- a/meadowworks/storage/sqlite_store.py
+++ b/meadowworks/storage/sqlite_store.py
@@ -149,7 +149,7 @@
     # -- backends
 
     def save_backend_hints(self, rows: Mapping[str, bytes]) -> None:
-        """Replaces the backends as they were last heard from, by their ids.
+        """Replaces the backends' last known states, by their ids.
 
         They are a hint for a start after all replicas were lost at once; the next heartbeats confirm them or
         not.
