--- a/meadowworks/controlplane/node.py
+++ b/meadowworks/controlplane/node.py
@@ -7,6 +7,7 @@
 from meadowworks.consensus.acceptor import Acceptor
 from meadowworks.consensus.values import CommittedValue
 from meadowworks.controlplane.async_store import AsyncStore
+from meadowworks.controlplane.cluster_view import ClusterView
 from meadowworks.controlplane.config_service import ConfigService, create_replica
 from meadowworks.controlplane.drain_service import DrainService, decode_rows
 from meadowworks.controlplane.notifier import Notifier
@@ -17,7 +18,6 @@
 from meadowworks.registry.heartbeats import HeartbeatRegistry
 from meadowworks.runtime.background_tasks import BackgroundTasks
 from meadowworks.runtime.clock import now_ns
-from meadowworks.runtime.cluster_view import ClusterView
 from meadowworks.runtime.live_settings import LiveSettings
 from meadowworks.runtime.node_settings import NodeSettings
 from meadowworks.runtime.peer_client import PeerClientPool
--- a/meadowworks/controlplane/server.py
+++ b/meadowworks/controlplane/server.py
@@ -7,6 +7,7 @@
 from meadowworks.controlplane.api import Routes
 from meadowworks.controlplane.api_endpoint import ApiEndpoint
 from meadowworks.controlplane.backends_resource import BackendsResource
+from meadowworks.controlplane.cluster_view import ClusterView
 from meadowworks.controlplane.config_resource import ConfigResource
 from meadowworks.controlplane.maintenance import INTERVAL_S, Maintenance
 from meadowworks.controlplane.node import ControlPlaneNode
@@ -16,7 +17,6 @@
 from meadowworks.runtime import logging as logs
 from meadowworks.runtime.background_tasks import BackgroundTasks
 from meadowworks.runtime.clock import NS_PER_SECOND
-from meadowworks.runtime.cluster_view import ClusterView
 from meadowworks.runtime.http_server import HttpServer
 from meadowworks.runtime.live_settings import LiveSettings
 from meadowworks.runtime.node_settings import NodeSettings
