--- a/meadowworks/attempts/machine.py
+++ b/meadowworks/attempts/machine.py
@@ -101,7 +101,7 @@
         self.admission_interval_ns, self.max_kept_replies = admission_interval_ns, max_kept_replies
         self.draw_count = self.attempt_count = 0
         self.calls: dict[int, Call] = {}
-        self.kept: dict[int, None] = {}  # calls that have an outcome, oldest first
+        self.finished_calls: dict[int, None] = {}  # calls that have an outcome, oldest first
         self.tables = [RouteTable() for _ in route_policies]
         self.timers: list[tuple[int, int]] = []  # when, and the call's key
 
@@ -118,19 +118,19 @@
 
     # -- clients
 
-    def on_request(self, now: int, key: int, route: int, waiter: int, repeat: bool) -> None:
-        """A client asks; `repeat` says that it asked before and had no final reply."""
-        policy, call = self.route_policies[route], self.calls.get(key)
+    def on_request(self, now: int, key: int, route: int, waiter: int, is_repeat: bool) -> None:
+        """A client asks; `is_repeat` says that it asked before and had no final reply."""
+        route_policy, call = self.route_policies[route], self.calls.get(key)
         if call is not None and call.outcome is None:
             # Guards against a client's repeat that runs beside its first: both wait for the one outcome.
             call.waiters.append(waiter)
             return
         if call is not None and call.outcome is not None:
-            if call.outcome.kind == "answered" or call.outcome.may_have_run and not policy.idempotent:
+            if call.outcome.kind == "answered" or call.outcome.may_have_run and not route_policy.idempotent:
                 self.host.reply(key, waiter, call.outcome)
                 return
             self.forget(key)  # it never ran, or may run again
-        elif repeat and not policy.idempotent:
+        elif is_repeat and not route_policy.idempotent:
             # Guards against a first that ran under a proxy that has died since, or that was long ago.
             self.host.count("repeats of mutating calls not known here")
             self.host.reply(key, waiter, FinalReply("dropped", True, NO_RETRY_NS))
@@ -141,8 +141,8 @@
         """Throttles a new call, drops it for want of a backend, or sends its first attempt."""
         table = self.tables[route]
         if self.random() >= table.admission_ratio:
-            back_ns = retry_after_ns(self.admission_interval_ns, table.admission_ratio, self.random())
-            self.host.reply(key, waiter, FinalReply("throttled", False, back_ns))
+            delay_ns = retry_after_ns(self.admission_interval_ns, table.admission_ratio, self.random())
+            self.host.reply(key, waiter, FinalReply("throttled", False, delay_ns))
             return
         backend = pick_by_weight(table.weights, (), self.random())
         if backend is None:
@@ -175,15 +175,15 @@
         if attempt.state not in (SENT, OVERDUE, CANCELLED):
             self.host.count("replies told twice")
             return
-        waited, attempt.state = attempt.state == SENT, state
+        was_awaited, attempt.state = attempt.state == SENT, state
         if call.outcome is not None:
-            self.on_late_end(call, state)
+            self.on_late_result(call, state)
         elif state == ANSWERED:
             self.finish(now, key, call, FinalReply("answered", True, NO_RETRY_NS))
-        elif waited:
+        elif was_awaited:
             self.retry_or_give_up(now, key, call)
 
-    def on_late_end(self, call: Call, state: int) -> None:
+    def on_late_result(self, call: Call, state: int) -> None:
         """Too late for who asked; a client that asks again gets the kept reply, and nothing runs twice."""
         if call.outcome is not None and call.outcome.kind == "answered":
             return
@@ -238,10 +238,10 @@
 
     def give_up(self, now: int, key: int, call: Call) -> None:
         """At once, and not near the deadline: the reply says whether and when to retry."""
-        ran = not none_ran([*call.attempts.values()])
-        no_repeat = ran and not self.route_policies[call.route].idempotent
-        back_ns = NO_RETRY_NS if no_repeat else self.retry_delay_ns()
-        self.finish(now, key, call, FinalReply("dropped", ran, back_ns))
+        may_have_run = not none_ran([*call.attempts.values()])
+        no_repeat = may_have_run and not self.route_policies[call.route].idempotent
+        delay_ns = NO_RETRY_NS if no_repeat else self.retry_delay_ns()
+        self.finish(now, key, call, FinalReply("dropped", may_have_run, delay_ns))
 
     def retry_delay_ns(self) -> int:
         """When a call that was dropped may come back."""
@@ -259,11 +259,13 @@
             self.host.reply(key, waiter, reply)
         call.keep_until_ns = now + self.route_policies[call.route].reply_retention_ns
         heapq.heappush(self.timers, (call.keep_until_ns, key))
-        self.kept[key] = None
-        while len(self.kept) > self.max_kept_replies:  # the oldest; its repeat is then one not known here
-            self.forget(next(iter(self.kept)))
+        self.finished_calls[key] = None
+        while (
+            len(self.finished_calls) > self.max_kept_replies
+        ):  # the oldest; its repeat is then one not known here
+            self.forget(next(iter(self.finished_calls)))
 
     def forget(self, key: int) -> None:
         """Forgets a call and its outcome."""
         self.calls.pop(key, None)
-        self.kept.pop(key, None)
+        self.finished_calls.pop(key, None)
--- a/meadowworks/attempts/retry_policy.py
+++ b/meadowworks/attempts/retry_policy.py
@@ -66,14 +66,14 @@
 NO_OTHER_BACKEND = NoRetry("no other backend")
 
 
-def pick_by_weight(weights: Mapping[int, float], tried: Container[int], draw: float) -> int | None:
+def pick_by_weight(weights: Mapping[int, float], tried: Container[int], random_fraction: float) -> int | None:
     """A backend of the table by weight, none that was tried.
 
-    :param draw: a random number from 0 up to, not with, 1.
+    :param random_fraction: a random number from 0 up to, not with, 1.
     :returns: the backend; None if there is none left.
     """
     candidates = sorted((b, weight) for b, weight in weights.items() if b not in tried and weight > 0)
-    point = draw * sum(weight for _, weight in candidates)
+    point = random_fraction * sum(weight for _, weight in candidates)
     for backend, weight in candidates:
         point -= weight
         if point < 0:
@@ -85,7 +85,7 @@
     weights: Mapping[int, float],
     tried: Container[int],
     delays: Mapping[int, float],
-    draw: float,
+    random_fraction: float,
 ) -> int | None:
     """The backend, none that was tried, that is expected to answer first; among equals by weight.
 
@@ -95,7 +95,7 @@
     candidates = {b: delays.get(b, 0.0) for b, w in weights.items() if w > 0 and b not in tried}
     least = min(candidates.values(), default=0.0)
     fastest = {b: weights[b] for b, delay in candidates.items() if delay <= least * TIE_TOLERANCE}
-    return pick_by_weight(fastest, (), draw)
+    return pick_by_weight(fastest, (), random_fraction)
 
 
 def none_ran(attempts: Sequence[Attempt]) -> bool:
@@ -120,7 +120,7 @@
     attempts: Sequence[Attempt],
     weights: Mapping[int, float],
     remaining_ns: int,
-    draw: float,
+    random_fraction: float,
     delays: Mapping[int, float] | None = None,
 ) -> Retry | NoRetry:
     """The decision after an attempt has ended.
@@ -132,11 +132,11 @@
         return obstacle
     if remaining_ns < max(1, route_policy.min_remaining_ns):
         return TOO_LITTLE_TIME
-    tried = {one.backend for one in attempts}
+    tried = {attempt.backend for attempt in attempts}
     if delays is None:
-        backend = pick_by_weight(weights, tried, draw)
+        backend = pick_by_weight(weights, tried, random_fraction)
     else:
-        backend = pick_fastest(weights, tried, delays, draw)
+        backend = pick_fastest(weights, tried, delays, random_fraction)
     return NO_OTHER_BACKEND if backend is None else Retry(backend)
 
 
@@ -157,16 +157,18 @@
         and route_policy.idempotent
         and len(attempts) < MAX_RETRIES[retry_policy]
     )
-    others = {b for b, weight in weights.items() if weight > 0} - {one.backend for one in attempts}
+    others = {b for b, weight in weights.items() if weight > 0} - {attempt.backend for attempt in attempts}
     left_ns = remaining_ns - route_policy.attempt_timeout_ns
     may_follow = allowed and len(others) > 1 and left_ns >= route_policy.min_remaining_ns
     return route_policy.attempt_timeout_ns if may_follow else remaining_ns
 
 
-def retry_after_ns(admission_interval_ns: int, admission_ratio: float, draw: float) -> int:
+def retry_after_ns(admission_interval_ns: int, admission_ratio: float, random_fraction: float) -> int:
     """When a rejected call may come back.
 
     :param admission_interval_ns: limits do not move faster than this, so not before; later the less is
         admitted, and not all at once.
     """
-    return int(admission_interval_ns * (1 + draw) / max(MIN_ADMISSION_RATIO, min(1.0, admission_ratio)))
+    return int(
+        admission_interval_ns * (1 + random_fraction) / max(MIN_ADMISSION_RATIO, min(1.0, admission_ratio))
+    )
--- a/meadowworks/fleet/controller.py
+++ b/meadowworks/fleet/controller.py
@@ -103,9 +103,9 @@
         """Frees a backend's index once this batch is sent."""
         self.released_backends.append(backend)
 
-    def request_ack(self, number: int) -> None:
+    def request_ack(self, nonce: int) -> None:
         """Gives the messages of this batch a nonce."""
-        self.table_updates.nonce = number
+        self.table_updates.nonce = nonce
 
     def set_timer(self, wait_ns: int) -> None:
         """Counts from when the timer was due, so that it does not drift; after a stall, from now."""
@@ -121,9 +121,9 @@
         """Makes a proxy use a table for the routes of a bit mask."""
         self.table_updates.assign_table(routes, proxy, table)
 
-    def set_admission(self, table: int, routes: int, level: float, retry: int) -> None:
+    def set_admission(self, table: int, routes: int, limit: float, retry_policy: int) -> None:
         """Sets the admission limit and the retry policy of a table's routes."""
-        self.table_updates.set_admission(table, routes, level, retry)
+        self.table_updates.set_admission(table, routes, limit, retry_policy)
 
     # -- events
 
--- a/meadowworks/load_balancing/load_reports.py
+++ b/meadowworks/load_balancing/load_reports.py
@@ -11,21 +11,21 @@
 
 LOAD_REPORT_PREFIX = "f/"  # of the keys under which zones' reports are published
 # Places in the sums of a backend.
-ATTEMPTS, FAILURES, ELAPSED_MS, LOADS, RUNNING, WAITING = range(6)
+ATTEMPTS, FAILURES, ELAPSED_MS, LOAD_SAMPLES, RUNNING, WAITING = range(6)
 
 
 class BackendSums(NamedTuple):
     """The sums of one backend, as they stand in a report.
 
     `elapsed_ms` is of the attempts that were answered; `running` and `waiting` are the requests there, summed
-    over the `loads` times that a response said them.
+    over the `load_samples` times that a response said them.
     """
 
     instance_id: str
     attempts: int
     failures: int
     elapsed_ms: int
-    loads: int
+    load_samples: int
     running: int
     waiting: int
 
@@ -47,7 +47,7 @@
     def record_backend_load(self, backend_id: str, running: int, waiting: int) -> None:
         """Count what a response said of its backend's load."""
         counts = self._counts(backend_id)
-        counts[LOADS] += 1
+        counts[LOAD_SAMPLES] += 1
         counts[RUNNING] += running
         counts[WAITING] += waiting
 
--- a/meadowworks/load_balancing/priority_admission.py
+++ b/meadowworks/load_balancing/priority_admission.py
@@ -38,12 +38,14 @@
         """
         total = sum(self.counts.values())
         reserved = RESERVED_SHARE * service_ratio
-        left = service_ratio - reserved  # to be granted beyond what is reserved, as a part of all requests
+        remaining = (
+            service_ratio - reserved
+        )  # to be granted beyond what is reserved, as a part of all requests
         ratios = {}
         for priority in sorted(self.counts):
             share = self.counts[priority] / total
-            extra = min(1.0 - reserved, left / share)
-            left -= extra * share
+            extra = min(1.0 - reserved, remaining / share)
+            remaining -= extra * share
             ratios[priority] = reserved + extra
         return ratios
 
--- a/meadowworks/load_balancing/service_balancer.py
+++ b/meadowworks/load_balancing/service_balancer.py
@@ -63,7 +63,7 @@
         self.weights: dict[int, float] = {}  # of the local zone's table, by endpoint
         self.remote_weights: dict[int, float] = {}  # of the other zones' tables, of their own backends alone
         self.admission_ratio = 1.0  # the part of requests that are let in
-        self.priorities = PriorityAdmission()
+        self.priority_admission = PriorityAdmission()
         self.max_retries = 1  # 0 under overload
         self.response_bytes = 0.0  # moving average
         self.log_entries: list[str] = []  # what the policy has decided, not logged yet
@@ -95,9 +95,9 @@
             self._backend_states.pop(name, None)
             self.endpoint_ids.release(backend)
 
-    def request_ack(self, number: int) -> None:
+    def request_ack(self, nonce: int) -> None:
         """Acknowledge the orders up to here when the policy's turn is over."""
-        self._unacknowledged.append(number)
+        self._unacknowledged.append(nonce)
 
     def set_timer(self, wait_ns: int) -> None:
         """Set when the policy's next turn is due."""
@@ -115,10 +115,10 @@
     def assign_table(self, routes: int, proxy: int, table: int) -> None:
         """Do nothing: each zone has one table."""
 
-    def set_admission(self, table: int, routes: int, level: float, retry: int) -> None:  # noqa: ARG002
+    def set_admission(self, table: int, routes: int, limit: float, retry_policy: int) -> None:  # noqa: ARG002
         """Set which part of requests the local zone lets in, and whether retries are allowed."""
         if table == self.local_zone:
-            self.admission_ratio, self.max_retries = level, retry
+            self.admission_ratio, self.max_retries = limit, retry_policy
 
     # -- events
 
@@ -169,9 +169,9 @@
 
     def admission_ratio_of(self, priority: int) -> float:
         """The part of the requests of a priority that are let in; 0 is the most urgent."""
-        return self.priorities.ratio(priority, self.admission_ratio)
+        return self.priority_admission.ratio(priority, self.admission_ratio)
 
-    def report_overdue(self, now: int, zone: int) -> bool:
+    def is_report_overdue(self, now: int, zone: int) -> bool:
         """Whether a zone's reports have not come for a while."""
         return now - self._reported_ns.get(zone, 0) > REPORT_OVERDUE_NS
 
@@ -180,7 +180,7 @@
         if now >= self._next_tick_ns:
             self._next_tick_ns = max(self._next_tick_ns, now - REPORT_INTERVAL_NS)
             self.controller.tick(now)
-            self.priorities.decay()
+            self.priority_admission.decay()
             self._acknowledge(now)
 
     def _acknowledge(self, now: int) -> None:
@@ -209,7 +209,7 @@
             return []
         # First draining, so that it is not held as one that the list only misses.
         return [
-            EndpointEntry(endpoint, known.zone, state, known.since_ns, known.weight)
+            EndpointEntry(endpoint, known.zone, state, known.started_ns, known.weight)
             for state in ("draining", "gone")
         ]
 
--- a/meadowworks/modelcheck/models/attempt/frozen.py
+++ b/meadowworks/modelcheck/models/attempt/frozen.py
@@ -86,7 +86,7 @@
     table = machine.tables[ROUTE]
     return FrozenMachine(
         tuple([freeze_call(key, call) for key, call in machine.calls.items()]),
-        tuple(machine.kept),
+        tuple(machine.finished_calls),
         tuple(machine.timers),
         machine.attempt_count,
         tuple(table.weights.items()),
@@ -110,7 +110,7 @@
 def thaw_machine(machine: AttemptMachine, frozen: FrozenMachine) -> None:
     """Bring a new machine to where the frozen one was; all requests are admitted between steps."""
     machine.calls = {call.key: thaw_call(call) for call in frozen.calls}
-    machine.kept = dict.fromkeys(frozen.kept)
+    machine.finished_calls = dict.fromkeys(frozen.kept)
     machine.timers = list(frozen.timers)
     machine.attempt_count = frozen.attempt_count
     machine.tables[ROUTE] = RouteTable(dict(frozen.weights), retry_policy=frozen.retry_policy)
--- a/meadowworks/modelcheck/models/attempt/state_key.py
+++ b/meadowworks/modelcheck/models/attempt/state_key.py
@@ -56,7 +56,7 @@
 def machine_key(machine: AttemptMachine, now: int) -> Key:
     """Return what a machine knows, but for attempts and its table."""
     calls = [call_key(key, call, now) for key, call in sorted(machine.calls.items())]
-    return tuple(calls), tuple(machine.kept), machine.tables[ROUTE].retry_policy
+    return tuple(calls), tuple(machine.finished_calls), machine.tables[ROUTE].retry_policy
 
 
 def call_key(key: int, call: Call, now: int) -> Key:
--- a/meadowworks/modelcheck/models/attempt/state_properties.py
+++ b/meadowworks/modelcheck/models/attempt/state_properties.py
@@ -67,7 +67,8 @@
     """A proxy keeps no more outcomes than its bound, and no calls beside them and the open ones."""
     call_count = len(world.scenario.requests_per_call)
     return all(
-        len(machine.kept) <= machine.max_kept_replies and len(machine.calls) <= len(machine.kept) + call_count
+        len(machine.finished_calls) <= machine.max_kept_replies
+        and len(machine.calls) <= len(machine.finished_calls) + call_count
         for machine in world.machines
         if machine
     )
--- a/meadowworks/modelcheck/models/policy/world.py
+++ b/meadowworks/modelcheck/models/policy/world.py
@@ -101,10 +101,10 @@
         tables = self.updates.tables.values()
         assert not any(backend in table.weights for table in tables), "a name still in use"
 
-    def request_ack(self, number: int) -> None:
+    def request_ack(self, nonce: int) -> None:
         """Gives this step's messages a nonce, whose acknowledgement is then on its way."""
-        self.updates.nonce = number
-        self.channel.pending_nonces.append(number)
+        self.updates.nonce = nonce
+        self.channel.pending_nonces.append(nonce)
 
     def set_timer(self, wait_ns: int) -> None:
         """Checks the wait: `do_tick` is the timer."""
@@ -119,10 +119,10 @@
         """Makes a proxy use a table."""
         self.updates.assign_table(routes, proxy, table)
 
-    def set_admission(self, table: int, routes: int, level: float, retry: int) -> None:
+    def set_admission(self, table: int, routes: int, limit: float, retry_policy: int) -> None:
         """Sets the admission of a table's routes."""
-        self.outcomes.append(AdmissionSet(level, retry))
-        self.updates.set_admission(table, routes, level, retry)
+        self.outcomes.append(AdmissionSet(limit, retry_policy))
+        self.updates.set_admission(table, routes, limit, retry_policy)
 
     # -- steps
 
--- a/meadowworks/modelcheck/seeded_faults/priority_admission.py
+++ b/meadowworks/modelcheck/seeded_faults/priority_admission.py
@@ -17,10 +17,10 @@
         ("urgent first",),
     ),
     SeededFault(
-        "each priority is granted all that is left",
+        "each priority is granted all that is remaining",
         MODEL,
         ADMISSION + "ratios",
-        "left -= extra * share",
+        "remaining -= extra * share",
         "pass",
         ("one budget",),
     ),
@@ -36,8 +36,8 @@
         "a priority is granted more than its requests",
         MODEL,
         ADMISSION + "ratios",
-        "min(1.0 - reserved, left / share)",
-        "left / share",
+        "min(1.0 - reserved, remaining / share)",
+        "remaining / share",
         ("none starved",),
     ),
 )
--- a/meadowworks/policy/__init__.py
+++ b/meadowworks/policy/__init__.py
@@ -23,25 +23,25 @@
             return self.timers.schedule(retry_ns, partial(self.host.watch_list, True))
         self.failed_list_calls = 0
         if kind != "changes":
-            named = {entry.backend for entry in entries}
-            for index in [index for index in self.backends if index not in named]:
-                self.retain(index)
+            listed = {entry.backend for entry in entries}
+            for index in [index for index in self.backends if index not in listed]:
+                self.retain_missing(index)
         for entry in entries:
             if entry.backend not in self.backends:
                 subset = self.lightest_subset(entry.zone, [b for b in self.backends.values() if b.ready])
-                self.backends[entry.backend] = Backend(entry.zone, entry.weight, entry.since_ns, subset)
-            known = self.backends[entry.backend]
-            if entry.since_ns > known.since_ns:  # a start, under whatever name: what was known is void
-                known.since_ns, known.ejection_step, known.stats = entry.since_ns, 0, AttemptStats()
-            known.zone = entry.zone
-            known.weight = entry.weight if self.settings.fixed_weights else known.weight
+                self.backends[entry.backend] = Backend(entry.zone, entry.weight, entry.started_ns, subset)
+            backend = self.backends[entry.backend]
+            if entry.started_ns > backend.started_ns:  # a start, under whatever name: what was known is void
+                backend.started_ns, backend.ejection_step, backend.stats = entry.started_ns, 0, AttemptStats()
+            backend.zone = entry.zone
+            backend.weight = entry.weight if self.settings.fixed_weights else backend.weight
             if entry.state == "gone":
-                self.retain(entry.backend)
+                self.retain_missing(entry.backend)
             else:
-                known.ready, known.retained, known.missing_since_ns = entry.state == "ready", False, 0
+                backend.ready, backend.retained, backend.missing_since_ns = entry.state == "ready", False, 0
         self.update_tables(now)
 
-    def retain(self, index: int, again: bool = False) -> None:
+    def retain_missing(self, index: int, again: bool = False) -> None:
         """Guards against a list that is wrong: what is gone may stay until a health check or reports tell."""
         if (b := self.backends.get(index)) is None:
             return  # forgotten since it was to be looked at again
@@ -52,7 +52,7 @@
         b.ready = b.retained = self.settings.removals_uncertain and alive
         if b.retained:
             recheck_ns = self.last_tick_ns + int(RECHECK_REPORTS * self.settings.report_interval_ns)
-            self.timers.schedule(recheck_ns, partial(self.retain, index, True))
+            self.timers.schedule(recheck_ns, partial(self.retain_missing, index, True))
             if self.settings.health_checks:
                 self.host.check_health(index)
 
@@ -63,9 +63,9 @@
 
     def on_proxy_joined(self, now: int, number: int, zone: int, usual_rate: float) -> None:
         self.proxies[number] = Proxy(zone, usual_rate, self.lightest_subset(zone, self.proxies.values()))
-        own = self.subset_tables[zone * self.subset_count + self.proxies[number].subset]
+        own = self.group_tables[zone * self.subset_count + self.proxies[number].subset]
         lines = [(self.backends[p], w) for table, _, _ in own for p, w in self.tables[table].items()]
-        if any(not b.ready or self.is_too_heavy(now, b, w) for b, w in lines):
+        if any(not b.ready or self.exceeds_slow_start_weight(now, b, w) for b, w in lines):
             self.update_tables(now)  # guards against assigning a table that limits held back
         self.assign_tables(now, number)
 
--- a/meadowworks/policy/admission.py
+++ b/meadowworks/policy/admission.py
@@ -54,15 +54,15 @@
         budgets = self.estimate_capacity(now)
         if now - self.started_ns < SETTLING_NS or min(budgets) < 0:
             return
-        for view, left in zip(self.views, budgets, strict=True):
+        for view, remaining in zip(self.views, budgets, strict=True):
             view.admissions = [(1.0, 1)] * len(routes)
             for importance in sorted({r.importance for r in routes}, reverse=True):
                 same = [k for k, r in enumerate(routes) if r.importance == importance]
-                calls = sum(demands[k] for k in same)
-                level = max(MIN_ADMISSION, min(1.0, left / calls))
-                left = max(0.0, left - level * calls)
+                rate = sum(demands[k] for k in same)
+                ratio = max(MIN_ADMISSION, min(1.0, remaining / rate))
+                remaining = max(0.0, remaining - ratio * rate)
                 for k in same:
-                    view.admissions[k] = round(level / ADMISSION_STEP) * ADMISSION_STEP, 1
+                    view.admissions[k] = round(ratio / ADMISSION_STEP) * ADMISSION_STEP, 1
                     if self.settings.admission_unit == "rate":  # calls a second at each proxy
-                        most = float(f"{level * max(rates[k], default=0.0):.1g}") + 1
-                        view.admissions[k] = UNLIMITED_RATE if level >= 1 else most, 1
+                        most = float(f"{ratio * max(rates[k], default=0.0):.1g}") + 1
+                        view.admissions[k] = UNLIMITED_RATE if ratio >= 1 else most, 1
--- a/meadowworks/policy/control_channel.py
+++ b/meadowworks/policy/control_channel.py
@@ -12,8 +12,8 @@
 
 
 class ControlChannel(ControllerState):
-    def reserve(self, now: int, users: Sequence[Proxy], lines: int, keep: float, rest: int = -1) -> int:
-        """Reserves room for lines to each user, or for a part of them and `rest`; returns for how many."""
+    def reserve(self, now: int, users: Sequence[Proxy], lines: int, reserve: float, extra: int = -1) -> int:
+        """Reserves room for lines to each user, or for a part of them and `extra`; returns for how many."""
         settings = self.settings
         drained = (now - self.queue_updated_ns) / SECOND_NS * settings.channel_rate
         self.queue_updated_ns = now
@@ -28,24 +28,24 @@
             times = proxy.message_times
             while times and times[0] <= now - settings.message_window_ns:
                 times.popleft()
-            if settings.message_limit and len(times) + 1 > settings.message_limit * (1 - keep):
+            if settings.message_limit and len(times) + 1 > settings.message_limit * (1 - reserve):
                 return 0
-        part, rest = rest >= 0, max(0, rest)
-        least = min(lines or rest, max(1, int(settings.message_overhead)))  # fewer are not worth a message
+        partial, extra = extra >= 0, max(0, extra)
+        min_lines = min(lines or extra, max(1, int(settings.message_overhead)))  # fewer waste a message
         overhead = settings.message_overhead * len(targets)
         # Guards against routine updates that wait in the channel past the next, the urgent behind them.
         out = min(self.queued_lines[1], self.sent_lines - self.delivered_lines)
         interval_lines = UPDATE_INTERVAL_NS / SECOND_NS * settings.channel_rate
-        if keep == RESERVE_ROUTINE and out and out + overhead > interval_lines:
+        if reserve == RESERVE_ROUTINE and out and out + overhead > interval_lines:
             return 0
         if users:
             wait = stuck > 0 and now - self.nonce_sent_ns < SETTLING_NS  # the next nonce may be answered
-            kept = zip((keep, max(wait, RESERVE_ROUTINE)), self.queued_lines, strict=True)
-            most, usual = (int((settings.queue_limit * (1 - k) - q - overhead) / len(users)) for k, q in kept)
-            rest = min(rest, max(0, usual - lines)) if lines <= most else most - lines
-            if lines + rest < least or lines > most and not part:
+            caps = zip((reserve, max(wait, RESERVE_ROUTINE)), self.queued_lines, strict=True)
+            room, usual = (int((settings.queue_limit * (1 - k) - q - overhead) / len(users)) for k, q in caps)
+            extra = min(extra, max(0, usual - lines)) if lines <= room else room - lines
+            if lines + extra < min_lines or lines > room and not partial:
                 return 0
-        cost = (lines + rest) * len(users) + overhead + len(targets)  # a nonce each
+        cost = (lines + extra) * len(users) + overhead + len(targets)  # a nonce each
         if targets and self.nonce_sent_ns != now:
             self.nonce_sent_ns, self.nonce = now, (self.nonce + 1) % NONCE_COUNT
             due = now + int(cost / settings.channel_rate * SECOND_NS)
@@ -55,7 +55,7 @@
         self.sent_lines, self.queued_lines = self.sent_lines + cost, [q + cost for q in self.queued_lines]
         for proxy in targets:
             proxy.message_times.append(now)
-        return lines + rest
+        return lines + extra
 
     def on_ack(self, now: int, nonce: int) -> None:
         """A proxy has applied the message with this nonce."""
--- a/meadowworks/policy/interface.py
+++ b/meadowworks/policy/interface.py
@@ -29,14 +29,14 @@
     proxy_count: int  # of all controllers
     backend_connections: float  # that the smallest backends accept; 0: unknown
     controller_count: int
-    proxies_join_own_zone: bool  # each a controller of its zone; else they are dealt by chance
+    proxies_join_local_controller: bool  # each a controller of its zone; else they are dealt by chance
     watches_list: bool
     list_refresh_ns: int  # within which a failed list call is to be repeated
     removals_uncertain: bool  # the endpoint list may be wrong about what is gone
     health_checks: bool
     admission_unit: str  # share, rate or silent
-    base_retry_policy: int
-    proxy_ejects_after: int  # failures in a row, after which a proxy avoids a backend; 0: never
+    initial_retry_policy: int
+    proxy_ejection_threshold: int  # failures in a row, after which a proxy avoids a backend; 0: never
     report_interval_ns: int
     fixed_weights: bool
     channel_rate: float  # lines a second
@@ -61,7 +61,7 @@
     backend: int
     zone: int
     state: str  # ready, draining or gone
-    since_ns: int
+    started_ns: int
     weight: float
 
 
@@ -90,7 +90,7 @@
     def release_backend(self, backend: int) -> None:
         """Frees the index of a backend that no table names any more."""
 
-    def request_ack(self, number: int) -> None:
+    def request_ack(self, nonce: int) -> None:
         """Gives this batch's messages a nonce, which each proxy acknowledges (`Controller.on_ack`)."""
 
     def set_timer(self, wait_ns: int) -> None:
@@ -102,5 +102,5 @@
     def assign_table(self, routes: int, proxy: int, table: int) -> None:
         """Makes a proxy use a table for the routes of a bit mask; 0 stands for all."""
 
-    def set_admission(self, table: int, routes: int, level: float, retry: int) -> None:
+    def set_admission(self, table: int, routes: int, limit: float, retry_policy: int) -> None:
         """Sets the admission limit and the retry policy of a table's routes, by a bit mask."""
--- a/meadowworks/policy/publisher.py
+++ b/meadowworks/policy/publisher.py
@@ -20,18 +20,18 @@
         for proxy in self.proxies.values():
             if proxy.assigned:
                 users.setdefault((proxy.zone, proxy.subset), []).append(proxy)
-        for cell in sorted(range(len(self.last_update_ns)), key=self.last_update_ns.__getitem__):
-            self.update_cell(now, cell, candidates, users.get(divmod(cell, self.subset_count), []))
+        for group in sorted(range(len(self.last_update_ns)), key=self.last_update_ns.__getitem__):
+            self.update_group(now, group, candidates, users.get(divmod(group, self.subset_count), []))
 
-    def update_cell(self, now: int, cell: int, candidates: Candidates, users: list[Proxy]) -> None:
+    def update_group(self, now: int, group: int, candidates: Candidates, users: list[Proxy]) -> None:
         """Updates the tables of a subset of a zone's proxies, as far as the channel allows."""
-        zone, subset = divmod(cell, self.subset_count)
+        zone, subset = divmod(group, self.subset_count)
         limits: dict[tuple[int, tuple[float, int]], int] = {}
         changes: list[WeightChange] = []
-        for table, routes, own_zone_only in self.subset_tables[cell]:
+        for table, routes, own_zone_only in self.group_tables[group]:
             for k, (limit, retry) in enumerate(self.views[zone].admissions):
                 grant = limit, 0 if self.views[zone].overloaded else retry  # retries feed an overload
-                known = self.admissions[table].get(k, (1.0, self.settings.base_retry_policy))
+                known = self.admissions[table].get(k, (1.0, self.settings.initial_retry_policy))
                 if routes >> k & 1 and known != grant:
                     limits[table, grant] = limits.get((table, grant), 0) | 1 << k
             target = self.target_weights(now, zone, subset, candidates(zone, own_zone_only))
@@ -39,12 +39,12 @@
         # Guards against an update larger than the channel: the urgent, limits, the greatest changes first.
         changes.sort()
         urgent = sum(change.rank < 2 for change in changes)
-        waits = users and not urgent and now - self.last_update_ns[cell] < UPDATE_INTERVAL_NS
+        waits = users and not urgent and now - self.last_update_ns[group] < UPDATE_INTERVAL_NS
         if not changes and not limits or waits:
             return
         reserve, rest = RESERVE_URGENT if urgent else RESERVE_ROUTINE, len(changes) - urgent + len(limits)
         fit = self.reserve(now, users, urgent, reserve, rest)
-        self.last_update_ns[cell] = now if users and fit else self.last_update_ns[cell]
+        self.last_update_ns[group] = now if users and fit else self.last_update_ns[group]
         if fit >= urgent + len(limits):
             fit -= len(limits)
             for (table, grant), mask in limits.items():
@@ -58,25 +58,25 @@
 
     def weight_changes(self, now: int, zone: int, table: int, target: dict[int, float]) -> list[WeightChange]:
         """How a table differs from its target; a lower rank goes first."""
-        have, blocked, found = self.tables[table], self.excludes_warming(now, self.views[zone]), []
-        first = 2 if any(p in target for p in have) else 0
+        current, excluded, changes = self.tables[table], self.excludes_warming(now, self.views[zone]), []
+        rank = 2 if any(p in target for p in current) else 0
         for p, w in target.items():
-            held = have.get(p, 0.0)
+            held = current.get(p, 0.0)
             if abs(held - w) > WEIGHT_STEP * w:
                 # Guards against a backend that restarts under its name and keeps a warm one's weight.
-                eased = held > w and self.is_warming(now, self.backends[p])
-                found.append(WeightChange(min(first, 1) if eased else first, -abs(held - w), table, p, w))
-        for p, w in have.items():
+                lowered = held > w and self.is_warming(now, self.backends[p])
+                changes.append(WeightChange(min(rank, 1) if lowered else rank, -abs(held - w), table, p, w))
+        for p, w in current.items():
             if p not in target:
                 # A warming one leaves at once where it may be overloaded; else it costs no message.
                 b = self.backends[p]
-                heavy = self.is_warming(now, b) and (blocked or w > b.weight * self.weight_factor(now, b))
-                found.append(WeightChange(1 if not b.ready or heavy else 2, -w, table, p, 0.0))
-        return found
+                at_risk = self.is_warming(now, b) and (excluded or w > b.weight * self.weight_factor(now, b))
+                changes.append(WeightChange(1 if not b.ready or at_risk else 2, -w, table, p, 0.0))
+        return changes
 
     def assign_tables(self, now: int, number: int) -> None:
         proxy = self.proxies[number]
-        tables = self.subset_tables[proxy.zone * self.subset_count + proxy.subset]
+        tables = self.group_tables[proxy.zone * self.subset_count + proxy.subset]
         if self.settings.slice_count or proxy.assigned or not any(self.tables[t] for t, _, _ in tables):
             return
         lines = sum(1 + len(self.tables[t]) + len(self.admissions[t]) for t, _, _ in tables)
@@ -98,7 +98,7 @@
         """Moves slices off what is not ready; an owner is followed only once its writes are done."""
         ready = [p for p, b in self.backends.items() if b.ready]
         warm = [p for p in ready if not self.is_warming(now, self.backends[p])] or ready
-        exclusive, retry = self.settings.exclusive_slices, min(self.settings.base_retry_policy, 1)
+        exclusive, retry = self.settings.exclusive_slices, min(self.settings.initial_retry_policy, 1)
         for number, table in self.slice_tables.items():
             bad = [p for p in table if p not in ready]
             waits = exclusive and bad and now < self.slice_handovers.get(number, now + 1)
--- a/meadowworks/policy/records.py
+++ b/meadowworks/policy/records.py
@@ -16,10 +16,10 @@
 
     zone: int
     weight: float
-    since_ns: int
+    started_ns: int
     subset: int  # of its zone
     ready: bool = False
-    retained: bool = False  # although the endpoint list lacks it, see retain()
+    retained: bool = False  # although the endpoint list lacks it, see retain_missing()
     missing_since_ns: int = 0  # since when the endpoint list lacks it
     ejection_step: int = 0
     step_changed_ns: int = 0
--- a/meadowworks/policy/state.py
+++ b/meadowworks/policy/state.py
@@ -30,12 +30,12 @@
         own = [k for k, r in enumerate(settings.routes) if r.own_zone_only]
         usual = [k for k in range(len(settings.routes)) if k not in own]
         # One table a zone; routes confined to their zone have another beside it, never filled from outside.
-        groups = [(sum(1 << k for k in part), part is own) for part in (usual, own) if part]
+        masks = [(sum(1 << k for k in part), part is own) for part in (usual, own) if part]
         limit = CONNECTION_SHARE * settings.backend_connections * settings.zone_count or settings.proxy_count
         self.subset_count = max(1, -int(-settings.proxy_count // (limit or 1)))
-        self.last_update_ns = [-SECOND_NS] * (cells := settings.zone_count * self.subset_count)
-        self.subset_tables = [[(c * len(groups) + k, *g) for k, g in enumerate(groups)] for c in range(cells)]
-        self.tables: list[dict[int, float]] = [{} for cell in self.subset_tables for _ in cell]
+        self.last_update_ns = [-SECOND_NS] * (groups := settings.zone_count * self.subset_count)
+        self.group_tables = [[(g * len(masks) + k, *m) for k, m in enumerate(masks)] for g in range(groups)]
+        self.tables: list[dict[int, float]] = [{} for group in self.group_tables for _ in group]
         self.admissions: list[dict[int, tuple[float, int]]] = [{} for _ in self.tables]
         # The retry policy goes with the first table as one line; later it costs each proxy a message.
         grant = UNLIMITED_RATE if settings.admission_unit == "rate" else 1.0, 1
@@ -64,16 +64,16 @@
 
     def weight_factor(self, now: int, backend: Backend) -> float:
         """The part of its listed weight that a backend gets: less while it is new or suspect."""
-        age = (now - backend.since_ns) / self.settings.slow_start_ns if backend.since_ns else 1.0
+        age = (now - backend.started_ns) / self.settings.slow_start_ns if backend.started_ns else 1.0
         step = max((start for start in RAMP_STEPS if age >= start), default=0.0)
-        least = self.settings.slow_start_share + (1 - self.settings.slow_start_share) * step
-        ramp = 1.0 if step == RAMP_STEPS[-1] else RAMP_MARGIN * least if step else ENTRY_SHARE
+        min_capacity = self.settings.slow_start_share + (1 - self.settings.slow_start_share) * step
+        ramp = 1.0 if step == RAMP_STEPS[-1] else RAMP_MARGIN * min_capacity if step else ENTRY_SHARE
         return EJECTION_WEIGHTS[backend.ejection_step] * ramp
 
     def is_warming(self, now: int, backend: Backend) -> bool:
-        return now - backend.since_ns < self.settings.slow_start_ns
+        return now - backend.started_ns < self.settings.slow_start_ns
 
-    def is_too_heavy(self, now: int, backend: Backend, weight: float) -> bool:
+    def exceeds_slow_start_weight(self, now: int, backend: Backend, weight: float) -> bool:
         return self.is_warming(now, backend) and weight > backend.weight * self.weight_factor(now, backend)
 
     def call_rate(self, proxy: int) -> float:
--- a/meadowworks/policy/weights.py
+++ b/meadowworks/policy/weights.py
@@ -19,13 +19,13 @@
         if not (capacity := sum(z.capacity for z in loads)):
             return
         listed, asked = sum(z.listed for z in loads), sum(z.asked for z in loads)
-        own = 1 / self.settings.controller_count if self.settings.proxies_join_own_zone else 1.0
+        own = 1 / self.settings.controller_count if self.settings.proxies_join_local_controller else 1.0
         known = (now - self.started_ns >= SETTLING_NS) * own
         need = [known * z.asked / asked + (1 - known) * z.listed / listed for z in loads]
         spare = [max(0.0, z.capacity / capacity - n) for z, n in zip(loads, need, strict=True)]
         for zone, (view, load) in enumerate(zip(self.views, loads, strict=True)):
             ratio = view.stats.failure_ratio(MIN_ATTEMPTS)
-            ratio = ratio / (1 if self.settings.proxy_ejects_after else NO_EJECTION_FACTOR)
+            ratio = ratio / (1 if self.settings.proxy_ejection_threshold else NO_EJECTION_FACTOR)
             if ratio > OVERLOAD_RATIOS[0] if not view.overloaded else ratio < OVERLOAD_RATIOS[1]:
                 view.overloaded = not view.overloaded
                 self.host.log(f"zone {zone}: {'' if view.overloaded else 'no longer '}overloaded")
@@ -82,12 +82,12 @@
     def avoided_share(self, view: ZoneView, zone: int, rate: float) -> float:
         """The part of a zone's calls that may avoid its warm backends: its proxy has `rate` a second, and
         avoids a backend where so many attempts in a row failed, for a slow start at the longest."""
-        ratio, ejects_after = view.stats.failure_ratio(MIN_ATTEMPTS), self.settings.proxy_ejects_after
+        ratio, ejects_after = view.stats.failure_ratio(MIN_ATTEMPTS), self.settings.proxy_ejection_threshold
         ratio = min(1 - 1e-9, ratio)
         in_row = ratio**ejects_after if ejects_after else 0.0
         run = (1 - in_row) / (1 - ratio)  # attempts until so many in a row have failed, times in_row
-        cells = self.subset_tables[zone * self.subset_count : (zone + 1) * self.subset_count]
-        backends = max(len(self.tables[table]) for cell in cells for table, _, _ in cell)
+        groups = self.group_tables[zone * self.subset_count : (zone + 1) * self.subset_count]
+        backends = max(len(self.tables[table]) for group in groups for table, _, _ in group)
         met = rate / max(1, backends) * self.settings.slow_start_ns / SECOND_NS * in_row
         return met / (met + run)
 
--- a/meadowworks/proxy/forwarder.py
+++ b/meadowworks/proxy/forwarder.py
@@ -97,7 +97,7 @@
         retry_budget = self._retry_budget(service)
         retry_budget.record_request(now)
         self._reporter.record_request(service)
-        balancer.priorities.record_request(route.priority)
+        balancer.priority_admission.record_request(route.priority)
         admission_ratio = balancer.admission_ratio_of(route.priority)
         if admission_ratio < 1 and self.random.random() >= admission_ratio:
             self.counters.increment(names.NOT_ADMITTED)
--- a/meadowworks/proxy/load_reporting.py
+++ b/meadowworks/proxy/load_reporting.py
@@ -117,12 +117,12 @@
             if instance is None:
                 continue
             mean_ns = int(sums.elapsed_ms * MS / max(1, sums.attempts - sums.failures))
-            queue_length = sums.waiting / sums.loads if sums.loads else -1.0
+            queue_length = sums.waiting / sums.load_samples if sums.load_samples else -1.0
             loads.setdefault(instance.service, {})[sums.instance_id] = BackendLoad(
                 sums.attempts, sums.failures, mean_ns, queue_length
             )
-            if sums.loads:
-                in_flight = (sums.running + sums.waiting) / sums.loads
+            if sums.load_samples:
+                in_flight = (sums.running + sums.waiting) / sums.load_samples
                 self._pool.record_zone_load(now, sums.instance_id, in_flight)
         covers_ns = max(1, covers_ms) * MS
         for name, balancer in self._view.balancers.items():
@@ -138,5 +138,5 @@
         own, self._last_second = self._last_second, LoadReport()
         settings = self._settings.current
         local_zone = settings.zones.index(settings.zone)
-        if any(balancer.report_overdue(now, local_zone) for balancer in self._view.balancers.values()):
+        if any(balancer.is_report_overdue(now, local_zone) for balancer in self._view.balancers.values()):
             self.apply_zone_report(settings.zone, OWN_REPORT_MS, own.backend_sums(), own.service_requests)
--- a/meadowworks/proxy/metrics.py
+++ b/meadowworks/proxy/metrics.py
@@ -130,7 +130,7 @@
             *(
                 Sample(balancer.admission_ratio_of(priority), (name, str(priority)))
                 for name, balancer in balancers.items()
-                for priority in sorted(balancer.priorities.counts)
+                for priority in sorted(balancer.priority_admission.counts)
             ),
             labels=("service", "priority"),
         )
--- a/meadowworks/simulation/scale/proxy.py
+++ b/meadowworks/simulation/scale/proxy.py
@@ -58,11 +58,11 @@
             if instance is None:
                 continue
             mean_ns = int(sums.elapsed_ms * MS / max(1, sums.attempts - sums.failures))
-            queued = sums.waiting / sums.loads if sums.loads else -1.0
+            queued = sums.waiting / sums.load_samples if sums.load_samples else -1.0
             load = BackendLoad(sums.attempts, sums.failures, mean_ns, queued)
             by_service.setdefault(instance.service, {})[sums.instance_id] = load
-            if sums.loads:
-                in_flight = (sums.running + sums.waiting) / sums.loads
+            if sums.load_samples:
+                in_flight = (sums.running + sums.waiting) / sums.load_samples
                 self._pool.record_zone_load(now, sums.instance_id, in_flight)
         covers_ns = max(1, covers_ms) * MS
         for name, service in self._services.items():
@@ -150,7 +150,7 @@
         """Go by the own counts where the zone's are late."""
         now, own_zone = self._clock(), self._zones.index(self.zone)
         own, self.own_load_report = self.own_load_report, LoadReport()
-        if any(service.report_overdue(now, own_zone) for service in self._services.values()):
+        if any(service.is_report_overdue(now, own_zone) for service in self._services.values()):
             self._apply_load_report(self.zone, OWN_REPORT_MS, own.pack()[0], own.service_requests)
 
     def each_quarter_second(self) -> None:
--- a/meadowworks/simulator_adapter/host.py
+++ b/meadowworks/simulator_adapter/host.py
@@ -46,9 +46,9 @@
         """Frees a backend's index."""
         self.backends.release(backend)
 
-    def request_ack(self, number: int) -> None:
+    def request_ack(self, nonce: int) -> None:
         """Gives this batch's messages a nonce; the simulator answers by INSTALLED."""
-        self.output.append(f"BARRIER\t{self.name}\t{number}\t0")
+        self.output.append(f"BARRIER\t{self.name}\t{nonce}\t0")
 
     def set_timer(self, wait_ns: int) -> None:
         """Asks for ELAPSED after this time."""
@@ -63,6 +63,6 @@
         """Makes a proxy use a table for the routes of a bit mask."""
         self.output.append(f"SUBSCRIBE_TO\t{self.name}\t{routes}\t{proxy}\t{table}")
 
-    def set_admission(self, table: int, routes: int, level: float, retry: int) -> None:
+    def set_admission(self, table: int, routes: int, limit: float, retry_policy: int) -> None:
         """Sets the admission limit and the retry policy of a table's routes."""
-        self.output.append(f"ADMIT\t{self.name}\t{table}\t{routes}\t{level:.4f}\t{retry}")
+        self.output.append(f"ADMIT\t{self.name}\t{table}\t{routes}\t{limit:.4f}\t{retry_policy}")
--- a/tests/attempts/test_attempt_machine.py
+++ b/tests/attempts/test_attempt_machine.py
@@ -106,7 +106,7 @@
             assert backend in machine.tables[key // 10].weights
             if key >= 10:
                 unproven.setdefault(key, set()).add(number)
-        assert len(machine.kept) <= 2 and all(len(numbers) <= 1 for numbers in unproven.values())
+        assert len(machine.finished_calls) <= 2 and all(len(numbers) <= 1 for numbers in unproven.values())
     assert all(len(told) == 1 for told in wire.told.values())
     assert all(call.outcome for call in machine.calls.values())  # time has gone by: nothing is open
     assert all(len(call.attempts) <= 1 + max(MAX_RETRIES) for call in machine.calls.values())
--- a/tests/fleet/test_settings.py
+++ b/tests/fleet/test_settings.py
@@ -13,7 +13,7 @@
     found, zones, routes = read_settings(flat)
     assert zones == {"east": 0, "west": 1} and routes == {"look": 0, "book": 1}
     assert (
-        found.proxies_join_own_zone
+        found.proxies_join_local_controller
         and found.watches_list
         and not found.health_checks
         and found.report_interval_ns == 500_000_000
--- a/tests/gateway/test_forwarder.py
+++ b/tests/gateway/test_forwarder.py
@@ -70,9 +70,9 @@
     for _ in range(200):
         parts.forward(0)
         parts.forward(1)
-    assert set(parts.balancer.priorities.counts) == {0, 1}
+    assert set(parts.balancer.priority_admission.counts) == {0, 1}
     rejected = parts.forwarder.counters.responses["let in no more"]
-    ratios = parts.balancer.priorities.ratios(0.5)
+    ratios = parts.balancer.priority_admission.ratios(0.5)
     assert ratios[0] > 0.8 > 0.2 > ratios[1]
     assert rejected == pytest.approx(200, abs=50)
     parts.forwarder.random = cast(Any, SimpleNamespace(random=lambda: 0.5))
--- a/tests/gateway/test_priority_admission.py
+++ b/tests/gateway/test_priority_admission.py
@@ -31,7 +31,7 @@
 
 def test_a_priority_that_nobody_asks_for_any_more_is_forgotten() -> None:
     balancer = ServiceBalancer("s", ["north"], "north", SECOND, 1, 0)
-    balancer.priorities.record_request(1)
+    balancer.priority_admission.record_request(1)
     for second in range(30):
         balancer.tick(second * SECOND)
-    assert not balancer.priorities.counts
+    assert not balancer.priority_admission.counts
--- a/tests/gateway/test_service_balancer.py
+++ b/tests/gateway/test_service_balancer.py
@@ -33,5 +33,5 @@
         service.tick(now)
         service.tick(now + SECOND // 2)
     assert service.admission_ratio == 1.0
-    assert not service.report_overdue(40 * SECOND, 0)
-    assert service.report_overdue(50 * SECOND, 0)
+    assert not service.is_report_overdue(40 * SECOND, 0)
+    assert service.is_report_overdue(50 * SECOND, 0)
--- a/tests/modelcheck/test_policy_model.py
+++ b/tests/modelcheck/test_policy_model.py
@@ -24,7 +24,7 @@
         6,
         (("list", 0, "ready"), ("start", 0), ("leave", 0), ("join", 0)),
         cold_spared,
-        ("on_proxy_joined", "or self.is_too_heavy(now, b, w)", ""),
+        ("on_proxy_joined", "or self.exceeds_slow_start_weight(now, b, w)", ""),
     ),
     (
         3,
@@ -52,6 +52,6 @@
 
 def test_what_is_forgotten_before_it_is_looked_at_again_stops_nobody() -> None:
     world = quiet()
-    world.controller.timers.schedule(world.now_ns, lambda: world.controller.retain(99, True))
+    world.controller.timers.schedule(world.now_ns, lambda: world.controller.retain_missing(99, True))
     world.take_step(("tick",))
     assert 99 not in world.controller.backends
--- a/tests/policy/harness.py
+++ b/tests/policy/harness.py
@@ -17,14 +17,14 @@
     proxy_count=40,
     backend_connections=0.0,
     controller_count=1,
-    proxies_join_own_zone=True,
+    proxies_join_local_controller=True,
     watches_list=True,
     list_refresh_ns=10 * SECOND,
     removals_uncertain=False,
     health_checks=False,
     admission_unit="share",
-    base_retry_policy=1,
-    proxy_ejects_after=5,
+    initial_retry_policy=1,
+    proxy_ejection_threshold=5,
     report_interval_ns=SECOND // 2,
     fixed_weights=True,
     channel_rate=800.0,
@@ -81,9 +81,9 @@
     def check_health(self, backend: int) -> None:
         self.probes.append(backend)
 
-    def request_ack(self, number: int) -> None:
-        self.marks.append(number)
-        self.unanswered.append((number, self.now))
+    def request_ack(self, nonce: int) -> None:
+        self.marks.append(nonce)
+        self.unanswered.append((nonce, self.now))
 
     def release_backend(self, backend: int) -> None:
         assert not any(backend in lines for lines in self.tables.values())
@@ -106,11 +106,11 @@
         self.held.pop(proxy, None)
         self.cost(None, 1 + len(self.tables.get(table, {})), proxy)
 
-    def set_admission(self, table: int, routes: int, level: float, retry: int) -> None:
-        assert level >= 0
+    def set_admission(self, table: int, routes: int, limit: float, retry_policy: int) -> None:
+        assert limit >= 0
         for k in range(len(self.settings.routes)):
             if not routes or routes >> k & 1:
-                self.levels[table, k] = level, retry
+                self.levels[table, k] = limit, retry_policy
         self.cost(table, 1)
 
     def backlog(self, speed: float = 1.0) -> float:
--- a/tests/policy/test_controller.py
+++ b/tests/policy/test_controller.py
@@ -337,7 +337,7 @@
 
 def test_what_others_proxies_ask_goes_as_ours_where_they_are_dealt_by_chance() -> None:
     for by_zone in (True, False):
-        fleet = started(replace(SETTINGS, controller_count=4, proxies_join_own_zone=by_zone))
+        fleet = started(replace(SETTINGS, controller_count=4, proxies_join_local_controller=by_zone))
         for _ in range(4):
             for p in fleet.bound:
                 fleet.module.on_demand_report(fleet.now, p, 0, 10 if p % 2 else 20, SECOND)
@@ -553,7 +553,7 @@
 
 
 def test_ordinary_orders_wait_for_the_last_and_a_drain_waits_for_few() -> None:
-    crowd = replace(SETTINGS, proxy_count=80, queue_limit=20000.0, base_retry_policy=0)
+    crowd = replace(SETTINGS, proxy_count=80, queue_limit=20000.0, initial_retry_policy=0)
     for slow in (False, True):  # a channel at a tenth of its stated rate: marks come back late
         fleet = started(crowd, per_zone=20, proxies=80)
         fleet.answers, start = not slow, len(fleet.lines)
@@ -568,7 +568,7 @@
 
 
 def test_the_way_of_trying_again_goes_with_the_first_table_and_costs_no_message_later() -> None:
-    fleet = started(replace(SETTINGS, base_retry_policy=0))
+    fleet = started(replace(SETTINGS, initial_retry_policy=0))
     assert {grant for grant in fleet.levels.values()} == {(1.0, 1)}
     assert all(len(sent) == 1 for sent in fleet.heads.values())
 
--- a/tests/simulation/test_fleet_rules.py
+++ b/tests/simulation/test_fleet_rules.py
@@ -20,7 +20,7 @@
     SETTINGS,
     proxy_count=60,
     controller_count=3,
-    base_retry_policy=0,
+    initial_retry_policy=0,
     queue_limit=4000.0,
     slow_start_ns=12 * SECOND,
     slow_start_share=0.15,
@@ -153,7 +153,7 @@
         "drain",
         "what drains waits with the rest",
         "weight_changes",
-        "(1 if not b.ready or heavy else 2",
+        "(1 if not b.ready or at_risk else 2",
         "(2",
     ),
     (
@@ -161,7 +161,7 @@
         "cold",
         "a start under an old name is passed over",
         "on_endpoints",
-        "if entry.since_ns > known.since_ns:",
+        "if entry.started_ns > backend.started_ns:",
         "if False:",
     ),
     (
@@ -169,7 +169,7 @@
         "drain",
         "who is absent from a whole list stays",
         "on_endpoints",
-        "if index not in named]",
+        "if index not in listed]",
         "if False]",
     ),
     (
@@ -177,7 +177,7 @@
         "cold",
         "a new server enters at its whole weight",
         "weight_factor",
-        "ramp = 1.0 if step == RAMP_STEPS[-1] else RAMP_MARGIN * least if step else ENTRY_SHARE",
+        "ramp = 1.0 if step == RAMP_STEPS[-1] else RAMP_MARGIN * min_capacity if step else ENTRY_SHARE",
         "ramp = 1.0",
     ),
     (
