--- a/meadowworks/modelcheck/seeded_faults/priority_admission.py
+++ b/meadowworks/modelcheck/seeded_faults/priority_admission.py
@@ -17,7 +17,7 @@
         ("urgent first",),
     ),
     SeededFault(
-        "each priority is granted all that is remaining",
+        "each priority is granted all that is left",
         MODEL,
         ADMISSION + "ratios",
         "remaining -= extra * share",
