--- a/meadowworks/policy/interface.py
+++ b/meadowworks/policy/interface.py
@@ -1,8 +1,8 @@
-"""What the decisions are given: settings, reports, the endpoint list's entries, and the host they act by.
+"""The interface of the policy: settings, reports, entries of the endpoint list, and the host protocol.
 
-Only types live here. A protocol's adapter builds `Settings`, implements `Host` and calls the methods of
-`meadowworks.policy.Controller`. Backends, zones and routes are small indices given out by the adapter;
-proxies and tables keep their numbers. All times are whole nanoseconds.
+The adapter of a protocol builds `Settings`, implements `Host` and calls the methods of
+`meadowworks.policy.Controller`. It assigns small indices to backends, zones and routes; proxies and tables
+have the numbers of the protocol. All times are in whole nanoseconds.
 """
 
 from __future__ import annotations
@@ -13,94 +13,98 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """What the decisions need of a route."""
+    """The attributes of a route that the policy uses."""
 
     importance: float
     slo_ns: int
-    own_zone_only: bool
+    own_zone_only: bool  # calls stay within their zone
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a deployment states. Times are nanoseconds; `lines` are what the control channel counts."""
+    """The settings of a deployment.
+
+    The capacity of the control channel is counted in lines. A message costs a fixed overhead, and one line
+    for each weight, table assignment, admission limit or nonce in it.
+    """
 
     routes: tuple[Route, ...]
     zone_count: int
-    proxy_count: int  # of all controllers
-    backend_connections: float  # that the smallest backends accept; 0: unknown
+    proxy_count: int  # over all controllers
+    backend_connections: float  # connections that the smallest backends accept; 0: unknown
     controller_count: int
-    proxies_join_local_controller: bool  # each a controller of its zone; else they are dealt by chance
-    watches_list: bool
-    list_refresh_ns: int  # within which a failed list call is to be repeated
-    removals_uncertain: bool  # the endpoint list may be wrong about what is gone
-    health_checks: bool
-    admission_unit: str  # share, rate or silent
-    initial_retry_policy: int
-    proxy_ejection_threshold: int  # failures in a row, after which a proxy avoids a backend; 0: never
+    proxies_join_local_controller: bool  # else each proxy joins a random controller
+    watches_list: bool  # whether to watch the endpoint list from the start
+    list_refresh_ns: int  # time limit for the retry of a failed list call
+    removals_uncertain: bool  # the endpoint list may wrongly report a backend as gone
+    health_checks: bool  # whether the host can check the health of a backend
+    admission_unit: str  # unit of admission limits: share, rate or silent
+    initial_retry_policy: int  # that proxies apply until the first order
+    proxy_ejection_threshold: int  # consecutive failures after which a proxy ejects a backend; 0: never
     report_interval_ns: int
-    fixed_weights: bool
+    fixed_weights: bool  # whether list entries update the weight of a known backend
     channel_rate: float  # lines a second
-    queue_limit: float  # lines that may wait in the channel
-    message_overhead: float  # lines that each message costs beside its own
-    message_limit: int  # messages to a proxy within the window; 0: none
+    queue_limit: float  # lines that may be queued in the channel
+    message_overhead: float  # lines that each message costs in addition to its own
+    message_limit: int  # messages to a proxy within the window; 0: no limit
     message_window_ns: int
-    max_delay_ns: int  # from sending to delivery, beside the queue
-    slow_start_share: float  # of its capacity that a backend has at its start
-    overload_factor: float  # times what a warming backend can do that push it over
+    max_delay_ns: int  # from sending to delivery, without time in the queue
+    slow_start_share: float  # part of its capacity that a backend has at its start
+    overload_factor: float  # load, as a multiple of its capacity, that makes a warming backend fail
     slow_start_ns: int
-    slice_count: int
-    exclusive_slices: bool  # a slice has one owner at a time
-    slice_lease_ns: int  # for which a former owner may go on
-    max_in_flight_ns: int  # for which a write may be under way
+    slice_count: int  # 0: tables are by zone
+    exclusive_slices: bool  # a slice has at most one owner at a time
+    slice_lease_ns: int  # for which a former owner may go on writing
+    max_in_flight_ns: int  # for which a write may be in flight
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointEntry:
-    """One backend as a list names it."""
+    """A backend as the endpoint list describes it."""
 
     backend: int
     zone: int
     state: str  # ready, draining or gone
-    started_ns: int
+    started_ns: int  # 0: long ago
     weight: float
 
 
 class AttemptReport(NamedTuple):
-    """What proxies of one zone met at one backend within a period."""
+    """The attempts of one zone's proxies at one backend within a period."""
 
     attempts: int
     failures: int
-    latency_ns: int  # mean of the successful ones
+    latency_ns: int  # mean of the successful attempts
     period_ns: int
-    load: dict[str, float]  # as the backend tells it; `queue`: calls that wait there
+    load: dict[str, float]  # as the backend reports it; `queue`: calls that wait there
 
 
 class Host(Protocol):
-    """What the decisions may do. All that is ordered while one event is handled travels together."""
+    """The actions of the policy. Orders given during one event are sent together, one message per proxy."""
 
     def log(self, line: str) -> None:
-        """Logs a decision."""
+        """Log a decision."""
 
     def watch_list(self, on: bool) -> None:
-        """Follows the endpoint list, or ceases to."""
+        """Start or stop watching the endpoint list."""
 
     def check_health(self, backend: int) -> None:
-        """Checks a backend, and answers by `Controller.on_health_check`."""
+        """Check the health of a backend, and call `Controller.on_health_check` with the result."""
 
     def release_backend(self, backend: int) -> None:
-        """Frees the index of a backend that no table names any more."""
+        """Free the index of a backend that is in no table any more."""
 
     def request_ack(self, nonce: int) -> None:
-        """Gives this batch's messages a nonce, which each proxy acknowledges (`Controller.on_ack`)."""
+        """Add a nonce to the messages of this event; each proxy acknowledges it (`Controller.on_ack`)."""
 
     def set_timer(self, wait_ns: int) -> None:
-        """Calls `Controller.tick` after this time."""
+        """Call `Controller.tick` after this time."""
 
     def set_weight(self, table: int, backend: int, weight: float) -> None:
-        """Sets a backend's weight in a table; 0 takes it out."""
+        """Set the weight of a backend in a table; 0 removes it."""
 
     def assign_table(self, routes: int, proxy: int, table: int) -> None:
-        """Makes a proxy use a table for the routes of a bit mask; 0 stands for all."""
+        """Make a proxy use a table for the routes of a bit mask; 0 stands for all routes."""
 
     def set_admission(self, table: int, routes: int, limit: float, retry_policy: int) -> None:
-        """Sets the admission limit and the retry policy of a table's routes, by a bit mask."""
+        """Set the admission limit and the retry policy of the routes of a bit mask in a table."""
--- a/meadowworks/policy/statistics.py
+++ b/meadowworks/policy/statistics.py
@@ -1,4 +1,4 @@
-"""Data structures that statistics are kept in; what is made of them is decided elsewhere."""
+"""Data structures for decaying and sliding-window statistics."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 @dataclass(slots=True)
 class AttemptStats:
-    """Recent attempts, decaying exponentially."""
+    """Counts of recent attempts that decay exponentially."""
 
     attempts: float = 0.0
     failures: float = 0.0
-    latency_sum: float = 0.0  # nanoseconds, of the successful ones
+    latency_sum: float = 0.0  # nanoseconds, of the successful attempts
     updated_ns: int = 0
 
     def add(self, now: int, half_life_ns: float, attempts: int, failures: int, latency_ns: int) -> None:
-        """Adds attempts, of which the successful ones took `latency_ns` in the mean."""
+        """Add attempts; the successful ones took `latency_ns` on average."""
         decay = 0.5 ** ((now - self.updated_ns) / half_life_ns)
         self.attempts = self.attempts * decay + attempts
         self.failures = self.failures * decay + failures
@@ -25,25 +25,25 @@
 
     @property
     def successes(self) -> float:
-        """How many did not fail."""
+        """The number of attempts that did not fail."""
         return self.attempts - self.failures
 
-    def failure_ratio(self, least_attempts: float) -> float:
-        """The part that failed, of `least_attempts` where there were fewer."""
-        return self.failures / max(self.attempts, least_attempts)
+    def failure_ratio(self, min_attempts: float) -> float:
+        """Return the part of attempts that failed; the divisor is at least `min_attempts`."""
+        return self.failures / max(self.attempts, min_attempts)
 
 
 class SlidingMinimum:
-    """The least of the values of a time window."""
+    """The minimum of the values in a time window, kept as a monotonic queue."""
 
     __slots__ = ("candidates", "window_ns")
 
     def __init__(self, window_ns: int) -> None:
         self.window_ns = window_ns
-        self.candidates: deque[tuple[int, float]] = deque()  # when and value, both rising
+        self.candidates: deque[tuple[int, float]] = deque()  # time and value, both ascending
 
     def add(self, now: int, value: float) -> float:
-        """Adds a value.
+        """Add a value.
 
         :returns: the minimum of the window that ends now.
         """
--- a/meadowworks/policy/timers.py
+++ b/meadowworks/policy/timers.py
@@ -1,4 +1,4 @@
-"""Timers and random numbers that a seed makes reproducible: no clock of the machine is read here."""
+"""Timers and random numbers that are reproducible from a seed; reads no clock."""
 
 from __future__ import annotations
 
@@ -8,7 +8,10 @@
 
 
 class TimerQueue:
-    """Actions by when they are due. Each timer and each random number takes the next of one counter."""
+    """A queue of timed actions, and random numbers.
+
+    Timers and random numbers share one counter, so that a run is determined by the seed and the events.
+    """
 
     def __init__(self, seed: int) -> None:
         self._seed = seed
@@ -16,16 +19,16 @@
         self._due: list[tuple[int, int, Callable[[], None]]] = []
 
     def random(self) -> float:
-        """The next random number, from 0 up to, not with, 1."""
+        """Return the next random number, at least 0 and less than 1."""
         self._count += 1
         return zlib.crc32(f"{self._seed}:{self._count}".encode()) / 2**32
 
     def schedule(self, when_ns: int, action: Callable[[], None]) -> None:
-        """Runs the action in the first `run_due` from `when_ns` on."""
+        """Schedule an action for the first `run_due` at or after `when_ns`."""
         self._count += 1
         heapq.heappush(self._due, (when_ns, self._count, action))
 
     def run_due(self, now: int) -> None:
-        """Runs what has come due, in the order of its times."""
+        """Run the actions that are due, in the order of their times."""
         while self._due and self._due[0][0] <= now:
             heapq.heappop(self._due)[2]()
--- a/tests/policy/test_controller.py
+++ b/tests/policy/test_controller.py
@@ -424,7 +424,7 @@
     fleet.ask(20)
     fleet.run(0.5)
     view, asked = fleet.module.views[0], dict(fleet.module.proxies[0].demand)
-    lines = dict(view.good_rates)
+    lines = dict(view.success_rates)
     for latency, covers, tries, queue in (
         (10**21, SECOND, 9, 0.0),
         (SECOND, 10**21, 9, 0.0),
@@ -437,7 +437,7 @@
         )
     for covers, calls in ((10**21, 9), (0, 9), (SECOND, 10**12)):
         fleet.module.on_demand_report(fleet.now, 0, 0, calls, covers)
-    assert view.good_rates == lines and fleet.module.proxies[0].demand == asked
+    assert view.success_rates == lines and fleet.module.proxies[0].demand == asked
     assert fleet.module.backends[0].queue_length < 1e30
 
 
