--- a/meadowworks/attempts/__init__.py
+++ b/meadowworks/attempts/__init__.py
@@ -1,6 +1,6 @@
-"""The calls at a proxy: admitted or throttled, attempted, retried, answered once.
+"""The calls at a proxy: admission, attempts, retries and the final reply.
 
-Decides which backend of a table an attempt goes to, whether a retry follows, and what the client gets. It
-never decides what the tables hold, what is admitted or which retry policy holds: those are a controller's
-orders (`meadowworks/policy/`). No I/O, no clock, and no randomness but a seed and a counter.
+The package chooses the backend of each attempt, and decides whether to retry and what to reply. A controller
+(`meadowworks/policy/`) sets the weights in the tables, the admission limits and the retry policies. The
+package does no I/O and reads no clock; random numbers come from a seed and a counter.
 """
--- a/meadowworks/attempts/machine.py
+++ b/meadowworks/attempts/machine.py
@@ -1,9 +1,8 @@
-"""All calls at one proxy, as a state machine: one method for each event, acting by its host.
+"""The calls at one proxy as a state machine: one method for each event, actions through a host.
 
-Used by whoever plays a proxy in this repository; `meadowworks/modelcheck` explores this very class. It keeps
-these rules: a call that is not idempotent never runs twice by its doing, each request gets one final reply,
-there are at most two retries, none at a backend that the table lacks, and what is given up is answered at
-once.
+`meadowworks/modelcheck` explores this class. Its invariants: a call that is not idempotent never runs twice,
+each request gets one final reply, a call has at most two retries, attempts go only to backends in the table,
+and a call that is given up is answered at once.
 """
 
 from __future__ import annotations
@@ -29,15 +28,16 @@
     retry_after_ns,
 )
 
-NO_RETRY_NS = 0  # as a time to come back: do not, but ask what became of the call
+NO_RETRY_NS = 0  # as a retry delay: do not retry, but query the outcome of the call
 
 
 @dataclass(frozen=True, slots=True)
 class FinalReply:
-    """What a client is answered, once.
+    """The final reply to a client's request.
 
     :ivar kind: answered, throttled or dropped.
-    :ivar retry_after_ns: how long to stay away; NO_RETRY_NS where a repeat might run twice.
+    :ivar may_have_run: whether a backend may have run the call.
+    :ivar retry_after_ns: delay before the client may retry; NO_RETRY_NS if the call might then run twice.
     """
 
     kind: str
@@ -46,28 +46,33 @@
 
 
 class Host(Protocol):
-    """What the machine may do. An attempt's number is never given again by the same machine."""
+    """The actions of the machine. Numbers of attempts are unique within a machine."""
 
     def send(self, key: int, number: int, backend: int) -> None:
-        """Sends an attempt of the call `key` to a backend."""
+        """Send an attempt of the call `key` to a backend."""
 
     def cancel(self, number: int) -> None:
-        """Asks to cancel an attempt: it may have run, and may run yet."""
+        """Request the cancellation of an attempt, which may have run or may still run."""
 
     def reply(self, key: int, waiter: int, reply: FinalReply) -> None:
-        """Tells a client the outcome."""
+        """Send the outcome to a client."""
 
     def count(self, event: str) -> None:
-        """Counts an event for the log."""
+        """Count an event for the log."""
 
 
 @dataclass(slots=True)
 class Call:
-    """A call; `attempts` by number, in order, `keep_until_ns` once it has an outcome."""
+    """A call at the proxy.
+
+    :ivar waiters: the requests that wait for its outcome.
+    :ivar attempts: by number, in the order of sending.
+    :ivar keep_until_ns: when it is forgotten; set together with the outcome.
+    """
 
     route: int
     deadline_ns: int
-    waiters: list[int] = field(default_factory=list)  # the requests that wait for its outcome
+    waiters: list[int] = field(default_factory=list)
     attempts: dict[int, Attempt] = field(default_factory=dict)
     outcome: FinalReply | None = None
     keep_until_ns: int = 0
@@ -75,7 +80,7 @@
 
 @dataclass(slots=True)
 class RouteTable:
-    """What a controller ordered for a route."""
+    """The table, admission ratio and retry policy that a controller ordered for a route."""
 
     weights: dict[int, float] = field(default_factory=dict)
     admission_ratio: float = 1.0
@@ -85,8 +90,8 @@
 class AttemptMachine:
     """The calls at one proxy.
 
-    :param admission_interval_ns: the time within which admission may change.
-    :param max_kept_replies: bounds the outcomes kept for the clients' repeats.
+    :param admission_interval_ns: shortest interval at which admission ratios change.
+    :param max_kept_replies: maximum number of outcomes kept for repeated requests.
     """
 
     def __init__(
@@ -101,44 +106,47 @@
         self.admission_interval_ns, self.max_kept_replies = admission_interval_ns, max_kept_replies
         self.draw_count = self.attempt_count = 0
         self.calls: dict[int, Call] = {}
-        self.finished_calls: dict[int, None] = {}  # calls that have an outcome, oldest first
+        self.finished_calls: dict[int, None] = {}  # keys of calls with an outcome, oldest first
         self.tables = [RouteTable() for _ in route_policies]
-        self.timers: list[tuple[int, int]] = []  # when, and the call's key
+        self.timers: list[tuple[int, int]] = []  # due time, key of the call
 
     def random(self) -> float:
-        """The next random number, from 0 up to, not with, 1."""
+        """Return the next random number, at least 0 and less than 1."""
         self.draw_count += 1
         return zlib.crc32(f"{self.seed}:{self.draw_count}".encode()) / 2**32
 
-    # -- orders
+    # -- orders of a controller
 
     def on_table(self, route: int, weights: dict[int, float], ratio: float, retry_policy: int) -> None:
-        """What a controller orders for a route from now on. Attempts in flight go on, whatever it lacks."""
+        """Apply a controller's order for a route; attempts in flight continue even at removed backends."""
         self.tables[route] = RouteTable(weights, ratio, retry_policy)
 
     # -- clients
 
     def on_request(self, now: int, key: int, route: int, waiter: int, is_repeat: bool) -> None:
-        """A client asks; `is_repeat` says that it asked before and had no final reply."""
+        """Handle a client's request.
+
+        :param is_repeat: whether the client has sent it before and received no final reply.
+        """
         route_policy, call = self.route_policies[route], self.calls.get(key)
         if call is not None and call.outcome is None:
-            # Guards against a client's repeat that runs beside its first: both wait for the one outcome.
+            # Prevents a repeat from running beside the first request: both wait for the same outcome.
             call.waiters.append(waiter)
             return
         if call is not None and call.outcome is not None:
             if call.outcome.kind == "answered" or call.outcome.may_have_run and not route_policy.idempotent:
                 self.host.reply(key, waiter, call.outcome)
                 return
-            self.forget(key)  # it never ran, or may run again
+            self.forget(key)  # it has not run, or may run again
         elif is_repeat and not route_policy.idempotent:
-            # Guards against a first that ran under a proxy that has died since, or that was long ago.
-            self.host.count("repeats of mutating calls not known here")
+            # Prevents a second run if the first request was at a crashed proxy, or its outcome is forgotten.
+            self.host.count("repeats of unknown calls that are not idempotent")
             self.host.reply(key, waiter, FinalReply("dropped", True, NO_RETRY_NS))
             return
         self.admit(now, key, route, waiter)
 
     def admit(self, now: int, key: int, route: int, waiter: int) -> None:
-        """Throttles a new call, drops it for want of a backend, or sends its first attempt."""
+        """Throttle a new call, drop it if there is no backend, or send its first attempt."""
         table = self.tables[route]
         if self.random() >= table.admission_ratio:
             delay_ns = retry_after_ns(self.admission_interval_ns, table.admission_ratio, self.random())
@@ -153,7 +161,7 @@
         self.send(now, key, call, backend)
 
     def on_client_gone(self, now: int, key: int, waiter: int) -> None:
-        """A client went away. A call that is not idempotent goes on, for the client's repeat."""
+        """Handle a client's disconnect; a call that is not idempotent continues, for a repeated request."""
         call = self.calls.get(key)
         if call is None or waiter not in call.waiters:
             return
@@ -165,15 +173,15 @@
     # -- backends
 
     def on_attempt_ended(self, now: int, key: int, number: int, state: int) -> None:
-        """An attempt ended: ANSWERED, NEVER_RAN (there is proof) or FAILED (it may have run)."""
+        """Handle the end of an attempt: ANSWERED, NEVER_RAN (with proof) or FAILED (it may have run)."""
         call = self.calls.get(key)
-        # Guards against a reply to an earlier call of the same key, which is not this one's.
+        # Prevents a reply to an earlier call with the same key from being used for this one.
         attempt = call.attempts.get(number) if call else None
         if call is None or attempt is None:
-            self.host.count("replies to calls that are forgotten")
+            self.host.count("replies to unknown attempts")
             return
         if attempt.state not in (SENT, OVERDUE, CANCELLED):
-            self.host.count("replies told twice")
+            self.host.count("duplicate replies")
             return
         was_awaited, attempt.state = attempt.state == SENT, state
         if call.outcome is not None:
@@ -184,7 +192,7 @@
             self.retry_or_give_up(now, key, call)
 
     def on_late_result(self, call: Call, state: int) -> None:
-        """Too late for who asked; a client that asks again gets the kept reply, and nothing runs twice."""
+        """Update the kept outcome after an attempt ended late, for the reply to a repeated request."""
         if call.outcome is not None and call.outcome.kind == "answered":
             return
         if state == ANSWERED:
@@ -193,10 +201,10 @@
             call.outcome = FinalReply("dropped", False, self.retry_delay_ns())
 
     def tick(self, now: int) -> None:
-        """Handles what has come due.
+        """Handle the timers that are due.
 
-        That is attempts that were waited for long enough, the last of them to the deadline, and outcomes that
-        were kept long enough.
+        An attempt whose wait is over becomes overdue, and its call is retried or given up. A call is
+        forgotten at the end of its outcome's retention.
         """
         while self.timers and self.timers[0][0] <= now:
             key = heapq.heappop(self.timers)[1]
@@ -212,12 +220,12 @@
                     attempt.state = OVERDUE
                     self.retry_or_give_up(now, key, call)
 
-    # -- what follows
+    # -- retries and outcomes
 
     def retry_or_give_up(self, now: int, key: int, call: Call) -> None:
-        """An attempt has ended without an answer, or was waited for long enough."""
+        """Retry a call whose attempt ended without an answer or is overdue, or give it up."""
         route_policy, table = self.route_policies[call.route], self.tables[call.route]
-        # Guards against retries for nobody: of a call that only goes on for the client's repeat.
+        # Prevents retries of a call that no client waits for.
         policy, attempts = table.retry_policy if call.waiters else 0, [*call.attempts.values()]
         remaining_ns = call.deadline_ns - now
         decision = decide_retry(route_policy, policy, attempts, table.weights, remaining_ns, self.random())
@@ -227,7 +235,7 @@
             self.give_up(now, key, call)
 
     def send(self, now: int, key: int, call: Call, backend: int) -> None:
-        """Sends one more attempt."""
+        """Send another attempt."""
         route_policy, table = self.route_policies[call.route], self.tables[call.route]
         attempts, remaining_ns = [*call.attempts.values()], call.deadline_ns - now
         wait_ns = attempt_wait_ns(route_policy, table.retry_policy, attempts, table.weights, remaining_ns)
@@ -237,18 +245,18 @@
         self.host.send(key, self.attempt_count, backend)
 
     def give_up(self, now: int, key: int, call: Call) -> None:
-        """At once, and not near the deadline: the reply says whether and when to retry."""
+        """Drop a call at once, without waiting for its deadline; the reply says whether and when to retry."""
         may_have_run = not none_ran([*call.attempts.values()])
         no_repeat = may_have_run and not self.route_policies[call.route].idempotent
         delay_ns = NO_RETRY_NS if no_repeat else self.retry_delay_ns()
         self.finish(now, key, call, FinalReply("dropped", may_have_run, delay_ns))
 
     def retry_delay_ns(self) -> int:
-        """When a call that was dropped may come back."""
+        """Return the delay after which a client may retry a dropped call."""
         return retry_after_ns(self.admission_interval_ns, 1.0, self.random())
 
     def finish(self, now: int, key: int, call: Call, reply: FinalReply) -> None:
-        """Tells the outcome to all that wait, cancels what is in flight, and keeps the outcome."""
+        """Send the outcome to all waiters, cancel attempts in flight, and keep the outcome for repeats."""
         call.outcome = reply
         for number, attempt in call.attempts.items():
             if attempt.state in (SENT, OVERDUE):
@@ -260,12 +268,10 @@
         call.keep_until_ns = now + self.route_policies[call.route].reply_retention_ns
         heapq.heappush(self.timers, (call.keep_until_ns, key))
         self.finished_calls[key] = None
-        while (
-            len(self.finished_calls) > self.max_kept_replies
-        ):  # the oldest; its repeat is then one not known here
+        while len(self.finished_calls) > self.max_kept_replies:  # forget the oldest
             self.forget(next(iter(self.finished_calls)))
 
     def forget(self, key: int) -> None:
-        """Forgets a call and its outcome."""
+        """Forget a call and its outcome."""
         self.calls.pop(key, None)
         self.finished_calls.pop(key, None)
--- a/meadowworks/attempts/retry_policy.py
+++ b/meadowworks/attempts/retry_policy.py
@@ -1,8 +1,8 @@
-"""Whether a call is retried, and where; when one that is rejected may come back.
+"""Decides whether and where a call is retried, and when a rejected one may be sent again.
 
-Source: the retry policies 0 to 3, as a controller orders them by route. 0: none. 1: one retry, at another
-backend, after proof that the first attempt never ran. 2: one after any failure. 3: two after any failure. A
-call that is not idempotent is retried after proof alone, whatever the order says.
+A controller orders a retry policy for each route. 0: no retry. 1: one retry, at another backend, after proof
+that the first attempt never ran. 2: one retry after any failure. 3: two retries after any failure. With any
+policy, a call that is not idempotent is retried only after such proof.
 """
 
 from __future__ import annotations
@@ -11,23 +11,23 @@
 from dataclasses import dataclass
 
 MAX_RETRIES = (0, 1, 1, 2)  # by retry policy
-RETRY_ANY_FAILURE = 2  # from this retry policy on an idempotent call is retried after any failure
-MIN_ADMISSION_RATIO = 0.1  # the least that is ever ordered; a time to come back is computed with no less
-TIE_TOLERANCE = 1.0001  # delays within this factor of the least count as equal
+RETRY_ANY_FAILURE = 2  # from this policy on, idempotent calls are retried after any failure
+MIN_ADMISSION_RATIO = 0.1  # lower bound of the ratio in the computation of retry delays
+TIE_TOLERANCE = 1.0001  # delays within this factor of the shortest one count as equal
 
-SENT, ANSWERED, NEVER_RAN, FAILED, OVERDUE, CANCELLED = range(6)  # what is known of an attempt
+SENT, ANSWERED, NEVER_RAN, FAILED, OVERDUE, CANCELLED = range(6)  # states of an attempt
 
 
 @dataclass(frozen=True, slots=True)
 class RouteRetryPolicy:
-    """What a route says about attempts.
-
-    :ivar idempotent: else the call must never run twice.
-    :ivar timeout_ns: from a call's arrival to its final answer.
-    :ivar attempt_timeout_ns: for which an attempt that may be followed by another is waited for; the last one
-        has all that is left.
-    :ivar min_remaining_ns: with less time left there is no retry.
-    :ivar reply_retention_ns: for which an answer is kept for the client's own repeats.
+    """The settings of a route for attempts and retries.
+
+    :ivar idempotent: whether calls may run more than once.
+    :ivar timeout_ns: from a call's arrival to its final reply.
+    :ivar attempt_timeout_ns: how long to wait for an attempt that a retry may follow; the last attempt has
+        all the remaining time.
+    :ivar min_remaining_ns: the shortest remaining time in which a retry is sent.
+    :ivar reply_retention_ns: how long an outcome is kept for repeated requests.
     """
 
     idempotent: bool
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One attempt; `state` is one of the constants above."""
+    """An attempt; `state` is one of the constants from `SENT` to `CANCELLED`."""
 
     backend: int
     state: int
@@ -48,29 +48,29 @@
 
 @dataclass(frozen=True, slots=True)
 class Retry:
-    """Try this backend next."""
+    """The decision to retry at a backend."""
 
     backend: int
 
 
 @dataclass(frozen=True, slots=True)
 class NoRetry:
-    """No retry, for one of the reasons below."""
+    """The decision not to retry, with its reason."""
 
     reason: str
 
 
-RETRIES_EXHAUSTED = NoRetry("as many retries as the policy allows")
+RETRIES_EXHAUSTED = NoRetry("the retry policy allows no more retries")
 MAY_HAVE_RUN = NoRetry("an attempt may have run")
-TOO_LITTLE_TIME = NoRetry("no time left")
+TOO_LITTLE_TIME = NoRetry("too little time left")
 NO_OTHER_BACKEND = NoRetry("no other backend")
 
 
 def pick_by_weight(weights: Mapping[int, float], tried: Container[int], random_fraction: float) -> int | None:
-    """A backend of the table by weight, none that was tried.
+    """Pick a backend that was not tried yet, with a probability in proportion to its weight.
 
-    :param random_fraction: a random number from 0 up to, not with, 1.
-    :returns: the backend; None if there is none left.
+    :param random_fraction: a random number, at least 0 and less than 1.
+    :returns: the backend; None if none is left.
     """
     candidates = sorted((b, weight) for b, weight in weights.items() if b not in tried and weight > 0)
     point = random_fraction * sum(weight for _, weight in candidates)
@@ -78,7 +78,7 @@
         point -= weight
         if point < 0:
             return backend
-    return candidates[-1][0] if candidates else None  # what rounding left over
+    return candidates[-1][0] if candidates else None  # reached by rounding errors
 
 
 def pick_fastest(
@@ -87,26 +87,27 @@
     delays: Mapping[int, float],
     random_fraction: float,
 ) -> int | None:
-    """The backend, none that was tried, that is expected to answer first; among equals by weight.
+    """Pick the backend with the shortest expected delay that was not tried yet; among equal ones by weight.
 
-    :param delays: the expected times, in any one unit; 0 where there is none.
-    :returns: the backend; None if there is none left.
+    :param delays: expected delays in any unit; 0 for a backend without one.
+    :param random_fraction: a random number, at least 0 and less than 1.
+    :returns: the backend; None if none is left.
     """
     candidates = {b: delays.get(b, 0.0) for b, w in weights.items() if w > 0 and b not in tried}
-    least = min(candidates.values(), default=0.0)
-    fastest = {b: weights[b] for b, delay in candidates.items() if delay <= least * TIE_TOLERANCE}
+    shortest = min(candidates.values(), default=0.0)
+    fastest = {b: weights[b] for b, delay in candidates.items() if delay <= shortest * TIE_TOLERANCE}
     return pick_by_weight(fastest, (), random_fraction)
 
 
 def none_ran(attempts: Sequence[Attempt]) -> bool:
-    """Whether there is proof that none of them ran."""
+    """Return whether there is proof that none of the attempts ran."""
     return all(attempt.state == NEVER_RAN for attempt in attempts)
 
 
 def retry_obstacle(
     route_policy: RouteRetryPolicy, retry_policy: int, attempts: Sequence[Attempt]
 ) -> NoRetry | None:
-    """What forbids a retry, time and backends aside; None if nothing does. All attempts have ended."""
+    """Return why the ended attempts forbid a retry, apart from time and backends; None if they do not."""
     if len(attempts) > MAX_RETRIES[retry_policy]:
         return RETRIES_EXHAUSTED
     if not none_ran(attempts) and not (route_policy.idempotent and retry_policy >= RETRY_ANY_FAILURE):
@@ -123,10 +124,11 @@
     random_fraction: float,
     delays: Mapping[int, float] | None = None,
 ) -> Retry | NoRetry:
-    """The decision after an attempt has ended.
+    """Decide whether and where to retry after an attempt has ended.
 
-    :param weights: the table as it is now: what drains is not in it.
-    :param delays: if given, the fastest backend is next, else one by weight.
+    :param weights: the current table, without draining backends.
+    :param random_fraction: a random number, at least 0 and less than 1.
+    :param delays: expected delays by backend, of which the shortest is chosen; None: choose by weight.
     """
     if obstacle := retry_obstacle(route_policy, retry_policy, attempts):
         return obstacle
@@ -147,10 +149,9 @@
     weights: Mapping[int, float],
     remaining_ns: int,
 ) -> int:
-    """How long the next attempt is waited for.
+    """Return how long to wait for the next attempt.
 
-    That is less than all that remains only if another may follow its silence, so that nothing is given up
-    early for an attempt that will never be.
+    This is less than the remaining time only if a retry may follow, so that no call is given up early.
     """
     allowed = (
         retry_policy >= RETRY_ANY_FAILURE
@@ -164,10 +165,12 @@
 
 
 def retry_after_ns(admission_interval_ns: int, admission_ratio: float, random_fraction: float) -> int:
-    """When a rejected call may come back.
+    """Return the delay after which a rejected call may be sent again.
 
-    :param admission_interval_ns: limits do not move faster than this, so not before; later the less is
-        admitted, and not all at once.
+    The delay is longer at lower admission ratios, and random, so that clients do not return all at once.
+
+    :param admission_interval_ns: the shortest delay, as admission ratios do not change faster.
+    :param random_fraction: a random number, at least 0 and less than 1.
     """
     return int(
         admission_interval_ns * (1 + random_fraction) / max(MIN_ADMISSION_RATIO, min(1.0, admission_ratio))
--- a/tests/attempts/test_attempt_machine.py
+++ b/tests/attempts/test_attempt_machine.py
@@ -133,6 +133,6 @@
     machine.on_attempt_ended(3, 5, 3, FAILED)  # given up, and asked for anew
     machine.on_request(4, 5, 0, 2, False)
     machine.on_attempt_ended(5, 5, 1, ANSWERED)
-    assert 2 not in wire.told and wire.notes == ["replies to calls that are forgotten"]
+    assert 2 not in wire.told and wire.notes == ["replies to unknown attempts"]
     machine.on_attempt_ended(6, 5, 4, ANSWERED)
     assert wire.told[2][0].kind == "answered"
