--- a/meadowworks/quota/__init__.py
+++ b/meadowworks/quota/__init__.py
@@ -1,7 +1,7 @@
-"""A quota of calls at once, in leased shares, while reports are late and holders come and go.
+"""A quota of concurrent calls, granted to holders in leased shares.
 
-Decides who may have how many calls in flight at once. It never estimates by more than the median of the
-holders' estimates, nor decides which call is let in under a share. No I/O, no clock. The source is the
-design's paper, "Distributed Adaptive Concurrency"; the usual path of `meadowworks/policy/` is one admission
-limit for all proxies instead, so this is for fronts whose proxies hold shares.
+Reports may be late, and holders may come and go. The quota is the median of the holders' estimates, and each
+holder chooses the calls that it admits within its share. The package does no I/O and reads no clock. Source:
+"Distributed Adaptive Concurrency". `meadowworks/policy/` uses one admission limit for all proxies instead;
+this package is for deployments whose proxies hold shares.
 """
--- a/meadowworks/quota/machine.py
+++ b/meadowworks/quota/machine.py
@@ -1,7 +1,7 @@
-"""The two sides of a quota: `QuotaBudget` deals it out in shares, a `QuotaHolder` keeps within its share.
+"""The two sides of a quota: `QuotaBudget` grants shares of it, a `QuotaHolder` stays within its share.
 
-A holder reports at its own pace: its estimate, what it has in flight, and the newest grant that it goes by.
-Each report is answered by a grant. Reports and grants may be late, lost, or overtake one another.
+A holder reports its estimate, its calls in flight and the number of the newest grant that it applies. Each
+report is answered with a grant. Reports and grants may be delayed, lost or reordered.
 """
 
 from __future__ import annotations
@@ -12,11 +12,12 @@
 
 @dataclass(frozen=True, slots=True)
 class UsageReport:
-    """What a holder reports.
+    """A report of a holder.
 
-    :ivar estimate: calls at once that it holds the backends able to bear.
-    :ivar grant_number: of the newest grant that it goes by; 0: none.
-    :ivar sent_ns: by the holder's clock.
+    :ivar estimate: concurrent calls that the backends can take, as the holder estimates.
+    :ivar in_flight: concurrent calls of the holder.
+    :ivar grant_number: number of the newest grant that it applies; 0: none.
+    :ivar sent_ns: sending time by the holder's clock.
     """
 
     holder_id: int
@@ -30,8 +31,8 @@
 class QuotaGrant:
     """A holder's share.
 
-    :ivar share: calls at once.
-    :ivar sent_ns: of the report that it answers: its lease runs from there.
+    :ivar share: maximum of concurrent calls.
+    :ivar sent_ns: sending time of the report that it answers, from which the lease runs.
     """
 
     holder_id: int
@@ -42,7 +43,7 @@
 
 @dataclass(slots=True)
 class QuotaAccount:
-    """What the budget knows of a holder; `shares` by grant number, from the newest that it goes by."""
+    """The budget's record of a holder; `shares` by grant number, from the newest applied grant on."""
 
     estimate: int = 0
     in_flight: int = 0
@@ -51,11 +52,12 @@
 
 
 class QuotaBudget:
-    """The budget, dealt out in leased shares.
+    """The budget of concurrent calls, granted in leased shares.
 
-    :param acknowledged_handoff: what was granted counts until its holder has said that it goes by a later
-        grant. Without it a share counts as given back as soon as a smaller one was sent, and a holder
-        that has not been notified goes over the budget.
+    :param lease_ns: duration of a lease, from the sending of the report that a grant answers.
+    :param acknowledged_handoff: whether a share counts until its holder has acknowledged a later grant. If
+        not, it counts as returned once a smaller one was sent, and a holder that has not received that one
+        exceeds the budget.
     """
 
     def __init__(self, lease_ns: int, acknowledged_handoff: bool) -> None:
@@ -64,23 +66,23 @@
         self.last_grant_number = 0
 
     def estimate(self) -> int:
-        """The median of the live holders' estimates, never a sum."""
+        """Return the median of the live holders' estimates."""
         return int(median(a.estimate for a in self.accounts.values())) if self.accounts else 0
 
     def reserved(self, holder_id: int) -> int:
-        """What a holder may have in flight at this moment, for all that is known."""
+        """Return the maximum number of calls that a holder may have in flight now."""
         account = self.accounts[holder_id]
         shares = list(account.shares.values()) or [0]
         return max(account.in_flight, max(shares) if self.acknowledged_handoff else shares[-1])
 
     def expire(self, now: int) -> None:
-        """Forgets holders whose lease is over: they have stopped by themselves before this."""
+        """Forget holders whose lease has expired; by then they have stopped on their own."""
         expired = [holder for holder, account in self.accounts.items() if account.expires_ns <= now]
         for holder_id in expired:
             del self.accounts[holder_id]
 
     def on_report(self, now: int, report: UsageReport) -> QuotaGrant | None:
-        """The grant that answers a report; none for one that is older than what was reported already."""
+        """Return the grant that answers a report; None if the report is older than an earlier one."""
         self.expire(now)
         account = self.accounts.setdefault(report.holder_id, QuotaAccount())
         if report.sent_ns + self.lease_ns <= max(now, account.expires_ns - 1):
@@ -89,7 +91,7 @@
             return None
         account.estimate, account.in_flight = report.estimate, report.in_flight
         account.expires_ns = report.sent_ns + self.lease_ns
-        # Guards against a grant from before the holder's account was closed: what it goes by is gone with it.
+        # The reported grant may be missing here, if the holder's account has expired since that grant.
         account.shares = {n: share for n, share in account.shares.items() if n >= report.grant_number}
         estimate = self.estimate()
         others = sum(self.reserved(holder) for holder in self.accounts if holder != report.holder_id)
@@ -99,15 +101,15 @@
         return QuotaGrant(report.holder_id, share, self.last_grant_number, report.sent_ns)
 
     def on_holder_left(self, holder_id: int) -> None:
-        """A holder has stopped, with nothing in flight."""
+        """Forget a holder that has stopped, with no call in flight."""
         self.accounts.pop(holder_id, None)
 
 
 class QuotaHolder:
-    """One holder of a share.
+    """A holder of a share.
 
-    :param margin_ns: so long before its lease ends it stops and gives up what is in flight: clocks differ by
-        less.
+    :param margin_ns: time before the end of its lease at which it stops and gives up its calls in flight;
+        more than the clocks may differ by.
     """
 
     def __init__(self, holder_id: int, lease_ns: int, margin_ns: int) -> None:
@@ -117,9 +119,9 @@
         self.sent_ns = -1
 
     def try_start(self, now: int) -> bool:
-        """Starts a call, if one more may go.
+        """Start a call if the lease and the share allow it.
 
-        :returns: whether it did.
+        :returns: whether it was started.
         """
         if now >= self.lease_until_ns or self.in_flight >= self.share:
             return False
@@ -127,23 +129,26 @@
         return True
 
     def on_call_ended(self) -> None:
-        """A call that was started has ended."""
+        """Record the end of a call."""
         self.in_flight -= 1
 
     def build_report(self, now: int, estimate: int) -> UsageReport:
-        """The report to send now."""
+        """Return the report to send now."""
         self.sent_ns = now
         return UsageReport(self.holder_id, estimate, self.in_flight, self.grant_number, now)
 
     def on_grant(self, grant: QuotaGrant) -> None:
-        """Takes in a grant, unless a newer one came first."""
+        """Apply a grant, unless a newer one was received before."""
         if grant.grant_number <= self.grant_number:
             return
         self.share, self.grant_number = grant.share, grant.grant_number
         self.lease_until_ns = grant.sent_ns + self.usable_lease_ns
 
     def fence(self, now: int) -> bool:
-        """Whether its lease is over with calls in flight, which are to be given up now."""
+        """Give up the calls in flight if the lease is over.
+
+        :returns: whether there were any, which the caller must cancel now.
+        """
         if now < self.lease_until_ns or not self.in_flight:
             return False
         self.in_flight = 0
