--- a/meadowworks/load_balancing/load_reports.py
+++ b/meadowworks/load_balancing/load_reports.py
@@ -1,7 +1,8 @@
-"""Load reports: what a proxy counts of the responses that it forwards, summed by zone in the control plane.
+"""Load reports: counts of the attempts and requests at a proxy, which the control plane sums by zone.
 
-A proxy sums between its pulls. A control-plane node adds up what the proxies of a zone have reported over a
-second, and publishes that as an update. So the bytes between zones do not grow with the number of proxies.
+A proxy sends its counts with each pull. A control-plane node adds up the reports of a zone's proxies over a
+second and publishes the sums as one update, so that traffic between zones does not grow with the number of
+proxies.
 """
 
 from __future__ import annotations
@@ -9,16 +10,18 @@
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
-LOAD_REPORT_PREFIX = "f/"  # of the keys under which zones' reports are published
-# Places in the sums of a backend.
+LOAD_REPORT_PREFIX = "f/"  # of the keys under which reports of zones are published
+# Positions in the sums of a backend.
 ATTEMPTS, FAILURES, ELAPSED_MS, LOAD_SAMPLES, RUNNING, WAITING = range(6)
 
 
 class BackendSums(NamedTuple):
-    """The sums of one backend, as they stand in a report.
+    """The sums of one backend in a report.
 
-    `elapsed_ms` is of the attempts that were answered; `running` and `waiting` are the requests there, summed
-    over the `load_samples` times that a response said them.
+    :ivar elapsed_ms: total time of the answered attempts.
+    :ivar load_samples: number of responses that stated the load of the backend.
+    :ivar running: requests running there, summed over these responses.
+    :ivar waiting: requests waiting there, summed over these responses.
     """
 
     instance_id: str
@@ -32,7 +35,7 @@
 
 @dataclass(slots=True)
 class LoadReport:
-    """Sums by backend, and requests by service."""
+    """Counts by backend, and requests by service."""
 
     backend_counts: dict[str, list[float]] = field(default_factory=dict)
     service_requests: dict[str, int] = field(default_factory=dict)
@@ -45,7 +48,7 @@
         counts[ELAPSED_MS] += elapsed_ms if answered else 0.0
 
     def record_backend_load(self, backend_id: str, running: int, waiting: int) -> None:
-        """Count what a response said of its backend's load."""
+        """Count the load that a response stated of its backend."""
         counts = self._counts(backend_id)
         counts[LOAD_SAMPLES] += 1
         counts[RUNNING] += running
@@ -56,30 +59,30 @@
         self.service_requests[service] = self.service_requests.get(service, 0) + 1
 
     def merge(self, packed: Any) -> None:
-        """Add a report as `pack` has made it.
+        """Add the counts of a report that `pack` has encoded.
 
-        :raises ValueError: it is malformed
-        :raises TypeError: it is malformed
+        :raises ValueError: if a value of the report is malformed.
+        :raises TypeError: if the structure of the report is malformed.
         """
         backends, services = packed
         for backend_id, *added in backends:
             if len(added) != 6 or not all(isinstance(count, int) for count in added):
-                raise ValueError("a backend's sums are malformed")
+                raise ValueError(f"the sums of backend {backend_id!r} are not 6 integers")
             counts = self._counts(str(backend_id))
-            for place, count in enumerate(added):
-                counts[place] += count
+            for position, count in enumerate(added):
+                counts[position] += count
         for service, requests in services:
             self.service_requests[str(service)] = self.service_requests.get(str(service), 0) + int(requests)
 
     def pack(self) -> list[Any]:
-        """The report as it goes over the wire: the sums of backends, and the requests of services."""
+        """Return the report in its wire format: the sums of backends, and the requests of services."""
         return [
             [list(sums) for sums in self.backend_sums()],
             [[service, requests] for service, requests in self.service_requests.items()],
         ]
 
     def backend_sums(self) -> list[BackendSums]:
-        """The sums of backends, in whole milliseconds."""
+        """Return the sums of all backends, with times rounded to milliseconds."""
         return [BackendSums(name, *map(round, counts)) for name, counts in self.backend_counts.items()]
 
     def _counts(self, backend_id: str) -> list[float]:
--- a/meadowworks/load_balancing/policy_settings.py
+++ b/meadowworks/load_balancing/policy_settings.py
@@ -1,24 +1,21 @@
-"""How the policy is set up within a proxy: one route, one table a zone, no channel between them."""
+"""Settings of the policy within a proxy: one route, one table for each zone, no control channel."""
 
 from __future__ import annotations
 
 from meadowworks.policy.interface import Route, Settings
 
-SECOND = 1_000_000_000
-# Zones' load reports come so often.
-REPORT_INTERVAL_NS = SECOND
-# What the channel to a table in the same process bears: there is none.
-UNLIMITED = 1e12
-# Part of its weight that a backend has when it starts.
-SLOW_START_SHARE = 0.1
+SECOND_NS = 1_000_000_000
+REPORT_INTERVAL_NS = SECOND_NS  # between load reports of a zone
+UNLIMITED = 1e12  # limits of the control channel, as the tables are in the same process
+SLOW_START_SHARE = 0.1  # part of its capacity that a backend has at its start
 
 
 def policy_settings(zones: int, target_ns: int, slow_start_ns: int) -> Settings:
-    """The settings of a service's policy.
+    """Return the settings of the policy of a service.
 
-    :param zones: the number of zones, each of which has a table
+    :param zones: the number of zones
     :param target_ns: the latency target of the service
-    :param slow_start_ns: how long a backend is slow after its start, if it does not say so itself
+    :param slow_start_ns: duration of the slow start of backends that do not state one
     """
     return Settings(
         routes=(Route(1.0, target_ns, False),),
@@ -28,7 +25,7 @@
         controller_count=1,
         proxies_join_local_controller=False,
         watches_list=False,
-        list_refresh_ns=SECOND,
+        list_refresh_ns=SECOND_NS,
         removals_uncertain=True,
         health_checks=False,
         admission_unit="share",
@@ -40,7 +37,7 @@
         queue_limit=UNLIMITED,
         message_overhead=1.0,
         message_limit=0,
-        message_window_ns=SECOND,
+        message_window_ns=SECOND_NS,
         max_delay_ns=REPORT_INTERVAL_NS,
         slow_start_share=SLOW_START_SHARE,
         overload_factor=1.0,
--- a/meadowworks/load_balancing/service_balancer.py
+++ b/meadowworks/load_balancing/service_balancer.py
@@ -1,8 +1,8 @@
-"""The balancer of one service: a policy controller, fed by load reports, and the weights that come of it.
+"""The load balancer of one service: a policy controller that computes weights from load reports.
 
-A load report holds the sums of a second: what all proxies of a zone met at each backend, and what their
-clients asked of the service. The policy sees whole zones, so that the balancers of all proxies stand for the
-whole service, and come to nearly the same weights and admission ratios.
+A load report has the sums over a second: the attempts of a zone's proxies at each backend, and the requests
+of their clients. As all proxies get the same reports of whole zones, their balancers compute nearly the same
+weights and admission ratios.
 """
 
 from __future__ import annotations
@@ -19,23 +19,19 @@
 from meadowworks.registry.backend_state import DRAINING, UP
 from meadowworks.registry.backends import BackendInstance
 
-SECOND = 1_000_000_000
-# How long a backend is slow after its start, until one has said so itself.
-DEFAULT_SLOW_START_NS = 30 * SECOND
-# Weight of a new response in the moving average of response sizes: the last twenty or so count.
-RESPONSE_SIZE_GAIN = 0.05
-# A zone's report that is older is replaced by this proxy's own counts: two have not come.
-REPORT_OVERDUE_NS = 3 * SECOND
-# The state of a backend that is not listed any more, beside those that backends have.
-REMOVED = "removed"
+SECOND_NS = 1_000_000_000
+DEFAULT_SLOW_START_NS = 30 * SECOND_NS  # until a backend states the duration
+RESPONSE_SIZE_GAIN = 0.05  # weight of a new response in the moving average of sizes
+REPORT_OVERDUE_NS = 3 * SECOND_NS  # age of a zone's report at which this proxy's own counts replace it
+REMOVED = "removed"  # state of a backend that is no longer listed, in addition to those of the registry
 
 
 @dataclass(frozen=True, slots=True)
 class BackendLoad:
-    """What the proxies of a zone met at one backend.
+    """The attempts of a zone's proxies at one backend.
 
-    :param latency_ns: the mean of the attempts that were answered
-    :param queue_length: the mean of the requests that waited there; negative if it is not known
+    :param latency_ns: mean of the answered attempts
+    :param queue_length: mean of the requests waiting there; negative if unknown
     """
 
     attempts: int
@@ -45,12 +41,12 @@
 
 
 class ServiceBalancer:
-    """The host of one policy controller: it hands events in, and carries orders out at once.
+    """The host of one policy controller, which applies orders at once.
 
-    :param zones: all zones, in an order that is the same in all proxies
-    :param local_zone: the proxy's own
+    :param zones: all zones, in the same order in all proxies
+    :param local_zone: the zone of this proxy
     :param target_ns: the latency target of the service
-    :param seed: of the policy's random numbers
+    :param seed: seed of the policy's random numbers
     """
 
     def __init__(
@@ -61,74 +57,77 @@
         self.local_zone = self.zone_index[local_zone]
         self.endpoint_ids = NameIndex()
         self.weights: dict[int, float] = {}  # of the local zone's table, by endpoint
-        self.remote_weights: dict[int, float] = {}  # of the other zones' tables, of their own backends alone
-        self.admission_ratio = 1.0  # the part of requests that are let in
+        self.remote_weights: dict[int, float] = {}  # of the other zones' tables, only for their own backends
+        self.admission_ratio = 1.0  # part of requests to admit
         self.priority_admission = PriorityAdmission()
         self.max_retries = 1  # 0 under overload
         self.response_bytes = 0.0  # moving average
-        self.log_entries: list[str] = []  # what the policy has decided, not logged yet
-        self._unacknowledged: list[int] = []  # orders of the policy
+        self.log_entries: list[str] = []  # decisions of the policy that are not logged yet
+        self._unacknowledged: list[int] = []  # nonces of the policy's orders
         self._slow_start_ns = DEFAULT_SLOW_START_NS
         self._next_tick_ns = now
-        self._backend_states: dict[str, str] = {}  # by id, as they were handed to the policy
-        self._reported_ns: dict[int, int] = {}  # by zone: when its last report came
+        self._backend_states: dict[str, str] = {}  # by id, as last reported to the policy
+        self._reported_ns: dict[int, int] = {}  # by zone: time of its last report
         settings = policy_settings(len(zones), target_ns, DEFAULT_SLOW_START_NS)
         self.controller = Controller(self, settings, seed, now)
         for zone in self.zone_index.values():
             self.controller.on_proxy_joined(now, zone, zone, 0.0)
 
-    # -- what the policy calls
+    # -- the host protocol of the policy
 
     def log(self, line: str) -> None:
-        """Keep a decision for the log."""
+        """Store a decision for the log."""
         self.log_entries.append(line)
 
     def watch_list(self, on: bool) -> None:
-        """Do nothing: changes of the list come without being asked for."""
+        """Do nothing: `update_backends` receives all changes of the list."""
 
     def check_health(self, backend: int) -> None:
-        """Do nothing: health is derived from requests alone."""
+        """Do nothing: health is derived from requests only."""
 
     def release_backend(self, backend: int) -> None:
-        """Forget a backend that the policy holds no longer."""
+        """Forget a backend that the policy has dropped."""
         if name := self.endpoint_ids.name_by_index.get(backend):
             self._backend_states.pop(name, None)
             self.endpoint_ids.release(backend)
 
     def request_ack(self, nonce: int) -> None:
-        """Acknowledge the orders up to here when the policy's turn is over."""
+        """Store a nonce, to be acknowledged after the policy has handled the event."""
         self._unacknowledged.append(nonce)
 
     def set_timer(self, wait_ns: int) -> None:
-        """Set when the policy's next turn is due."""
+        """Set the time of the policy's next tick."""
         self._next_tick_ns += wait_ns
 
     def set_weight(self, table: int, backend: int, weight: float) -> None:
-        """Set a weight in a zone's table; 0 takes the backend out."""
+        """Set a weight in a zone's table; 0 removes the backend."""
         if table == self.local_zone:
             store_weight(self.weights, backend, weight)
             return
-        known = self.controller.backends.get(backend)
-        if known is None or known.zone == table:
+        policy_backend = self.controller.backends.get(backend)
+        if policy_backend is None or policy_backend.zone == table:
             store_weight(self.remote_weights, backend, weight)
 
     def assign_table(self, routes: int, proxy: int, table: int) -> None:
         """Do nothing: each zone has one table."""
 
     def set_admission(self, table: int, routes: int, limit: float, retry_policy: int) -> None:  # noqa: ARG002
-        """Set which part of requests the local zone lets in, and whether retries are allowed."""
+        """Set the part of requests that the local zone admits, and whether retries are allowed."""
         if table == self.local_zone:
             self.admission_ratio, self.max_retries = limit, retry_policy
 
     # -- events
 
     def set_latency_target(self, target_ns: int) -> None:
-        """Set the time within which the operator wants responses, as a new configuration says."""
-        old = self.controller.settings
-        self.controller.settings = replace(old, routes=(replace(old.routes[0], slo_ns=target_ns),))
+        """Set the latency target of a new configuration."""
+        settings = self.controller.settings
+        self.controller.settings = replace(settings, routes=(replace(settings.routes[0], slo_ns=target_ns),))
 
     def update_backends(self, now: int, backends: Iterable[BackendInstance]) -> None:
-        """Hand what has changed to the policy, of the backends of this service as they are now."""
+        """Report changes of state to the policy.
+
+        :param backends: all current backends of this service
+        """
         listed = {backend.instance_id: backend for backend in backends}
         entries = [
             self._changed_entry(backend)
@@ -144,23 +143,23 @@
             self._acknowledge(now)
 
     def record_zone_report(
-        self, now: int, zone: int, loads: Mapping[str, BackendLoad], requests: int, covers_ns: int
+        self, now: int, zone: int, loads: Mapping[str, BackendLoad], requests: int, period_ns: int
     ) -> None:
-        """Hand a zone's load report to the policy.
+        """Pass a zone's load report to the policy.
 
-        :param zone: its number in the order of zones
-        :param loads: by backend
-        :param requests: of all clients in the zone
-        :param covers_ns: the time over which they were counted
+        :param zone: position of the zone in the order of zones
+        :param loads: by instance id of the backend
+        :param requests: number of requests of all clients in the zone
+        :param period_ns: the time over which they were counted
         """
         for instance_id, load in loads.items():
             endpoint = self.endpoint_ids.index_by_name.get(instance_id)
             if endpoint is None:
                 continue
             queue = {} if load.queue_length < 0 else {"queue": load.queue_length}
-            report = AttemptReport(load.attempts, load.failures, load.latency_ns, covers_ns, queue)
+            report = AttemptReport(load.attempts, load.failures, load.latency_ns, period_ns, queue)
             self.controller.on_backend_report(now, zone, endpoint, report)
-        self.controller.on_demand_report(now, zone, 0, requests, covers_ns)
+        self.controller.on_demand_report(now, zone, 0, requests, period_ns)
         self._reported_ns[zone] = now
 
     def record_response(self, size: int) -> None:
@@ -168,15 +167,15 @@
         self.response_bytes += RESPONSE_SIZE_GAIN * (size - self.response_bytes)
 
     def admission_ratio_of(self, priority: int) -> float:
-        """The part of the requests of a priority that are let in; 0 is the most urgent."""
+        """Return the part of the requests of a priority to admit; 0 is the most urgent."""
         return self.priority_admission.ratio(priority, self.admission_ratio)
 
     def is_report_overdue(self, now: int, zone: int) -> bool:
-        """Whether a zone's reports have not come for a while."""
+        """Return whether the last report of a zone is too old."""
         return now - self._reported_ns.get(zone, 0) > REPORT_OVERDUE_NS
 
     def tick(self, now: int) -> None:
-        """Give the policy its turn, if it is due."""
+        """Run the policy's tick if it is due."""
         if now >= self._next_tick_ns:
             self._next_tick_ns = max(self._next_tick_ns, now - REPORT_INTERVAL_NS)
             self.controller.tick(now)
@@ -189,7 +188,7 @@
 
     def _changed_entry(self, backend: BackendInstance) -> EndpointEntry:
         if backend.warm_at_ns and self._slow_start_ns == DEFAULT_SLOW_START_NS:
-            # The backends say how long they are slow: that takes the place of the usual time.
+            # The first duration that a backend states replaces the default.
             self._slow_start_ns = backend.warm_at_ns - backend.first_seen_ns
             self.controller.settings = replace(self.controller.settings, slow_start_ns=self._slow_start_ns)
         self._backend_states[backend.instance_id] = backend.state
@@ -204,19 +203,21 @@
     def _removed_entries(self, instance_id: str) -> list[EndpointEntry]:
         self._backend_states[instance_id] = REMOVED
         endpoint = self.endpoint_ids.index(instance_id)
-        known = self.controller.backends.get(endpoint)
-        if known is None:
+        policy_backend = self.controller.backends.get(endpoint)
+        if policy_backend is None:
             return []
-        # First draining, so that it is not held as one that the list only misses.
+        # First draining: prevents the policy from retaining it as wrongly missing from the list.
         return [
-            EndpointEntry(endpoint, known.zone, state, known.started_ns, known.weight)
+            EndpointEntry(
+                endpoint, policy_backend.zone, state, policy_backend.started_ns, policy_backend.weight
+            )
             for state in ("draining", "gone")
         ]
 
-    # -- what operators ask
+    # -- diagnostics for operators
 
     def explain(self, now: int) -> dict[str, Any]:
-        """What the last decisions rest on: requests a second, weights, and who is held back and why."""
+        """Return the inputs and results of the last decisions, and the backends with reduced weight."""
         policy = self.controller
         return {
             "level": self.admission_ratio,
@@ -224,8 +225,8 @@
             "asked": round(policy.demand, 2),
             "proven": round(policy.proven_rate, 2),
             "zones": self._explain_zones(now),
-            "table": self._named(self.weights),
-            "abroad": self._named(self.remote_weights),
+            "table": self._weights_by_name(self.weights),
+            "abroad": self._weights_by_name(self.remote_weights),
             "held back": self._explain_held_back(now),
         }
 
@@ -246,14 +247,14 @@
     def _report_age_s(self, now: int, zone: int) -> float | None:
         if zone not in self._reported_ns:
             return None
-        return round((now - self._reported_ns[zone]) / SECOND, 1)
+        return round((now - self._reported_ns[zone]) / SECOND_NS, 1)
 
-    def _named(self, weights: Mapping[int, float]) -> dict[str, float]:
+    def _weights_by_name(self, weights: Mapping[int, float]) -> dict[str, float]:
         names = self.endpoint_ids.name_by_index
         return {names[endpoint]: round(weight, 3) for endpoint, weight in sorted(weights.items())}
 
     def _explain_held_back(self, now: int) -> dict[str, Any]:
-        """The backends that have not their whole weight."""
+        """Return the backends with less than their full weight."""
         names, policy = self.endpoint_ids.name_by_index, self.controller
         return {
             names[endpoint]: {
@@ -268,7 +269,7 @@
 
 
 def store_weight(weights: dict[int, float], endpoint: int, weight: float) -> None:
-    """Set a weight, or take the endpoint out if it has none."""
+    """Set a weight, or remove the endpoint if the weight is 0."""
     if weight > 0:
         weights[endpoint] = weight
     else:
