--- a/meadowworks/simulator_adapter/__main__.py
+++ b/meadowworks/simulator_adapter/__main__.py
@@ -1,4 +1,4 @@
-"""Reads batches on standard input, calls the policy, writes its answers to standard output."""
+"""Reads batches from standard input, calls the policy and writes its orders to standard output."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 
 def main() -> int:
-    """Runs the adapter.
+    """Run the adapter.
 
-    :returns: its exit status: 2 for input that the wire does not allow.
+    :returns: the exit status; 2 for invalid input.
     """
     try:
         with open(sys.stdin.fileno(), encoding="utf-8", errors="replace", closefd=False) as source:
--- a/meadowworks/simulator_adapter/events.py
+++ b/meadowworks/simulator_adapter/events.py
@@ -1,7 +1,7 @@
-"""The wire's events: how many values each has, and the call on the policy that it stands for.
+"""The events of the line protocol: their number of values and their parsers.
 
-A parser is given the controller and the values of a line, and raises KeyError for an unknown name, ValueError
-or IndexError for a value without sense. The call that it returns waits for the clock.
+A parser converts the values of a line into a call of the policy, which takes the time as its argument. It
+raises KeyError for an unknown name, and ValueError or IndexError for an invalid value.
 """
 
 from __future__ import annotations
@@ -15,33 +15,33 @@
 from meadowworks.simulator_adapter.host import ControllerInstance
 
 Values = list[str]
-PolicyCall = Callable[[int], None]  # with the time
+PolicyCall = Callable[[int], None]  # takes the time in nanoseconds
 Parser = Callable[[ControllerInstance, Values], PolicyCall]
 
 UPDATE_KINDS = {"diff": "changes", "snapshot": "whole", "disk": "disk", "error": "error"}
-ALIVE = ("done", "busy", "err")  # answers to a health check that a living backend gives
-NONE = "-"  # where there is no value
+ALIVE_RESULTS = ("done", "busy", "err")  # results of a health check that show a running backend
+NONE = "-"  # stands for a missing value
 MAX_OPTIONS = 1 << 20
 
 
 @dataclass(frozen=True, slots=True)
 class EventShape:
-    """How many values follow the event's name, and its parser, if one line tells all."""
+    """The number of values after the name of an event, and the parser of events that are one line."""
 
-    least: int
-    most: int
+    min_values: int
+    max_values: int
     parse: Parser | None = None
 
 
 def parse_load(text: str) -> dict[str, float]:
-    """A backend's load: names and numbers."""
+    """Return the load of a backend by name, from `name:number` pairs separated by commas."""
     if text in (NONE, ""):
         return {}
     return {part.split(":")[0]: float(part.split(":")[1]) for part in text.split(",")}
 
 
 def parse_endpoints(host: ControllerInstance, values: Values, entries: list[Values]) -> PolicyCall:
-    """TOPOLOGY, with the lines of its entries."""
+    """Parse a TOPOLOGY event and the lines of its entries."""
     endpoints = [
         EndpointEntry(
             host.backends.index(entry[5]),
@@ -60,51 +60,60 @@
     return host.policy.tick
 
 
-def _proxy_joined(host: ControllerInstance, v: Values) -> PolicyCall:
-    proxy, zone, usual_rate = int(v[2]), host.zones[v[3]], 0.0 if v[4] == NONE else float(v[4])
+def _proxy_joined(host: ControllerInstance, values: Values) -> PolicyCall:
+    proxy, zone, usual_rate = (
+        int(values[2]),
+        host.zones[values[3]],
+        0.0 if values[4] == NONE else float(values[4]),
+    )
     return lambda now: host.policy.on_proxy_joined(now, proxy, zone, usual_rate)
 
 
-def _proxy_left(host: ControllerInstance, v: Values) -> PolicyCall:
-    proxy = int(v[2])
+def _proxy_left(host: ControllerInstance, values: Values) -> PolicyCall:
+    proxy = int(values[2])
     return lambda now: host.policy.on_proxy_left(now, proxy)
 
 
-def _health_check(host: ControllerInstance, v: Values) -> PolicyCall:
-    backend, answered = host.backend_index(v[2]), v[3] in ALIVE
+def _health_check(host: ControllerInstance, values: Values) -> PolicyCall:
+    backend, answered = host.backend_index(values[2]), values[3] in ALIVE_RESULTS
     return lambda now: host.policy.on_health_check(now, backend, answered)
 
 
-def _backend_report(host: ControllerInstance, v: Values) -> PolicyCall:
-    zone, backend, load = host.zones[v[2]], host.backend_index(v[3]), parse_load(v[8])
-    attempts, failures = int(v[4]), int(v[5])
-    report = AttemptReport(attempts, failures, int(v[6]) * NS_PER_US, int(v[7]) * NS_PER_US, load)
+def _backend_report(host: ControllerInstance, values: Values) -> PolicyCall:
+    zone, backend, load = host.zones[values[2]], host.backend_index(values[3]), parse_load(values[8])
+    attempts, failures = int(values[4]), int(values[5])
+    report = AttemptReport(attempts, failures, int(values[6]) * NS_PER_US, int(values[7]) * NS_PER_US, load)
     return lambda now: host.policy.on_backend_report(now, zone, backend, report)
 
 
-def _demand_report(host: ControllerInstance, v: Values) -> PolicyCall:
-    proxy, route, calls, period_ns = int(v[2]), host.routes[v[3]], int(v[4]), int(v[6]) * NS_PER_US
-    int(v[5])  # the calls that were dropped: checked, and not needed
+def _demand_report(host: ControllerInstance, values: Values) -> PolicyCall:
+    proxy, route, calls, period_ns = (
+        int(values[2]),
+        host.routes[values[3]],
+        int(values[4]),
+        int(values[6]) * NS_PER_US,
+    )
+    int(values[5])  # the number of dropped calls is only validated
     return lambda now: host.policy.on_demand_report(now, proxy, route, calls, period_ns)
 
 
-def _ack(host: ControllerInstance, v: Values) -> PolicyCall:
-    nonce = int(v[3])
+def _ack(host: ControllerInstance, values: Values) -> PolicyCall:
+    nonce = int(values[3])
     return lambda now: host.policy.on_ack(now, nonce)
 
 
-def _slice_assigned(host: ControllerInstance, v: Values) -> PolicyCall:
-    number, assigned = int(v[2]), v[3] == "1"
+def _slice_assigned(host: ControllerInstance, values: Values) -> PolicyCall:
+    number, assigned = int(values[2]), values[3] == "1"
     return lambda now: host.policy.on_slice_assigned(now, number, assigned)
 
 
-def _slice_backend(host: ControllerInstance, v: Values) -> PolicyCall:
-    number, backend, weight = int(v[2]), host.backends.index(v[3]), float(v[4])
+def _slice_backend(host: ControllerInstance, values: Values) -> PolicyCall:
+    number, backend, weight = int(values[2]), host.backends.index(values[3]), float(values[4])
     return lambda now: host.policy.on_slice_backend(now, number, backend, weight)
 
 
-def _nothing(_: ControllerInstance, __: Values) -> PolicyCall:
-    """Peers and heat by slice: legal, and nothing that the policy reads."""
+def _ignored(_: ControllerInstance, __: Values) -> PolicyCall:
+    """Accept an event that the policy does not use: messages of peers, load by slice."""
     return lambda now: None
 
 
@@ -114,12 +123,12 @@
     "TOPOLOGY": EventShape(4, 4),
     "ELAPSED": EventShape(2, 2, _tick),
     "PROBED": EventShape(5, 5, _health_check),
-    "FROM_PEER": EventShape(3, 3, _nothing),
+    "FROM_PEER": EventShape(3, 3, _ignored),
     "CONNECTED": EventShape(5, 5, _proxy_joined),
     "LEFT": EventShape(2, 2, _proxy_left),
     "STATS": EventShape(8, 8, _backend_report),
     "DEMAND": EventShape(6, 6, _demand_report),
-    "HOTNESS": EventShape(6, 6, _nothing),
+    "HOTNESS": EventShape(6, 6, _ignored),
     "TENURE": EventShape(3, 3, _slice_assigned),
     "STANDING_LINE": EventShape(4, 4, _slice_backend),
     "INSTALLED": EventShape(4, 4, _ack),
--- a/meadowworks/simulator_adapter/host.py
+++ b/meadowworks/simulator_adapter/host.py
@@ -1,4 +1,4 @@
-"""One simulated controller: the policy's host, which writes what is ordered straight to the reply."""
+"""The host of one simulated controller, which writes the policy's orders to the reply."""
 
 from __future__ import annotations
 
@@ -10,10 +10,11 @@
 
 
 class ControllerInstance:
-    """A controller by its name on the wire; the adapter gives out the indices of backends, zones and routes.
+    """A simulated controller, with the indices of its backends, zones and routes by name.
 
-    :param output: the lines of the reply.
-    :raises SettingsError: if an option is missing or makes no sense.
+    :param name: its name in the protocol.
+    :param output: the lines of the reply, to which orders are appended.
+    :raises SettingsError: if an option is missing or invalid.
     """
 
     def __init__(
@@ -25,44 +26,44 @@
         self.policy = Controller(self, settings, seed, now_ns)
 
     def backend_index(self, name: str) -> int:
-        """The index of a backend that the endpoint list has named; -1 for any other."""
+        """Return the index of a backend; -1 if the endpoint list has not named it."""
         return self.backends.index_by_name.get(name, -1)
 
-    # -- the policy's host
+    # -- the host protocol of the policy
 
     def log(self, line: str) -> None:
-        """Logs a decision."""
+        """Log a decision."""
         self.output.append(f"RECORD\t{self.name}\t{line}")
 
     def watch_list(self, on: bool) -> None:
-        """Follows the endpoint list, or ceases to."""
+        """Start or stop watching the endpoint list."""
         self.output.append(f"TRACK\t{self.name}\t{int(on)}")
 
     def check_health(self, backend: int) -> None:
-        """Checks a backend; the simulator answers by PROBED."""
+        """Request a health check; the simulator replies with PROBED."""
         self.output.append(f"SAMPLE\t{self.name}\t{self.backends.name_by_index[backend]}")
 
     def release_backend(self, backend: int) -> None:
-        """Frees a backend's index."""
+        """Free the index of a backend."""
         self.backends.release(backend)
 
     def request_ack(self, nonce: int) -> None:
-        """Gives this batch's messages a nonce; the simulator answers by INSTALLED."""
+        """Add a nonce to the messages of this batch; the simulator replies with INSTALLED."""
         self.output.append(f"BARRIER\t{self.name}\t{nonce}\t0")
 
     def set_timer(self, wait_ns: int) -> None:
-        """Asks for ELAPSED after this time."""
+        """Request an ELAPSED event after this time."""
         self.output.append(f"WAKE_ME\t{self.name}\t{wait_ns // NS_PER_US}\ttick")
 
     def set_weight(self, table: int, backend: int, weight: float) -> None:
-        """Sets a backend's weight in a table; 0 takes it out."""
+        """Set the weight of a backend in a table; 0 removes it."""
         name = self.backends.name_by_index[backend]
         self.output.append(f"UPSERT\t{self.name}\t{table}\t{name}\t{weight:.6g}")
 
     def assign_table(self, routes: int, proxy: int, table: int) -> None:
-        """Makes a proxy use a table for the routes of a bit mask."""
+        """Make a proxy use a table for the routes of a bit mask."""
         self.output.append(f"SUBSCRIBE_TO\t{self.name}\t{routes}\t{proxy}\t{table}")
 
     def set_admission(self, table: int, routes: int, limit: float, retry_policy: int) -> None:
-        """Sets the admission limit and the retry policy of a table's routes."""
+        """Set the admission limit and the retry policy of routes in a table."""
         self.output.append(f"ADMIT\t{self.name}\t{table}\t{routes}\t{limit:.4f}\t{retry_policy}")
--- a/tests/simulator_adapter/test_wire.py
+++ b/tests/simulator_adapter/test_wire.py
@@ -69,7 +69,7 @@
         (f"{SPAWN}\nLEFT\tcontroller-3\ttwo\n", "invalid literal"),
         (SPAWN.replace("profiles.0.worth=2.0\t", "") + "\n", "setting profiles.0.worth is missing"),
         (SPAWN.replace("cycle_us=500000", "cycle_us=often") + "\n", "extra.cycle_us is no number"),
-        (f"{SPAWN}\n{LIST.replace('BACKEND', 'SERVER')}\n", "a list entry was due"),
+        (f"{SPAWN}\n{LIST.replace('BACKEND', 'SERVER')}\n", "expected a BACKEND entry"),
     ],
 )
 def test_what_the_wire_does_not_allow_is_named_with_its_line(batch: str, said: str) -> None:
