--- a/tests/attempts/test_attempt_machine.py
+++ b/tests/attempts/test_attempt_machine.py
@@ -1,4 +1,4 @@
-"""The state machine of a proxy's calls, on inputs that are drawn."""
+"""`AttemptMachine` on random events, and regression tests."""
 
 from __future__ import annotations
 
@@ -18,23 +18,21 @@
 
 MS = 1_000_000
 
-
-SAFE, ONCE = (
+IDEMPOTENT, NOT_IDEMPOTENT = (
     RouteRetryPolicy(True, 1000 * MS, 200 * MS, 50 * MS, 500 * MS),
     RouteRetryPolicy(False, 1000 * MS, 200 * MS, 50 * MS, 500 * MS),
 )
 
-
-LINES = {1: 1.0, 2: 1.0, 3: 2.0}
+WEIGHTS = {1: 1.0, 2: 1.0, 3: 2.0}
 
 
-class Wire:
-    """The machine's host: what it sent, and what was told to whom."""
+class RecordingHost:
+    """A host that records attempts by number, replies by waiter, and counted events."""
 
     def __init__(self) -> None:
         self.sent: dict[int, tuple[int, int]] = {}
-        self.told: dict[int, list[FinalReply]] = {}
-        self.notes: list[str] = []
+        self.replies: dict[int, list[FinalReply]] = {}
+        self.events: list[str] = []
 
     def send(self, key: int, number: int, backend: int) -> None:
         self.sent[number] = key, backend
@@ -42,19 +40,19 @@
     def cancel(self, number: int) -> None:
         assert number in self.sent
 
-    def reply(self, key: int, asker: int, told: FinalReply) -> None:
-        self.told.setdefault(asker, []).append(told)
+    def reply(self, key: int, waiter: int, reply: FinalReply) -> None:
+        self.replies.setdefault(waiter, []).append(reply)
 
-    def count(self, what: str) -> None:
-        self.notes.append(what)
+    def count(self, event: str) -> None:
+        self.events.append(event)
 
 
-def proxy(kept: int = 4) -> tuple[Wire, AttemptMachine]:
-    wire = Wire()
-    machine = AttemptMachine(wire, (SAFE, ONCE), 1000 * MS, kept, 7)
+def new_machine(max_kept_replies: int = 4) -> tuple[RecordingHost, AttemptMachine]:
+    host = RecordingHost()
+    machine = AttemptMachine(host, (IDEMPOTENT, NOT_IDEMPOTENT), 1000 * MS, max_kept_replies, 7)
     for route in (0, 1):
-        machine.on_table(route, dict(LINES), 1.0, 3)
-    return wire, machine
+        machine.on_table(route, dict(WEIGHTS), 1.0, 3)
+    return host, machine
 
 
 STEP = st.one_of(
@@ -70,69 +68,72 @@
 
 @settings(derandomize=True, database=None, deadline=None, max_examples=300)
 @given(st.lists(STEP, max_size=40))
-def test_larger_than_the_explored_worlds_the_machine_keeps_the_same_promises(steps: list[Any]) -> None:
-    wire, machine = proxy(kept=2)
-    now = asker = 0
-    unproven: dict[int, set[int]] = {}  # tries of each mutating call without proof that they never ran
-    asked: dict[int, int] = {}
-    replied: set[int] = set()
-    for kind, *what in [*steps, ("pass", 2000)]:
-        before = set(wire.sent)
+def test_random_events_keep_the_invariants_in_larger_worlds_than_the_explored_ones(steps: list[Any]) -> None:
+    host, machine = new_machine(max_kept_replies=2)
+    now = waiter = 0
+    # By call that is not idempotent: attempts without proof that they never ran.
+    unproven: dict[int, set[int]] = {}
+    requests: dict[int, int] = {}  # key of the call by waiter
+    ended: set[int] = set()
+    for kind, *arguments in [*steps, ("pass", 2000)]:
+        before = set(host.sent)
         if kind == "came":
-            key = 10 * what[1] + what[0]
-            earlier = [wire.told.get(a, []) for a, k in asked.items() if k == key]
-            if any(told and told[0].retry_after_ns == NO_RETRY_NS for told in earlier):
-                continue  # it was told not to come again
-            asker += 1
-            asked[asker] = key
-            # A client that was told nothing final says so when it asks again.
-            machine.on_request(now, key, what[1], asker, what[2] or any(not told for told in earlier))
-        elif kind == "reply" and what[0] in wire.sent and what[0] not in replied:
-            replied.add(what[0])
-            key = wire.sent[what[0]][0]
-            if what[1] == NEVER_RAN:
-                unproven.get(key, set()).discard(what[0])
-            machine.on_attempt_ended(now, key, what[0], what[1])
-        elif kind == "leave" and what[0] in asked:
-            machine.on_client_gone(now, asked[what[0]], what[0])
+            key = 10 * arguments[1] + arguments[0]
+            earlier = [host.replies.get(w, []) for w, k in requests.items() if k == key]
+            if any(replies and replies[0].retry_after_ns == NO_RETRY_NS for replies in earlier):
+                continue  # the client must not retry
+            waiter += 1
+            requests[waiter] = key
+            # A client without a final reply marks its next request as a repeat.
+            machine.on_request(
+                now, key, arguments[1], waiter, arguments[2] or any(not replies for replies in earlier)
+            )
+        elif kind == "reply" and arguments[0] in host.sent and arguments[0] not in ended:
+            ended.add(arguments[0])
+            key = host.sent[arguments[0]][0]
+            if arguments[1] == NEVER_RAN:
+                unproven.get(key, set()).discard(arguments[0])
+            machine.on_attempt_ended(now, key, arguments[0], arguments[1])
+        elif kind == "leave" and arguments[0] in requests:
+            machine.on_client_gone(now, requests[arguments[0]], arguments[0])
         elif kind == "pass":
-            now += what[0] * MS
+            now += arguments[0] * MS
             machine.tick(now)
         elif kind == "lines":
             for route in (0, 1):
-                machine.on_table(route, {b: 1.0 for b in what[0]}, what[2], what[1])
-        for number in set(wire.sent) - before:
-            key, backend = wire.sent[number]
+                machine.on_table(route, {b: 1.0 for b in arguments[0]}, arguments[2], arguments[1])
+        for number in set(host.sent) - before:
+            key, backend = host.sent[number]
             assert backend in machine.tables[key // 10].weights
             if key >= 10:
                 unproven.setdefault(key, set()).add(number)
         assert len(machine.finished_calls) <= 2 and all(len(numbers) <= 1 for numbers in unproven.values())
-    assert all(len(told) == 1 for told in wire.told.values())
-    assert all(call.outcome for call in machine.calls.values())  # time has gone by: nothing is open
+    assert all(len(replies) == 1 for replies in host.replies.values())
+    assert all(call.outcome for call in machine.calls.values())  # all deadlines have passed
     assert all(len(call.attempts) <= 1 + max(MAX_RETRIES) for call in machine.calls.values())
 
 
-def test_a_mutating_call_that_its_client_left_is_heard_out_for_the_clients_repeat() -> None:
-    wire, machine = proxy()
+def test_call_that_is_not_idempotent_continues_after_its_client_has_left() -> None:
+    host, machine = new_machine()
     machine.on_request(0, 5, 1, 1, False)
     machine.on_client_gone(1, 5, 1)
     machine.on_attempt_ended(2, 5, 1, ANSWERED)
     machine.on_request(3, 5, 1, 2, True)
     assert (
-        list(wire.told) == [2]
-        and wire.told[2] == [FinalReply("answered", True, NO_RETRY_NS)]
-        and len(wire.sent) == 1
+        list(host.replies) == [2]
+        and host.replies[2] == [FinalReply("answered", True, NO_RETRY_NS)]
+        and len(host.sent) == 1
     )
 
 
-def test_a_reply_to_an_earlier_life_of_a_key_is_not_this_ones() -> None:
-    wire, machine = proxy()
+def test_reply_to_an_earlier_call_with_the_same_key_is_ignored() -> None:
+    host, machine = new_machine()
     machine.on_request(0, 5, 0, 1, False)
     machine.on_attempt_ended(1, 5, 1, FAILED)
     machine.on_attempt_ended(2, 5, 2, FAILED)
-    machine.on_attempt_ended(3, 5, 3, FAILED)  # given up, and asked for anew
+    machine.on_attempt_ended(3, 5, 3, FAILED)  # given up, then requested again
     machine.on_request(4, 5, 0, 2, False)
     machine.on_attempt_ended(5, 5, 1, ANSWERED)
-    assert 2 not in wire.told and wire.notes == ["replies to unknown attempts"]
+    assert 2 not in host.replies and host.events == ["replies to unknown attempts"]
     machine.on_attempt_ended(6, 5, 4, ANSWERED)
-    assert wire.told[2][0].kind == "answered"
+    assert host.replies[2][0].kind == "answered"
--- a/tests/policy/harness.py
+++ b/tests/policy/harness.py
@@ -1,4 +1,4 @@
-"""A host that notes what the policy orders, and settings of a small made-up deployment."""
+"""A policy host that records orders and simulates the proxies, and the settings of a small deployment."""
 
 from __future__ import annotations
 
@@ -7,10 +7,8 @@
 
 SECOND = 1_000_000_000
 
-
 ROUTES = (Route(2.0, SECOND, False), Route(1.0, SECOND, False), Route(2.0, SECOND, False))
 
-
 SETTINGS = Settings(
     routes=ROUTES,
     zone_count=2,
@@ -44,119 +42,125 @@
 
 
 class Fleet:
-    """Stands for the proxies: applies orders to tables as they would, and keeps count of messages."""
+    """A controller and its simulated proxies, which apply the orders; records messages and other actions."""
 
     def __init__(self, settings: Settings = SETTINGS, now: int = 100 * SECOND) -> None:
         self.now, self.settings = now, settings
         self.tables: dict[int, dict[int, float]] = {}
-        self.levels: dict[tuple[int, int], tuple[float, int]] = {}
-        self.bound: dict[int, dict[int, int]] = {}  # proxy: table by route
-        self.held: dict[int, set[int]] = {}  # what a proxy that is not bound may still send to
-        self.records: list[str] = []
-        self.tracks: list[int] = []
-        self.probes: list[int] = []
-        self.forgotten: list[int] = []
-        self.marks: list[int] = []
-        self.answers = True  # marks come back at the next step, from each proxy that was told
-        self.unanswered: list[tuple[int, int]] = []
-        self.heads: dict[int, list[int]] = {}
-        self.lines: list[tuple[int, float]] = []
-        self.module = Controller(self, settings, 7, now)
-
-    def cost(self, table: int | None, lines: float, proxy: int | None = None) -> None:
-        for p, tables in self.bound.items():
+        self.admissions: dict[tuple[int, int], tuple[float, int]] = {}
+        self.assigned_tables: dict[int, dict[int, int]] = {}  # by proxy: table by route
+        self.fallbacks: dict[int, set[int]] = {}  # by proxy: backends it may use until it has tables
+        self.log_lines: list[str] = []
+        self.watch_times: list[int] = []
+        self.health_checks: list[int] = []
+        self.released: list[int] = []
+        self.nonces: list[int] = []
+        self.acknowledges = True  # whether proxies acknowledge messages at the next step
+        self.pending_acks: list[tuple[int, int]] = []  # nonce and sending time
+        self.message_times: dict[int, list[int]] = {}  # by proxy
+        self.sent_lines: list[tuple[int, float]] = []  # sending time and number of lines
+        self.controller = Controller(self, settings, 7, now)
+
+    def record_message(self, table: int | None, lines: float, proxy: int | None = None) -> None:
+        for p, tables in self.assigned_tables.items():
             if p == proxy or (table is not None and table in tables.values()):
-                sent = self.heads.setdefault(p, [])
-                if not sent or sent[-1] != self.now:
-                    sent.append(self.now)
-                    self.lines.append((self.now, self.settings.message_overhead))
-                self.lines.append((self.now, lines))
+                times = self.message_times.setdefault(p, [])
+                if not times or times[-1] != self.now:
+                    times.append(self.now)
+                    self.sent_lines.append((self.now, self.settings.message_overhead))
+                self.sent_lines.append((self.now, lines))
 
     def log(self, line: str) -> None:
-        self.records.append(line)
+        self.log_lines.append(line)
 
     def watch_list(self, on: bool) -> None:
-        self.tracks.append(self.now)
+        self.watch_times.append(self.now)
 
     def check_health(self, backend: int) -> None:
-        self.probes.append(backend)
+        self.health_checks.append(backend)
 
     def request_ack(self, nonce: int) -> None:
-        self.marks.append(nonce)
-        self.unanswered.append((nonce, self.now))
+        self.nonces.append(nonce)
+        self.pending_acks.append((nonce, self.now))
 
     def release_backend(self, backend: int) -> None:
-        assert not any(backend in lines for lines in self.tables.values())
-        self.forgotten.append(backend)
+        assert not any(backend in weights for weights in self.tables.values())
+        self.released.append(backend)
 
     def set_timer(self, wait_ns: int) -> None:
         assert wait_ns > 0
 
     def set_weight(self, table: int, backend: int, weight: float) -> None:
-        lines = self.tables.setdefault(table, {})
-        lines[backend] = weight
+        weights = self.tables.setdefault(table, {})
+        weights[backend] = weight
         if weight == 0:
-            del lines[backend]
-        self.cost(table, 1)
+            del weights[backend]
+        self.record_message(table, 1)
 
     def assign_table(self, routes: int, proxy: int, table: int) -> None:
         for k in range(len(self.settings.routes)):
             if not routes or routes >> k & 1:
-                self.bound[proxy][k] = table
-        self.held.pop(proxy, None)
-        self.cost(None, 1 + len(self.tables.get(table, {})), proxy)
+                self.assigned_tables[proxy][k] = table
+        self.fallbacks.pop(proxy, None)
+        self.record_message(None, 1 + len(self.tables.get(table, {})), proxy)
 
     def set_admission(self, table: int, routes: int, limit: float, retry_policy: int) -> None:
         assert limit >= 0
         for k in range(len(self.settings.routes)):
             if not routes or routes >> k & 1:
-                self.levels[table, k] = limit, retry_policy
-        self.cost(table, 1)
+                self.admissions[table, k] = limit, retry_policy
+        self.record_message(table, 1)
 
     def backlog(self, speed: float = 1.0) -> float:
-        """Lines that wait in a channel which runs at a part of its stated rate."""
+        """Return the lines queued in a channel that runs at a part of its stated rate."""
         waiting, last = 0.0, 0
-        for when, lines in self.lines:
+        for when, lines in self.sent_lines:
             waiting = max(0.0, waiting - (when - last) / SECOND * self.settings.channel_rate * speed) + lines
             last = when
         return max(0.0, waiting - (self.now - last) / SECOND * self.settings.channel_rate * speed)
 
-    def pick(self, proxy: int, route: int) -> set[int]:
-        """The backends that a bound proxy may send to."""
-        table = self.bound[proxy].get(route)
+    def usable_backends(self, proxy: int, route: int) -> set[int]:
+        """Return the backends that a proxy with tables may use."""
+        table = self.assigned_tables[proxy].get(route)
         return set(self.tables.get(table, {})) if table is not None else set()
 
-    def join(self, proxy: int, zone: int, held: set[int] | None = None) -> None:
-        self.bound[proxy], self.held[proxy], self.heads[proxy] = {}, held or set(), []
-        self.module.on_proxy_joined(self.now, proxy, zone, 10.0)
+    def join(self, proxy: int, zone: int, fallback: set[int] | None = None) -> None:
+        self.assigned_tables[proxy], self.fallbacks[proxy], self.message_times[proxy] = (
+            {},
+            fallback or set(),
+            [],
+        )
+        self.controller.on_proxy_joined(self.now, proxy, zone, 10.0)
 
     def leave(self, proxy: int) -> None:
-        self.bound.pop(proxy, None)
-        self.module.on_proxy_left(self.now, proxy)
+        self.assigned_tables.pop(proxy, None)
+        self.controller.on_proxy_left(self.now, proxy)
 
     def run(self, seconds: float, step: int = SECOND // 4) -> None:
         for _ in range(int(seconds * SECOND / step)):
             self.now += step
-            while self.answers and self.unanswered:
-                number, when = self.unanswered.pop(0)
-                for _ in range(sum(when in sent for sent in self.heads.values())):
-                    self.module.on_ack(self.now, number)
-            self.module.tick(self.now)
-
-    def ask(self, calls: int) -> None:
-        """A second in which so many calls of each route come to each bound proxy."""
-        for p in self.bound:
+            while self.acknowledges and self.pending_acks:
+                nonce, when = self.pending_acks.pop(0)
+                for _ in range(sum(when in times for times in self.message_times.values())):
+                    self.controller.on_ack(self.now, nonce)
+            self.controller.tick(self.now)
+
+    def report_demand(self, calls: int) -> None:
+        """Report that each proxy had so many calls of each route within a second."""
+        for p in self.assigned_tables:
             for route in range(len(self.settings.routes)):
-                self.module.on_demand_report(self.now, p, route, calls, SECOND)
-
-    def report(self, bad: dict[int, float], latency: int = SECOND // 10, tries: int = 20) -> None:
-        """A period in which each backend of each zone's table met so many tries of the zone's proxies."""
-        for table, lines in list(self.tables.items()):
-            for b in sorted(lines):
-                dropped = round(tries * bad.get(b, 0))
+                self.controller.on_demand_report(self.now, p, route, calls, SECOND)
+
+    def report_attempts(
+        self, failure_ratios: dict[int, float], latency: int = SECOND // 10, attempts: int = 20
+    ) -> None:
+        """Report attempts of each zone's proxies at the backends of its table, by their failure ratios."""
+        for table, weights in list(self.tables.items()):
+            for b in sorted(weights):
+                failures = round(attempts * failure_ratios.get(b, 0))
                 zone, period = table % self.settings.zone_count, self.settings.report_interval_ns
-                self.module.on_backend_report(
-                    self.now, zone, b, AttemptReport(tries, dropped, latency, period, {})
+                self.controller.on_backend_report(
+                    self.now, zone, b, AttemptReport(attempts, failures, latency, period, {})
                 )
 
 
@@ -166,14 +170,14 @@
     return EndpointEntry(backend, zone, state, since, weight)
 
 
-def started(settings: Settings = SETTINGS, per_zone: int = 3, proxies: int = 4) -> Fleet:
-    """A fleet some seconds into a quiet day: backends 0.. in zones in turn, proxies bound."""
+def started_fleet(settings: Settings = SETTINGS, per_zone: int = 3, proxies: int = 4) -> Fleet:
+    """Return a fleet that has settled: backends alternate between zones, and all proxies have tables."""
     fleet = Fleet(settings)
-    listed = [entry(k, k % settings.zone_count) for k in range(per_zone * settings.zone_count)]
-    fleet.module.on_endpoints(fleet.now, "disk", listed)
+    entries = [entry(k, k % settings.zone_count) for k in range(per_zone * settings.zone_count)]
+    fleet.controller.on_endpoints(fleet.now, "disk", entries)
     for p in range(proxies):
         fleet.join(p, p % settings.zone_count)
     fleet.run(1)
-    fleet.module.on_endpoints(fleet.now, "whole", listed)
+    fleet.controller.on_endpoints(fleet.now, "whole", entries)
     fleet.run(8)
     return fleet
--- a/tests/simulator_adapter/test_wire.py
+++ b/tests/simulator_adapter/test_wire.py
@@ -1,4 +1,4 @@
-"""The adapter: a short exchange, and input that the wire does not allow."""
+"""The simulator adapter: short exchanges, and invalid input."""
 
 from __future__ import annotations
 
@@ -23,15 +23,15 @@
 LIST = "TOPOLOGY\tcontroller-3\tdisk\t4\t1\nBACKEND\tk\tin_service\t-\t0\t10.0.0.1:80\teast\t1.5"
 
 
-def answer(*batches: str) -> list[str]:
+def exchange(*batches: str) -> list[str]:
     sink = io.StringIO()
     text = "".join(f"FRAME\t{k * 1000}\n{b}YOUR_TURN\n\n" for k, b in enumerate(batches))
     wire.serve(io.StringIO(text), sink)
     return sink.getvalue().split("DONE\n")[:-1]
 
 
-def test_a_short_exchange() -> None:
-    replies = answer(
+def test_short_exchange() -> None:
+    replies = exchange(
         "",
         f"{SPAWN}\n{LIST}\n",
         "CONNECTED\tcontroller-3\t2\teast\t6.5\t1\n",
@@ -39,29 +39,30 @@
         "LEFT\tcontroller-3\t2\nLEFT\tcontroller-3\t2\n",
         "DOWN\tcontroller-3\n",
     )
-    assert replies[0] == replies[3] == replies[4] == replies[5] == ""  # odd but legal: a backend in no list
+    # Guards against errors for valid but unusual input, such as a report on an unlisted backend.
+    assert replies[0] == replies[3] == replies[4] == replies[5] == ""
     assert "TRACK\tcontroller-3\t1\n" in replies[1]
     assert "UPSERT\tcontroller-3\t0\t10.0.0.1:80\t1.5\n" in replies[1]
     assert "SUBSCRIBE_TO\tcontroller-3\t0\t2\t0\n" in replies[2]
 
 
-def test_a_list_that_may_be_wrong_is_checked_by_a_probe() -> None:
-    wary = SPAWN.replace("limits.probes=false", "limits.probes=true\tsafety.only_draining_binds=true")
+def test_removal_in_an_unreliable_list_leads_to_a_health_check() -> None:
+    unreliable = SPAWN.replace("limits.probes=false", "limits.probes=true\tsafety.only_draining_binds=true")
     gone = LIST.replace("disk\t4", "diff\t5").replace("in_service", "terminated")
-    told = "PROBED\tcontroller-3\t10.0.0.{}:80\teconnrefused\t900\t-\n"
-    replies = answer(f"{wary}\n{LIST}\n", f"{gone}\n", told.format(9), told.format(1))
+    probed = "PROBED\tcontroller-3\t10.0.0.{}:80\teconnrefused\t900\t-\n"
+    replies = exchange(f"{unreliable}\n{LIST}\n", f"{gone}\n", probed.format(9), probed.format(1))
     assert replies[1] == "SAMPLE\tcontroller-3\t10.0.0.1:80\n" and replies[2] == ""
     assert replies[3].splitlines()[0] == "UPSERT\tcontroller-3\t0\t10.0.0.1:80\t0"
 
 
-def test_a_thousand_proxies_that_join_in_one_batch_are_bound_as_the_channel_has_room() -> None:
+def test_proxies_that_join_in_one_batch_get_tables_within_the_channels_capacity() -> None:
     joins = "".join(f"CONNECTED\tcontroller-3\t{p}\teast\t6.5\t1\n" for p in range(1000))
-    replies = answer(f"{SPAWN}\n{LIST}\n", joins, "ELAPSED\tcontroller-3\ttick\n")
+    replies = exchange(f"{SPAWN}\n{LIST}\n", joins, "ELAPSED\tcontroller-3\ttick\n")
     assert 0 < replies[1].count("SUBSCRIBE_TO") <= 1600 / 12
 
 
 @pytest.mark.parametrize(
-    ("batch", "said"),
+    ("batch", "message"),
     [
         ("NOISE\tcontroller-3\n", "unknown event 'NOISE'"),
         ("LEFT\tcontroller-3\t2\n", "has not started"),
@@ -72,16 +73,16 @@
         (f"{SPAWN}\n{LIST.replace('BACKEND', 'SERVER')}\n", "expected a BACKEND entry"),
     ],
 )
-def test_what_the_wire_does_not_allow_is_named_with_its_line(batch: str, said: str) -> None:
-    with pytest.raises(wire.WireError, match=r"line \d+") as trouble:
-        answer(batch)
-    assert said in str(trouble.value)
+def test_invalid_input_is_reported_with_its_line(batch: str, message: str) -> None:
+    with pytest.raises(wire.WireError, match=r"line \d+") as raised:
+        exchange(batch)
+    assert message in str(raised.value)
 
 
-def test_a_fault_of_the_module_is_said_on_the_wire(monkeypatch: pytest.MonkeyPatch) -> None:
-    def fall(*_: object) -> None:
-        raise RuntimeError("no sense")
+def test_exception_in_the_policy_is_reported_in_the_reply(monkeypatch: pytest.MonkeyPatch) -> None:
+    def failing_tick(*_: object) -> None:
+        raise RuntimeError("invalid state")
 
-    monkeypatch.setattr("meadowworks.policy.Controller.tick", fall)
-    replies = answer(f"{SPAWN}\n{LIST}\n", "ELAPSED\tcontroller-3\ttick\n")
-    assert "BUG\tcontroller-3\tRuntimeError: no sense (fall," in replies[1]
+    monkeypatch.setattr("meadowworks.policy.Controller.tick", failing_tick)
+    replies = exchange(f"{SPAWN}\n{LIST}\n", "ELAPSED\tcontroller-3\ttick\n")
+    assert "BUG\tcontroller-3\tRuntimeError: invalid state (failing_tick," in replies[1]
