--- a/meadowworks/load_balancing/service_balancer.py
+++ b/meadowworks/load_balancing/service_balancer.py
@@ -227,7 +227,7 @@
             "zones": self._explain_zones(now),
             "table": self._weights_by_name(self.weights),
             "abroad": self._weights_by_name(self.remote_weights),
-            "held back": self._explain_held_back(now),
+            "held back": self._explain_reduced_weights(now),
         }
 
     def _explain_zones(self, now: int) -> dict[str, Any]:
@@ -253,7 +253,7 @@
         names = self.endpoint_ids.name_by_index
         return {names[endpoint]: round(weight, 3) for endpoint, weight in sorted(weights.items())}
 
-    def _explain_held_back(self, now: int) -> dict[str, Any]:
+    def _explain_reduced_weights(self, now: int) -> dict[str, Any]:
         """Return the backends with less than their full weight."""
         names, policy = self.endpoint_ids.name_by_index, self.controller
         return {
--- a/meadowworks/policy/records.py
+++ b/meadowworks/policy/records.py
@@ -57,7 +57,7 @@
     overloaded: bool = False  # whether too many attempts fail, see OVERLOAD_RATIOS
     local_share: float = 1.0  # part of its calls that goes to its own backends
     remote_weights: list[float] = field(default_factory=list)  # by zone: weight factors of its backends
-    mean_queue: float = 0.0  # mean of calls waiting at a backend of the zone
+    mean_queue: float = 0.0  # mean number of calls waiting at a backend of the zone
     peak_weight: float = 0.0  # highest total weight of the zone's ready backends so far
     admitted_rate: float = 0.0  # calls a second that its proxies admit
     warming_at_risk: bool = False  # overloaded, and warming backends could not take the calls
--- a/meadowworks/policy/state.py
+++ b/meadowworks/policy/state.py
@@ -11,7 +11,7 @@
 SECOND_NS = 1_000_000_000
 WINDOW_NS = 30 * SECOND_NS  # of sliding minima; missing backends and late nonces expire after it
 UPDATE_INTERVAL_NS, SETTLING_NS = SECOND_NS, 5 * SECOND_NS  # between routine updates; after a start
-UNLIMITED_RATE = 1e6  # calls a second that no proxy reaches; no limit where limits are rates
+UNLIMITED_RATE = 1e6  # calls a second that no proxy reaches; as a rate limit it admits all calls
 CONNECTION_SHARE = 0.8  # part of a backend's connections that the proxies of one zone may use
 # Slow start: the weight is a tenth at first, then RAMP_MARGIN of the least capacity at each step of age.
 ENTRY_SHARE, RAMP_STEPS, RAMP_MARGIN = 0.1, (0.1, 0.25, 0.45, 0.7, 0.9), 0.9
--- a/meadowworks/policy/weights.py
+++ b/meadowworks/policy/weights.py
@@ -6,10 +6,10 @@
 from meadowworks.policy.statistics import AttemptStats
 from meadowworks.policy.zone_views import MIN_ATTEMPTS, MIN_QUEUE, SLO_SHARE, UNHEALTHY_RATIO
 
-OVERLOAD_RATIOS, NO_EJECTION_FACTOR = (0.08, 0.02), 3.0  # start and end; divisor if proxies never eject
+OVERLOAD_RATIOS, NO_EJECTION_FACTOR = (0.08, 0.02), 3.0  # at start and end; divisor if proxies never eject
 SPILL_RATIO, SPILL_STEP, SPILL_QUEUE = 0.85, 0.1, 1.0  # least capacity ratio, hysteresis, mean queue
 BACKUP_FACTOR, BACKUP_LIMIT = 2.0, 0.25  # remote weight per warming weight; its part of a table
-LOAD_MARGIN, MIN_BACKENDS, SUBSET_MIN_SHARE = 0.8, 3, 0.75  # for uneven calls; least table size and weight
+LOAD_MARGIN, MIN_BACKENDS, SUBSET_MIN_SHARE = 0.8, 3, 0.75  # for uneven calls; least size, share of weight
 
 
 class ZoneTables(AdmissionControl):
--- a/meadowworks/policy/zone_views.py
+++ b/meadowworks/policy/zone_views.py
@@ -8,7 +8,7 @@
 from meadowworks.policy.statistics import AttemptStats
 
 SLO_SHARE, LN2 = 0.5, 0.6931  # latency below this part of the SLO never throttles or ejects
-UNHEALTHY_RATIO, DEAD_RATIO = 0.15, 0.6  # excess over the median that costs one step; all steps
+UNHEALTHY_RATIO, DEAD_RATIO = 0.15, 0.6  # failure ratio above the median that costs one step; all steps
 MIN_ATTEMPTS, MIN_QUEUE = 6.0, 2.0  # least sample to judge by; with a shorter queue no backend is slow
 SLOW_FACTOR, STEP_REPORTS = 1.7, 5.0  # of the median latency; report intervals between steps
 SILENT_RATIO, SILENT_WAIT_SHARE = 0.95, 0.2  # failure ratio of an unresponsive backend; its part of that time
