--- a/meadowworks/consensus/acceptor.py
+++ b/meadowworks/consensus/acceptor.py
@@ -54,7 +54,7 @@
 class Acceptor:
     """What one disk holds.
 
-    `member_id` is its name as a member, `founder_id` the one under which it is a member of epoch 0.
+    `member_id` is its name as a member, `bootstrap_id` the one under which it is a member of epoch 0.
     `installed`: it is a member of `epoch` and holds what a member must hold to vote in it. `sealed_by` is the
     epoch that ended `epoch` at this acceptor. `announced_epoch` is the newest epoch learnt of; it is not kept
     on the disk. `changed_slots`, `metadata_changed` and `committed_changed` tell what must be written before
@@ -63,8 +63,8 @@
 
     member_id: str
     address: str = ""
-    founder_id: str = ""
-    wants_membership: bool = True
+    bootstrap_id: str = ""
+    is_eligible: bool = True
     incarnation: int = 0
     epoch: Epoch = NO_EPOCH
     installed: bool = False
@@ -88,7 +88,7 @@
 
     def id_in_epoch(self, epoch: int) -> str:
         """The id under which it is counted in an epoch."""
-        return self.founder_id if epoch == 0 else self.member_id
+        return self.bootstrap_id if epoch == 0 else self.member_id
 
     def may_vote(self) -> bool:
         """Whether it may promise and accept in its epoch."""
@@ -122,7 +122,7 @@
             self.committed.version,
             self.member_id,
             self.address,
-            self.wants_membership and not self.disk_failed,  # another disk may take its place
+            self.is_eligible and not self.disk_failed,  # another disk may take its place
         )
 
     # -- requests
@@ -205,7 +205,7 @@
             return InstalledReply(self.epoch.number)
         if not next_epoch.has_member(self.member_id) or next_epoch.number < self.newest_epoch().number:
             return NotAMemberReply(self.epoch.number)
-        if not self.installed and not self.wants_membership:
+        if not self.installed and not self.is_eligible:
             return NotAMemberReply(self.epoch.number)  # the settings say not to vote
         if next_epoch.number > self.epoch.number:  # else it comes back to where it was, sealed or not
             self.epoch, self.sealed_by = next_epoch, None
@@ -229,7 +229,7 @@
                 slot.accepted, slot.value = accepted, value
             self.changed_slots.add(version)
 
-    def on_epoch(self, epoch: Epoch) -> bool:
+    def on_epoch_announced(self, epoch: Epoch) -> bool:
         """Hears of an epoch that is in force somewhere.
 
         :returns: whether it is newer than all it has learnt of.
--- a/meadowworks/consensus/lease.py
+++ b/meadowworks/consensus/lease.py
@@ -92,7 +92,7 @@
         for member_id in [d for d, p in self.peers.items() if now_ns - p.last_reply_ns > PEER_EXPIRY_NS]:
             del self.peers[member_id]
 
-    def known_as_of_ns(self, now_ns: int) -> int | None:
+    def lease_start_ns(self, now_ns: int) -> int | None:
         """The time such that whatever was acknowledged before it is known here; none if there is none."""
         epoch, acceptor = self._acceptor.newest_epoch(), self._acceptor
         if epoch.number < 1 or not epoch.members:
--- a/meadowworks/consensus/membership_monitor.py
+++ b/meadowworks/consensus/membership_monitor.py
@@ -108,10 +108,10 @@
         """
         found = []
         for member_id, _ in self._acceptor.epoch.members:
-            if member_id in (self._acceptor.member_id, self._acceptor.founder_id):
+            if member_id in (self._acceptor.member_id, self._acceptor.bootstrap_id):
                 continue
             peer = self._lease.peers.get(member_id)
-            if peer is not None and not peer.last_reply.wants_membership:
+            if peer is not None and not peer.last_reply.is_eligible:
                 found.append((LEAVING_SINCE_NS, member_id))
                 continue
             last_sign_ns = peer.last_reply_ns if peer else self.epoch_since_ns
@@ -126,12 +126,12 @@
         found = {
             member_id: peer.last_reply.address
             for member_id, peer in self._lease.peers.items()
-            if peer.last_reply.wants_membership
+            if peer.last_reply.is_eligible
             and peer.last_reply.epoch >= epoch.number  # an older reply may be of when it still was a member
             and now_ns - peer.last_reply_ns < MEMBER_SILENCE_TIMEOUT_NS
             and not epoch.has_member(member_id)
         }
-        if self._acceptor.wants_membership and not epoch.has_member(self._acceptor.member_id):
+        if self._acceptor.is_eligible and not epoch.has_member(self._acceptor.member_id):
             found[self._acceptor.member_id] = self._acceptor.address  # a founder, in epoch 0
         return found
 
--- a/meadowworks/consensus/messages.py
+++ b/meadowworks/consensus/messages.py
@@ -76,7 +76,7 @@
 
     `may_vote`: it is a member of `epoch`, not sealed, and knows of no newer epoch. `highest_version`: the
     highest version that it has committed or accepted; whatever was acknowledged before it said so is not
-    above the highest of these at any majority. `wants_membership`: it would be a member, with `member_id` at
+    above the highest of these at any majority. `is_eligible`: it would be a member, with `member_id` at
     `address`.
     """
 
@@ -86,7 +86,7 @@
     committed_version: int
     member_id: str
     address: str
-    wants_membership: bool
+    is_eligible: bool
 
 
 @dataclass(frozen=True, slots=True)
--- a/meadowworks/consensus/metadata.py
+++ b/meadowworks/consensus/metadata.py
@@ -8,8 +8,8 @@
 from meadowworks.consensus.acceptor import Acceptor
 from meadowworks.consensus.codec import decode_epoch, encode_epoch
 from meadowworks.consensus.values import (
+    NO_EPOCH_NUMBER,
     NOTHING_COMMITTED,
-    UNKNOWN_EPOCH,
     AcceptorSlot,
     CommittedValue,
     Epoch,
@@ -20,7 +20,7 @@
     """All of an acceptor but its slots and values, by the names under which it is stored."""
     return {
         "disk": acceptor.member_id,
-        "seat": acceptor.founder_id,
+        "seat": acceptor.bootstrap_id,
         "life": acceptor.incarnation,
         "epoch": encode_epoch(acceptor.epoch),
         "installed": acceptor.installed,
@@ -71,13 +71,13 @@
     member_id: str, address: str, seeds: tuple[str, ...], bootstrap: bool, voting: bool
 ) -> Acceptor:
     """The acceptor of an empty disk."""
-    epoch, founder_id = Epoch(UNKNOWN_EPOCH), ""
+    epoch, bootstrap_id = Epoch(NO_EPOCH_NUMBER), ""
     founder = bootstrap and address in seeds
     if bootstrap:
         # At the first start all processes have the same seeds in their settings: these are the members of
         # epoch 0, by their addresses, since no disk has a name that the others know.
         epoch = Epoch(0, tuple(sorted((f"@{seed}", seed) for seed in seeds)))
-        founder_id = f"@{address}" if founder else ""
+        bootstrap_id = f"@{address}" if founder else ""
     return Acceptor(
-        member_id, address, founder_id, voting, epoch=epoch, installed=founder, metadata_changed=True
+        member_id, address, bootstrap_id, voting, epoch=epoch, installed=founder, metadata_changed=True
     )
--- a/meadowworks/consensus/operation_runner.py
+++ b/meadowworks/consensus/operation_runner.py
@@ -60,9 +60,9 @@
         self.random_fraction = random_fraction
         self.effects: list[Effect] = []
         self.writes = WriteQueue(acceptor)
-        self.calls = QuorumCallFactory(acceptor, tolerated_failures)
+        self.call_factory = QuorumCallFactory(acceptor, tolerated_failures)
         self.lease = LeaseTracker(acceptor)
-        self.membership = MembershipMonitor(acceptor, self.lease, tolerated_failures)
+        self.membership_monitor = MembershipMonitor(acceptor, self.lease, tolerated_failures)
         self.operations: dict[int, Operation] = {}
         self.pending_requests: dict[int, tuple[int, int, str]] = {}  # operation id, round, member id
         self.last_id = 0  # of operations and of requests
@@ -84,7 +84,7 @@
             return operation.wait_until(now_ns + RESEND_INTERVAL_NS)
         match operation.kind:
             case OperationKind.MEMBERS:
-                call = self.calls.membership_call(epoch, operation)
+                call = self.call_factory.membership_call(epoch, operation)
                 if call is None:  # the members have changed meanwhile
                     return self.complete_operation(operation_id, None)
                 operation.quorum_call = call
@@ -92,11 +92,11 @@
                 if epoch.number < 1:
                     return operation.wait_until(now_ns + RESEND_INTERVAL_NS)
                 if operation.version <= self.acceptor.committed.version:
-                    outcome = self.outcome_of(operation.version, operation.value or b"")
+                    outcome = self.decided_outcome(operation.version, operation.value or b"")
                     return self.complete_operation(operation_id, outcome)
-                operation.quorum_call = self.calls.new_proposer(epoch, operation.version, operation)
+                operation.quorum_call = self.call_factory.new_proposer(epoch, operation.version, operation)
             case OperationKind.LEAVE:
-                operation.quorum_call = self.calls.leave_call(epoch, operation)
+                operation.quorum_call = self.call_factory.leave_call(epoch, operation)
             case OperationKind.READ:
                 operation.quorum_call = QuorumRead(epoch)
         return self.send_round(now_ns, operation_id, operation)
@@ -225,7 +225,9 @@
     ) -> None:
         self.record_committed(committed, history)
         if operation.kind is OperationKind.PROPOSE:
-            self.complete_operation(operation_id, self.outcome_of(operation.version, operation.value or b""))
+            self.complete_operation(
+                operation_id, self.decided_outcome(operation.version, operation.value or b"")
+            )
         elif operation.kind is OperationKind.FINISH:
             self.complete_operation(operation_id, None)
         else:
@@ -246,7 +248,7 @@
         if changed.reconfiguration_pending:
             self.complete_reconfiguration(now_ns, epoch, changed.epoch)
         else:
-            self.on_epoch(now_ns, changed.epoch)
+            self.on_epoch_announced(now_ns, changed.epoch)
         if operation.kind is OperationKind.MEMBERS:
             self.complete_operation(operation_id, None)
             return
@@ -275,7 +277,7 @@
         else:  # a version was accepted and may have been acknowledged: finish it first
             operation.value = None
             operation.begin_call(
-                self.calls.new_proposer(acceptor.newest_epoch(), result.highest_version, operation)
+                self.call_factory.new_proposer(acceptor.newest_epoch(), result.highest_version, operation)
             )
             self.send_round(now_ns, operation_id, operation)
 
@@ -296,7 +298,7 @@
         request = SnapshotRequest(self.acceptor.newest_epoch().number)
         self.send_request(operation_id, operation.round_number, "", address, request)
 
-    def outcome_of(self, version: int, value: bytes) -> Committed | Conflict:
+    def decided_outcome(self, version: int, value: bytes) -> Committed | Conflict:
         """How a proposal of a value ends whose version is not above the one committed here."""
         committed = self.acceptor.committed
         if version == committed.version:
@@ -312,16 +314,16 @@
             self.effects.append(ValueCommitted(self.acceptor.committed))
         self.lease.on_value_committed()
 
-    def on_epoch(self, now_ns: int, epoch: Epoch) -> None:
+    def on_epoch_announced(self, now_ns: int, epoch: Epoch) -> None:
         """An epoch is in force somewhere."""
-        if epoch.number > 0 and self.acceptor.on_epoch(epoch):
-            self.membership.on_new_epoch(now_ns)
+        if epoch.number > 0 and self.acceptor.on_epoch_announced(epoch):
+            self.membership_monitor.on_new_epoch(now_ns)
             self.lease.on_new_epoch()
             self.log("epoch_learnt", epoch=epoch.number, members=len(epoch.members))
 
     def on_epoch_joined(self, now_ns: int) -> None:
         """This replica has become a member of an epoch."""
-        self.membership.on_new_epoch(now_ns)
+        self.membership_monitor.on_new_epoch(now_ns)
         epoch = self.acceptor.epoch
         self.log("epoch_joined", epoch=epoch.number, members=len(epoch.members))
         self.lease.on_new_epoch()
--- a/meadowworks/consensus/reconfiguration.py
+++ b/meadowworks/consensus/reconfiguration.py
@@ -27,7 +27,7 @@
 
     def __init__(self, epoch: Epoch, next_epoch: Epoch) -> None:
         self.epoch, self.next_epoch = epoch, next_epoch
-        self.states: dict[str, AcceptorState] = {}  # of the members that are sealed
+        self.sealed_states: dict[str, AcceptorState] = {}  # of the members that are sealed
         self.installed_members: set[str] = set()
         self.installing = False  # a majority is sealed
         self.outcome: EpochChanged | None = None
@@ -37,7 +37,7 @@
         if not self.installing:
             return SealRequest(self.epoch.number, self.next_epoch)
         merged = Acceptor("")
-        for state in self.states.values():
+        for state in self.sealed_states.values():
             merged.merge_state(state)
         return InstallRequest(self.next_epoch.number, self.next_epoch, merged.export_state())
 
@@ -45,7 +45,7 @@
         """Members that have not answered this round, with their addresses."""
         if self.installing:
             return [(d, a) for d, a in self.next_epoch.members if d not in self.installed_members]
-        return [(d, a) for d, a in self.epoch.members if d not in self.states]
+        return [(d, a) for d, a in self.epoch.members if d not in self.sealed_states]
 
     def on_reply(self, member_id: str, reply: Reply) -> bool:
         """Takes in a member's reply.
@@ -65,8 +65,8 @@
         return False
 
     def _on_sealed(self, member_id: str, state: AcceptorState) -> bool:
-        self.states[member_id] = state
-        if len(self.states) < self.epoch.majority:
+        self.sealed_states[member_id] = state
+        if len(self.sealed_states) < self.epoch.majority:
             return False
         self.installing = True
         return True
--- a/meadowworks/consensus/replica.py
+++ b/meadowworks/consensus/replica.py
@@ -45,7 +45,7 @@
     STALL_THRESHOLD_NS,
 )
 from meadowworks.consensus.values import MEMBERSHIP_VERSION, CommittedValue, DigestHistory
-from meadowworks.consensus.write_queue import Deferred, OwnReply, PeerReply, Started
+from meadowworks.consensus.write_queue import Deferred, IncarnationPersisted, OwnReply, PeerReply
 
 
 class Replica(OperationRunner):
@@ -68,11 +68,11 @@
 
     def start(self, now_ns: int) -> None:
         """Begins a new incarnation; its first write holds the number."""
-        self.membership.on_start(now_ns)
+        self.membership_monitor.on_start(now_ns)
         self.last_tick_ns = now_ns
         self.acceptor.incarnation += 1
         self.acceptor.metadata_changed = True
-        self.writes.defer(Started())
+        self.writes.defer(IncarnationPersisted())
         self.flush(now_ns)
 
     def on_request(self, now_ns: int, ticket: Any, request: Request) -> None:
@@ -122,7 +122,7 @@
             self.effects.append(CompleteOperation(waiter_id, Undecided(RETRY_WITHOUT_LEASE_NS)))
             return
         if version <= self.acceptor.committed.version:
-            self.effects.append(CompleteOperation(waiter_id, self.outcome_of(version, value)))
+            self.effects.append(CompleteOperation(waiter_id, self.decided_outcome(version, value)))
             return
         for operation in self.operations.values():
             same = operation.version == version and operation.value == value
@@ -148,7 +148,7 @@
 
         `CompleteOperation` with `LEAVE_WAITER_ID` tells when that is done.
         """
-        self.leaving, self.acceptor.wants_membership = True, False
+        self.leaving, self.acceptor.is_eligible = True, False
         for operation in list(self.operations.values()):
             if operation.kind in (OperationKind.PROPOSE, OperationKind.READ):
                 operation.deadline_ns = min(operation.deadline_ns, now_ns + LEAVE_GRACE_NS)
@@ -182,7 +182,7 @@
             self.last_check_ns = now_ns
             self.lease.query_self(now_ns)
             self.lease.expire_peers(now_ns)
-            for decision in self.membership.decisions(now_ns, self.operations, self.leaving):
+            for decision in self.membership_monitor.decisions(now_ns, self.operations, self.leaving):
                 self._carry_out(now_ns, decision)
         self.flush(now_ns)
 
@@ -203,23 +203,23 @@
             times.append(self.writes.write_retry_ns)
         return min(times)
 
-    def known_as_of_ns(self, now_ns: int) -> int | None:
+    def lease_start_ns(self, now_ns: int) -> int | None:
         """The time such that whatever was acknowledged before it is known here; none if there is none."""
-        return self.lease.known_as_of_ns(now_ns) if self.started else None
+        return self.lease.lease_start_ns(now_ns) if self.started else None
 
     def holds_lease(self, now_ns: int) -> bool:
         """Whether this replica may answer for what it knows."""
-        known_as_of_ns = self.known_as_of_ns(now_ns)
-        if known_as_of_ns is None or self.leaving or self.acceptor.disk_failed:
+        lease_start_ns = self.lease_start_ns(now_ns)
+        if lease_start_ns is None or self.leaving or self.acceptor.disk_failed:
             return False
-        return now_ns - known_as_of_ns < LEASE_DURATION_NS
+        return now_ns - lease_start_ns < LEASE_DURATION_NS
 
     def status(self, now_ns: int) -> dict[str, Any]:
         """The state that is shown to operators, as JSON."""
-        acceptor, known_as_of_ns = self.acceptor, self.known_as_of_ns(now_ns)
+        acceptor, lease_start_ns = self.acceptor, self.lease_start_ns(now_ns)
         lease_left_ns = None
-        if known_as_of_ns is not None:
-            lease_left_ns = max(0, LEASE_DURATION_NS - (now_ns - known_as_of_ns))
+        if lease_start_ns is not None:
+            lease_left_ns = max(0, LEASE_DURATION_NS - (now_ns - lease_start_ns))
         return {
             "sure": self.holds_lease(now_ns),
             "lease_ms": None if lease_left_ns is None else lease_left_ns // MILLISECOND_NS,
@@ -252,7 +252,7 @@
 
     def _resume(self, now_ns: int, item: Deferred) -> None:
         match item:
-            case Started():
+            case IncarnationPersisted():
                 self.started = True
             case PeerReply(ticket, member_id, reply):
                 self.effects.append(SendReply(ticket, member_id, reply))
@@ -264,7 +264,7 @@
     ) -> None:
         """Hands a reply to its operation, unless that has ended or is in another round."""
         if isinstance(reply, StaleEpochReply):
-            self.on_epoch(now_ns, reply.epoch)
+            self.on_epoch_announced(now_ns, reply.epoch)
         operation = self.operations.get(operation_id)
         if operation is not None and operation.round_number == round_number:
             self.on_operation_reply(now_ns, operation_id, operation, member_id, reply)
--- a/meadowworks/consensus/values.py
+++ b/meadowworks/consensus/values.py
@@ -7,9 +7,9 @@
 from typing import NamedTuple
 
 # Past versions whose digests are kept, 16 bytes each: a client that repeats a proposal learns whether its
-# value was the one committed. One older than these is taken to be (`OperationRunner.outcome_of`).
+# value was the one committed. One older than these is taken to be (`OperationRunner.decided_outcome`).
 HISTORY_LENGTH = 256
-UNKNOWN_EPOCH = -1  # the number of no epoch: below that of every epoch
+NO_EPOCH_NUMBER = -1  # the number of no epoch: below that of every epoch
 MEMBERSHIP_VERSION = 0  # the version whose value is the list of the next epoch's members
 DIGEST_BYTES = 16
 
@@ -30,7 +30,7 @@
     proposer_id: str
 
 
-NO_BALLOT = Ballot(UNKNOWN_EPOCH, 0, "")
+NO_BALLOT = Ballot(NO_EPOCH_NUMBER, 0, "")
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,7 +41,7 @@
     place, is another member. Epoch 0 is that of the seeds in the settings; no version is chosen in it.
     """
 
-    number: int = UNKNOWN_EPOCH
+    number: int = NO_EPOCH_NUMBER
     members: Members = ()
 
     @property
--- a/meadowworks/consensus/write_queue.py
+++ b/meadowworks/consensus/write_queue.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Started:
+class IncarnationPersisted:
     """The incarnation is on the disk: requests may leave."""
 
 
@@ -45,7 +45,7 @@
     reply: Reply
 
 
-Deferred = Started | PeerReply | OwnReply
+Deferred = IncarnationPersisted | PeerReply | OwnReply
 
 
 class WriteQueue:
@@ -54,7 +54,7 @@
     def __init__(self, acceptor: Acceptor) -> None:
         self._acceptor = acceptor
         self.last_write_id = self.last_written_id = 0
-        self.write_in_flight = 0  # its id; 0: none
+        self.write_in_flight_id = 0  # 0: none
         self.update_in_flight: StateUpdate | None = None
         self.write_began_ns = 0  # when the write in flight was first handed out
         self.write_retry_ns = 0  # when a write that was refused is tried again; 0: none was
@@ -66,8 +66,8 @@
         """Keeps what rests on all that the acceptor holds until that is on the disk."""
         if self._acceptor.has_unwritten_changes():
             self.awaiting_write.append((self.last_write_id + 1, item))
-        elif self.write_in_flight:
-            self.awaiting_write.append((self.write_in_flight, item))
+        elif self.write_in_flight_id:
+            self.awaiting_write.append((self.write_in_flight_id, item))
         else:
             self.ready.append(item)
 
@@ -77,16 +77,16 @@
 
     def next_write(self, now_ns: int) -> Persist | None:
         """The next write, if there is anything to write and none is under way."""
-        if self.write_in_flight or not self._acceptor.has_unwritten_changes():
+        if self.write_in_flight_id or not self._acceptor.has_unwritten_changes():
             return None
         self.last_write_id += 1
         self.write_began_ns = now_ns
-        self.write_in_flight, self.update_in_flight = self.last_write_id, self.collect_update()
+        self.write_in_flight_id, self.update_in_flight = self.last_write_id, self.collect_update()
         return Persist(self.last_write_id, self.update_in_flight)
 
     def on_persisted(self, write_id: int) -> None:
         """A write, and all before it, are on the disk."""
-        self.last_written_id, self.write_in_flight, self.update_in_flight = write_id, 0, None
+        self.last_written_id, self.write_in_flight_id, self.update_in_flight = write_id, 0, None
         while self.awaiting_write and self.awaiting_write[0][0] <= write_id:
             self.ready.append(self.awaiting_write.popleft()[1])
 
@@ -99,11 +99,11 @@
         if not self.write_retry_ns or now_ns < self.write_retry_ns or self.update_in_flight is None:
             return None
         self.write_retry_ns = 0
-        return Persist(self.write_in_flight, self.update_in_flight)
+        return Persist(self.write_in_flight_id, self.update_in_flight)
 
     def disk_has_failed(self, now_ns: int) -> bool:
         """Whether a write was refused, or has not ended, for so long that the disk counts as unusable."""
-        return bool(self.write_in_flight) and now_ns - self.write_began_ns > DISK_FAILURE_TIMEOUT_NS
+        return bool(self.write_in_flight_id) and now_ns - self.write_began_ns > DISK_FAILURE_TIMEOUT_NS
 
     def on_stall(self, now_ns: int) -> None:
         """This process was suspended, and with it the write in flight: its time begins anew."""
--- a/meadowworks/controlplane/metrics.py
+++ b/meadowworks/controlplane/metrics.py
@@ -32,8 +32,8 @@
             self._node.acceptor,
             now_ns(),
         )
-        epoch, known_as_of_ns = acceptor.newest_epoch(), replica.known_as_of_ns(now)
-        lease_ns = 0 if known_as_of_ns is None else max(0, LEASE_DURATION_NS - (now - known_as_of_ns))
+        epoch, lease_start_ns = acceptor.newest_epoch(), replica.lease_start_ns(now)
+        lease_ns = 0 if lease_start_ns is None else max(0, LEASE_DURATION_NS - (now - lease_start_ns))
         yield gauge(PREFIX + "lease_held", "1 if this node may answer.", Sample(node.holds_lease()))
         yield gauge(
             PREFIX + "lease_remaining_seconds",
--- a/meadowworks/controlplane/pull_client.py
+++ b/meadowworks/controlplane/pull_client.py
@@ -123,7 +123,7 @@
         node.cluster.apply_reply(now_ns(), reply)
         now = now_ns()
         if reply.epoch is not None:
-            replica.on_epoch(now, reply.epoch)
+            replica.on_epoch_announced(now, reply.epoch)
         if reply.config is not None:
             replica.on_committed_value(now, pulled.config, reply.decided_digests)
         if reply.acceptor_state is not None:
--- a/meadowworks/modelcheck/models/consensus/acceptors.py
+++ b/meadowworks/modelcheck/models/consensus/acceptors.py
@@ -51,7 +51,7 @@
 
 def may_vote_in(one: Acceptor, epoch: int) -> bool:
     """Whether it is to vote in an epoch, and is ready to."""
-    there = one.installed and one.sealed_by is None and one.wants_membership and one.epoch.number == epoch
+    there = one.installed and one.sealed_by is None and one.is_eligible and one.epoch.number == epoch
     return there and any(disk == one.id_in_epoch(epoch) for disk, _ in one.epoch.members)
 
 
--- a/meadowworks/modelcheck/models/consensus/frozen.py
+++ b/meadowworks/modelcheck/models/consensus/frozen.py
@@ -55,8 +55,8 @@
     return (
         one.member_id,
         one.address,
-        one.founder_id,
-        one.wants_membership,
+        one.bootstrap_id,
+        one.is_eligible,
         one.incarnation,
         (one.epoch.number, one.epoch.members),
         one.installed,
@@ -137,13 +137,18 @@
             if call.installing:  # the states matter as what they come to, merged
                 merged = call.request()
                 assert isinstance(merged, InstallRequest)
-                call.states = {"": merged.state}
+                call.sealed_states = {"": merged.state}
             return (
                 "change",
                 (call.epoch.number, call.epoch.members),
                 (call.next_epoch.number, call.next_epoch.members),
                 call.installing,
-                tuple([(member_id, freeze_state(state)) for member_id, state in sorted(call.states.items())]),
+                tuple(
+                    [
+                        (member_id, freeze_state(state))
+                        for member_id, state in sorted(call.sealed_states.items())
+                    ]
+                ),
                 tuple(sorted(call.installed_members)),
                 floor,
             )
@@ -157,7 +162,7 @@
                     s.committed_version,
                     s.member_id,
                     s.address,
-                    s.wants_membership,
+                    s.is_eligible,
                 )
                 for member_id, s in sorted(call.replies.items())
             ]
@@ -184,7 +189,7 @@
         case "change", epoch, after, installing, states, installed, _:
             change = Reconfiguration(thaw_epoch(*epoch), thaw_epoch(*after))
             change.installing, change.installed_members = installing, set(installed)
-            change.states = {member_id: thaw_state(state) for member_id, state in states}
+            change.sealed_states = {member_id: thaw_state(state) for member_id, state in states}
             return change
         case "reader", epoch, seen, _:
             reader = QuorumRead(thaw_epoch(*epoch))
--- a/meadowworks/modelcheck/models/consensus/machines.py
+++ b/meadowworks/modelcheck/models/consensus/machines.py
@@ -127,7 +127,7 @@
 
     def do_hear(self, k: int, j: int) -> None:
         """One acceptor hears of the epoch of another."""
-        self.acceptor_at(k).on_epoch(self.acceptor_at(j).epoch)
+        self.acceptor_at(k).on_epoch_announced(self.acceptor_at(j).epoch)
 
     def do_cut(self) -> None:
         """The network is cut."""
--- a/meadowworks/modelcheck/models/consensus/world.py
+++ b/meadowworks/modelcheck/models/consensus/world.py
@@ -169,7 +169,7 @@
         if not heard:
             return
         if newer is not None:
-            self.acceptor_at(self.scenario.tasks[p].place).on_epoch(newer)
+            self.acceptor_at(self.scenario.tasks[p].place).on_epoch_announced(newer)
         self.calls[p] = call
         if outcome is not None:
             made = thaw_call(frozen)
@@ -203,7 +203,7 @@
             case EpochChanged(epoch, True):
                 return self.set_call(p, Reconfiguration(call.epoch, epoch))
             case EpochChanged(epoch, False):
-                home.on_epoch(epoch)
+                home.on_epoch_announced(epoch)
                 if task.kind == "members" and isinstance(call, Reconfiguration):
                     self.attempts_left[p] = 0
             case QuorumReadResult():
--- a/meadowworks/modelcheck/models/replica/properties.py
+++ b/meadowworks/modelcheck/models/replica/properties.py
@@ -92,7 +92,7 @@
                         return False
                 case Reconfiguration() as call:
                     if (
-                        me in call.states
+                        me in call.sealed_states
                         and one.sealed_by is None
                         and one.epoch.number < call.next_epoch.number
                     ):
--- a/meadowworks/modelcheck/seeded_faults/consensus.py
+++ b/meadowworks/modelcheck/seeded_faults/consensus.py
@@ -163,7 +163,7 @@
             (
                 "who is told not to vote is installed",
                 ACCEPTOR + "install",
-                "if not self.installed and not self.wants_membership:",
+                "if not self.installed and not self.is_eligible:",
                 "if False:",
                 ("members vote",),
                 (29,),
@@ -218,7 +218,7 @@
             ),
             (
                 "the newest epoch heard of is the last one heard of",
-                ACCEPTOR + "on_epoch",
+                ACCEPTOR + "on_epoch_announced",
                 "if epoch.number <= self.newest_epoch().number:",
                 "if False:",
                 ("never back",),
@@ -227,16 +227,16 @@
             (
                 "less than a majority is sealed",
                 RECONFIGURATION + "_on_sealed",
-                "if len(self.states) < self.epoch.majority:",
-                "if len(self.states) < self.epoch.majority - 1:",
+                "if len(self.sealed_states) < self.epoch.majority:",
+                "if len(self.sealed_states) < self.epoch.majority - 1:",
                 CONTENT,
                 (13, 15),
             ),
             (
                 "one of the sealed states is installed",
                 RECONFIGURATION + "request",
-                "for state in self.states.values():",
-                "for state in [*self.states.values()][:1]:",
+                "for state in self.sealed_states.values():",
+                "for state in [*self.sealed_states.values()][:1]:",
                 ("lasts", "one content"),
                 (13, 15, 21),
             ),
--- a/meadowworks/modelcheck/seeded_faults/replica.py
+++ b/meadowworks/modelcheck/seeded_faults/replica.py
@@ -40,7 +40,7 @@
             (
                 "a write on its way is not waited for",
                 WRITE_QUEUE + "defer",
-                "elif self.write_in_flight:",
+                "elif self.write_in_flight_id:",
                 "elif False:",
                 ("told rests on the disk", "own rests on the disk"),
                 (3,),
@@ -72,7 +72,7 @@
             (
                 "a start does not wait for its write",
                 REPLICA + "start",
-                "self.writes.defer(Started())",
+                "self.writes.defer(IncarnationPersisted())",
                 "self.started = True",
                 ("life first", "one ballot"),
                 (),
--- a/meadowworks/simulation/control/acceptor_patches.py
+++ b/meadowworks/simulation/control/acceptor_patches.py
@@ -44,7 +44,7 @@
 # The product's own methods, which some of the patches go on to.
 _handle = Acceptor.handle
 _install = Acceptor.install
-_on_epoch = Acceptor.on_epoch
+_on_epoch_announced = Acceptor.on_epoch_announced
 _query_reply = Acceptor.query_reply
 _on_proposer_reply = Proposer.on_reply
 _on_reconfiguration_reply = Reconfiguration.on_reply
@@ -140,7 +140,7 @@
 
 def install_when_notified(self: Acceptor, epoch: Epoch) -> bool:
     """Count as a member as soon as somebody says so."""
-    is_news = _on_epoch(self, epoch)
+    is_news = _on_epoch_announced(self, epoch)
     if is_news and epoch.has_member(self.member_id) and not self.installed:
         self.epoch, self.installed, self.metadata_changed = epoch, True, True
     return is_news
@@ -172,7 +172,7 @@
         reply.committed_version,
         reply.member_id,
         reply.address,
-        reply.wants_membership,
+        reply.is_eligible,
     )
 
 
--- a/meadowworks/simulation/control/invariants.py
+++ b/meadowworks/simulation/control/invariants.py
@@ -187,7 +187,7 @@
         acceptor, last_contact = node.replica.acceptor, self._cluster.network.last_contact
         epoch = acceptor.newest_epoch()
         contacts = sum(
-            member in (acceptor.member_id, acceptor.founder_id)
+            member in (acceptor.member_id, acceptor.bootstrap_id)
             or last_contact.get((address, node.address), -1) >= since_ns
             for member, address in epoch.members
         )
--- a/meadowworks/simulation/control/pull.py
+++ b/meadowworks/simulation/control/pull.py
@@ -137,7 +137,7 @@
             return  # the call was given up
         replica, now = self._node.replica, self._node.local_time()
         if answer.epoch is not None:
-            replica.on_epoch(now, answer.epoch)
+            replica.on_epoch_announced(now, answer.epoch)
         replica.on_query_reply(now, self._sent_ns, answer.state)
         if answer.committed is not None:
             replica.on_committed_value(now, answer.committed, answer.history)
--- a/meadowworks/simulation/control/replica_patches.py
+++ b/meadowworks/simulation/control/replica_patches.py
@@ -45,7 +45,7 @@
 
 def leave_at_once(self: Replica, _now_ns: int, _deadline_ns: int) -> None:
     """End without handing over."""
-    self.leaving, self.acceptor.wants_membership = True, False
+    self.leaving, self.acceptor.is_eligible = True, False
     self.effects.append(CompleteOperation(LEAVE_WAITER_ID, Committed()))
 
 
@@ -55,11 +55,11 @@
     found = {
         member_id: peer.last_reply.address
         for member_id, peer in self._lease.peers.items()
-        if peer.last_reply.wants_membership
+        if peer.last_reply.is_eligible
         and now_ns - peer.last_reply_ns < MEMBER_SILENCE_TIMEOUT_NS
         and not acceptor.epoch.has_member(member_id)
     }
-    if acceptor.wants_membership and not acceptor.epoch.has_member(acceptor.member_id):
+    if acceptor.is_eligible and not acceptor.epoch.has_member(acceptor.member_id):
         found[acceptor.member_id] = acceptor.address
     return found
 
--- a/tests/consensus/helpers.py
+++ b/tests/consensus/helpers.py
@@ -47,7 +47,7 @@
     return QuorumCallFactory(acceptor, 1).new_proposer(acceptor.newest_epoch(), version, job)
 
 
-def started(acceptor: Acceptor) -> Replica:
+def started_replica(acceptor: Acceptor) -> Replica:
     """A replica whose first write is on the disk."""
     replica = Replica(acceptor, 1, lambda: 0.5)
     replica.start(0)
--- a/tests/consensus/test_acceptor.py
+++ b/tests/consensus/test_acceptor.py
@@ -18,7 +18,7 @@
 from meadowworks.consensus.values import (
     MEMBERSHIP_VERSION,
     NO_BALLOT,
-    UNKNOWN_EPOCH,
+    NO_EPOCH_NUMBER,
     AcceptorSlot,
     AcceptorState,
     Ballot,
@@ -48,7 +48,7 @@
         assert not one.may_vote()
         assert isinstance(one.handle(PrepareRequest(0, 0, ballot)), NotAMemberReply)
         assert isinstance(one.handle(SealRequest(0, ABC)), NotAMemberReply)
-    assert later.epoch.number == UNKNOWN_EPOCH
+    assert later.epoch.number == NO_EPOCH_NUMBER
     assert later.id_in_epoch(0) == ""
 
 
--- a/tests/consensus/test_codec.py
+++ b/tests/consensus/test_codec.py
@@ -28,7 +28,7 @@
 )
 from meadowworks.consensus.values import (
     NO_BALLOT,
-    UNKNOWN_EPOCH,
+    NO_EPOCH_NUMBER,
     AcceptorState,
     Ballot,
     CommittedValue,
@@ -58,7 +58,7 @@
     SealedReply(ABC),
     SealedReply(ABC, AcceptorState(CommittedValue(), (), ())),
     InstalledReply(2),
-    NotAMemberReply(UNKNOWN_EPOCH),
+    NotAMemberReply(NO_EPOCH_NUMBER),
     SnapshotReply(CommittedValue(1, b"x"), ()),
 ]
 
--- a/tests/consensus/test_disk_failure.py
+++ b/tests/consensus/test_disk_failure.py
@@ -10,7 +10,7 @@
 from meadowworks.consensus.timing import DISK_FAILURE_TIMEOUT_NS, WRITE_RETRY_DELAY_NS
 from meadowworks.consensus.values import Ballot
 from meadowworks.consensus.write_queue import MAX_AWAITING_WRITE
-from tests.consensus.helpers import member, started
+from tests.consensus.helpers import member, started_replica
 
 STEP_NS = WRITE_RETRY_DELAY_NS // 2
 
@@ -39,7 +39,7 @@
 
 def failed_replica(refuses: bool) -> tuple[Replica, list[Persist], int]:
     """A member that has been asked for a promise and cannot write it, a while later."""
-    replica = started(member("a"))
+    replica = started_replica(member("a"))
     replica.tick(1)
     hear_from_all(replica, 1)
     assert replica.holds_lease(2)
@@ -60,7 +60,7 @@
     assert not replica.holds_lease(now_ns)
     said = replica.acceptor.query_reply()
     assert not said.may_vote
-    assert not said.wants_membership  # so the others may replace it at once
+    assert not said.is_eligible  # so the others may replace it at once
     assert replica.status(now_ns)["disk_failed"] is True
     replica.propose(now_ns, 7, 9, b"nine", now_ns + 10**9)
     outcomes = [effect for effect in replica.take_effects() if isinstance(effect, CompleteOperation)]
@@ -97,7 +97,7 @@
 
 
 def test_what_waits_for_a_write_is_bounded_in_number() -> None:
-    replica = started(member("a"))
+    replica = started_replica(member("a"))
     for number in range(MAX_AWAITING_WRITE + 5):
         replica.on_request(2, number, prepare(number + 1))
     refused = [effect for effect in replica.take_effects() if isinstance(effect, SendReply)]
@@ -106,7 +106,7 @@
 
 
 def test_its_failure_is_logged_once() -> None:
-    replica = started(member("a"))
+    replica = started_replica(member("a"))
     replica.on_request(2, "first", prepare(1))
     replica.take_effects()
     logged = []
@@ -118,7 +118,7 @@
 
 @pytest.mark.parametrize("frozen", [False, True])
 def test_neither_a_slow_disk_nor_a_frozen_process_is_a_failed_disk(frozen: bool) -> None:
-    replica = started(member("a"))
+    replica = started_replica(member("a"))
     replica.tick(1)
     replica.take_effects()
     replica.on_request(1, "first", prepare(1))
--- a/tests/consensus/test_lease.py
+++ b/tests/consensus/test_lease.py
@@ -10,11 +10,11 @@
 
 def test_the_lease_counts_from_when_the_request_of_the_slowest_of_a_majority_left() -> None:
     lease = LeaseTracker(member("a"))
-    assert lease.known_as_of_ns(100) is None  # this replica alone is no majority
+    assert lease.lease_start_ns(100) is None  # this replica alone is no majority
     lease.on_query_reply(now_ns=50, sent_ns=10, reply=member("b").query_reply())
-    assert lease.known_as_of_ns(100) == 10
+    assert lease.lease_start_ns(100) == 10
     lease.on_query_reply(now_ns=60, sent_ns=40, reply=member("c").query_reply())
-    assert lease.known_as_of_ns(100) == 40
+    assert lease.lease_start_ns(100) == 40
 
 
 def test_a_reply_that_speaks_of_a_version_unknown_here_counts_once_that_is_committed_here() -> None:
@@ -23,10 +23,10 @@
     other.slots[3] = AcceptorSlot(ballot, ballot, b"three")
     lease = LeaseTracker(own)
     lease.on_query_reply(now_ns=50, sent_ns=10, reply=other.query_reply())
-    assert lease.known_as_of_ns(100) is None
+    assert lease.lease_start_ns(100) is None
     own.learn(3, b"three")
     lease.on_value_committed()
-    assert lease.known_as_of_ns(100) == 10
+    assert lease.lease_start_ns(100) == 10
 
 
 def test_what_this_replica_has_accepted_and_does_not_know_to_be_chosen_holds_its_own_vote_back() -> None:
@@ -36,18 +36,18 @@
     ballot = Ballot(1, 1, "c.1")
     own.slots[1] = AcceptorSlot(ballot, ballot, b"one")
     lease.on_query_reply(now_ns=50, sent_ns=40, reply=member("b").query_reply())
-    assert lease.known_as_of_ns(100) == 20
+    assert lease.lease_start_ns(100) == 20
 
 
 def test_replies_of_an_older_epoch_do_not_count_and_those_before_a_new_one_no_longer() -> None:
     own = member("a")
     lease = LeaseTracker(own)
     lease.on_query_reply(now_ns=50, sent_ns=10, reply=member("b").query_reply())
-    assert own.on_epoch(Epoch(2, (A, B, C)))
+    assert own.on_epoch_announced(Epoch(2, (A, B, C)))
     lease.on_new_epoch()
     lease.on_query_reply(now_ns=60, sent_ns=20, reply=member("b").query_reply())  # of epoch 1 still
     lease.on_query_reply(now_ns=60, sent_ns=20, reply=member("c").query_reply())
-    assert lease.known_as_of_ns(100) is None
+    assert lease.lease_start_ns(100) is None
 
 
 def test_an_empty_disk_at_a_known_address_takes_the_place_and_a_silent_one_is_forgotten() -> None:
--- a/tests/consensus/test_membership_monitor.py
+++ b/tests/consensus/test_membership_monitor.py
@@ -75,7 +75,7 @@
 
 def leaving(member_id: str) -> Acceptor:
     acceptor = member(member_id)
-    acceptor.wants_membership = False
+    acceptor.is_eligible = False
     return acceptor
 
 
--- a/tests/consensus/test_quorum_read.py
+++ b/tests/consensus/test_quorum_read.py
@@ -5,13 +5,13 @@
 from meadowworks.consensus.effects import CompleteOperation, SendRequest, Undecided
 from meadowworks.consensus.quorum_read import QuorumRead
 from meadowworks.consensus.replica import Replica
-from tests.consensus.helpers import ABC, member, started
+from tests.consensus.helpers import ABC, member, started_replica
 
 DEADLINE_NS = 800_000_000
 
 
 def begin_read(now_ns: int) -> tuple[Replica, list[SendRequest]]:
-    replica = started(member("a"))
+    replica = started_replica(member("a"))
     replica.tick(now_ns)
     replica.take_effects()
     replica.read(now_ns, 1, now_ns + DEADLINE_NS)
--- a/tests/consensus/test_replica.py
+++ b/tests/consensus/test_replica.py
@@ -12,12 +12,12 @@
 from meadowworks.consensus.values import (
     Epoch,
 )
-from tests.consensus.helpers import A, B, C, D, member, started
+from tests.consensus.helpers import A, B, C, D, member, started_replica
 
 
 def test_a_leaver_waits_until_the_epoch_without_it_has_a_majority() -> None:
     before, after = Epoch(1, (A, B, C, D)), Epoch(2, (A, B, C))
-    replica = started(member("d", before))
+    replica = started_replica(member("d", before))
     replica.leave(0, 9 * SECOND_NS)
     replica.take_effects()
     (job,) = replica.operations
--- a/tests/consensus/test_write_queue.py
+++ b/tests/consensus/test_write_queue.py
@@ -4,7 +4,7 @@
 
 from meadowworks.consensus.messages import InstalledReply
 from meadowworks.consensus.timing import WRITE_RETRY_DELAY_NS
-from meadowworks.consensus.write_queue import PeerReply, Started, WriteQueue
+from meadowworks.consensus.write_queue import IncarnationPersisted, PeerReply, WriteQueue
 from tests.consensus.helpers import member
 
 FIRST, SECOND = PeerReply("first", "a", InstalledReply(1)), PeerReply("second", "a", InstalledReply(2))
@@ -12,8 +12,8 @@
 
 def test_what_rests_on_nothing_unwritten_is_ready_at_once() -> None:
     queue = WriteQueue(member("a"))
-    queue.defer(Started())
-    assert list(queue.ready) == [Started()]
+    queue.defer(IncarnationPersisted())
+    assert list(queue.ready) == [IncarnationPersisted()]
     assert queue.next_write(0) is None
 
 
--- a/tests/gateway/golden_product.py
+++ b/tests/gateway/golden_product.py
@@ -53,7 +53,7 @@
 Slot = values.AcceptorSlot
 State = values.AcceptorState
 NO_BALLOT = values.NO_BALLOT
-NO_EPOCH = values.UNKNOWN_EPOCH
+NO_EPOCH = values.NO_EPOCH_NUMBER
 
 Prepare = consensus_messages.PrepareRequest
 Accept = consensus_messages.AcceptRequest
@@ -94,7 +94,7 @@
         "committed_version",
         "member_id",
         "address",
-        "wants_membership",
+        "is_eligible",
     ),
     Promised: ("ballot", "accepted", "value"),
     Accepted: ("ballot",),
--- a/tests/gateway/test_golden_disks.py
+++ b/tests/gateway/test_golden_disks.py
@@ -143,7 +143,7 @@
     folder = copied(name, tmp_path / name)
     store = product.Store(folder)
     acceptor = store.start(meta["seat"].removeprefix("@") or "127.0.77.3:18083")
-    assert (acceptor.member_id, acceptor.founder_id, acceptor.incarnation) == (
+    assert (acceptor.member_id, acceptor.bootstrap_id, acceptor.incarnation) == (
         meta["disk"],
         meta["seat"],
         meta["life"] + 1,
--- a/tests/simulation/test_guards_alone.py
+++ b/tests/simulation/test_guards_alone.py
@@ -16,7 +16,7 @@
 from meadowworks.consensus.timing import RESEND_INTERVAL_NS, STALL_THRESHOLD_NS
 from meadowworks.consensus.values import AcceptorSlot, AcceptorState, Ballot, CommittedValue, Epoch
 from meadowworks.simulation.control.guards import CHECKED_GUARDS, GUARDS_BY_NAME, without_guard
-from tests.consensus.helpers import ABC, A, B, D, member, started
+from tests.consensus.helpers import ABC, A, B, D, member, started_replica
 
 NEXT_EPOCH = Epoch(2, (A, B, D))
 BALLOT = Ballot(1, 3, "c.1")
@@ -24,7 +24,7 @@
 
 def replica_in_touch(now_ns: int) -> Replica:
     """Member a, which has just heard from b and c."""
-    replica = started(member("a"))
+    replica = started_replica(member("a"))
     replica.tick(now_ns)
     for member_id in ("b", "c"):
         replica.on_query_reply(now_ns, now_ns, member(member_id).query_reply())
@@ -50,7 +50,7 @@
     replica = replica_in_touch(1)
     late_ns = 1 + 10 * STALL_THRESHOLD_NS  # the process stood still meanwhile
     replica.tick(late_ns)
-    assert replica.membership.silent_members(late_ns) == []
+    assert replica.membership_monitor.silent_members(late_ns) == []
 
 
 def install_majority() -> None:
