--- a/meadowworks/config/incremental_json.py
+++ b/meadowworks/config/incremental_json.py
@@ -20,13 +20,15 @@
 
 JsonValue: TypeAlias = Any  # what `json.loads` returns
 Transform: TypeAlias = Callable[[JsonValue], Any]
-Path: TypeAlias = tuple[str | None, ...]
+JsonPath: TypeAlias = tuple[str | None, ...]
 
 _scan_value: Callable[[str, int], tuple[JsonValue, int]] = json.JSONDecoder().scan_once  # type: ignore[attr-defined]
 _match_whitespace = re.compile(r"[ \t\n\r]*").match
 
 
-def parse_steps(body: bytes, path: Path = (), transform: Transform | None = None) -> Steps[JsonValue]:
+def parse_json_steps(
+    body: bytes, path: JsonPath = (), transform: Transform | None = None
+) -> Steps[JsonValue]:
     """Read the value of a JSON text.
 
     :param path: of the arrays whose elements are transformed: keys from the outermost in, None for a place in
@@ -68,7 +70,7 @@
     `_position` is where the next token begins, `_value` the newest complete value.
     """
 
-    def __init__(self, text: str, path: Path, transform: Transform | None) -> None:
+    def __init__(self, text: str, path: JsonPath, transform: Transform | None) -> None:
         self._text = text
         self._path = path
         self._transform = transform
--- a/meadowworks/config/route_table.py
+++ b/meadowworks/config/route_table.py
@@ -6,12 +6,12 @@
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple, TypeAlias
 
-from meadowworks.config.incremental_json import JsonValue, parse_steps
+from meadowworks.config.incremental_json import JsonValue, parse_json_steps
 from meadowworks.runtime.steps import Steps, run_to_completion
 
 # The page's bound: a latency target lies less than a minute above its route's deadline.
 MAX_TARGET_OVER_DEADLINE_MS = 60_000
-MAX_PLAIN_NUMBER = 1e15  # below it every integer is exact as a float; larger ones are left to the schema
+MAX_CANONICAL_NUMBER = 1e15  # below it every integer is exact as a float; larger ones are left to the schema
 NUMBER_TYPES = (int, float)  # by `type`, since a bool is an int, too
 ROUTE_TYPES = ("safe", "unsafe")
 ROUTE_FIELDS = frozenset(
@@ -53,14 +53,14 @@
 class Route(NamedTuple):
     """One route.
 
-    :ivar safe: whether its requests may run twice.
+    :ivar is_safe: whether its requests may run twice.
     :ivar max_attempts: of one request, the first and its retries.
     :ivar weighted_services: in the configuration's order.
     :ivar prefix: of the paths that go this way; begins with a slash.
     """
 
     name: str
-    safe: bool
+    is_safe: bool
     deadline_ms: float
     target_ms: float
     priority: int
@@ -68,14 +68,14 @@
     weighted_services: WeightedServices
     prefix: str = ""
 
-    def pick_service(self, chance: float) -> str:
+    def pick_service(self, random_fraction: float) -> str:
         """Return the service that a request goes to.
 
-        :param chance: from 0 up to, but without, 1; evenly distributed over requests.
+        :param random_fraction: from 0 up to, but without, 1; evenly distributed over requests.
         """
         if len(self.weighted_services) == 1:
             return self.weighted_services[0].name
-        point = chance * sum(service.weight for service in self.weighted_services)
+        point = random_fraction * sum(service.weight for service in self.weighted_services)
         for name, weight in self.weighted_services:
             point -= weight
             if point < 0:
@@ -121,7 +121,7 @@
 # -- routes of the plain form
 
 
-def parse_plain_route(raw: JsonValue, cache: WeightedServicesCache) -> Route | None:
+def parse_canonical_route(raw: JsonValue, cache: WeightedServicesCache) -> Route | None:
     """Read a route of the plain form, which is consistent except for the names of its services.
 
     :returns: None for any other, which `schema.RouteSchema` reads: it says what is wrong, or takes "2" for 2.
@@ -147,13 +147,13 @@
     )
 
 
-def note_unknown_fields(raw: JsonValue, unknown_fields: set[str]) -> None:
+def collect_unknown_fields(raw: JsonValue, unknown_fields: set[str]) -> None:
     """Add the names of a route's fields that no reader of routes knows."""
     if type(raw) is dict and not raw.keys() <= ROUTE_FIELDS:
         unknown_fields.update(raw.keys() - ROUTE_FIELDS)
 
 
-def route_compactor(unknown_fields: set[str] | None = None) -> Callable[[JsonValue], Any]:
+def route_transform(unknown_fields: set[str] | None = None) -> Callable[[JsonValue], Any]:
     """Return what turns the plain routes of a text into `Route`s as they are read, and leaves the others.
 
     :param unknown_fields: gets the names of fields that no reader of routes knows.
@@ -162,8 +162,8 @@
 
     def compact(raw: JsonValue) -> Any:
         if unknown_fields is not None:
-            note_unknown_fields(raw, unknown_fields)
-        return parse_plain_route(raw, cache) or raw
+            collect_unknown_fields(raw, unknown_fields)
+        return parse_canonical_route(raw, cache) or raw
 
     return compact
 
@@ -171,7 +171,7 @@
 def _are_plain_times(deadline: JsonValue, target: JsonValue) -> bool:
     if type(deadline) not in NUMBER_TYPES or type(target) not in NUMBER_TYPES:
         return False
-    return bool(0 < deadline < MAX_PLAIN_NUMBER and 0 <= target < deadline + MAX_TARGET_OVER_DEADLINE_MS)
+    return bool(0 < deadline < MAX_CANONICAL_NUMBER and 0 <= target < deadline + MAX_TARGET_OVER_DEADLINE_MS)
 
 
 def _parse_plain_services(raw: dict[str, JsonValue], cache: WeightedServicesCache) -> WeightedServices | None:
@@ -188,7 +188,7 @@
         name, weight = share.get("svc"), share.get("weight", -1)
         if type(name) is not str or not name:
             return None
-        if type(weight) not in NUMBER_TYPES or not 0 <= weight < MAX_PLAIN_NUMBER:
+        if type(weight) not in NUMBER_TYPES or not 0 <= weight < MAX_CANONICAL_NUMBER:
             return None
         services.append(WeightedService(name, float(weight)))
     has_weight = sum(service.weight for service in services) > 0
@@ -205,14 +205,14 @@
 
 def load_route_table_steps(body: bytes) -> Steps[RouteTable]:
     """Load a valid configuration in steps, for one that is large."""
-    document = yield from parse_steps(body, ROUTES_PATH, route_compactor())
+    document = yield from parse_json_steps(body, ROUTES_PATH, route_transform())
     routes_by_host: dict[str, dict[str, Route]] = {}
     latency_targets_ms: dict[str, float] = {}
     cache = WeightedServicesCache()
     for host in document["vhosts"]:
         routes = routes_by_host.setdefault(host["host"].lower(), {})
         for number, raw in enumerate(host["prefixes"]):
-            route = raw if type(raw) is Route else parse_plain_route(raw, cache) or _parse_any_route(raw)
+            route = raw if type(raw) is Route else parse_canonical_route(raw, cache) or _parse_any_route(raw)
             routes[route.prefix] = route
             for service in route.weighted_services:
                 if latency_targets_ms.get(service.name, -1.0) < route.target_ms:
@@ -238,7 +238,7 @@
     split = raw.get("split") or [{"svc": raw["svc"], "weight": 1}]
     return Route(
         name=raw["name"],
-        safe=raw["type"] == "safe",
+        is_safe=raw["type"] == "safe",
         deadline_ms=float(raw["deadlineMs"]),
         target_ms=float(raw["targetMs"]),
         priority=int(raw.get("prio", 0)),
--- a/meadowworks/config/schema.py
+++ b/meadowworks/config/schema.py
@@ -79,7 +79,7 @@
     max_connections = fields.Integer(data_key="maxConns", load_default=0, validate=validate.Range(min=0))
 
 
-class LimitsSchema(LenientSchema):
+class RequestLimitsSchema(LenientSchema):
     """`limits`."""
 
     max_header_bytes = fields.Integer(
@@ -97,5 +97,5 @@
 
     version = fields.String(data_key="ver", required=True, validate=VERSION_FORMAT)
     services = fields.List(fields.Nested(ServiceSchema), data_key="svcs", required=True)
-    limits = fields.Nested(LimitsSchema, data_key="limits", required=True)
+    limits = fields.Nested(RequestLimitsSchema, data_key="limits", required=True)
     hosts = fields.List(fields.Nested(HostSchema), data_key="vhosts", required=True)
--- a/meadowworks/config/validation.py
+++ b/meadowworks/config/validation.py
@@ -13,16 +13,16 @@
 
 from marshmallow import ValidationError, fields
 
-from meadowworks.config.incremental_json import JsonValue, parse_steps
+from meadowworks.config.incremental_json import JsonValue, parse_json_steps
 from meadowworks.config.route_table import (
     MAX_TARGET_OVER_DEADLINE_MS,
     ROUTES_PATH,
     ROUTES_PER_STEP,
     Route,
     WeightedServicesCache,
-    note_unknown_fields,
-    parse_plain_route,
-    route_compactor,
+    collect_unknown_fields,
+    parse_canonical_route,
+    route_transform,
 )
 from meadowworks.config.schema import (
     ConfigurationSchema,
@@ -73,7 +73,7 @@
     """Say whether a configuration may be taken, in steps, for one that is large."""
     unknown_fields: set[str] = set()
     try:
-        document = yield from parse_steps(body, ROUTES_PATH, route_compactor(unknown_fields))
+        document = yield from parse_json_steps(body, ROUTES_PATH, route_transform(unknown_fields))
     except (ValueError, RecursionError):
         return InvalidConfiguration("it cannot be read whole")
     try:
@@ -149,8 +149,8 @@
                 raws[number],
                 None,
             )  # released one by one: all at once would hold the loop, too
-            note_unknown_fields(raw, self._unknown_fields)
-            route = raw if type(raw) is Route else parse_plain_route(raw, self._cache)
+            collect_unknown_fields(raw, self._unknown_fields)
+            route = raw if type(raw) is Route else parse_canonical_route(raw, self._cache)
             if route is not None:
                 error = _unknown_service_error((s.name for s in route.weighted_services), self._services)
                 self._note_route(route.name, route.prefix, prefixes_in_use, error)
--- a/meadowworks/controlplane/backends_resource.py
+++ b/meadowworks/controlplane/backends_resource.py
@@ -69,7 +69,7 @@
         except (ValueError, RecursionError):
             return error_reply(400, "no JSON")
         backend_id, now = request.resource_id, now_ns()
-        result = self._heartbeats.heartbeat(now, backend_id, document)
+        result = self._heartbeats.record_heartbeat(now, backend_id, document)
         if (refusal := await self._refusal_unless_durable(result)) is not None:
             return refusal
         if isinstance(result, CallAccepted) and result.version:
--- a/meadowworks/controlplane/node.py
+++ b/meadowworks/controlplane/node.py
@@ -97,7 +97,7 @@
 
     def knows_backend(self, backend_id: str) -> bool:
         """Whether any node has ever reported a backend."""
-        return self.cluster.backends.is_known(backend_id) or backend_id in self.drain_log.records
+        return self.cluster.backends.is_reported(backend_id) or backend_id in self.drain_log.records
 
     def api_addresses_in_zone_of(self, backend_id: str) -> list[str]:
         """Return API addresses of nodes in a backend's zone; none if that is this node's own zone.
--- a/meadowworks/modelcheck/models/gossip.py
+++ b/meadowworks/modelcheck/models/gossip.py
@@ -69,7 +69,7 @@
             continue
         logs = node.updates.sources.values()
         values = [log.entries[DRAINED_KEY][1] for log in logs if DRAINED_KEY in log.entries]
-        if not all(BackendValue._make(value).suspect for value in values if value is not None):
+        if not all(BackendValue._make(value).is_suspect for value in values if value is not None):
             return False
     return True
 
--- a/meadowworks/modelcheck/models/gossip_world.py
+++ b/meadowworks/modelcheck/models/gossip_world.py
@@ -83,7 +83,7 @@
         self.delayed: DelayedReply | None = None
         backends = (DRAINED_BACKEND, FORGOTTEN_BACKEND) if budget.forgets else (DRAINED_BACKEND,)
         for backend in backends:
-            self.nodes[0].heartbeats.heartbeat(0, backend, heartbeat_document(UP, 1))
+            self.nodes[0].heartbeats.record_heartbeat(0, backend, heartbeat_document(UP, 1))
         self.hints[0] = dict(self.nodes[0].heartbeats.durable_values())
         for host in (1, PROXY):
             self._pull(host, 0)
@@ -145,7 +145,7 @@
         """The backend drains, and calls a node."""
         self._spend("drains")
         self.sequence, self.state = self.sequence + 1, DRAINING
-        outcome = self.nodes[host].heartbeats.heartbeat(
+        outcome = self.nodes[host].heartbeats.record_heartbeat(
             0, DRAINED_BACKEND, heartbeat_document(DRAINING, self.sequence)
         )
         self.unacknowledged = host, version_of(outcome)
@@ -162,7 +162,7 @@
     def do_late(self, host: int) -> None:
         """The backend's first heartbeat comes once more."""
         self._spend("late")
-        self.nodes[host].heartbeats.heartbeat(0, DRAINED_BACKEND, heartbeat_document(UP, 1))
+        self.nodes[host].heartbeats.record_heartbeat(0, DRAINED_BACKEND, heartbeat_document(UP, 1))
 
     def do_silence(self, host: int) -> None:
         """A node has not heard the backend for long."""
--- a/meadowworks/modelcheck/models/registry_node.py
+++ b/meadowworks/modelcheck/models/registry_node.py
@@ -49,7 +49,7 @@
 
     def is_known(self, instance_id: str) -> bool:
         """Returns whether any node has reported an instance."""
-        return self.directory.is_known(instance_id) or instance_id in self.drain_log.records
+        return self.directory.is_reported(instance_id) or instance_id in self.drain_log.records
 
     def deltas_for(self, requester: RegistryNode) -> tuple[SourceDelta, ...]:
         """Returns what another node lacks, as the reply to its pull carries it."""
--- a/meadowworks/modelcheck/models/registry_world.py
+++ b/meadowworks/modelcheck/models/registry_world.py
@@ -74,7 +74,7 @@
         self.acknowledged: frozenset[str] = frozenset()
         self.delayed: DelayedReply | None = None
         for backend in BACKENDS[: budget.drains]:
-            self.nodes[0].heartbeats.heartbeat(0, backend, heartbeat_document(UP, 1))
+            self.nodes[0].heartbeats.record_heartbeat(0, backend, heartbeat_document(UP, 1))
         for host in (1, 0):
             self._take(self._reply(host))
 
@@ -122,7 +122,7 @@
     def do_drain(self, backend: str) -> None:
         """A backend drains, and calls the first node."""
         self._spend("drains")
-        outcome = self.nodes[0].heartbeats.heartbeat(0, backend, heartbeat_document(DRAINING, 2))
+        outcome = self.nodes[0].heartbeats.record_heartbeat(0, backend, heartbeat_document(DRAINING, 2))
         assert isinstance(outcome, CallAccepted)
         self.unacknowledged[backend] = outcome.version
 
@@ -178,7 +178,7 @@
         hints = {backend: as_first_registered(value) for backend, value in self.disks[host].items()}
         node.heartbeats.restore(0, hints)
         for backend in BACKENDS if host == 0 else ():
-            node.heartbeats.heartbeat(0, backend, heartbeat_document(UP, 1))
+            node.heartbeats.record_heartbeat(0, backend, heartbeat_document(UP, 1))
             self.unacknowledged.pop(backend, None)
         if self.delayed is not None and self.delayed.host == host:
             self.delayed = None
--- a/meadowworks/modelcheck/seeded_faults/gossip.py
+++ b/meadowworks/modelcheck/seeded_faults/gossip.py
@@ -15,7 +15,7 @@
     SeededFault(
         "a late beat takes a drain back",
         MODEL,
-        HEARTBEATS + "heartbeat",
+        HEARTBEATS + "record_heartbeat",
         "state = furthest_state(heartbeat.state, self._drain_state(instance_id), known_state)",
         "state = heartbeat.state",
         ("never back", "own words"),
@@ -48,8 +48,8 @@
         "one that calls a life quiet is enough",
         MODEL,
         DIRECTORY + "merged_state",
-        "all(report.suspect for report in alive)",
-        "any(report.suspect for report in alive)",
+        "all(report.is_suspect for report in alive)",
+        "any(report.is_suspect for report in alive)",
         ("quiet by all",),
     ),
     SeededFault(
@@ -120,7 +120,7 @@
         "a silent life is gone for good",
         MODEL,
         HEARTBEATS + "tick",
-        "registration.suspect = True",
+        "registration.is_suspect = True",
         "registration.state = GONE",
         ("none buried alive",),
     ),
--- a/meadowworks/proxy/forwarder.py
+++ b/meadowworks/proxy/forwarder.py
@@ -106,8 +106,8 @@
             )
         overloaded = balancer.max_retries == 0
         attempts = RequestAttempts(
-            retry_rules(route.safe, client.deadline_ns - now, int(route.target_ms * MS)),
-            choose_retry_policy(route.safe, route.max_attempts, overloaded),
+            retry_rules(route.is_safe, client.deadline_ns - now, int(route.target_ms * MS)),
+            choose_retry_policy(route.is_safe, route.max_attempts, overloaded),
             client.deadline_ns,
             retry_budget,
         )
--- a/meadowworks/registry/backend_state.py
+++ b/meadowworks/registry/backend_state.py
@@ -21,7 +21,7 @@
 
     :ivar sequence: rises with each heartbeat, so that a late one is known.
     :ivar warmup_ms: for how long the instance gets a reduced share from its start.
-    :ivar suspect: 1 if the publishing node has had no heartbeat for long.
+    :ivar is_suspect: 1 if the publishing node has had no heartbeat for long.
     """
 
     service: Any
@@ -31,7 +31,7 @@
     state: Any
     sequence: Any
     warmup_ms: Any
-    suspect: Any
+    is_suspect: Any
 
 
 STATE_INDEX = BackendValue._fields.index("state")
--- a/meadowworks/registry/backends.py
+++ b/meadowworks/registry/backends.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(slots=True)
-class BackendReport:
+class InstanceReport:
     """What one control-plane node says of an instance."""
 
     service: str
@@ -39,10 +39,10 @@
     state: str
     sequence: int
     warmup_ms: float
-    suspect: bool
+    is_suspect: bool
 
     @classmethod
-    def from_value(cls, raw: Any) -> BackendReport:
+    def from_value(cls, raw: Any) -> InstanceReport:
         """Converts a published value, by place as in ``BackendValue``.
 
         :raises TypeError, ValueError: if it is malformed.
@@ -63,7 +63,7 @@
             state=str(value.state),
             sequence=int(value.sequence),
             warmup_ms=warmup_ms,
-            suspect=bool(value.suspect),
+            is_suspect=bool(value.is_suspect),
         )
 
 
@@ -115,7 +115,7 @@
     def __init__(self, source_silence_ns: Callable[[str], int], clock: Callable[[], int]) -> None:
         self.source_silence_ns = source_silence_ns
         self.clock = clock
-        self.reports: dict[str, dict[str, BackendReport]] = {}
+        self.reports: dict[str, dict[str, InstanceReport]] = {}
         self.instances: dict[str, BackendInstance] = {}
         self.superseded: set[str] = set()
         self.changed_ids: set[str] = set()
@@ -130,7 +130,7 @@
             self._remove_report(instance_id, update.source)
         else:
             try:
-                report = BackendReport.from_value(update.value)
+                report = InstanceReport.from_value(update.value)
             except (TypeError, ValueError):
                 return
             self.reports.setdefault(instance_id, {})[update.source] = report
@@ -163,9 +163,9 @@
         if not alive and all(self.source_silence_ns(name) >= SOURCE_TIMEOUT_NS for name in self._sources):
             # Guards against a partition: where no source is received, silence says nothing of the backends.
             return UP
-        return SUSPECT if all(report.suspect for report in alive) else UP
+        return SUSPECT if all(report.is_suspect for report in alive) else UP
 
-    def is_known(self, instance_id: str) -> bool:
+    def is_reported(self, instance_id: str) -> bool:
         """Returns whether any source reports an instance."""
         return instance_id in self.reports
 
@@ -199,7 +199,7 @@
         if not reports:
             self.reports.pop(instance_id, None)
 
-    def _add_instance(self, instance_id: str, report: BackendReport) -> None:
+    def _add_instance(self, instance_id: str, report: InstanceReport) -> None:
         if not report.address:  # the departure of an instance that was unknown to its node
             return
         host, port = split_address(report.address)
--- a/meadowworks/registry/drain_log.py
+++ b/meadowworks/registry/drain_log.py
@@ -213,14 +213,16 @@
         while len(self.acknowledged_versions) > MAX_ACKNOWLEDGING_HOSTS:
             del self.acknowledged_versions[next(iter(self.acknowledged_versions))]
 
-    def is_replicated(self, version: int, voters: Collection[str], tolerate: int, is_voter: bool) -> bool:
+    def is_replicated(
+        self, version: int, voters: Collection[str], tolerated_failures: int, is_voter: bool
+    ) -> bool:
         """Returns whether the drains published here up to a version survive the loss of disks.
 
         :param voters: the hosts of the other voters.
-        :param tolerate: how many disks may be lost.
+        :param tolerated_failures: how many disks may be lost.
         :param is_voter: whether this disk votes; one that doesn't may be removed, and doesn't count.
         """
         if self.durable_versions.get(self.source_id, NO_VERSION) < version:
             return False
         others = sum(self.acknowledged_versions.get(host, NO_VERSION) >= version for host in voters)
-        return others >= tolerate + (not is_voter)
+        return others >= tolerated_failures + (not is_voter)
--- a/meadowworks/registry/heartbeat_schema.py
+++ b/meadowworks/registry/heartbeat_schema.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(slots=True)
-class Heartbeat:
+class BackendHeartbeat:
     """A heartbeat that has been validated.
 
     :ivar address: host and port of the backend.
@@ -41,7 +41,7 @@
     warmup_ms: float
 
 
-class LenientSchema(Schema):
+class BaseHeartbeatSchema(Schema):
     """Ignores unknown fields: newer backends may send more."""
 
     class Meta:
@@ -50,7 +50,7 @@
         unknown = EXCLUDE
 
 
-class DetailsSchema(LenientSchema):
+class DetailsSchema(BaseHeartbeatSchema):
     """What stays the same for an instance's whole lifetime."""
 
     svc = fields.String(required=True, validate=validate.Length(min=1, max=MAX_TEXT_LENGTH))
@@ -59,7 +59,7 @@
     ver = fields.String(load_default="", validate=validate.Length(max=MAX_TEXT_LENGTH))
 
 
-class StatusSchema(LenientSchema):
+class StatusSchema(BaseHeartbeatSchema):
     """What changes from heartbeat to heartbeat."""
 
     state = fields.String(required=True, validate=validate.OneOf([UP, DRAINING]))
@@ -67,7 +67,7 @@
     warmupMs = fields.Float(load_default=0.0, validate=validate.Range(min=0, max=MAX_WARMUP_MS))  # noqa: N815
 
 
-class HeartbeatSchema(LenientSchema):
+class HeartbeatSchema(BaseHeartbeatSchema):
     """The whole document."""
 
     addr = fields.String(required=True, validate=validate.Regexp(r"^[^:\s]{1,200}:[0-9]{1,5}\Z"))
@@ -78,7 +78,7 @@
 _HEARTBEAT_SCHEMA = HeartbeatSchema()
 
 
-def parse_heartbeat(document: Any) -> Heartbeat:
+def parse_heartbeat(document: Any) -> BackendHeartbeat:
     """Validates the JSON document of a heartbeat.
 
     :raises InvalidHeartbeatError: naming the fields that are wrong.
@@ -90,7 +90,7 @@
         names = f": {', '.join(sorted(map(str, wrong)))}" if isinstance(wrong, dict) else ""
         raise InvalidHeartbeatError(f"no heartbeat{names}") from None
     details, status = loaded["details"], loaded["status"]
-    return Heartbeat(
+    return BackendHeartbeat(
         service=details["svc"],
         address=loaded["addr"],
         zone=details["zone"],
--- a/meadowworks/registry/heartbeats.py
+++ b/meadowworks/registry/heartbeats.py
@@ -20,7 +20,7 @@
 )
 from meadowworks.registry.heartbeat_schema import (
     MAX_TEXT_LENGTH,
-    Heartbeat,
+    BackendHeartbeat,
     InvalidHeartbeatError,
     parse_heartbeat,
 )
@@ -80,7 +80,7 @@
     sequence: int
     warmup_ms: float
     last_heartbeat_ns: int
-    suspect: bool = False
+    is_suspect: bool = False
     published_version: int = 0
 
     def to_value(self) -> list[Any]:
@@ -93,7 +93,7 @@
             self.state,
             self.sequence,
             round(self.warmup_ms),
-            int(self.suspect),
+            int(self.is_suspect),
         ]
 
 
@@ -110,7 +110,7 @@
         publish: Callable[[str, Any], int],
         heartbeat_ms: int,
         drain_state: Callable[[str], str] = lambda _: UP,
-        is_known: Callable[[str], bool] = lambda _: False,
+        is_reported: Callable[[str], bool] = lambda _: False,
         max_registrations: int = MAX_REGISTRATIONS,
     ) -> None:
         """Begins without instances.
@@ -118,17 +118,17 @@
         :param publish: publishes the value of a key, or deletes the key for None; returns the version.
         :param heartbeat_ms: the interval at which backends call.
         :param drain_state: how far an instance has gone by any node's report; up for an unknown one.
-        :param is_known: whether any node has reported an instance.
+        :param is_reported: whether any node has reported an instance.
         """
         self._publish_value = publish
         self._drain_state = drain_state
-        self._is_known = is_known
+        self._is_reported = is_reported
         self._max_registrations = max_registrations
         self.suspect_after_ns = MISSED_HEARTBEATS_UNTIL_SUSPECT * heartbeat_ms * 1_000_000
         self.registrations: dict[str, Registration] = {}
         self.unknown_departures: set[str] = set()
 
-    def heartbeat(self, now_ns: int, instance_id: str, document: Any) -> CallOutcome:
+    def record_heartbeat(self, now_ns: int, instance_id: str, document: Any) -> CallOutcome:
         """Takes a heartbeat, given as a JSON document."""
         try:
             heartbeat = parse_heartbeat(document)
@@ -159,7 +159,7 @@
             return InvalidCall("no id")
         registration = self.registrations.pop(instance_id, None)
         if registration is None:
-            is_unknown = not self._is_known(instance_id)
+            is_unknown = not self._is_reported(instance_id)
             if is_unknown and len(self.unknown_departures) >= MAX_UNKNOWN_DEPARTURES:
                 return RegistryFull()
             if not self._make_room(now_ns):
@@ -178,9 +178,9 @@
         for instance_id, registration in list(self.registrations.items()):
             silence_ns = now_ns - registration.last_heartbeat_ns
             drain_state = self._drain_state(instance_id)
-            is_alive = registration.state != GONE and not registration.suspect
+            is_alive = registration.state != GONE and not registration.is_suspect
             if is_alive and silence_ns > self.suspect_after_ns:
-                registration.suspect = True
+                registration.is_suspect = True
                 self._publish(instance_id, registration)
             if STATE_RANK[drain_state] > STATE_RANK[registration.state]:
                 # Guards against the end of the node that reported it: this node's older report would count.
@@ -194,7 +194,7 @@
         return {
             instance_id: registration.to_value()
             for instance_id, registration in self.registrations.items()
-            if registration.state != GONE and not registration.suspect
+            if registration.state != GONE and not registration.is_suspect
         }
 
     def restore(self, now_ns: int, values: dict[str, list[Any]]) -> None:
@@ -216,7 +216,9 @@
             self.registrations[instance_id] = registration
             self._publish(instance_id, registration)
 
-    def _register(self, now_ns: int, instance_id: str, heartbeat: Heartbeat, state: str) -> Registration:
+    def _register(
+        self, now_ns: int, instance_id: str, heartbeat: BackendHeartbeat, state: str
+    ) -> Registration:
         registration = Registration(
             service=heartbeat.service,
             address=heartbeat.address,
@@ -231,16 +233,16 @@
         self._publish(instance_id, registration)
         return registration
 
-    def _renew(self, now_ns: int, instance_id: str, heartbeat: Heartbeat, state: str) -> None:
+    def _renew(self, now_ns: int, instance_id: str, heartbeat: BackendHeartbeat, state: str) -> None:
         """Notes a further heartbeat; publishes a new state, and the end of a suspicion."""
         registration = self.registrations[instance_id]
         registration.last_heartbeat_ns = now_ns
         is_late = heartbeat.sequence <= registration.sequence
         registration.sequence = max(registration.sequence, heartbeat.sequence)
-        has_recovered = registration.suspect and not is_late and registration.state != GONE
+        has_recovered = registration.is_suspect and not is_late and registration.state != GONE
         if state != registration.state or has_recovered:
             registration.state = state
-            registration.suspect = False
+            registration.is_suspect = False
             registration.warmup_ms = heartbeat.warmup_ms
             self._publish(instance_id, registration)
 
--- a/meadowworks/registry/zone_redirects.py
+++ b/meadowworks/registry/zone_redirects.py
@@ -13,17 +13,17 @@
 class ZoneRedirects:
     """The addresses that were named to backends, and those that were found unreachable.
 
-    :ivar redirected: by instance, the address that it was asked to call.
+    :ivar redirect_targets: by instance, the address that it was asked to call.
     :ivar avoid_until_ns: by address, until when it is not named.
     """
 
     def __init__(self) -> None:
-        self.redirected: dict[str, str] = {}
+        self.redirect_targets: dict[str, str] = {}
         self.avoid_until_ns: dict[str, int] = {}
 
     def on_heartbeat(self, now_ns: int, instance_id: str) -> None:
         """Notes that an instance calls this node; if it was sent elsewhere, it has failed there."""
-        failed = self.redirected.pop(instance_id, None)
+        failed = self.redirect_targets.pop(instance_id, None)
         if failed is not None:
             self.avoid_until_ns[failed] = now_ns + REDIRECT_BACKOFF_NS
         self.avoid_until_ns = {
@@ -39,6 +39,6 @@
         return None
 
     def _remember(self, instance_id: str, address: str) -> None:
-        self.redirected[instance_id] = address
-        while len(self.redirected) > MAX_REGISTRATIONS:  # the oldest go first
-            del self.redirected[next(iter(self.redirected))]
+        self.redirect_targets[instance_id] = address
+        while len(self.redirect_targets) > MAX_REGISTRATIONS:  # the oldest go first
+            del self.redirect_targets[next(iter(self.redirect_targets))]
--- a/meadowworks/simulation/control/registry_driver.py
+++ b/meadowworks/simulation/control/registry_driver.py
@@ -73,7 +73,7 @@
 
     def heartbeat(self, backend_id: str, document: Any, reply: OnReply) -> None:
         """Take a heartbeat."""
-        self._answer(self.heartbeats.heartbeat(self._node.local_time(), backend_id, document), reply)
+        self._answer(self.heartbeats.record_heartbeat(self._node.local_time(), backend_id, document), reply)
 
     def leave(self, backend_id: str, reply: OnReply) -> None:
         """Take the call of a backend that leaves."""
@@ -116,7 +116,7 @@
         return self._node.replica.holds_lease(self._node.local_time())
 
     def _is_known(self, backend_id: str) -> bool:
-        return self.backends.is_known(backend_id) or backend_id in self.drain_log.records
+        return self.backends.is_reported(backend_id) or backend_id in self.drain_log.records
 
     # -- gossip
 
--- a/meadowworks/simulation/control/registry_patches.py
+++ b/meadowworks/simulation/control/registry_patches.py
@@ -16,6 +16,6 @@
 
 def forget_strangers(self: HeartbeatRegistry, now_ns: int, instance_id: str) -> CallOutcome:
     """Acknowledge the leave of an unknown backend without keeping it."""
-    if instance_id not in self.registrations and not self._is_known(instance_id):
+    if instance_id not in self.registrations and not self._is_reported(instance_id):
         return CallAccepted(0)
     return _leave(self, now_ns, instance_id)
--- a/meadowworks/simulation/scale/control_plane.py
+++ b/meadowworks/simulation/scale/control_plane.py
@@ -202,7 +202,7 @@
         """Take a backend's heartbeat; a drain is acknowledged once enough others know of it."""
 
         def apply() -> int:
-            found = self.heartbeats.heartbeat(self._clock(), instance_id, json.loads(body))
+            found = self.heartbeats.record_heartbeat(self._clock(), instance_id, json.loads(body))
             return getattr(found, "version", 0)
 
         version = self.meter.timed("a beat", apply)
--- a/meadowworks/simulation/scale/deployment.py
+++ b/meadowworks/simulation/scale/deployment.py
@@ -162,7 +162,7 @@
         """Let all control planes know of all backends, without a message."""
         for instance in self.backends:
             program = self.control_plane_of(instance).program
-            program.heartbeats.heartbeat(self.now, instance, json.loads(self.heartbeat_body(instance)))
+            program.heartbeats.record_heartbeat(self.now, instance, json.loads(self.heartbeat_body(instance)))
         programs = [host.program for host in self.control_planes]
         for program in programs:
             program.publish_load_reports()
--- a/meadowworks/simulation/scale/results.py
+++ b/meadowworks/simulation/scale/results.py
@@ -184,7 +184,7 @@
     for instance in list(model.heartbeats.registrations):
         if instance in deployment.backends:
             body = json.loads(deployment.heartbeat_body(instance))
-            started.heartbeats.heartbeat(deployment.now, instance, body)
+            started.heartbeats.record_heartbeat(deployment.now, instance, body)
     started.zone_loads.copy_from(model.zone_loads)
     return started
 
--- a/tests/gateway/durable_node.py
+++ b/tests/gateway/durable_node.py
@@ -46,10 +46,10 @@
         self,
         outcome: CallOutcome,
         voters: tuple[str, ...] = ("b",),
-        tolerate: int = 1,
+        tolerated_failures: int = 1,
         is_voter: bool = True,
     ) -> bool:
         """Whether the call with this outcome may be acknowledged."""
         assert isinstance(outcome, CallAccepted)
         assert outcome.version
-        return self.drain_log.is_replicated(outcome.version, voters, tolerate, is_voter)
+        return self.drain_log.is_replicated(outcome.version, voters, tolerated_failures, is_voter)
--- a/tests/gateway/golden_product.py
+++ b/tests/gateway/golden_product.py
@@ -239,7 +239,7 @@
         elif step == "silence":
             beats.tick(now + 5_000_000_000)
         else:
-            beats.heartbeat(now, "b", step)
+            beats.record_heartbeat(now, "b", step)
     return said
 
 
--- a/tests/gateway/test_backend_directory.py
+++ b/tests/gateway/test_backend_directory.py
@@ -30,25 +30,25 @@
         directory.on_update(KeyUpdate("two", "b/i", second))
         assert directory.instances["i"].state == state, (first, second)
     registry, accepted = HeartbeatRegistry(lambda *_: 7, 1000), CallAccepted(7)
-    assert registry.heartbeat(0, "i", HEARTBEAT) == CallAccepted(0)
+    assert registry.record_heartbeat(0, "i", HEARTBEAT) == CallAccepted(0)
     drained = {**HEARTBEAT, "status": {"state": "draining", "calls": 5}}
-    assert registry.heartbeat(1, "i", drained) == accepted
-    assert registry.heartbeat(2, "i", HEARTBEAT) == accepted  # a late one
+    assert registry.record_heartbeat(1, "i", drained) == accepted
+    assert registry.record_heartbeat(2, "i", HEARTBEAT) == accepted  # a late one
     assert registry.registrations["i"].state == "draining"
     assert registry.leave(3, "i") == accepted
-    assert registry.heartbeat(4, "i", drained) == accepted
+    assert registry.record_heartbeat(4, "i", drained) == accepted
     assert registry.registrations["i"].state == "gone"
 
 
 def test_a_silent_backend_is_suspect_and_a_silent_source_vouches_for_nobody() -> None:
     published: list[Any] = []
     registry = HeartbeatRegistry(recording_publisher(published), 1000)
-    registry.heartbeat(0, "i", HEARTBEAT)
+    registry.record_heartbeat(0, "i", HEARTBEAT)
     registry.tick(3 * SECOND)
     assert len(published) == 1
     registry.tick(5 * SECOND)
     assert published[-1][-1] == 1
-    registry.heartbeat(6 * SECOND, "i", {**HEARTBEAT, "status": {"state": "up", "calls": 9}})
+    registry.record_heartbeat(6 * SECOND, "i", {**HEARTBEAT, "status": {"state": "up", "calls": 9}})
     assert published[-1][-1] == 0
     silent = {"one": 0, "two": 0}
     directory = BackendDirectory(lambda name: silent[name], lambda: 0)
--- a/tests/gateway/test_backends_resource.py
+++ b/tests/gateway/test_backends_resource.py
@@ -72,7 +72,7 @@
         shutil.copytree(tmp_path / "d", tmp_path / "after")  # as the power goes: nothing is closed
         rows = decode_rows(SqliteStore(tmp_path / "after").load_drain_records())
         restarted = DurableNode("a", 2, rows)
-        restarted.heartbeats.heartbeat(0, "i", heartbeat("up", 1))
+        restarted.heartbeats.record_heartbeat(0, "i", heartbeat("up", 1))
         assert restarted.directory.instances["i"].state == "draining"
 
     run(test)
--- a/tests/gateway/test_drain_log.py
+++ b/tests/gateway/test_drain_log.py
@@ -11,10 +11,10 @@
 
 def test_a_drain_is_replicated_only_once_both_disks_have_it_in_whatever_order_things_come() -> None:
     a, b = DurableNode("a"), DurableNode("b")
-    a.heartbeats.heartbeat(0, "i", heartbeat())
+    a.heartbeats.record_heartbeat(0, "i", heartbeat())
     b.pull(a)
     b.pull(a)
-    drained = a.heartbeats.heartbeat(1, "i", heartbeat("draining", 2))
+    drained = a.heartbeats.record_heartbeat(1, "i", heartbeat("draining", 2))
     assert isinstance(drained, CallAccepted)
     assert not a.is_replicated(drained)
     a.write_all()
@@ -36,7 +36,7 @@
 
 def test_the_own_disk_counts_only_once_it_is_written() -> None:
     a, b = DurableNode("a"), DurableNode("b")
-    drained = a.heartbeats.heartbeat(0, "i", heartbeat("draining"))
+    drained = a.heartbeats.record_heartbeat(0, "i", heartbeat("draining"))
     b.pull(a)
     b.write_all()
     b.pull(a)
@@ -52,7 +52,7 @@
 
 def test_a_drain_that_comes_during_a_write_waits_for_the_next_write() -> None:
     a, b = DurableNode("a"), DurableNode("b")
-    first = a.heartbeats.heartbeat(0, "i", heartbeat("draining"))
+    first = a.heartbeats.record_heartbeat(0, "i", heartbeat("draining"))
     b.pull(a)
     batch = b.drain_log.next_batch()
     a.write_all()
@@ -60,8 +60,8 @@
     b.pull(a)
     b.pull(a)
     assert not a.is_replicated(first)  # newer updates that need no write do not end the write in flight
-    second = a.heartbeats.heartbeat(0, "j", heartbeat("draining"))
-    third = a.heartbeats.heartbeat(0, "k", heartbeat("draining"))
+    second = a.heartbeats.record_heartbeat(0, "j", heartbeat("draining"))
+    third = a.heartbeats.record_heartbeat(0, "k", heartbeat("draining"))
     b.pull(a)
     assert batch is not None
     assert set(batch.rows) == {"i"}
@@ -83,9 +83,9 @@
 def test_no_instance_is_up_again_after_all_nodes_lose_power_and_one_its_disk() -> None:
     nodes = [DurableNode(host) for host in "abc"]
     a, b, c = nodes
-    a.heartbeats.heartbeat(0, "i", heartbeat())
+    a.heartbeats.record_heartbeat(0, "i", heartbeat())
     c.pull(a)
-    drained = a.heartbeats.heartbeat(1, "i", heartbeat("draining", 2))
+    drained = a.heartbeats.record_heartbeat(1, "i", heartbeat("draining", 2))
     a.write_all()
     b.pull(a)
     b.write_all()
@@ -94,7 +94,7 @@
     for lost in (a, b):  # its disk does not come back
         restarted = [DurableNode(node.host, 2, node.rows) for node in nodes if node is not lost]
         for node in restarted:
-            node.heartbeats.heartbeat(2, "i", heartbeat("up", 1))  # a late one
+            node.heartbeats.record_heartbeat(2, "i", heartbeat("up", 1))  # a late one
         for node in restarted:
             for source in restarted:
                 if source is not node:
@@ -106,11 +106,11 @@
 def test_acknowledgements_between_other_incarnations_say_nothing_of_the_present_ones() -> None:
     a, b = DurableNode("a"), DurableNode("b")
     for sequence in range(5):
-        a.heartbeats.heartbeat(0, f"i{sequence % 3}", heartbeat("draining", sequence))
+        a.heartbeats.record_heartbeat(0, f"i{sequence % 3}", heartbeat("draining", sequence))
     b.pull(a)
     b.write_all()
     restarted = DurableNode("a", 2, {})
-    drained = restarted.heartbeats.heartbeat(0, "j", heartbeat("draining"))
+    drained = restarted.heartbeats.record_heartbeat(0, "j", heartbeat("draining"))
     restarted.write_all()
     restarted.drain_log.on_acknowledgement("b", *b.drain_log.acknowledgement("a.1"))
     assert not restarted.is_replicated(drained)
@@ -124,8 +124,8 @@
 
 def test_a_drain_outlives_the_node_that_reported_it_and_is_forgotten_in_the_end() -> None:
     a, b = DurableNode("a"), DurableNode("b")
-    b.heartbeats.heartbeat(0, "i", heartbeat())
-    a.heartbeats.heartbeat(0, "i", heartbeat("draining"))
+    b.heartbeats.record_heartbeat(0, "i", heartbeat())
+    a.heartbeats.record_heartbeat(0, "i", heartbeat("draining"))
     b.pull(a)
     b.write_all()
     b.heartbeats.tick(SECOND)  # b reports it too from now on
@@ -135,7 +135,7 @@
     b.heartbeats.tick(70 * SECOND)  # silent for long
     assert "i" not in b.heartbeats.registrations
     assert not b.directory.is_draining_or_gone("i")
-    assert b.heartbeats.heartbeat(71 * SECOND, "i", heartbeat("up", 0)) != CallAccepted(0)
+    assert b.heartbeats.record_heartbeat(71 * SECOND, "i", heartbeat("up", 0)) != CallAccepted(0)
     b.heartbeats.tick(170 * SECOND)
     for now_ns in (170 * SECOND, 170 * SECOND + RETENTION_NS + 1):
         b.drain_log.tick(now_ns, b.directory.is_draining_or_gone, b.updates.sources)
@@ -169,15 +169,18 @@
 
 def test_a_drain_holds_until_the_instance_leaves_long_after() -> None:
     node = DurableNode("a")
-    node.heartbeats.heartbeat(0, "i", heartbeat())
-    drained = node.heartbeats.heartbeat(SECOND, "i", heartbeat("draining", 2))
+    node.heartbeats.record_heartbeat(0, "i", heartbeat())
+    drained = node.heartbeats.record_heartbeat(SECOND, "i", heartbeat("draining", 2))
     for second in range(2, 90):
         node.heartbeats.tick(second * SECOND)
         node.drain_log.tick(second * SECOND, node.directory.is_draining_or_gone, node.updates.sources)
         if second % 3 == 0 and second < 40:
-            assert node.heartbeats.heartbeat(second * SECOND, "i", heartbeat("draining", second)) == drained
+            assert (
+                node.heartbeats.record_heartbeat(second * SECOND, "i", heartbeat("draining", second))
+                == drained
+            )
         assert node.drain_log.state("i") == "draining"
     # A heartbeat from before the drain comes last of all.
-    assert node.heartbeats.heartbeat(91 * SECOND, "i", heartbeat("up", 1)) != CallAccepted(0)
+    assert node.heartbeats.record_heartbeat(91 * SECOND, "i", heartbeat("up", 1)) != CallAccepted(0)
     assert isinstance(node.heartbeats.leave(92 * SECOND, "i"), CallAccepted)
     assert node.directory.instances["i"].state == "gone"
--- a/tests/gateway/test_heartbeat_registry.py
+++ b/tests/gateway/test_heartbeat_registry.py
@@ -28,7 +28,7 @@
     for _, mutant in mutants(HEARTBEAT):
         published: list[Any] = []
         registry = HeartbeatRegistry(recording_publisher(published), 1000)
-        found = registry.heartbeat(0, "i", mutant)
+        found = registry.record_heartbeat(0, "i", mutant)
         seen += isinstance(found, InvalidCall)
         assert isinstance(found, InvalidCall) == (not published)
         directory = BackendDirectory(lambda _: 0, lambda: 0)
@@ -42,8 +42,8 @@
 def test_backends_known_before_all_nodes_were_lost_are_known_after(tmp_path: Path) -> None:
     published: dict[str, Any] = {}
     registry = HeartbeatRegistry(lambda key, value: published.update({key: value}) or 1, 1000)
-    registry.heartbeat(0, "i", HEARTBEAT)
-    registry.heartbeat(0, "j", HEARTBEAT)
+    registry.record_heartbeat(0, "i", HEARTBEAT)
+    registry.record_heartbeat(0, "j", HEARTBEAT)
     registry.leave(1, "j")
     disk = SqliteStore(tmp_path / "d")
     disk.save_backend_hints(
@@ -70,10 +70,10 @@
     assert left.version  # its acknowledgement waits until that is on enough disks
     assert a.drain_log.unsynced == {"made-up"}
     assert "made-up" not in a.directory.instances
-    assert a.heartbeats.heartbeat(1, "made-up", heartbeat()) == left  # a late one
+    assert a.heartbeats.record_heartbeat(1, "made-up", heartbeat()) == left  # a late one
     assert "made-up" not in a.directory.instances
     assert a.heartbeats.leave(0, "") == a.heartbeats.leave(0, "x" * 201) == InvalidCall("no id")
-    b.heartbeats.heartbeat(0, "i", heartbeat())
+    b.heartbeats.record_heartbeat(0, "i", heartbeat())
     left = a.heartbeats.leave(0, "i")  # b's update is on its way
     assert isinstance(left, CallAccepted)
     assert left.version
@@ -82,7 +82,7 @@
     assert a.directory.instances["i"].state == "gone"
     b.pull(a)
     assert b.directory.instances["i"].state == "gone"
-    b.heartbeats.heartbeat(0, "j", heartbeat())
+    b.heartbeats.record_heartbeat(0, "j", heartbeat())
     a.pull(b)
     left = a.heartbeats.leave(0, "j")
     assert isinstance(left, CallAccepted)
@@ -97,7 +97,7 @@
         assert registry.leave(0, f"x{k}") == CallAccepted(1)
     assert registry.leave(0, "one-more") == RegistryFull()  # the caller asks another node
     assert registry.leave(0, "x0") == CallAccepted(1)  # a repeat
-    assert registry.heartbeat(0, "i", HEARTBEAT) == CallAccepted(0)
+    assert registry.record_heartbeat(0, "i", HEARTBEAT) == CallAccepted(0)
     assert isinstance(registry.leave(1, "i"), CallAccepted)  # known departures are not bounded by it
     registry.tick(3 * SECOND + RETENTION_NS + registry.suspect_after_ns)
     assert not registry.unknown_departures
@@ -108,17 +108,17 @@
 def test_registrations_are_bounded_and_the_one_silent_for_the_longest_gives_way() -> None:
     node = DurableNode("a")  # takes four
     for k in range(4):
-        assert node.heartbeats.heartbeat(k, f"i{k}", heartbeat()) == CallAccepted(0)
-    assert node.heartbeats.heartbeat(5, "i0", heartbeat(sequence=2)) == CallAccepted(0)
-    assert node.heartbeats.heartbeat(6, "i4", heartbeat()) == RegistryFull()
+        assert node.heartbeats.record_heartbeat(k, f"i{k}", heartbeat()) == CallAccepted(0)
+    assert node.heartbeats.record_heartbeat(5, "i0", heartbeat(sequence=2)) == CallAccepted(0)
+    assert node.heartbeats.record_heartbeat(6, "i4", heartbeat()) == RegistryFull()
     assert node.heartbeats.leave(6, "i1") != RegistryFull()
     later = 6 * SECOND
-    assert node.heartbeats.heartbeat(later, "i4", heartbeat()) == CallAccepted(0)
+    assert node.heartbeats.record_heartbeat(later, "i4", heartbeat()) == CallAccepted(0)
     assert "i2" not in node.heartbeats.registrations
     assert set(node.heartbeats.registrations) == {"i0", "i1", "i3", "i4"}
     assert len(node.directory.instances) == 4
     details = heartbeat()["details"]
     for too_long in ({"svc": "s" * 201}, {"zone": "z" * 201}, {"ver": "v" * 201}):
         document = heartbeat(details={**details, **too_long})
-        assert isinstance(node.heartbeats.heartbeat(0, "l", document), InvalidCall)
-    assert isinstance(node.heartbeats.heartbeat(0, "l", heartbeat(addr="h" * 201 + ":1")), InvalidCall)
+        assert isinstance(node.heartbeats.record_heartbeat(0, "l", document), InvalidCall)
+    assert isinstance(node.heartbeats.record_heartbeat(0, "l", heartbeat(addr="h" * 201 + ":1")), InvalidCall)
--- a/tests/gateway/test_heartbeat_schema.py
+++ b/tests/gateway/test_heartbeat_schema.py
@@ -17,9 +17,9 @@
         "warmupMs": 0,
     }
     node = DurableNode("a")
-    node.heartbeats.heartbeat(0, "nested", heartbeat())
-    node.heartbeats.heartbeat(0, "flat", flat)
-    node.heartbeats.heartbeat(0, "mixed", {**heartbeat(), "state": "draining", "svc": "other"})
+    node.heartbeats.record_heartbeat(0, "nested", heartbeat())
+    node.heartbeats.record_heartbeat(0, "flat", flat)
+    node.heartbeats.record_heartbeat(0, "mixed", {**heartbeat(), "state": "draining", "svc": "other"})
     values = [registration.to_value() for registration in node.heartbeats.registrations.values()]
     assert len(values) == 3
     assert values[0] == values[1] == values[2]
--- a/tests/gateway/test_incremental_json.py
+++ b/tests/gateway/test_incremental_json.py
@@ -8,7 +8,7 @@
 import pytest
 
 from meadowworks.config import incremental_json
-from meadowworks.config.incremental_json import parse_steps
+from meadowworks.config.incremental_json import parse_json_steps
 from meadowworks.runtime.steps import run_to_completion
 from tests.gateway.configurations import CONFIG
 
@@ -45,7 +45,7 @@
         except (ValueError, RecursionError):
             broken += 1
             with pytest.raises((ValueError, RecursionError)):
-                run_to_completion(parse_steps(body))
+                run_to_completion(parse_json_steps(body))
         else:
-            assert repr(run_to_completion(parse_steps(body))) == repr(value)
+            assert repr(run_to_completion(parse_json_steps(body))) == repr(value)
     assert 1000 < broken < 3500
--- a/tests/gateway/test_update_store.py
+++ b/tests/gateway/test_update_store.py
@@ -53,8 +53,8 @@
 def test_an_expired_source_takes_its_keys_along_unless_no_source_is_heard() -> None:
     updates, notified = UpdateStore("me"), list[KeyUpdate]()
     a, b = DurableNode("a"), DurableNode("b")
-    a.heartbeats.heartbeat(0, "i", heartbeat())
-    b.heartbeats.heartbeat(0, "j", heartbeat())
+    a.heartbeats.record_heartbeat(0, "i", heartbeat())
+    b.heartbeats.record_heartbeat(0, "j", heartbeat())
     for node in (a, b):
         for delta in node.updates.deltas_since({}, "me"):
             updates.apply(0, delta)
--- a/tests/gateway/test_zone_redirects.py
+++ b/tests/gateway/test_zone_redirects.py
@@ -14,7 +14,7 @@
     assert redirects.choose(1, "j", ["p:1"]) is None
     redirects.on_heartbeat(2, "i")
     assert redirects.choose(2, "i", ["p:1", "q:1"]) is None
-    assert not redirects.redirected.get("i")
+    assert not redirects.redirect_targets.get("i")
     redirects.on_heartbeat(REDIRECT_BACKOFF_NS + 1, "k")
     assert redirects.choose(REDIRECT_BACKOFF_NS + 1, "k", ["p:1"]) == "p:1"
     assert set(redirects.avoid_until_ns) == {"q:1"}
