--- a/meadowworks/controlplane/api.py
+++ b/meadowworks/controlplane/api.py
@@ -30,7 +30,7 @@
     retry_after_s: float = 0.0
 
 
-class Route(NamedTuple):
+class ApiRoute(NamedTuple):
     """What a call is looked up by: its HTTP method and `Resource.Action`."""
 
     method: str
@@ -38,7 +38,7 @@
 
 
 Handler = Callable[[ApiRequest], Awaitable[ApiReply]]
-Routes = Mapping[Route, Handler]
+ApiRoutes = Mapping[ApiRoute, Handler]
 
 
 def error_reply(status: int, reason: str, retry_after_s: float = 0.0) -> ApiReply:
--- a/meadowworks/controlplane/api_endpoint.py
+++ b/meadowworks/controlplane/api_endpoint.py
@@ -4,7 +4,7 @@
 
 import sqlite3
 
-from meadowworks.controlplane.api import ApiReply, ApiRequest, Route, Routes
+from meadowworks.controlplane.api import ApiReply, ApiRequest, ApiRoute, ApiRoutes
 from meadowworks.controlplane.compressed_config import MAX_CONFIG_BYTES
 from meadowworks.forwarding.memory_budget import MemoryBudget
 from meadowworks.runtime import logging as logs
@@ -38,7 +38,7 @@
     :param live_settings: name the memory of the node, of which bodies get a share.
     """
 
-    def __init__(self, routes: Routes, live_settings: LiveSettings, send_metrics: MetricsSender) -> None:
+    def __init__(self, routes: ApiRoutes, live_settings: LiveSettings, send_metrics: MetricsSender) -> None:
         self._routes = routes
         self._live_settings = live_settings
         self._send_metrics = send_metrics
@@ -64,7 +64,7 @@
 
     async def _handle(self, method: str, path: str, body: bytes) -> ApiReply:
         action, _, resource_id = path.removeprefix(PATH_PREFIX).partition("/")
-        handler = self._routes.get(Route(method, action))
+        handler = self._routes.get(ApiRoute(method, action))
         if handler is None or not path.startswith(PATH_PREFIX):
             return NO_SUCH_CALL
         try:
--- a/meadowworks/controlplane/backends_resource.py
+++ b/meadowworks/controlplane/backends_resource.py
@@ -5,7 +5,7 @@
 import json
 from collections.abc import Callable
 
-from meadowworks.controlplane.api import ApiReply, ApiRequest, Route, Routes, error_reply
+from meadowworks.controlplane.api import ApiReply, ApiRequest, ApiRoute, ApiRoutes, error_reply
 from meadowworks.controlplane.drain_service import DrainService
 from meadowworks.registry.heartbeats import (
     CallAccepted,
@@ -55,11 +55,11 @@
         self._zone_redirects = ZoneRedirects()
         self._acknowledged_drains: set[str] = set()  # ids whose drain was logged, so that it is logged once
 
-    def routes(self) -> Routes:
+    def routes(self) -> ApiRoutes:
         """Return the handlers by route."""
         return {
-            Route("POST", "Backends.Heartbeat"): self.heartbeat,
-            Route("POST", "Backends.Leave"): self.leave,
+            ApiRoute("POST", "Backends.Heartbeat"): self.heartbeat,
+            ApiRoute("POST", "Backends.Leave"): self.leave,
         }
 
     async def heartbeat(self, request: ApiRequest) -> ApiReply:
--- a/meadowworks/controlplane/config_resource.py
+++ b/meadowworks/controlplane/config_resource.py
@@ -6,7 +6,7 @@
 
 from meadowworks.config.validation import InvalidConfiguration, validation_steps
 from meadowworks.consensus.effects import Conflict, Undecided
-from meadowworks.controlplane.api import ApiReply, ApiRequest, Route, Routes, error_reply
+from meadowworks.controlplane.api import ApiReply, ApiRequest, ApiRoute, ApiRoutes, error_reply
 from meadowworks.controlplane.config_service import ConfigService
 from meadowworks.runtime import logging as logs
 from meadowworks.runtime.clock import NS_PER_SECOND, now_ns
@@ -31,11 +31,11 @@
         self._config_service = config_service
         self._validation_lock = asyncio.Lock()  # of large configurations
 
-    def routes(self) -> Routes:
+    def routes(self) -> ApiRoutes:
         """Return the handlers by route."""
         return {
-            Route("POST", "Config.Replace"): self.replace,
-            Route("GET", "Config.Read"): self.read,
+            ApiRoute("POST", "Config.Replace"): self.replace,
+            ApiRoute("GET", "Config.Read"): self.read,
         }
 
     async def replace(self, request: ApiRequest) -> ApiReply:
--- a/meadowworks/controlplane/pull_client.py
+++ b/meadowworks/controlplane/pull_client.py
@@ -23,7 +23,10 @@
 # Half a second beyond the long poll. With the pause before the next pull, which is answered at once, a lost
 # pull takes less than a lease.
 REPLY_TIMEOUT_S = 1.0
-RETRY_S, RETRY_WITHOUT_LEASE_S = 0.2, 0.05  # without a lease the node serves nobody, so it retries sooner
+RETRY_DELAY_S, RETRY_DELAY_WITHOUT_LEASE_S = (
+    0.2,
+    0.05,
+)  # without a lease the node serves nobody, so it retries sooner
 DRAIN_WRITE_WAIT_S = (
     0.1  # that a pull waits for the write of drains, so that it carries their acknowledgement
 )
@@ -72,7 +75,7 @@
                 try:
                     pulled = await self._send(client, pull)
                 except (RequestError, ValueError) as error:
-                    retry_s = RETRY_S if self._node.holds_lease() else RETRY_WITHOUT_LEASE_S
+                    retry_s = RETRY_DELAY_S if self._node.holds_lease() else RETRY_DELAY_WITHOUT_LEASE_S
                     log.debug("pull_failed", peer=f"{host}:{port}", reason=str(error), retry_s=retry_s)
                     has_failed = True
                     await asyncio.sleep(retry_s)
--- a/meadowworks/controlplane/server.py
+++ b/meadowworks/controlplane/server.py
@@ -5,7 +5,7 @@
 import asyncio
 import sqlite3
 
-from meadowworks.controlplane.api import Routes
+from meadowworks.controlplane.api import ApiRoutes
 from meadowworks.controlplane.api_endpoint import ApiEndpoint
 from meadowworks.controlplane.backends_resource import BackendsResource
 from meadowworks.controlplane.cluster_view import ClusterView
@@ -107,7 +107,7 @@
 
         await send_metrics(send, ControlPlaneMetrics(self.node).collect)
 
-    def _api_routes(self) -> Routes:
+    def _api_routes(self) -> ApiRoutes:
         node = self.node
         backends = BackendsResource(
             node.heartbeats,
--- a/meadowworks/simulation/scale/pulls.py
+++ b/meadowworks/simulation/scale/pulls.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from functools import partial
 
-from meadowworks.controlplane.pull_client import PULLS_PER_SHUFFLE, RETRY_S
+from meadowworks.controlplane.pull_client import PULLS_PER_SHUFFLE, RETRY_DELAY_S
 from meadowworks.gossip.messages import PullReply
 from meadowworks.gossip.peer_sampling import PEER_EXPIRY_NS
 from meadowworks.proxy.pull_schedule import FAILURE_PAUSE_S, PULL_TIMEOUT_S
@@ -25,7 +25,7 @@
 from meadowworks.simulation.scale.scheduler import SimulatedNode
 
 PULL_TIMEOUT_NS, PROXY_RETRY_NS = int(PULL_TIMEOUT_S * SECOND), int(FAILURE_PAUSE_S * SECOND)
-REPLICATION_TIMEOUT_NS, REPLICATION_RETRY_NS = 2 * SECOND, int(RETRY_S * SECOND)
+REPLICATION_TIMEOUT_NS, REPLICATION_RETRY_NS = 2 * SECOND, int(RETRY_DELAY_S * SECOND)
 POLICY_TICK_NS = int(POLICY_TICK_S * SECOND)
 
 
--- a/tests/gateway/helpers.py
+++ b/tests/gateway/helpers.py
@@ -29,7 +29,7 @@
     return publish
 
 
-async def until(holds: Callable[[], bool], what: str, wait_s: float = 10.0) -> None:
+async def wait_until(holds: Callable[[], bool], what: str, wait_s: float = 10.0) -> None:
     """Turns the loop until something holds; fails loudly instead of waiting for ever."""
     loop = asyncio.get_running_loop()
     end = loop.time() + wait_s
@@ -38,7 +38,7 @@
         await asyncio.sleep(0.005)
 
 
-async def ask(
+async def send_request(
     at: tuple[str, int],
     method: bytes,
     target: bytes,
@@ -56,7 +56,7 @@
 Handler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
-class Raw:
+class RawServer:
     """A server that says exactly what it is told to, in bytes."""
 
     def __init__(self, handler: Handler) -> None:
@@ -72,11 +72,11 @@
         self.server.close()
 
 
-def backend(ident: str, at: tuple[str, int], **rest: Any) -> BackendInstance:
+def make_backend(ident: str, at: tuple[str, int], **rest: Any) -> BackendInstance:
     return BackendInstance(ident, rest.get("svc", "s"), *at, rest.get("zone", "north"), 2, "up", 0, 0)
 
 
-def reset(writer: asyncio.StreamWriter) -> None:
+def reset_connection(writer: asyncio.StreamWriter) -> None:
     """End a connection as a process that is killed with bytes unread does: by a reset, not in order."""
     sock = writer.get_extra_info("socket")
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
--- a/tests/gateway/test_api_endpoint.py
+++ b/tests/gateway/test_api_endpoint.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from meadowworks.controlplane.api import ApiReply, ApiRequest, Route
+from meadowworks.controlplane.api import ApiReply, ApiRequest, ApiRoute
 from meadowworks.controlplane.api_endpoint import ApiEndpoint
 from meadowworks.local.system import Ports, SystemLayout
 from meadowworks.runtime.live_settings import LiveSettings
@@ -36,7 +36,7 @@
     document["self"]["limits"] = {"memMb": memory_mb}
     settings = LiveSettings(parse_settings(json.dumps(document)))
     endpoint = ApiEndpoint(
-        {Route("POST", "X.Echo"): echo, Route("GET", "X.Fail"): fail}, settings, no_metrics
+        {ApiRoute("POST", "X.Echo"): echo, ApiRoute("GET", "X.Fail"): fail}, settings, no_metrics
     )
     sent: list[Any] = []
 
--- a/tests/gateway/test_backends_resource.py
+++ b/tests/gateway/test_backends_resource.py
@@ -18,7 +18,7 @@
 from meadowworks.controlplane.drain_service import DrainService, decode_rows
 from meadowworks.storage.sqlite_store import SqliteStore
 from tests.gateway.durable_node import DurableNode, heartbeat
-from tests.gateway.helpers import until
+from tests.gateway.helpers import wait_until
 
 
 class ResourceOnDisk:
@@ -66,7 +66,7 @@
         api = ResourceOnDisk(tmp_path / "d")
         assert (await api.heartbeat("i", "up", 1)).status == 200
         call = asyncio.ensure_future(api.heartbeat("i", "draining", 2))
-        await until(lambda: api.node.drain_log.state("i") == "draining", "the drain is recorded")
+        await wait_until(lambda: api.node.drain_log.state("i") == "draining", "the drain is recorded")
         api.acknowledge(api.node.updates.sources["a.1"].latest_version)
         assert (await call).status == 200
         shutil.copytree(tmp_path / "d", tmp_path / "after")  # as the power goes: nothing is closed
@@ -92,7 +92,9 @@
         api.store.save_drain_records = refuse_once  # type: ignore[method-assign]
         api.acknowledge(99)
         call = asyncio.ensure_future(api.heartbeat("i", "draining", 1))
-        await until(lambda: not refusals and api.node.drain_log.write_in_flight is None, "it was refused")
+        await wait_until(
+            lambda: not refusals and api.node.drain_log.write_in_flight is None, "it was refused"
+        )
         assert not call.done()
         assert not api.store.load_drain_records()
         assert (await call).status == 200
@@ -117,7 +119,7 @@
             assert 0 < reply.retry_after_s < 1
         assert loop.time() - start_s < 0.3
         api.acknowledge(99)
-        await until(lambda: api.node.drain_log.is_caught_up("a.1"), "it is on the own disk")
+        await wait_until(lambda: api.node.drain_log.is_caught_up("a.1"), "it is on the own disk")
         assert (await api.leave("i")).status == 200  # what is on enough disks needs no lease
         api.holds_lease = True
         assert json.loads((await api.heartbeat("j", "up", 1)).body) == {"beatUrl": "10.0.0.2:80"}
--- a/tests/gateway/test_background_tasks.py
+++ b/tests/gateway/test_background_tasks.py
@@ -9,7 +9,7 @@
 
 from meadowworks.runtime.background_tasks import BackgroundTasks
 from meadowworks.runtime.errors import InvariantError
-from tests.gateway.helpers import until
+from tests.gateway.helpers import wait_until
 
 
 async def fail(error: Exception) -> None:
@@ -24,11 +24,11 @@
         tasks = BackgroundTasks()
         other = tasks.start(asyncio.sleep(60))
         failed = tasks.start(fail(RuntimeError("a bug")))
-        await until(lambda: tasks.running == {other}, "the failed task is over")
+        await wait_until(lambda: tasks.running == {other}, "the failed task is over")
         assert failed.done()
         assert not other.done()
         tasks.close()
-        await until(lambda: not tasks.running, "the other is cancelled")
+        await wait_until(lambda: not tasks.running, "the other is cancelled")
 
     asyncio.run(main())
     logger.remove(sink)
@@ -52,7 +52,7 @@
         tasks, requested = BackgroundTasks(), asyncio.get_running_loop().create_future()
         tasks.start(fail(RuntimeError("no invariant")))
         waiting = asyncio.ensure_future(tasks.wait_for_shutdown(requested))
-        await until(lambda: not tasks.running, "the failure is handled")
+        await wait_until(lambda: not tasks.running, "the failure is handled")
         assert not waiting.done()
         requested.set_result(None)
         await waiting
@@ -72,7 +72,7 @@
                 raise error
 
         task = tasks.start(tasks.run_periodically(0.0, action))
-        await until(lambda: calls > 1 or task.done(), "it runs again, or ends")
+        await wait_until(lambda: calls > 1 or task.done(), "it runs again, or ends")
         assert (calls > 1) == survives == (not task.done())
         tasks.close()
 
--- a/tests/gateway/test_forwarder.py
+++ b/tests/gateway/test_forwarder.py
@@ -21,7 +21,7 @@
 from meadowworks.proxy.upstream_attempt import AttemptResult, UpstreamRequest
 from meadowworks.runtime.background_tasks import BackgroundTasks
 from meadowworks.runtime.clock import now_ns
-from tests.gateway.helpers import SECOND, backend
+from tests.gateway.helpers import SECOND, make_backend
 
 REQUEST = UpstreamRequest(b"GET", b"/a", [], b"", b"q")
 
@@ -101,5 +101,5 @@
     for gone in (True, False):
         connection = cast(Any, SimpleNamespace(disconnected=gone))
         client = ClientContext(now_ns() + SECOND, MemoryReservation(MemoryBudget(100)), connection)
-        asyncio.run(parts.forwarder.attempt(backend("me", ("h", 1)), REQUEST, client))
+        asyncio.run(parts.forwarder.attempt(make_backend("me", ("h", 1)), REQUEST, client))
     assert told == [True, False]
--- a/tests/gateway/test_golden.py
+++ b/tests/gateway/test_golden.py
@@ -17,7 +17,7 @@
 import pytest
 
 from tests.gateway import golden_product as product
-from tests.gateway.helpers import Raw
+from tests.gateway.helpers import RawServer
 
 GOLDEN = Path(__file__).parent / "golden"
 
@@ -535,7 +535,7 @@
             question = re.findall(r"x-question: ([0-9a-f]{16})\r\n", head)[0]
             writer.write(lines["answer"].replace("QUESTION", question).encode())
 
-        server = Raw(serve)
+        server = RawServer(serve)
         host, port = await server.open()
         assert await product.call_peer(host, port, b"/pull", b"body") == b"news"
         server.close()
--- a/tests/gateway/test_http_connection.py
+++ b/tests/gateway/test_http_connection.py
@@ -20,7 +20,7 @@
     ResponseTooLargeError,
 )
 from meadowworks.runtime.http_connection import ClientConnection, Response, connect
-from tests.gateway.helpers import reset
+from tests.gateway.helpers import reset_connection
 
 MAX_BODY_BYTES = 8
 OK = b"HTTP/1.1 200 OK\r\nX-One: 1\r\nContent-Length: 4\r\n\r\nbody"
@@ -108,7 +108,7 @@
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
             writer.write(b"HTTP/1.1 200 OK\r\n\r\n" + sent)
-            reset(writer)
+            reset_connection(writer)
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         host, port = server.sockets[0].getsockname()
--- a/tests/gateway/test_http_server.py
+++ b/tests/gateway/test_http_server.py
@@ -16,7 +16,7 @@
 from meadowworks.runtime.request_body import read_body
 from meadowworks.runtime.response_writer import send_response
 from meadowworks.runtime.server_connection import RequestLimits
-from tests.gateway.helpers import until
+from tests.gateway.helpers import wait_until
 
 LIMITS = RequestLimits(max_header_bytes=4000, header_timeout_s=0.2, idle_timeout_s=0.3)
 OK = b"GET /a HTTP/1.1\r\nHost: h\r\n\r\n"
@@ -155,13 +155,13 @@
     await at_work.wait()
     writer.write(read_ahead)
     ahead = read_ahead.count(OK)
-    await until(lambda: len(connections[0].pipeline) >= ahead, "it has arrived")
+    await wait_until(lambda: len(connections[0].pipeline) >= ahead, "it has arrived")
     writer.close()
     with contextlib.suppress(AssertionError):
-        await until(lambda: connections[0].disconnected, "it is seen", 0.5)
+        await wait_until(lambda: connections[0].disconnected, "it is seen", 0.5)
     seen = connections[0].disconnected
     done.set()
-    await until(lambda: not server.pending_count(), "it is over")
+    await wait_until(lambda: not server.pending_count(), "it is over")
     server.shutdown()
     assert len(connections) == 1  # nothing of what was read ahead is served
     return bool(seen)
--- a/tests/gateway/test_http_server_drain.py
+++ b/tests/gateway/test_http_server_drain.py
@@ -10,7 +10,7 @@
 from meadowworks.runtime.http_server import HttpServer
 from meadowworks.runtime.response_writer import send_response
 from meadowworks.runtime.server_connection import HttpConnection, RequestLimits
-from tests.gateway.helpers import until
+from tests.gateway.helpers import wait_until
 from tests.gateway.test_fleet import ROUTES, Fleet, fleet  # noqa: F401  # the fixture
 
 ASK = b"GET /%d HTTP/1.1\r\nHost: h\r\n\r\n"
@@ -57,14 +57,16 @@
         gated = GatedServer()
         reader, writer = await gated.open()
         writer.write(b"".join(ASK % k for k in range(before)))
-        await until(lambda: gated.began == 1 and len(gated.caller().pipeline) == before - 1, "they are read")
+        await wait_until(
+            lambda: gated.began == 1 and len(gated.caller().pipeline) == before - 1, "they are read"
+        )
         gated.door.drain()
         for k in range(after):
             writer.write(ASK % k)
-        await until(lambda: gated.door.pending_count() == 1, "at work")
+        await wait_until(lambda: gated.door.pending_count() == 1, "at work")
         read = before + after - 1
         if before == 1:  # one that waits behind another stops the reading, so that no more are taken in
-            await until(lambda: len(gated.caller().pipeline) == min(read, 1), "the next is read")
+            await wait_until(lambda: len(gated.caller().pipeline) == min(read, 1), "the next is read")
         gated.gate.set()
         async with asyncio.timeout(5):
             received = await reader.read(-1)
@@ -101,7 +103,7 @@
         gated.gate.set()
         reader, writer = await gated.open()
         writer.write(ASK % 1)
-        await until(lambda: gated.began == 1 and not gated.door.server_state.tasks, "it is written")
+        await wait_until(lambda: gated.began == 1 and not gated.door.server_state.tasks, "it is written")
         pause_reading(writer)
         assert gated.door.pending_count() == 1
         gated.door.drain()
@@ -128,7 +130,7 @@
             assert await reader.readexactly(len(gated.body)) == gated.body
             pause_reading(writer)
             writer.write(ASK % 2)
-            await until(lambda: gated.slow == 1, "it is given up")
+            await wait_until(lambda: gated.slow == 1, "it is given up")
         gated.door.shutdown()
         writer.close()
 
--- a/tests/gateway/test_memory_budget.py
+++ b/tests/gateway/test_memory_budget.py
@@ -11,7 +11,7 @@
 from meadowworks.runtime.background_tasks import BackgroundTasks
 from meadowworks.runtime.clock import now_ns
 from meadowworks.runtime.http_connection import ClientConnection
-from tests.gateway.helpers import SECOND, Raw, backend, until
+from tests.gateway.helpers import SECOND, RawServer, make_backend, wait_until
 from tests.gateway.test_fleet import ROUTES, Fleet, fleet  # noqa: F401  # the fixture
 
 
@@ -27,8 +27,8 @@
             pass
 
     async def main() -> None:
-        server, pool, budget = Raw(serve), ConnectionPool[ClientConnection](), MemoryBudget(1500)
-        there = backend("me", await server.open())
+        server, pool, budget = RawServer(serve), ConnectionPool[ClientConnection](), MemoryBudget(1500)
+        there = make_backend("me", await server.open())
         asked = UpstreamRequest(b"GET", b"/", [(b"host", b"h"), (b"x-request-id", b"q")], b"", b"q")
         one, two = MemoryReservation(budget), MemoryReservation(budget)
         first = await send_attempt(pool, there, asked, now_ns() + SECOND, one.reserve)
@@ -57,18 +57,18 @@
 
     async def main() -> None:
         server, pool, budget, tasks = (
-            Raw(serve),
+            RawServer(serve),
             ConnectionPool[ClientConnection](),
             MemoryBudget(1500),
             BackgroundTasks(),
         )
-        there, reservation = backend("me", await server.open()), MemoryReservation(budget)
+        there, reservation = make_backend("me", await server.open()), MemoryReservation(budget)
         asked = UpstreamRequest(b"GET", b"/", [(b"host", b"h"), (b"x-request-id", b"q")], b"", b"q")
         task = tasks.start(send_attempt(pool, there, asked, now_ns() + 9 * SECOND, reservation.reserve))
-        await until(lambda: budget.reserved_bytes == 10, "half of it has come")
+        await wait_until(lambda: budget.reserved_bytes == 10, "half of it has come")
         tasks.cancel_after(task, 0.01, reservation.release)
-        await until(task.done, "it is ended", 2.0)
-        await until(lambda: not tasks.running, "it is told")
+        await wait_until(task.done, "it is ended", 2.0)
+        await wait_until(lambda: not tasks.running, "it is told")
         assert task.cancelled()
         assert not budget.reserved_bytes
         assert not pool.load("me").in_flight
--- a/tests/gateway/test_metrics.py
+++ b/tests/gateway/test_metrics.py
@@ -12,7 +12,7 @@
 from prometheus_client.parser import text_string_to_metric_families
 
 from meadowworks.runtime.metrics import Sample, counter, gauge, process_metrics, render_metrics
-from tests.gateway.helpers import ask, until
+from tests.gateway.helpers import send_request, wait_until
 from tests.gateway.test_fleet import ROUTES, Fleet, fleet  # noqa: F401  # the fixture
 
 PAGE = Path(__file__).parents[2] / "docs" / "metrics.md"
@@ -63,7 +63,7 @@
 
 
 async def scrape(at: tuple[str, int]) -> dict[str, dict[tuple[str, ...], float]]:
-    reply = await ask(at, b"GET", b"/metrics")
+    reply = await send_request(at, b"GET", b"/metrics")
     assert reply.status == 200
     assert (reply.header(b"content-type") or b"").startswith(b"text/plain; version=0.0.4")
     return parsed(reply.body)
@@ -71,14 +71,14 @@
 
 async def scrape_fleet(fleet: Fleet) -> tuple[Any, Any, Any]:  # noqa: F811
     """What the first control-plane node tells at its API and peer ports, and the first proxy at `readyz`."""
-    await fleet.begin()
-    assert await fleet.replace(0, 1, ROUTES) == 200
-    await fleet.ready()
+    await fleet.start_all()
+    assert await fleet.replace_config(0, 1, ROUTES) == 200
+    await fleet.wait_until_ready()
     for _ in range(3):
-        assert (await fleet.serve(0, b"GET", b"/read/a")).status == 200
+        assert (await fleet.send_to_proxy(0, b"GET", b"/read/a")).status == 200
     node, proxy = fleet.nodes[0], fleet.nodes[3]
-    await until(lambda: node.holds_lease(), "the lease")
-    api = await scrape(fleet.plan.control_addresses()[0])
+    await wait_until(lambda: node.holds_lease(), "the lease")
+    api = await scrape(fleet.layout.control_addresses()[0])
     peer = await scrape((node.settings.ip, node.settings.peer_port))
     return api, peer, await scrape(proxy.settings.bind["readyz"])
 
--- a/tests/gateway/test_notifier.py
+++ b/tests/gateway/test_notifier.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from meadowworks.controlplane.notifier import Notifier
-from tests.gateway.helpers import until
+from tests.gateway.helpers import wait_until
 
 
 def test_all_waiters_are_woken_at_once_and_later_ones_wait_for_the_next_call() -> None:
@@ -41,7 +41,7 @@
         for count in (1, 2):
             await asyncio.sleep(0)
             notifier.notify_all()
-            await until(lambda count=count: wakes == count, "it is woken")  # type: ignore[misc]
+            await wait_until(lambda count=count: wakes == count, "it is woken")  # type: ignore[misc]
         await task
 
     asyncio.run(main())
--- a/tests/gateway/test_peer_client.py
+++ b/tests/gateway/test_peer_client.py
@@ -12,7 +12,7 @@
 from meadowworks.runtime.peer_client import PeerClient
 from meadowworks.runtime.request_body import read_body
 from meadowworks.runtime.response_writer import send_response
-from tests.gateway.helpers import Raw, until
+from tests.gateway.helpers import RawServer, wait_until
 
 # What a controller that is called says to the first question, piece by piece; None ends the connection.
 REPLY = b"HTTP/1.1 200 OK\r\nx-question: %s\r\nx-life: one\r\ncontent-length: 5\r\n\r\nfirst"
@@ -48,7 +48,7 @@
         self.pieces = CHANGED[how]
         self.late: list[tuple[asyncio.StreamWriter, bytes]] = []
         self.ended = self.asked = self.lines = 0
-        self.server = Raw(self.serve)
+        self.server = RawServer(self.serve)
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.lines += 1
@@ -90,7 +90,9 @@
         assert len(peer.idle_connections) <= 1
         if how not in ("as it should", "a refusal", "a reset after it"):
             assert not peer.idle_connections  # whatever else it was, its line is ended
-            await until(lambda: node.ended + (None in node.pieces) > 0, "the line is ended at both sides")
+            await wait_until(
+                lambda: node.ended + (None in node.pieces) > 0, "the line is ended at both sides"
+            )
             for writer, reply in node.late:
                 writer.write(reply)  # it comes too late for anybody
         # A kept line may be found to be reset by now; then a call has no answer, and the one after it has.
@@ -108,11 +110,11 @@
         node = Node("silence")
         peer = PeerClient(*await node.server.open())
         call = asyncio.create_task(peer.call(b"/pull", b"", 5.0))
-        await until(lambda: node.asked == 1, "it is asked")
+        await wait_until(lambda: node.asked == 1, "it is asked")
         call.cancel()
         with pytest.raises(asyncio.CancelledError):
             await call
-        await until(lambda: node.ended == 1, "the line is ended")
+        await wait_until(lambda: node.ended == 1, "the line is ended")
         assert not peer.idle_connections
         assert await peer.call(b"/pull", b"", 5.0) == b"later"
         peer.close()
@@ -137,7 +139,7 @@
         assert await peer.call(b"/pull", b"x", 5.0) == b"x"
         assert peer.incarnation == b"before"
         held = asyncio.create_task(peer.call(b"/pull", b"held", 5.0))  # on the line that was kept
-        await until(lambda: before.pending_count() == 1, "it is at work")
+        await wait_until(lambda: before.pending_count() == 1, "it is at work")
         assert before.server is not None
         before.server.close()
         await after.listen("127.0.0.1", port)
--- a/tests/gateway/test_peer_watch.py
+++ b/tests/gateway/test_peer_watch.py
@@ -15,7 +15,7 @@
 from meadowworks.runtime.http_connection import connect
 from meadowworks.runtime.peer_watch import PeerWatch
 from meadowworks.runtime.tcp_info import TcpInfo, read_tcp_info
-from tests.gateway.helpers import SECOND, until
+from tests.gateway.helpers import SECOND, wait_until
 
 SO_ATTACH_FILTER = 26  # asm-generic/socket.h
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
@@ -149,7 +149,7 @@
         server = await asyncio.start_server(lambda _r, _w: None, "127.0.0.1", 0)
         with socket.create_connection(server.sockets[0].getsockname()) as sock:
             sock.sendall(b"x")
-            await until(lambda: bool((info := read_tcp_info(sock)) and info.all_acknowledged), "taken")
+            await wait_until(lambda: bool((info := read_tcp_info(sock)) and info.all_acknowledged), "taken")
         server.close()
 
     asyncio.run(main())
--- a/tests/gateway/test_pull_timing.py
+++ b/tests/gateway/test_pull_timing.py
@@ -10,7 +10,7 @@
 
 from meadowworks.consensus.timing import LEASE_DURATION_NS
 from meadowworks.controlplane import pull_client
-from meadowworks.controlplane.pull_client import MAX_WAIT_MS, REPLY_TIMEOUT_S, RETRY_S, PullClient
+from meadowworks.controlplane.pull_client import MAX_WAIT_MS, REPLY_TIMEOUT_S, RETRY_DELAY_S, PullClient
 from meadowworks.runtime.clock import NS_PER_SECOND
 from meadowworks.runtime.errors import RequestError
 
@@ -19,7 +19,7 @@
 
 def test_one_lost_pull_does_not_interrupt_a_lease() -> None:
     # A pull that left at 0 is answered after its long poll, the next is lost, the third answered at once.
-    answered_s = MAX_WAIT_MS / 1000 + REPLY_TIMEOUT_S + RETRY_S + ROUND_TRIP_S
+    answered_s = MAX_WAIT_MS / 1000 + REPLY_TIMEOUT_S + RETRY_DELAY_S + ROUND_TRIP_S
     assert answered_s < LEASE_DURATION_NS / NS_PER_SECOND
 
 
@@ -43,7 +43,7 @@
     async def nothing(*_: Any) -> None:
         pass
 
-    monkeypatch.setattr(pull_client, "RETRY_S", 0.0)
+    monkeypatch.setattr(pull_client, "RETRY_DELAY_S", 0.0)
     for name, stand_in in {
         "_is_wanted": lambda _: bool(outcomes),
         "_make_pull": make_pull,
--- a/tests/gateway/test_request_handler.py
+++ b/tests/gateway/test_request_handler.py
@@ -17,25 +17,25 @@
 from meadowworks.runtime import node_settings
 from meadowworks.runtime.clock import now_ns
 from meadowworks.runtime.http_connection import connect
-from tests.gateway.helpers import SECOND, ask, until
+from tests.gateway.helpers import SECOND, send_request, wait_until
 from tests.gateway.test_fleet import ROUTES, Fleet, fleet  # noqa: F401  # the fixture
 
 
 async def replace_config(fleet: Fleet, place: int, version: int, routes: Any) -> None:  # noqa: F811
     """As an operator does it: a call without a clear answer is sent again, to any controller."""
     for turn in range(50):
-        if (status := await fleet.replace((place + turn) % 3, version, routes)) == 200:
+        if (status := await fleet.replace_config((place + turn) % 3, version, routes)) == 200:
             return
         assert status in (429, 503), status
-        await until(lambda: any(fleet.nodes[k].holds_lease() for k in range(3)), "one is sure")
+        await wait_until(lambda: any(fleet.nodes[k].holds_lease() for k in range(3)), "one is sure")
     raise AssertionError("it is never taken")
 
 
 async def start_fleet(fleet: Fleet) -> Any:  # noqa: F811
     """A gateway with version 1 in force, whose backends wait for a gate; the first proxy."""
-    await fleet.begin()
+    await fleet.start_all()
     await replace_config(fleet, 0, 1, ROUTES)
-    await fleet.ready()
+    await fleet.wait_until_ready()
     return fleet.nodes[3]
 
 
@@ -45,24 +45,26 @@
         node, gate = await start_fleet(fleet), asyncio.Event()
         for backend in fleet.backends:
             backend.handler = gate.wait  # type: ignore[assignment]
-        connection = await connect(*fleet.plan.proxy_addresses()[0], 2.0)
+        connection = await connect(*fleet.layout.proxy_addresses()[0], 2.0)
         call = asyncio.create_task(
-            ask(fleet.plan.proxy_addresses()[0], method, target, "gone", b"", connection)
+            send_request(fleet.layout.proxy_addresses()[0], method, target, "gone", b"", connection)
+        )
+        await wait_until(
+            lambda: any(backend.handled_request_ids for backend in fleet.backends), "it is at work"
         )
-        await until(lambda: any(backend.handled_request_ids for backend in fleet.backends), "it is at work")
         connection.close()
         assert isinstance((await asyncio.gather(call, return_exceptions=True))[0], Exception)
         if method == b"GET":
-            await until(
+            await wait_until(
                 lambda: not node.http_server.pending_count(), "it is over long before its deadline", 1.0
             )
             pools = node.connection_pool.endpoints.values()
             assert not any(pool.load.in_flight or pool.idle for pool in pools)
         else:
-            await until(lambda: not node.http_server.server_state.connections, "the connection is gone")
+            await wait_until(lambda: not node.http_server.server_state.connections, "the connection is gone")
             assert node.http_server.pending_count() == 1  # it has been wanted, and may have run: it goes on
             gate.set()
-            await until(lambda: not node.http_server.pending_count(), "it is over")
+            await wait_until(lambda: not node.http_server.pending_count(), "it is over")
             assert any(stall.idle for stall in node.connection_pool.endpoints.values())
         gate.set()
         assert [ident for backend in fleet.backends for ident in backend.handled_request_ids] == ["gone"]
@@ -78,7 +80,7 @@
         for backend in fleet.backends:
             backend.handler = never.wait  # type: ignore[assignment]
         began = now_ns()
-        assert (await fleet.serve(0, b"POST", b"/order/a")).status == 504  # it may have run
+        assert (await fleet.send_to_proxy(0, b"POST", b"/order/a")).status == 504  # it may have run
         assert now_ns() - began < 1.9 * SECOND  # its client waits for 1.5
         ((name, counted),) = node.counters.route_failures.items()
         names = [route.name for route in node.view.route_table.routes_by_host["local.example"].values()]
@@ -89,7 +91,7 @@
             for caller in list(backend.server.server_state.connections):
                 caller.transport.abort()
         began = now_ns()
-        refused = await fleet.serve(0, b"POST", b"/order/b")
+        refused = await fleet.send_to_proxy(0, b"POST", b"/order/b")
         assert refused.status == 503
         assert refused.header(b"retry-after")
         assert refused.header(b"x-backend-seal") is None
@@ -109,19 +111,19 @@
         node, gate = await start_fleet(fleet), asyncio.Event()
         for backend in fleet.backends:
             backend.handler = gate.wait  # type: ignore[assignment]
-        at = fleet.plan.proxy_addresses()[0]
+        at = fleet.layout.proxy_addresses()[0]
         kept = [await connect(*at, 2.0) for _ in range(3)]
         calls = [
-            asyncio.create_task(ask(at, method, target, f"w{k}", b"", kept[k]))
+            asyncio.create_task(send_request(at, method, target, f"w{k}", b"", kept[k]))
             for k, (method, target) in enumerate([(b"POST", b"/order/a"), (b"GET", b"/read/a")])
         ]
-        await until(
+        await wait_until(
             lambda: sum(len(backend.handled_request_ids) for backend in fleet.backends) == 2,
             "they are at work",
         )
         await replace_config(fleet, 1, 2, {"/new/": ("safe", "lookup")})
-        await until(lambda: node.view.route_table.version == 2, "the next version is in force")
-        settings = fleet.plan.node_settings(3, tmp_path / "disk-3", True)
+        await wait_until(lambda: node.view.route_table.version == 2, "the next version is in force")
+        settings = fleet.layout.node_settings(3, tmp_path / "disk-3", True)
         settings["network"]["seeds"] = settings["network"]["seeds"][:1]
         path = tmp_path / "settings.json"
         path.write_text(json.dumps(settings))
@@ -131,7 +133,7 @@
         gate.set()
         assert [reply.status for reply in await asyncio.gather(*calls)] == [200, 200]
         for connection in kept:  # rested lines and used ones: none was ended
-            assert (await ask(at, b"GET", b"/new/a", "n", b"", connection)).status == 200
+            assert (await send_request(at, b"GET", b"/new/a", "n", b"", connection)).status == 200
             connection.close()
 
     fleet.run(whole())
@@ -149,7 +151,7 @@
 
         node.view.apply_route_table = fails
         await replace_config(fleet, 1, 2, ROUTES)
-        await until(lambda: node.view.route_table.version == 2, "it is in force all the same")
+        await wait_until(lambda: node.view.route_table.version == 2, "it is in force all the same")
         assert failed == [2]
 
     fleet.run(whole())
--- a/tests/gateway/test_upstream_attempt.py
+++ b/tests/gateway/test_upstream_attempt.py
@@ -13,7 +13,7 @@
 from meadowworks.proxy.upstream_attempt import AttemptResult, UpstreamRequest, send_attempt
 from meadowworks.runtime.clock import now_ns
 from meadowworks.runtime.http_connection import ClientConnection
-from tests.gateway.helpers import SECOND, Raw, backend, reset, until
+from tests.gateway.helpers import SECOND, RawServer, make_backend, reset_connection, wait_until
 
 scenarios("features/upstream_attempt.feature")
 
@@ -93,7 +93,7 @@
                 ident = head.lower().split(b"x-request-id: ")[1].split(b"\r\n")[0]
                 for piece in response_pieces(how, ident):
                     if piece is None:
-                        return reset(writer)
+                        return reset_connection(writer)
                     if not piece:
                         return writer.close()
                     writer.write(piece)
@@ -101,7 +101,7 @@
         except (asyncio.IncompleteReadError, ConnectionError):
             pass
 
-    server = Raw(serve)
+    server = RawServer(serve)
     at = await server.open()
     if how == "by not listening":
         server.close()
@@ -112,7 +112,7 @@
     found = []
     for ident in (b"one", b"two"):
         request = UpstreamRequest(method, b"/x", [(b"host", b"h"), (b"x-request-id", ident)], b"", ident)
-        found.append(await send_attempt(pool, backend("me", at), request, now_ns() + SECOND))
+        found.append(await send_attempt(pool, make_backend("me", at), request, now_ns() + SECOND))
         for _ in range(5):
             await asyncio.sleep(0)
     for stall in pool.endpoints.values():
@@ -182,7 +182,7 @@
 
     def __init__(self, pieces: list[bytes | None]) -> None:
         self.pieces, self.read, self.lines, self.ended = pieces, [], 0, 0  # type: ignore[var-annotated]
-        self.raw = Raw(self.serve)
+        self.raw = RawServer(self.serve)
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.lines, first = self.lines + 1, True
@@ -208,19 +208,19 @@
 
 async def send_three(how: str) -> tuple[Server, list[AttemptResult]]:
     server = Server(SECONDS[how][0])
-    there = backend("me", await server.raw.open())
+    there = make_backend("me", await server.raw.open())
     pool: ConnectionPool[ClientConnection] = ConnectionPool()
     found = [await send_attempt(pool, there, request(b"one"), now_ns() + SECOND)]
     second = asyncio.create_task(send_attempt(pool, there, request(b"two"), now_ns() + SECOND))
     if "silence" in how:
-        await until(lambda: len(server.read) == 2, "it is read")
+        await wait_until(lambda: len(server.read) == 2, "it is read")
         for _ in range(5):
             await asyncio.sleep(0)
         assert not second.done()  # a silence ends nothing, and sends nothing again
         second.cancel()
         assert isinstance((await asyncio.gather(second, return_exceptions=True))[0], asyncio.CancelledError)
         found.append(AttemptResult(FAILED, None, 0))
-        await until(lambda: server.ended == 1, "its line is ended")
+        await wait_until(lambda: server.ended == 1, "its line is ended")
     else:
         found.append(await second)
     found.append(await send_attempt(pool, there, request(b"three"), now_ns() + SECOND))
@@ -249,7 +249,7 @@
 def test_a_request_without_an_id_goes_on_a_connection_of_its_own() -> None:
     async def main() -> None:
         server = Server([OK.replace(b"mine", b"late")])
-        there = backend("me", await server.raw.open())
+        there = make_backend("me", await server.raw.open())
         pool: ConnectionPool[ClientConnection] = ConnectionPool()
         for ident in (b"one", None, None):
             result = await send_attempt(pool, there, request(ident), now_ns() + SECOND)
@@ -265,11 +265,11 @@
 def test_for_a_client_that_goes_while_a_connection_comes_up_nothing_is_sent() -> None:
     async def main() -> None:
         server = Server([OK])
-        there = backend("me", await server.raw.open())
+        there = make_backend("me", await server.raw.open())
         pool: ConnectionPool[ClientConnection] = ConnectionPool()
         result = await send_attempt(pool, there, request(b"one"), now_ns() + SECOND, client_gone=lambda: True)
         assert (result.outcome, result.response) == (NEVER_RAN, None)
-        await until(lambda: server.ended == 1, "its connection is closed")
+        await wait_until(lambda: server.ended == 1, "its connection is closed")
         assert not server.read
         load = pool.load("me")
         assert not load.in_flight
