--- a/meadowworks/forwarding/connection_pool.py
+++ b/meadowworks/forwarding/connection_pool.py
@@ -53,7 +53,7 @@
         """The load of an instance."""
         return self.endpoint(backend_id).load
 
-    def known_load(self, backend_id: str) -> EndpointLoad | None:
+    def find_load(self, backend_id: str) -> EndpointLoad | None:
         """The load of an instance, unless it has been evicted."""
         found = self.endpoints.get(backend_id)
         return None if found is None else found.load
--- a/meadowworks/forwarding/endpoint_load.py
+++ b/meadowworks/forwarding/endpoint_load.py
@@ -26,21 +26,21 @@
     """The load of one instance; times of a steady clock in nanoseconds, loads in requests."""
 
     in_flight: int = 0  # this proxy's attempts
-    others_in_flight: float = 0.0  # requests of other proxies, as its newest response said
-    load_reported_ns: int = 0
+    other_proxies_in_flight: float = 0.0  # requests of other proxies, as its newest response said
+    backend_load_reported_ns: int = 0
     zone_load: float = 0.0  # requests there by its zone's load report
-    zone_load_ns: int = -ZONE_LOAD_TTL_NS
+    zone_load_reported_ns: int = -ZONE_LOAD_TTL_NS
     service_time_ns: float | None = None  # what a request takes there alone
     avoided_until_ns: int = 0
 
     def record_backend_load(self, now: int, running: int, waiting: int) -> None:
         """Record what a response says of its backend's load, the response's own request left out."""
-        self.others_in_flight = max(0.0, running + waiting - self.in_flight)
-        self.load_reported_ns = now
+        self.other_proxies_in_flight = max(0.0, running + waiting - self.in_flight)
+        self.backend_load_reported_ns = now
 
     def record_zone_load(self, now: int, in_flight: float) -> None:
         """Record what the proxies of its zone have said of its load."""
-        self.zone_load, self.zone_load_ns = in_flight, now
+        self.zone_load, self.zone_load_reported_ns = in_flight, now
 
     def record_service_time(self, elapsed_ns: int, load: float, capacity: float) -> None:
         """Record a response after `elapsed_ns` to a request that found `load` others there."""
@@ -60,8 +60,12 @@
         As that grows old, the zone's load report takes its place: guards against a backend that looks idle
         because it is too busy to answer.
         """
-        freshness = max(0.0, 1 - (now - self.load_reported_ns) / BACKEND_LOAD_TTL_NS)
-        report_is_fresh = now - self.zone_load_ns < ZONE_LOAD_TTL_NS
-        zone_load = self.zone_load if report_is_fresh else self.others_in_flight
+        freshness = max(0.0, 1 - (now - self.backend_load_reported_ns) / BACKEND_LOAD_TTL_NS)
+        report_is_fresh = now - self.zone_load_reported_ns < ZONE_LOAD_TTL_NS
+        zone_load = self.zone_load if report_is_fresh else self.other_proxies_in_flight
         others_share = OTHER_PROXIES_SHARE if same_zone else 1.0
-        return self.in_flight + self.others_in_flight * freshness + zone_load * others_share * (1 - freshness)
+        return (
+            self.in_flight
+            + self.other_proxies_in_flight * freshness
+            + zone_load * others_share * (1 - freshness)
+        )
--- a/meadowworks/forwarding/endpoint_selection.py
+++ b/meadowworks/forwarding/endpoint_selection.py
@@ -24,13 +24,13 @@
 class EndpointChoices(NamedTuple):
     """The endpoints that a request may go to at this moment, by number.
 
-    `weights` are slots; `delays_ns` is how long a request would take at each, in nanoseconds; `slot_free`
+    `weights` are slots; `delays_ns` is how long a request would take at each, in nanoseconds; `has_free_slot`
     says whether any endpoint of the local zone has a free slot.
     """
 
     weights: Mapping[int, float]
     delays_ns: Mapping[int, float]
-    slot_free: bool = True
+    has_free_slot: bool = True
 
 
 NO_ENDPOINTS = EndpointChoices({}, {}, False)
--- a/meadowworks/forwarding/request_attempts.py
+++ b/meadowworks/forwarding/request_attempts.py
@@ -35,10 +35,10 @@
 # With less time left no attempt begins: a connection and a response take longer.
 MIN_ATTEMPT_NS = 20 * MS
 RETRY_BUDGET_EXHAUSTED = NoRetry("no retry is left in the service's budget")
-CLIENT_GONE = NoRetry("the client has disconnected")
+CLIENT_DISCONNECTED = NoRetry("the client has disconnected")
 
 
-class RetryAllowance(Protocol):
+class RetryLimiter(Protocol):
     """Bounds the retries of a service's requests."""
 
     def take_retry(self, now: int) -> bool:
@@ -127,35 +127,35 @@
 class RequestAttempts:
     """The attempts of one request. All times are of one steady clock, in nanoseconds.
 
-    :param rules: what the retry policy reads of the route
+    :param route_policy: what the retry policy reads of the route
     :param retry_policy: the number of the policy, as `meadowworks.attempts.retry_policy` counts them
     :param deadline_ns: when the client's time or the operator's is over
     :param retry_budget: what bounds the retries of the service
     """
 
-    rules: RouteRetryPolicy
+    route_policy: RouteRetryPolicy
     retry_policy: int
     deadline_ns: int
-    retry_budget: RetryAllowance
+    retry_budget: RetryLimiter
     attempts: dict[int, Attempt] = field(default_factory=dict)  # by number, from 1
     # Statuses of attempts that the backend itself answered with a failure, by number.
     backend_failures: dict[int, int] = field(default_factory=dict)
-    unhedged_until_ns: int = 0  # until when the newest attempt is waited for where no slot is free
-    client_gone: bool = False
+    latest_hedge_ns: int = 0  # until when the newest attempt is waited for where no slot is free
+    client_disconnected: bool = False
 
-    def handle_event(self, event: Event, now: int, choices: EndpointChoices, chance: float) -> Command:
+    def handle_event(self, event: Event, now: int, choices: EndpointChoices, random_value: float) -> Command:
         """Decide what follows from an event.
 
         :param now: the time of the event
         :param choices: the endpoints that another attempt could go to at this moment
-        :param chance: a random number from 0 up to, but not including, 1
+        :param random_value: a random number from 0 up to, but not including, 1
         """
         if isinstance(event, AttemptEnded):
-            return self._on_attempt_ended(event, now, choices, chance)
+            return self._on_attempt_ended(event, now, choices, random_value)
         if isinstance(event, RequestReceived):
-            return self._on_request(now, choices, chance)
+            return self._on_request(now, choices, random_value)
         if isinstance(event, TimerExpired):
-            return self._on_timer(now, choices, chance)
+            return self._on_timer(now, choices, random_value)
         return self._on_client_disconnected(now)
 
     def next_timer_ns(self, now: int) -> int:
@@ -167,17 +167,17 @@
         ]
         return min([*due, self.deadline_ns])
 
-    def _on_request(self, now: int, choices: EndpointChoices, chance: float) -> Command:
+    def _on_request(self, now: int, choices: EndpointChoices, random_value: float) -> Command:
         if self.deadline_ns - now < MIN_ATTEMPT_NS:
-            return self._reject(now, chance)
-        endpoint = retries.pick_fastest(choices.weights, (), choices.delays_ns, chance)
+            return self._reject(now, random_value)
+        endpoint = retries.pick_fastest(choices.weights, (), choices.delays_ns, random_value)
         # Guards against work for nobody: without hope of a response in time the request is rejected at once.
         if endpoint is None or choices.delays_ns.get(endpoint, 0.0) > self.deadline_ns - now:
-            return self._reject(now, chance)
+            return self._reject(now, random_value)
         return self._send(now, endpoint, choices.weights)
 
     def _on_attempt_ended(
-        self, event: AttemptEnded, now: int, choices: EndpointChoices, chance: float
+        self, event: AttemptEnded, now: int, choices: EndpointChoices, random_value: float
     ) -> Command:
         number, outcome, status = event.number, event.outcome, event.status
         self.attempts[number].state = outcome
@@ -187,42 +187,42 @@
             self.backend_failures[number] = status
         if any(one.state in (SENT, OVERDUE) for one in self.attempts.values()):
             return self._wait(now)
-        return self._retry_or_finish(now, choices, chance)
+        return self._retry_or_finish(now, choices, random_value)
 
-    def _on_timer(self, now: int, choices: EndpointChoices, chance: float) -> Command:
+    def _on_timer(self, now: int, choices: EndpointChoices, random_value: float) -> Command:
         """Hedge: an attempt was waited for long enough, and another may go beside it.
 
         The first response counts. Where a slot is free the second request goes sooner. At the deadline all
         is over.
         """
         if now >= self.deadline_ns:
-            return self._reject(now, chance)
+            return self._reject(now, random_value)
         for one in self.attempts.values():
             if (
                 one.state == SENT
-                and one.wait_until_ns <= now < self.unhedged_until_ns
-                and not choices.slot_free
+                and one.wait_until_ns <= now < self.latest_hedge_ns
+                and not choices.has_free_slot
             ):
-                one.wait_until_ns = self.unhedged_until_ns
+                one.wait_until_ns = self.latest_hedge_ns
             elif one.state == SENT and one.wait_until_ns <= now:
                 one.state = OVERDUE
-                found = self._next_attempt(now, choices, chance)
+                found = self._next_attempt(now, choices, random_value)
                 if isinstance(found, Retry):
                     return self._send(now, found.backend, choices.weights)
         return self._wait(now)
 
     def _on_client_disconnected(self, now: int) -> Command:
         """Nothing more is sent. An unsafe request that may have run goes on, as its client wanted it."""
-        self.client_gone = True
-        return CancelAttempts() if self.rules.idempotent else self._wait(now)
+        self.client_disconnected = True
+        return CancelAttempts() if self.route_policy.idempotent else self._wait(now)
 
     def _send(self, now: int, endpoint: int, weights: Mapping[int, float]) -> SendAttempt:
         time_left_ns = self.deadline_ns - now
         wait_ns = retries.attempt_wait_ns(
-            self.rules, self.retry_policy, [*self.attempts.values()], weights, time_left_ns
+            self.route_policy, self.retry_policy, [*self.attempts.values()], weights, time_left_ns
         )
         number = len(self.attempts) + 1
-        self.unhedged_until_ns = now + wait_ns
+        self.latest_hedge_ns = now + wait_ns
         until_ns = now + (int(EARLY_HEDGE_SHARE * wait_ns) if wait_ns < time_left_ns else wait_ns)
         self.attempts[number] = Attempt(endpoint, SENT, until_ns)
         return SendAttempt(number, endpoint, until_ns)
@@ -230,37 +230,37 @@
     def _wait(self, now: int) -> Wait:
         return Wait(self.next_timer_ns(now))
 
-    def _next_attempt(self, now: int, choices: EndpointChoices, chance: float) -> Retry | NoRetry:
-        if self.client_gone:
-            return CLIENT_GONE
+    def _next_attempt(self, now: int, choices: EndpointChoices, random_value: float) -> Retry | NoRetry:
+        if self.client_disconnected:
+            return CLIENT_DISCONNECTED
         found = retries.decide_retry(
-            self.rules,
+            self.route_policy,
             self.retry_policy,
             [*self.attempts.values()],
             choices.weights,
             self.deadline_ns - now,
-            chance,
+            random_value,
             choices.delays_ns,
         )
         if isinstance(found, NoRetry) or self.retry_budget.take_retry(now):
             return found
         return RETRY_BUDGET_EXHAUSTED
 
-    def _retry_or_finish(self, now: int, choices: EndpointChoices, chance: float) -> Command:
-        found = self._next_attempt(now, choices, chance)
+    def _retry_or_finish(self, now: int, choices: EndpointChoices, random_value: float) -> Command:
+        found = self._next_attempt(now, choices, random_value)
         if isinstance(found, Retry):
             return self._send(now, found.backend, choices.weights)
         if self.backend_failures:  # the backend's own failure is the response
             return ForwardResponse(next(iter(self.backend_failures)))
-        return self._reject(now, chance)
+        return self._reject(now, random_value)
 
-    def _reject(self, now: int, chance: float) -> RejectRequest:
+    def _reject(self, now: int, random_value: float) -> RejectRequest:
         if retries.none_ran([*self.attempts.values()]):
-            return RejectRequest(503, retries.retry_after_ns(RETRY_AFTER_BASE_NS, 1.0, chance))
+            return RejectRequest(503, retries.retry_after_ns(RETRY_AFTER_BASE_NS, 1.0, random_value))
         return RejectRequest(504 if now >= self.deadline_ns else 502)
 
 
-def retry_rules(safe: bool, time_left_ns: int, hedge_wait_ns: int) -> RouteRetryPolicy:
+def route_retry_policy(safe: bool, time_left_ns: int, hedge_wait_ns: int) -> RouteRetryPolicy:
     """What the retry policy reads of a route.
 
     :param hedge_wait_ns: how long an attempt is waited for before another may go beside it
--- a/meadowworks/forwarding/response_check.py
+++ b/meadowworks/forwarding/response_check.py
@@ -19,14 +19,14 @@
 
     :param outcome: what is known of the attempt, as `meadowworks.attempts.retry_policy` names it
     :param is_valid: the response is this request's own, and may go to its client
-    :param incarnation_ended: another instance answers at the backend's address
-    :param reusable: the connection may carry a further request
+    :param instance_superseded: another instance answers at the backend's address
+    :param connection_reusable: the connection may carry a further request
     """
 
     outcome: int
     is_valid: bool = True
-    incarnation_ended: bool = False
-    reusable: bool = True
+    instance_superseded: bool = False
+    connection_reusable: bool = True
 
 
 def outcome_of_status(status: int, not_run: bool) -> int:
@@ -47,10 +47,10 @@
     :param first_on_connection: the connection has carried no request before, so a failure that names no
         request can be no other's
     """
-    named = header(b"x-request-id")
-    if request_id is not None and named != request_id:
-        names_other = named is not None or status < 300 or not first_on_connection
-        if names_other:
+    response_request_id = header(b"x-request-id")
+    if request_id is not None and response_request_id != request_id:
+        is_mismatch = response_request_id is not None or status < 300 or not first_on_connection
+        if is_mismatch:
             return "another request's response"
     if 200 <= status < 300 and header(b"x-backend-seal") is None:
         return "a success without a seal"
@@ -73,9 +73,9 @@
     if rejection_reason(request_id, status, header, first_on_connection):
         # Guards against a late response to an earlier request in this one's place, which would be taken for
         # this one's: as its success, or as proof that it did not run.
-        return ResponseVerdict(FAILED, is_valid=False, reusable=False)
+        return ResponseVerdict(FAILED, is_valid=False, connection_reusable=False)
     if status == 421:
         return ResponseVerdict(
-            NEVER_RAN, incarnation_ended=header(b"x-backend-id") != backend_id, reusable=False
+            NEVER_RAN, instance_superseded=header(b"x-backend-id") != backend_id, connection_reusable=False
         )
     return ResponseVerdict(outcome_of_status(status, header(b"x-not-run") is not None))
--- a/meadowworks/forwarding/retry_budget.py
+++ b/meadowworks/forwarding/retry_budget.py
@@ -10,9 +10,9 @@
 from collections import deque
 
 # Part of the ratio that is used: other proxies count their requests at other moments.
-REQUEST_SHARE = 0.9
+RATIO_SAFETY_FACTOR = 0.9
 # Retries in a window beyond the requests' part: a proxy with few requests may retry too.
-ALLOWANCE = 2
+BASE_RETRIES = 2
 
 
 class RetryBudget:
@@ -23,7 +23,7 @@
     """
 
     def __init__(self, ratio: float, window_ns: int) -> None:
-        self.ratio, self.window_ns = ratio * REQUEST_SHARE, window_ns
+        self.ratio, self.window_ns = ratio * RATIO_SAFETY_FACTOR, window_ns
         self.requests: deque[int] = deque()
         self.retries: deque[int] = deque()
 
@@ -34,7 +34,7 @@
     def take_retry(self, now: int) -> bool:
         """Whether a retry may be sent; it is counted if so."""
         retries, requests = self.window_counts(now)
-        if retries + 1 > self.ratio * requests + ALLOWANCE:
+        if retries + 1 > self.ratio * requests + BASE_RETRIES:
             return False
         self.retries.append(now)
         return True
--- a/meadowworks/forwarding/staleness.py
+++ b/meadowworks/forwarding/staleness.py
@@ -27,7 +27,7 @@
             self.confirmed_ns = sent_ns
 
     @property
-    def ever_confirmed(self) -> bool:
+    def has_been_confirmed(self) -> bool:
         """Whether a lease holder has ever answered."""
         return self.confirmed_ns is not None
 
--- a/meadowworks/modelcheck/models/forwarding_world.py
+++ b/meadowworks/modelcheck/models/forwarding_world.py
@@ -31,7 +31,7 @@
     SendAttempt,
     TimerExpired,
     choose_retry_policy,
-    retry_rules,
+    route_retry_policy,
 )
 from meadowworks.forwarding.response_check import NOT_RUN_STATUSES, check_response
 from meadowworks.forwarding.retry_budget import RetryBudget
@@ -149,7 +149,7 @@
 
     def is_avoided(self, instance: str) -> bool:
         """Whether an instance could not be reached a moment ago."""
-        load = self.pool.known_load(instance)
+        load = self.pool.find_load(instance)
         return load is not None and load.is_avoided(self.now)
 
     def start_request(self) -> None:
@@ -157,7 +157,7 @@
         safe = self.scenario.safe
         deadline_ns = self.now + DEADLINE_MS * MS
         attempts = RequestAttempts(
-            retry_rules(safe, DEADLINE_MS * MS, TARGET_MS * MS),
+            route_retry_policy(safe, DEADLINE_MS * MS, TARGET_MS * MS),
             choose_retry_policy(safe, self.scenario.max_attempts, False),
             deadline_ns,
             self.retry_budget,
@@ -294,14 +294,14 @@
             headers[b"x-not-run"] = b"full"
         mine, want = f"r{f.request}".encode(), f.instance.encode()
         verdict = check_response(mine, want, status or 503, headers.get, connection.request_count == 1)
-        if verdict.reusable and not other:
+        if verdict.connection_reusable and not other:
             self.pool.release(self.now, f.instance, connection, 60)
         else:
             connection.close()
         if not other and status in (0, 421):
             f.promised_not_run = True
         self.finish_attempt(f)
-        if verdict.incarnation_ended:
+        if verdict.instance_superseded:
             self.backends.mark_superseded(f.instance)
         self.responses = {**self.responses, (f.request, f.number): (status or 503, request_id)}
         self.on_attempt_ended(
@@ -380,7 +380,7 @@
     attempts = request.attempts
     states = [(n, one.backend, one.state, one.wait_until_ns) for n, one in attempts.attempts.items()]
     failures = tuple(attempts.backend_failures.items())
-    return request.status, request.response_owner, attempts.unhedged_until_ns, tuple(states), failures
+    return request.status, request.response_owner, attempts.latest_hedge_ns, tuple(states), failures
 
 
 def connection_key(connection: ModelConnection) -> tuple[Any, ...]:
--- a/meadowworks/modelcheck/models/http_connections.py
+++ b/meadowworks/modelcheck/models/http_connections.py
@@ -31,7 +31,7 @@
     RequestReceived,
     SendAttempt,
     choose_retry_policy,
-    retry_rules,
+    route_retry_policy,
 )
 from meadowworks.forwarding.response_check import NOT_RUN_STATUSES
 from meadowworks.modelcheck.model import Step
@@ -226,7 +226,7 @@
         r, scenario = len(self.callers), self.scenario
         safe = scenario.calls == "safe"
         attempts = RequestAttempts(
-            retry_rules(safe, DEADLINE_NS, DEADLINE_NS),
+            route_retry_policy(safe, DEADLINE_NS, DEADLINE_NS),
             choose_retry_policy(safe, 2, False),
             self.now + DEADLINE_NS,
             RetriesAllowed(),
--- a/meadowworks/modelcheck/seeded_faults/forwarding.py
+++ b/meadowworks/modelcheck/seeded_faults/forwarding.py
@@ -29,8 +29,8 @@
             (
                 "ids of failures are not compared",
                 RESPONSE_CHECK + "rejection_reason",
-                "named is not None or status < 300 or not first_on_connection",
-                "status < 300 or named is None and not first_on_connection",
+                "response_request_id is not None or status < 300 or not first_on_connection",
+                "status < 300 or response_request_id is None and not first_on_connection",
                 ("at most once", "promises kept"),
             ),
             (
@@ -43,14 +43,14 @@
             (
                 "a line with a spoilt answer is kept",
                 RESPONSE_CHECK + "check_response",
-                "return ResponseVerdict(FAILED, is_valid=False, reusable=False)",
-                "return ResponseVerdict(NEVER_RAN, is_valid=False, reusable=False)",
+                "return ResponseVerdict(FAILED, is_valid=False, connection_reusable=False)",
+                "return ResponseVerdict(NEVER_RAN, is_valid=False, connection_reusable=False)",
                 ("at most once", "promises kept"),
             ),
             (
                 "a line to another life is kept",
                 RESPONSE_CHECK + "check_response",
-                "!= backend_id, reusable=False",
+                "!= backend_id, connection_reusable=False",
                 "!= backend_id",
                 ("own lines",),
             ),
@@ -100,7 +100,7 @@
             (
                 "a request whose tries are spent waits",
                 ATTEMPTS + "_retry_or_finish",
-                "return self._reject(now, chance)",
+                "return self._reject(now, random_value)",
                 "return self._wait(now)",
                 ("told at once",),
             ),
--- a/meadowworks/modelcheck/seeded_faults/upstream.py
+++ b/meadowworks/modelcheck/seeded_faults/upstream.py
@@ -77,15 +77,15 @@
         ),
         (
             "a line is kept whose answer was another's",
-            "meadowworks.proxy.upstream_attempt:take_response",
-            "if verdict.reusable:",
+            "meadowworks.proxy.upstream_attempt:process_response",
+            "if verdict.connection_reusable:",
             "if True:",
             ("clean lines",),
             IDLE,
         ),
         (
             "a line whose answer was another's is let go as it is",
-            "meadowworks.proxy.upstream_attempt:take_response",
+            "meadowworks.proxy.upstream_attempt:process_response",
             "connection.close()\n    if not verdict.is_valid:",
             "pass\n    if not verdict.is_valid:",
             ("no line left",),
--- a/meadowworks/proxy/control_plane_client.py
+++ b/meadowworks/proxy/control_plane_client.py
@@ -60,7 +60,7 @@
         self._selector = ControlPlaneSelector(settings.current.zone)
         self._schedule = PullSchedule()
         self._pull_count = 0
-        self.known_peers = PartialView(own_record(settings, incarnation), random.getrandbits(32))
+        self.known_peers = PartialView(local_peer_record(settings, incarnation), random.getrandbits(32))
         self.peer_clients: dict[tuple[str, int], PeerClient] = {}
 
     def peer_client(self, host: str, port: int) -> PeerClient:
@@ -80,7 +80,7 @@
                 raise
             except Exception:
                 log.exception("pull_failed_internally")
-                self._schedule.want_reply_at_once()
+                self._schedule.request_immediate_reply()
                 await asyncio.sleep(FAULT_PAUSE_S)
 
     async def pull_once(self) -> None:
@@ -99,7 +99,7 @@
             table = await run_cooperatively(decode_config_steps(reply.config[1])) if reply.config else None
         except (RequestError, *DECODE_ERRORS) as error:
             log.info("control_plane_node_left", node_ip=host, reason=str(error))
-            self._reporter.put_back(report)
+            self._reporter.restore_unsent(report)
             self._selector.mark_failed(now_ns(), host)
             await asyncio.sleep(self._schedule.on_failure(self._view.route_table is not None))
             return
@@ -147,7 +147,7 @@
         self._view.refresh_endpoints()
 
 
-def own_record(settings: LiveSettings, incarnation: str) -> PeerRecord:
+def local_peer_record(settings: LiveSettings, incarnation: str) -> PeerRecord:
     """What this process says of itself. Its heartbeat begins above that of an earlier process."""
     node = settings.current
     heartbeat = int(time.time())
--- a/meadowworks/proxy/control_plane_view.py
+++ b/meadowworks/proxy/control_plane_view.py
@@ -49,7 +49,7 @@
         self.route_table_listeners: list[Callable[[RouteTable], None]] = []
         self.balancers: dict[str, ServiceBalancer] = {}  # by service
         self.started_ns = now_ns()
-        self.first_listed_ns = 0  # when the first list of backends was taken as one to serve by
+        self.initial_sync_ns = 0  # when the first list of backends was taken as one to serve by
 
     @property
     def config_version(self) -> int:
@@ -111,27 +111,27 @@
         :param now: when the reply was taken in
         """
         self.staleness.on_reply(sent_ns, has_lease)
-        self.mark_backends_listed(now)
+        self.check_initial_sync(now)
 
-    def mark_backends_listed(self, now: int) -> None:
+    def check_initial_sync(self, now: int) -> None:
         """Serve by the list that is there: once a lease holder has sent it, or after a while without one."""
         waited_long = now - self.started_ns > STARTUP_GRACE_NS
-        if not self.first_listed_ns and (self.staleness.ever_confirmed or waited_long):
-            self.first_listed_ns = now
+        if not self.initial_sync_ns and (self.staleness.has_been_confirmed or waited_long):
+            self.initial_sync_ns = now
 
     def is_ready(self, now: int) -> bool:
         """Whether requests can be served: there is a configuration, and a backend of every service.
 
         A service without a backend is not waited for longer than `STARTUP_GRACE_NS`.
         """
-        if self.route_table is None or not self.first_listed_ns:
+        if self.route_table is None or not self.initial_sync_ns:
             return False
         has_backends = all(self.balancers[name].weights for name in self.route_table.latency_targets_ms)
-        return has_backends or now - self.first_listed_ns > STARTUP_GRACE_NS
+        return has_backends or now - self.initial_sync_ns > STARTUP_GRACE_NS
 
     def expire(self, now: int) -> None:
         """Let go of what sources have said that are silent. To be called every second."""
         self.gossip.expire_sources(now)
         self.backends.refresh_all()
         self.refresh_endpoints()
-        self.mark_backends_listed(now)
+        self.check_initial_sync(now)
--- a/meadowworks/proxy/counters.py
+++ b/meadowworks/proxy/counters.py
@@ -7,23 +7,23 @@
 from meadowworks.runtime import logging as logs
 
 # Counters beside those of status codes. Their names are read in the status reply: they don't change.
-CLIENT_GONE = "clients gone"
+CLIENT_DISCONNECTED = "clients gone"
 NOT_ADMITTED = "let in no more"
 CROSS_ZONE_ATTEMPTS = "tries abroad"
 # Kinds of a route's failures, likewise.
-GIVEN_UP = "broken off"  # answered while an attempt was in flight
+ABANDONED_IN_FLIGHT = "broken off"  # answered while an attempt was in flight
 RESPONSE_ABORTED = "broken off midway"  # the client did not read its response
-CANCELLED_FOR_CLIENT = "ended, its client gone"
-HELD_UNSENT = "held without an offer"  # no backend was reached for much of the latency target
+CANCELLED_ON_DISCONNECT = "ended, its client gone"
+NO_BACKEND_REACHED = "held without an offer"  # no backend was reached for much of the latency target
 log = logs.get_logger("proxy")
 
 
-def own_response(status: int) -> str:
+def proxy_response(status: int) -> str:
     """The counter of responses that the proxy gives itself."""
     return f"own {status}"
 
 
-def failed_unsent(status: int) -> str:
+def failure_without_backend(status: int) -> str:
     """The kind of failure of a request that reached no backend."""
     return f"{status} without an offer"
 
--- a/meadowworks/proxy/forwarder.py
+++ b/meadowworks/proxy/forwarder.py
@@ -24,11 +24,11 @@
     SendAttempt,
     TimerExpired,
     choose_retry_policy,
-    retry_rules,
+    route_retry_policy,
 )
 from meadowworks.forwarding.retry_budget import RetryBudget
 from meadowworks.load_balancing.service_balancer import ServiceBalancer
-from meadowworks.proxy import counters as names
+from meadowworks.proxy import counters as counter_names
 from meadowworks.proxy.control_plane_view import ControlPlaneView
 from meadowworks.proxy.counters import ProxyCounters
 from meadowworks.proxy.endpoint_selector import EndpointSelector
@@ -44,7 +44,7 @@
 MS, SECOND = 1_000_000, 1_000_000_000
 # A request that was held for this part of its route's latency target, and reached no backend, is counted as a
 # failure of the route.
-UNSENT_TARGET_SHARE = 0.25
+NO_BACKEND_TARGET_SHARE = 0.25
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,7 +60,7 @@
     memory: MemoryReservation
     connection: HttpConnection | None
 
-    def has_gone(self) -> bool:
+    def is_disconnected(self) -> bool:
         """Whether nobody waits for the response any more."""
         return self.connection is not None and self.connection.disconnected
 
@@ -100,19 +100,19 @@
         balancer.priorities.record_request(route.priority)
         admission_ratio = balancer.admission_ratio_of(route.priority)
         if admission_ratio < 1 and self.random.random() >= admission_ratio:
-            self.counters.increment(names.NOT_ADMITTED)
+            self.counters.increment(counter_names.NOT_ADMITTED)
             return RejectRequest(
                 503, retry_after_ns(RETRY_AFTER_BASE_NS, admission_ratio, self.random.random())
             )
         overloaded = balancer.max_retries == 0
         attempts = RequestAttempts(
-            retry_rules(route.safe, client.deadline_ns - now, int(route.target_ms * MS)),
+            route_retry_policy(route.safe, client.deadline_ns - now, int(route.target_ms * MS)),
             choose_retry_policy(route.safe, route.max_attempts, overloaded),
             client.deadline_ns,
             retry_budget,
         )
         result = await AttemptRunner(self, attempts, balancer, route, request, client).run(now)
-        if client.has_gone() and isinstance(result, RejectRequest):
+        if client.is_disconnected() and isinstance(result, RejectRequest):
             self._reporter.withdraw_request(service)
         return result
 
@@ -120,21 +120,21 @@
         """The backend instance of an endpoint's number."""
         return self._view.backends.instances[balancer.endpoint_ids.name_by_index[endpoint]]
 
-    async def attempt(
+    async def run_attempt(
         self, backend: BackendInstance, request: UpstreamRequest, client: ClientContext
     ) -> AttemptResult:
         """Send a request to a backend, and record what its response says."""
         instance_id, same_zone = backend.instance_id, backend.zone == self._settings.current.zone
         load_before = self._pool.load(instance_id).estimate(now_ns(), same_zone)
         if not same_zone:
-            self.counters.increment(names.CROSS_ZONE_ATTEMPTS)
+            self.counters.increment(counter_names.CROSS_ZONE_ATTEMPTS)
         result = await send_attempt(
-            self._pool, backend, request, client.deadline_ns, client.memory.reserve, client.has_gone
+            self._pool, backend, request, client.deadline_ns, client.memory.reserve, client.is_disconnected
         )
         self._reporter.record_attempt(instance_id, result)
         if result.outcome == ANSWERED and result.response is not None:
             self._record_response(backend, result.response, result.elapsed_ns, load_before)
-        if result.incarnation_ended:
+        if result.instance_superseded:
             self._view.mark_superseded(instance_id)
         return result
 
@@ -154,7 +154,7 @@
     ) -> None:
         if balancer := self._view.balancers.get(backend.service):
             balancer.record_response(len(response.body))
-        if load := self._pool.known_load(backend.instance_id):
+        if load := self._pool.find_load(backend.instance_id):
             load.record_service_time(elapsed_ns, load_before, backend.capacity)
 
 
@@ -229,7 +229,7 @@
     def _send(self, command: SendAttempt) -> None:
         forwarder = self._forwarder
         backend = forwarder.backend(self._balancer, command.endpoint)
-        task = forwarder.tasks.start(forwarder.attempt(backend, self._request, self._client))
+        task = forwarder.tasks.start(forwarder.run_attempt(backend, self._request, self._client))
         self._tasks[task] = command.number
 
     async def _next_command(self) -> Command:
@@ -268,7 +268,7 @@
             return
         for task in self._tasks:
             task.cancel()
-            self._count_failure(names.CANCELLED_FOR_CLIENT)
+            self._count_failure(counter_names.CANCELLED_ON_DISCONNECT)
 
     def _response(self, number: int) -> Response:
         response = self._responses[number]
@@ -280,12 +280,12 @@
 
     def _count_rejection(self, rejection: RejectRequest, started_ns: int) -> None:
         in_flight = bool(self._tasks)
-        if in_flight and not self._attempts.client_gone:
-            self._count_failure(names.GIVEN_UP)
-        elif not self._reached_backend and now_ns() - started_ns > self._target_ns * UNSENT_TARGET_SHARE:
-            self._count_failure(names.HELD_UNSENT)
+        if in_flight and not self._attempts.client_disconnected:
+            self._count_failure(counter_names.ABANDONED_IN_FLIGHT)
+        elif not self._reached_backend and now_ns() - started_ns > self._target_ns * NO_BACKEND_TARGET_SHARE:
+            self._count_failure(counter_names.NO_BACKEND_REACHED)
         if rejection.status != 503 and not self._reached_backend and not in_flight:
-            self._count_failure(names.failed_unsent(rejection.status))
+            self._count_failure(counter_names.failure_without_backend(rejection.status))
 
     def _abandon_attempts(self) -> None:
         """Bound attempts that nobody waits for: guards against backends that never answer."""
--- a/meadowworks/proxy/load_reporting.py
+++ b/meadowworks/proxy/load_reporting.py
@@ -81,7 +81,7 @@
         report, self._unsent = self._unsent, LoadReport()
         return report
 
-    def put_back(self, report: LoadReport) -> None:
+    def restore_unsent(self, report: LoadReport) -> None:
         """Add up again what could not be sent."""
         self._unsent.merge(report.pack())
 
@@ -130,7 +130,7 @@
                 now, zone_number, loads.get(name, {}), requests.get(name, 0), covers_ns
             )
 
-    def replace_overdue(self, now: int) -> None:
+    def replace_overdue_report(self, now: int) -> None:
         """Let this proxy's own counts of the last second stand in for its zone's report if that is overdue.
 
         To be called every second.
--- a/meadowworks/proxy/metrics.py
+++ b/meadowworks/proxy/metrics.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterator
 
 from meadowworks.forwarding.memory_budget import MemoryBudget
-from meadowworks.proxy import counters as names
+from meadowworks.proxy import counters as counter_names
 from meadowworks.proxy.control_plane_view import ControlPlaneView
 from meadowworks.proxy.counters import ProxyCounters
 from meadowworks.proxy.forwarder import Forwarder
@@ -16,12 +16,15 @@
 
 PREFIX = "meadowworks_proxy_"
 BACKEND_STATUS = re.compile(r"\d{3}")
-OWN_STATUS = re.compile(r"own (\d{3})")
+PROXY_STATUS = re.compile(r"own (\d{3})")
 BODY_ERROR = re.compile(r"bodies (\w+)")
-EVENTS = {
-    names.CLIENT_GONE: ("clients_gone", "Requests whose client had gone before the response."),
-    names.NOT_ADMITTED: ("admission_rejections", "Requests that admission control has refused."),
-    names.CROSS_ZONE_ATTEMPTS: ("cross_zone_attempts", "Attempts at backends of another zone."),
+EVENT_METRICS = {
+    counter_names.CLIENT_DISCONNECTED: (
+        "clients_gone",
+        "Requests whose client had gone before the response.",
+    ),
+    counter_names.NOT_ADMITTED: ("admission_rejections", "Requests that admission control has refused."),
+    counter_names.CROSS_ZONE_ATTEMPTS: ("cross_zone_attempts", "Attempts at backends of another zone."),
 }
 
 
@@ -69,7 +72,7 @@
             *(
                 Sample(count, ("proxy", match[1]))
                 for name, count in counts.items()
-                if (match := OWN_STATUS.fullmatch(name))
+                if (match := PROXY_STATUS.fullmatch(name))
             ),
             labels=("origin", "code"),
         )
@@ -83,7 +86,7 @@
             ),
             labels=("reason",),
         )
-        for name, (metric, help_text) in EVENTS.items():
+        for name, (metric, help_text) in EVENT_METRICS.items():
             yield counter(PREFIX + metric, help_text, Sample(counts.get(name, 0)))
         yield counter(
             PREFIX + "route_failures",
--- a/meadowworks/proxy/pull_schedule.py
+++ b/meadowworks/proxy/pull_schedule.py
@@ -31,13 +31,13 @@
         self.timeout_s = FIRST_PULL_TIMEOUT_S
         self._backoff_s = MIN_BACKOFF_S
 
-    def want_reply_at_once(self) -> None:
+    def request_immediate_reply(self) -> None:
         """The view has grown old: the next reply must not be held back."""
         self.long_poll_ms = 0
 
     def on_failure(self, has_config: bool) -> float:
         """After a pull without a usable reply: how long to wait, in seconds."""
-        self.want_reply_at_once()
+        self.request_immediate_reply()
         self.timeout_s = min(PULL_TIMEOUT_S, self.timeout_s * 2)
         return FAILURE_PAUSE_S if has_config else self._next_backoff_s()
 
--- a/meadowworks/proxy/request_handler.py
+++ b/meadowworks/proxy/request_handler.py
@@ -10,7 +10,7 @@
 from meadowworks.forwarding.memory_budget import MemoryBudget, MemoryReservation
 from meadowworks.forwarding.request_attempts import RejectRequest
 from meadowworks.forwarding.split_sequence import SplitSequence
-from meadowworks.proxy import counters as names
+from meadowworks.proxy import counters as counter_names
 from meadowworks.proxy.control_plane_view import ControlPlaneView
 from meadowworks.proxy.counters import ProxyCounters
 from meadowworks.proxy.forwarder import ClientContext, Forwarder
@@ -42,7 +42,7 @@
     headers: Headers  # names in lower case
     host: str
     request_id: bytes | None  # X-Request-Id
-    deadline: bytes | None  # X-Deadline-Ms
+    deadline_header: bytes | None  # X-Deadline-Ms
     connection: HttpConnection | None  # the client's, unless it has gone already
     received_ns: int  # when the headers had been read, by the steady clock
 
@@ -52,7 +52,7 @@
         return self.request_target.partition(b"?")[0].decode("latin-1")
 
     @property
-    def client_gone(self) -> bool:
+    def client_disconnected(self) -> bool:
         """Whether nobody waits for the response any more."""
         return self.connection is not None and self.connection.disconnected
 
@@ -79,9 +79,9 @@
     )
 
 
-def time_limit_ms(route: Route, head: RequestHead) -> float:
+def request_timeout_ms(route: Route, head: RequestHead) -> float:
     """How long the request may take: the operator's limit, or the client's if that is less."""
-    return min(route.deadline_ms, parse_ms(head.deadline, route.deadline_ms))
+    return min(route.deadline_ms, parse_ms(head.deadline_header, route.deadline_ms))
 
 
 class RequestHandler:
@@ -106,12 +106,12 @@
         route = table.find_route(head.host, head.path)
         if route is None:
             return await self._reject_route(send)
-        deadline_ns = head.received_ns + int(time_limit_ms(route, head) * MS)
+        deadline_ns = head.received_ns + int(request_timeout_ms(route, head) * MS)
         body = await self._read_body(receive, table, deadline_ns)
         if isinstance(body, BodyError):
             return await self._reject_body(send, body)
-        if head.client_gone:
-            return self._counters.increment(names.CLIENT_GONE)
+        if head.client_disconnected:
+            return self._counters.increment(counter_names.CLIENT_DISCONNECTED)
         with MemoryReservation(self._memory) as memory:
             if not memory.reserve(len(body)):
                 return await self._reject(send, OUT_OF_MEMORY)
@@ -145,15 +145,15 @@
         service = self._pick_service(route)
         try:
             result = await self._forwarder.forward(route, service, request, context)
-            if head.client_gone:
-                self._counters.increment(names.CLIENT_GONE)
+            if head.client_disconnected:
+                self._counters.increment(counter_names.CLIENT_DISCONNECTED)
             elif isinstance(result, RejectRequest):
                 await self._reject(send, result)
             else:
                 await self._respond(send, result, table)
         except TimeoutError:
             # Guards against a client that does not read its response, which is held in memory for it.
-            self._counters.count_route_failure(route.name, names.RESPONSE_ABORTED)
+            self._counters.count_route_failure(route.name, counter_names.RESPONSE_ABORTED)
             if head.connection is not None:
                 head.connection.transport.abort()
 
@@ -163,7 +163,7 @@
         await send_response(send, response.status, response.body, headers, table.idle_timeout_ms / 1000)
 
     async def _reject(self, send: Send, rejection: RejectRequest) -> None:
-        self._counters.increment(names.own_response(rejection.status))
+        self._counters.increment(counter_names.proxy_response(rejection.status))
         headers = [(b"content-type", b"application/json")]
         if rejection.retry_after_ns:
             headers.append((b"retry-after", f"{rejection.retry_after_ns / 1e9:.3f}".encode()))
--- a/meadowworks/proxy/timers.py
+++ b/meadowworks/proxy/timers.py
@@ -53,7 +53,7 @@
         now = now_ns()
         self._client.advance_heartbeat(now)
         self._view.expire(now)
-        self._reporter.replace_overdue(now)
+        self._reporter.replace_overdue_report(now)
         self._view.evict_connections(now)
 
     def tick_balancers(self) -> None:
--- a/meadowworks/proxy/upstream_attempt.py
+++ b/meadowworks/proxy/upstream_attempt.py
@@ -49,14 +49,14 @@
     :param outcome: what is known of it, as `meadowworks.attempts.retry_policy` names it
     :param response: the backend's response, if it is valid
     :param elapsed_ns: from the attempt's start to its end
-    :param incarnation_ended: another instance answers at the address
+    :param instance_superseded: another instance answers at the address
     :param backend_load: what the response says of its backend's load
     """
 
     outcome: int
     response: Response | None
     elapsed_ns: int
-    incarnation_ended: bool = False
+    instance_superseded: bool = False
     backend_load: ReportedLoad | None = None
 
     @property
@@ -71,13 +71,13 @@
     request: UpstreamRequest,
     deadline_ns: int,
     reserve: Callable[[int], bool] | None = None,
-    client_gone: Callable[[], bool] = lambda: False,
+    client_disconnected: Callable[[], bool] = lambda: False,
 ) -> AttemptResult:
     """Send a request to a backend. Raises nothing but a cancellation; its connection is released or closed.
 
     :param deadline_ns: when the client's time is over; it is sent to the backend
     :param reserve: reserves memory for each chunk of the response; without it the response is cut off
-    :param client_gone: whether nobody waits for the response any more
+    :param client_disconnected: whether nobody waits for the response any more
     """
     started_ns = now_ns()
     load = pool.load(backend.instance_id)
@@ -90,7 +90,7 @@
         if connection is None:
             timeout_s = min(CONNECT_TIMEOUT_S, max(0.001, (deadline_ns - started_ns) / 1e9))
             connection = await connect(backend.host, backend.port, timeout_s)
-            if client_gone():
+            if client_disconnected():
                 # Guards against work for nobody, above all an order that nobody waits for any more.
                 connection.close()
                 return AttemptResult(NEVER_RAN, None, now_ns() - started_ns)
@@ -102,7 +102,7 @@
             MAX_RESPONSE_BYTES,
             reserve,
         )
-        return take_response(pool, backend, request, connection, response, started_ns, first_on_connection)
+        return process_response(pool, backend, request, connection, response, started_ns, first_on_connection)
     except RequestError as error:
         if connection is not None:
             connection.close()
@@ -130,7 +130,7 @@
     return headers
 
 
-def take_response(
+def process_response(
     pool: ConnectionPool[ClientConnection],
     backend: BackendInstance,
     request: UpstreamRequest,
@@ -151,7 +151,7 @@
         response.header,
         first_on_connection,
     )
-    if verdict.reusable:
+    if verdict.connection_reusable:
         pool.release(now, backend.instance_id, connection, keep_alive_timeout_s(response))
     else:
         connection.close()
@@ -161,8 +161,8 @@
         verdict.outcome,
         response,
         now - started_ns,
-        verdict.incarnation_ended,
-        load if verdict.reusable else None,
+        verdict.instance_superseded,
+        load if verdict.connection_reusable else None,
     )
 
 
--- a/tests/gateway/test_fleet.py
+++ b/tests/gateway/test_fleet.py
@@ -304,11 +304,11 @@
 def no_table(fleet: Fleet) -> None:
     node = fleet.nodes[4]
     node.view.started_ns -= STARTUP_GRACE_NS
-    node.view.mark_backends_listed(now_ns())
-    node.view.first_listed_ns -= STARTUP_GRACE_NS  # its other services' backends are not waited for longer
+    node.view.check_initial_sync(now_ns())
+    node.view.initial_sync_ns -= STARTUP_GRACE_NS  # its other services' backends are not waited for longer
     assert node.view.route_table is None
     assert not node.is_ready()
-    assert not node.view.staleness.ever_confirmed
+    assert not node.view.staleness.has_been_confirmed
     for target in (b"/read/a", b"/new/a"):
         refused = fleet.run(fleet.serve(1, b"GET", target))
         assert refused.status == 503
--- a/tests/gateway/test_forwarder.py
+++ b/tests/gateway/test_forwarder.py
@@ -101,5 +101,5 @@
     for gone in (True, False):
         connection = cast(Any, SimpleNamespace(disconnected=gone))
         client = ClientContext(now_ns() + SECOND, MemoryReservation(MemoryBudget(100)), connection)
-        asyncio.run(parts.forwarder.attempt(backend("me", ("h", 1)), REQUEST, client))
+        asyncio.run(parts.forwarder.run_attempt(backend("me", ("h", 1)), REQUEST, client))
     assert told == [True, False]
--- a/tests/gateway/test_request_attempts.py
+++ b/tests/gateway/test_request_attempts.py
@@ -23,7 +23,7 @@
     TimerExpired,
     Wait,
     choose_retry_policy,
-    retry_rules,
+    route_retry_policy,
 )
 from meadowworks.forwarding.response_check import outcome_of_status
 from meadowworks.forwarding.retry_budget import RetryBudget
@@ -36,7 +36,7 @@
 CHOICES = EndpointChoices({1: 2.0, 2: 2.0}, {})
 
 
-NO_FREE_SLOT = CHOICES._replace(slot_free=False)
+NO_FREE_SLOT = CHOICES._replace(has_free_slot=False)
 
 
 class RetriesAllowed:
@@ -52,7 +52,7 @@
 def attempts_of(
     safe: bool, target_ns: int = SECOND, limit_ns: int = 2 * SECOND, tries: int = 2, retries: bool = True
 ) -> RequestAttempts:
-    rules, policy = retry_rules(safe, limit_ns, target_ns), choose_retry_policy(safe, tries, False)
+    rules, policy = route_retry_policy(safe, limit_ns, target_ns), choose_retry_policy(safe, tries, False)
     return RequestAttempts(rules, policy, limit_ns, RetriesAllowed(retries))
 
 
@@ -152,7 +152,7 @@
 
 @pytest.mark.parametrize("safe", [True, False])
 def test_for_a_client_that_has_gone_nothing_more_is_sent(safe: bool) -> None:
-    rules, policy = retry_rules(safe, 2 * SECOND, SECOND // 2), choose_retry_policy(safe, 3, False)
+    rules, policy = route_retry_policy(safe, 2 * SECOND, SECOND // 2), choose_retry_policy(safe, 3, False)
     attempts = RequestAttempts(rules, policy, 2 * SECOND, RetryBudget(1.0, 10 * SECOND))
     choices = EndpointChoices({1: 1.0, 2: 1.0, 3: 1.0}, {})
     first = attempts.handle_event(RequestReceived(), 0, choices, 0.1)
--- a/tests/gateway/test_staleness.py
+++ b/tests/gateway/test_staleness.py
@@ -35,4 +35,4 @@
             if came is not None and came <= moment:
                 tracker.on_reply(asked * MS, sure)
         assert tracker.is_fresh(moment * MS) == fresh, moment
-        assert tracker.ever_confirmed or not fresh
+        assert tracker.has_been_confirmed or not fresh
--- a/tests/gateway/test_upstream_attempt.py
+++ b/tests/gateway/test_upstream_attempt.py
@@ -140,7 +140,7 @@
     if how == "without a length, ended in order":
         assert first.response is not None
         assert first.response.body == b"mine one"
-    assert first.incarnation_ended == (how == "as another life")
+    assert first.instance_superseded == (how == "as another life")
     assert read == (0 if how == "by not listening" else 2)  # one arrival a try: nothing repeats by itself
 
 
@@ -267,7 +267,9 @@
         server = Server([OK])
         there = backend("me", await server.raw.open())
         pool: ConnectionPool[ClientConnection] = ConnectionPool()
-        result = await send_attempt(pool, there, request(b"one"), now_ns() + SECOND, client_gone=lambda: True)
+        result = await send_attempt(
+            pool, there, request(b"one"), now_ns() + SECOND, client_disconnected=lambda: True
+        )
         assert (result.outcome, result.response) == (NEVER_RAN, None)
         await until(lambda: server.ended == 1, "its connection is closed")
         assert not server.read
