--- a/meadowworks/consensus/acceptor.py
+++ b/meadowworks/consensus/acceptor.py
@@ -1,8 +1,8 @@
-"""The acceptor of Paxos: what one disk holds, and how it answers requests.
+"""The Paxos acceptor: its durable state and its replies to requests.
 
-Nothing that an acceptor answers may leave before its changes are on the disk; `replica` sees to that.
+A reply must not be sent before the changes that it depends on are on disk; `replica` ensures this.
 
-Source: L. Lamport, "Paxos Made Simple" (2001), section 2.2; for sealing and installing see `reconfiguration`.
+Source: L. Lamport, "Paxos Made Simple" (2001), section 2.2. For sealing and installing see `reconfiguration`.
 """
 
 from __future__ import annotations
@@ -46,19 +46,20 @@
 )
 from meadowworks.runtime.errors import InvariantError
 
-# Versions that were promised or accepted and not learnt yet: more than operators have under way at any time.
+# Bounds the slots of versions that are promised or accepted but not yet known to be committed.
 MAX_UNDECIDED_VERSIONS = 512
 
 
 @dataclass(slots=True)
 class Acceptor:
-    """What one disk holds.
-
-    `member_id` is its name as a member, `bootstrap_id` the one under which it is a member of epoch 0.
-    `installed`: it is a member of `epoch` and holds what a member must hold to vote in it. `sealed_by` is the
-    epoch that ended `epoch` at this acceptor. `announced_epoch` is the newest epoch learnt of; it is not kept
-    on the disk. `changed_slots`, `metadata_changed` and `committed_changed` tell what must be written before
-    a reply leaves.
+    """The acceptor state of one disk.
+
+    `member_id` identifies the disk as a member; `bootstrap_id` identifies it in epoch 0. `is_eligible`: the
+    settings allow membership and the replica is not leaving. `installed`: the acceptor is a member of `epoch`
+    and holds the state that it needs to vote in it. `sealed_by` is the epoch that ended `epoch` at this
+    acceptor. `announced_epoch` is the newest epoch that another replica has announced; it is not stored.
+    `changed_slots`, `metadata_changed` and `committed_changed` mark what must be written before the next
+    reply is sent.
     """
 
     member_id: str
@@ -74,47 +75,47 @@
     slots: dict[int, AcceptorSlot] = field(default_factory=dict)
     announced_epoch: Epoch = NO_EPOCH
     changed_slots: set[int] = field(default_factory=set)
-    metadata_changed: bool = False  # all but slots and values
+    metadata_changed: bool = False  # any field apart from the slots, the committed value and the history
     committed_changed: bool = False  # the committed value and the history
-    disk_failed: bool = False  # the disk refuses writes, or does not end them
+    disk_failed: bool = False  # the disk rejects writes or does not complete them
 
-    # -- what it is
+    # -- state
 
     def newest_epoch(self) -> Epoch:
-        """The newest epoch that it has learnt of."""
+        """Return the newest epoch that this acceptor has joined or that was announced to it."""
         if self.announced_epoch.number >= self.epoch.number:
             return self.announced_epoch
         return self.epoch
 
     def id_in_epoch(self, epoch: int) -> str:
-        """The id under which it is counted in an epoch."""
+        """Return the member id of this acceptor in an epoch."""
         return self.bootstrap_id if epoch == 0 else self.member_id
 
     def may_vote(self) -> bool:
-        """Whether it may promise and accept in its epoch."""
+        """Return whether the acceptor may promise and accept in its epoch."""
         if self.disk_failed:
             return False
         return self.installed and self.sealed_by is None and self.announced_epoch.number <= self.epoch.number
 
     def has_unwritten_changes(self) -> bool:
-        """Whether anything must be written before a reply leaves."""
+        """Return whether a write must complete before the next reply is sent."""
         return bool(self.changed_slots) or self.metadata_changed or self.committed_changed
 
     def highest_undecided_version(self) -> int:
-        """The highest version that it has accepted a value for and that is not committed; 0 if none."""
+        """Return the highest version with an accepted but uncommitted value; 0 if there is none."""
         return max((v for v, s in self.slots.items() if v and s.accepted > NO_BALLOT), default=0)
 
     def digest_history(self) -> DigestHistory:
-        """The digests of past versions, as they are sent."""
+        """Return the digests of past versions in the form in which they are sent."""
         return tuple(sorted(self.history.items()))
 
     def export_state(self) -> AcceptorState:
-        """What it holds of versions, as it is transferred to the next epoch."""
+        """Return the committed value, the history and the undecided slots for transfer to the next epoch."""
         slots = tuple((v, s.promised, s.accepted, s.value) for v, s in sorted(self.slots.items()) if v)
         return AcceptorState(self.committed, self.digest_history(), slots)
 
     def query_reply(self) -> QueryReply:
-        """What it says of itself."""
+        """Return this acceptor's state as a reply to a query."""
         return QueryReply(
             self.newest_epoch().number,
             self.may_vote(),
@@ -122,15 +123,15 @@
             self.committed.version,
             self.member_id,
             self.address,
-            self.is_eligible and not self.disk_failed,  # another disk may take its place
+            self.is_eligible and not self.disk_failed,  # lets another disk replace a failed one
         )
 
     # -- requests
 
     def handle(self, request: Request) -> Reply:
-        """The reply to a request. It may leave once what has changed is on the disk.
+        """Return the reply to a request. It may be sent once all changes are on disk.
 
-        :raises InvariantError: if two different epochs were chosen after one.
+        :raises InvariantError: if two different epochs were chosen to follow the same epoch.
         """
         match request:
             case QueryRequest(epoch):
@@ -149,7 +150,7 @@
         return self.vote(request)
 
     def vote(self, request: VoteRequest) -> Reply:
-        """The reply to either round of a proposal."""
+        """Return the reply to a prepare or accept request."""
         if request.epoch < self.newest_epoch().number:
             return StaleEpochReply(self.newest_epoch())
         if request.epoch != self.epoch.number or not self.installed or request.ballot.epoch != request.epoch:
@@ -159,7 +160,7 @@
         if MEMBERSHIP_VERSION < request.version <= self.committed.version:
             return VersionDecidedReply(self.committed, self.digest_history())
         if request.version != MEMBERSHIP_VERSION and request.epoch == 0:
-            return NotAMemberReply(0)  # in epoch 0 only the members of epoch 1 are chosen
+            return NotAMemberReply(0)  # epoch 0 only chooses the members of epoch 1
         slot = self.slots.get(request.version) or AcceptorSlot()
         if request.version not in self.slots and self._has_too_many_undecided(request.version):
             return NotAMemberReply(self.epoch.number)
@@ -174,16 +175,16 @@
         return AcceptedReply(request.ballot)
 
     def _has_too_many_undecided(self, version: int) -> bool:
-        """Whether it takes no part in a further version until it has learnt what was decided.
+        """Return whether a request for a new version must be rejected.
 
-        Guards against slots without number at a member that accepts, and hears of no decision.
+        Prevents unbounded slots at a member that accepts values but never learns which were committed.
         """
         return version != MEMBERSHIP_VERSION and len(self.slots) >= MAX_UNDECIDED_VERSIONS
 
     def seal(self, epoch: int, next_epoch: Epoch) -> Reply:
-        """Ends its part in an epoch, since `next_epoch` has been chosen.
+        """Stop voting in an epoch because `next_epoch` has been chosen.
 
-        :raises InvariantError: if another epoch was chosen after this one.
+        :raises InvariantError: if this acceptor was sealed for a different next epoch.
         """
         if self.epoch.number >= next_epoch.number:
             return StaleEpochReply(self.epoch)
@@ -192,22 +193,24 @@
         if self.sealed_by is None:
             self.sealed_by, self.metadata_changed = next_epoch, True
         elif self.sealed_by != next_epoch:
-            raise InvariantError(f"two sets of members after epoch {epoch}")
+            raise InvariantError(
+                f"two memberships chosen after epoch {epoch}: {self.sealed_by}, {next_epoch}"
+            )
         return SealedReply(next_epoch, self.export_state())
 
     def install(self, next_epoch: Epoch, state: AcceptorState) -> Reply:
-        """Becomes a member of `next_epoch`, with the state that was transferred.
+        """Join `next_epoch` with the state transferred from the previous epoch.
 
-        What it holds besides stays: it was accepted in an earlier epoch, so it is in `state`, or was never
-        chosen.
+        Slots that are already held are kept: a value that was accepted in an earlier epoch is either in
+        `state` or was never chosen.
         """
         if self.installed and self.epoch.number >= next_epoch.number:
             return InstalledReply(self.epoch.number)
         if not next_epoch.has_member(self.member_id) or next_epoch.number < self.newest_epoch().number:
             return NotAMemberReply(self.epoch.number)
         if not self.installed and not self.is_eligible:
-            return NotAMemberReply(self.epoch.number)  # the settings say not to vote
-        if next_epoch.number > self.epoch.number:  # else it comes back to where it was, sealed or not
+            return NotAMemberReply(self.epoch.number)  # voting is disabled in the settings
+        if next_epoch.number > self.epoch.number:  # otherwise it rejoins its own epoch and keeps its seal
             self.epoch, self.sealed_by = next_epoch, None
             if self.slots.pop(MEMBERSHIP_VERSION, None):
                 self.changed_slots.add(MEMBERSHIP_VERSION)
@@ -215,10 +218,10 @@
         self.merge_state(state)
         return InstalledReply(next_epoch.number)
 
-    # -- what it comes to know
+    # -- learning
 
     def merge_state(self, state: AcceptorState) -> None:
-        """Takes in what another acceptor held: the higher ballot of each version counts."""
+        """Merge the state of another acceptor; for each version the value with the higher ballot wins."""
         self.learn(state.committed.version, state.committed.value, state.history)
         for version, promised, accepted, value in state.slots:
             if version <= self.committed.version:
@@ -230,9 +233,9 @@
             self.changed_slots.add(version)
 
     def on_epoch_announced(self, epoch: Epoch) -> bool:
-        """Hears of an epoch that is in force somewhere.
+        """Record an epoch that another replica has announced.
 
-        :returns: whether it is newer than all it has learnt of.
+        :returns: whether the epoch is newer than every epoch seen so far.
         """
         if epoch.number <= self.newest_epoch().number:
             return False
@@ -240,23 +243,23 @@
         return True
 
     def learn(self, version: int, value: bytes, history: Iterable[tuple[int, bytes]] = ()) -> bool:
-        """A value is known to be chosen.
+        """Record a chosen value.
 
         :param history: digests of the values of earlier versions.
-        :returns: whether the version is newer than the one committed here.
+        :returns: whether the version is newer than the committed version.
         """
-        known = {v: d for v, d in history if v not in self.history and v <= version}
+        new_digests = {v: d for v, d in history if v not in self.history and v <= version}
         if version > 0 and version not in self.history:
-            known[version] = digest(value)
-        if known:
-            self.history.update(known)
-            for old in sorted(self.history)[:-HISTORY_LENGTH]:
-                del self.history[old]
+            new_digests[version] = digest(value)
+        if new_digests:
+            self.history.update(new_digests)
+            for oldest_version in sorted(self.history)[:-HISTORY_LENGTH]:
+                del self.history[oldest_version]
             self.committed_changed = True
         if version <= self.committed.version:
             return False
         self.committed, self.committed_changed = CommittedValue(version, value), True
-        for old in [v for v in self.slots if MEMBERSHIP_VERSION < v <= version]:
-            del self.slots[old]
-            self.changed_slots.add(old)
+        for decided_version in [v for v in self.slots if MEMBERSHIP_VERSION < v <= version]:
+            del self.slots[decided_version]
+            self.changed_slots.add(decided_version)
         return True
--- a/meadowworks/consensus/call_factory.py
+++ b/meadowworks/consensus/call_factory.py
@@ -1,4 +1,4 @@
-"""Which quorum call an attempt of an operation begins with, and under which ballot."""
+"""Creation of the quorum call that an attempt of an operation starts with."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
 
 class QuorumCallFactory:
-    """Makes quorum calls for a replica, no two under one ballot."""
+    """Creates the quorum calls of a replica; each proposer has a unique ballot."""
 
     def __init__(self, acceptor: Acceptor, tolerated_failures: int) -> None:
         self._acceptor = acceptor
         self.tolerated_failures = tolerated_failures
-        self.last_ballot_number = 0  # of this incarnation
+        self.last_ballot_number = 0  # in this incarnation
 
     def new_proposer(self, epoch: Epoch, version: int, operation: Operation) -> Proposer:
-        """A proposer of the operation's value, under a ballot that this replica has never used."""
+        """Return a proposer for the operation's value with a ballot that this replica has never used."""
         slot = self._acceptor.slots.get(version)
         promised_number = slot.promised.number if slot else 0
         self.last_ballot_number = (
@@ -31,7 +31,7 @@
         return Proposer(epoch, version, ballot, operation.value)
 
     def membership_call(self, epoch: Epoch, operation: Operation) -> QuorumCall | None:
-        """To propose members or to complete a change that is chosen; none if the members have changed."""
+        """Return a call that proposes members or completes a chosen change; None if voting is impossible."""
         if (previous := operation.previous_epoch) is not None:
             members = decode_member_list(operation.value or b"")
             return Reconfiguration(previous, Epoch(previous.number + 1, members))
@@ -40,9 +40,18 @@
         return self.new_proposer(epoch, MEMBERSHIP_VERSION, operation)
 
     def leave_call(self, epoch: Epoch, operation: Operation) -> QuorumCall:
-        """With members to spare, to propose them without this replica; else to read, and then hand over."""
+        """Return the first call of a leaving replica.
+
+        It proposes the membership without this replica if the epoch has more than
+        `2 * tolerated_failures + 1` members and this replica may vote. Otherwise it is a quorum read, which
+        precedes the state transfer.
+        """
         if len(epoch.members) <= 2 * self.tolerated_failures + 1 or not self._acceptor.may_vote():
             return QuorumRead(epoch)
-        others = tuple((d, a) for d, a in epoch.members if d != self._acceptor.member_id)
-        operation.value = operation.value or encode_member_list(others)
+        remaining = tuple(
+            (member_id, address)
+            for member_id, address in epoch.members
+            if member_id != self._acceptor.member_id
+        )
+        operation.value = operation.value or encode_member_list(remaining)
         return self.new_proposer(epoch, MEMBERSHIP_VERSION, operation)
--- a/meadowworks/consensus/codec.py
+++ b/meadowworks/consensus/codec.py
@@ -1,7 +1,7 @@
-"""Messages of the agreement as plain values for msgpack, and back.
+"""Encoding of consensus messages as plain values for msgpack, and decoding.
 
-A message is a list: its name on the wire, then its fields in their order. The names on the wire are older
-than those of the classes; they stay, because replicas of two releases meet in a roll-out.
+A message is a list of its wire name and its fields in declaration order. The wire names differ from the class
+names and must not change, because replicas of different releases exchange messages during a rollout.
 """
 
 from __future__ import annotations
@@ -36,12 +36,12 @@
 
 
 def encode_epoch(epoch: Epoch) -> list[Any]:
-    """An epoch as its number and a list of member ids and addresses."""
+    """Return an epoch as its number and a list of member ids and addresses."""
     return [epoch.number, [list(m) for m in epoch.members]]
 
 
 def decode_epoch(raw: Any) -> Epoch:
-    """The epoch that `encode_epoch` has encoded.
+    """Return the epoch that `encode_epoch` encoded.
 
     :raises ValueError, TypeError: if `raw` is not an epoch.
     """
@@ -50,7 +50,7 @@
 
 
 def encode_field(value: Any) -> Any:
-    """A field of a message as a plain value."""
+    """Return a field of a message as a plain value."""
     match value:
         case Epoch():
             return encode_epoch(value)
@@ -67,7 +67,7 @@
 
 
 def decode_ballot(raw: Any) -> Ballot:
-    """A ballot from a list of its fields.
+    """Return a ballot from a list of its fields.
 
     :raises ValueError, TypeError: if `raw` is not a ballot.
     """
@@ -76,7 +76,7 @@
 
 
 def decode_committed_value(raw: Any) -> CommittedValue:
-    """A committed value from its version and bytes.
+    """Return a committed value from its version and bytes.
 
     :raises ValueError, TypeError: if `raw` is not a committed value.
     """
@@ -85,7 +85,7 @@
 
 
 def decode_history(raw: Any) -> DigestHistory:
-    """Versions and the digests of their values.
+    """Return versions with the digests of their values.
 
     :raises ValueError, TypeError: if `raw` is not a history.
     """
@@ -93,7 +93,7 @@
 
 
 def decode_state(raw: Any) -> AcceptorState:
-    """The state of an acceptor.
+    """Return the state of an acceptor.
 
     :raises ValueError, TypeError: if `raw` is not a state.
     """
@@ -106,16 +106,15 @@
 
 
 def decode_optional_state(raw: Any) -> AcceptorState | None:
-    """The state of an acceptor, or none.
+    """Return the state of an acceptor, or None if `raw` is None.
 
-    :raises ValueError, TypeError: if `raw` is neither.
+    :raises ValueError, TypeError: if `raw` is neither a state nor None.
     """
     return None if raw is None else decode_state(raw)
 
 
 # -- messages
 
-# How a message is named on the wire, and the decoders of its fields in their order.
 WIRE_NAMES: dict[type, str] = {
     PrepareRequest: "Prepare",
     AcceptRequest: "Accept",
@@ -158,23 +157,25 @@
 
 
 def encode(message: Request | Reply) -> list[Any]:
-    """A message as a list of plain values for msgpack."""
+    """Return a message as a list of plain values for msgpack."""
     fields = (encode_field(getattr(message, name)) for name in message.__dataclass_fields__)
     return [WIRE_NAMES[type(message)], *fields]
 
 
 def decode(raw: Any) -> Any:
-    """The request or reply that `encode` has encoded.
+    """Return the request or reply that `encode` encoded.
 
-    :raises ValueError, TypeError, KeyError: if `raw` is neither.
+    :raises ValueError, TypeError, KeyError: if `raw` is neither a request nor a reply.
     """
     name, *fields = raw
     message_type = MESSAGE_TYPES[name]
     decoders = FIELD_DECODERS[message_type]
     if len(fields) != len(decoders):
-        raise ValueError(f"not a {name} message: {len(fields)} fields")
+        raise ValueError(f"{name} message has {len(fields)} fields, expected {len(decoders)}")
     for decoder, field in zip(decoders, fields, strict=True):
-        # Without this bytes(4) and int("4") would make a message of a value of the wrong type.
+        # Prevents a value of the wrong type from being converted, as in bytes(4) or int("4").
         if decoder in (int, bool, str, bytes) and type(field) is not decoder:
-            raise TypeError(f"not a {name} message: a field is not {decoder!r}")
+            raise TypeError(
+                f"{name} message has a field of type {type(field).__name__}, expected {decoder.__name__}"
+            )
     return message_type(*(decoder(field) for decoder, field in zip(decoders, fields, strict=True)))
--- a/meadowworks/consensus/effects.py
+++ b/meadowworks/consensus/effects.py
@@ -1,4 +1,7 @@
-"""What a replica wants done, in order: writes, sends, answers. Its driver does it and reports back."""
+"""Effects that a replica requests from its driver: writes, messages, completions and log entries.
+
+The driver carries them out in order and reports their results to the replica.
+"""
 
 from __future__ import annotations
 
@@ -9,24 +12,24 @@
 from meadowworks.consensus.messages import Reply, Request
 from meadowworks.consensus.values import AcceptorSlot, CommittedValue
 
-# -- how an operation ended
+# -- outcomes of operations
 
 
 @dataclass(frozen=True, slots=True)
 class Committed:
-    """The value is in force, or was superseded by a later version and has no effect."""
+    """The value was chosen; it is in force or has been superseded by a later version."""
 
 
 @dataclass(frozen=True, slots=True)
 class Conflict:
-    """Another value was chosen for this version."""
+    """A different value was chosen for this version."""
 
 
 @dataclass(frozen=True, slots=True)
 class Undecided:
-    """Not decided in time, or not known here: it may be in force.
+    """The operation has no known result: its value may or may not be chosen.
 
-    `retry_after_ns`: when to ask again.
+    `retry_after_ns` is the delay after which the client should retry.
     """
 
     retry_after_ns: int
@@ -39,10 +42,11 @@
 
 @dataclass(frozen=True, slots=True)
 class StateUpdate:
-    """What a write changes on the disk, in one transaction.
+    """The changes that one transaction writes to the disk.
 
-    `metadata`: all of the acceptor's own fields, or none of them has changed. `history`: digests that are
-    added; those below `oldest_history_version` are removed. `slots`: a version without a slot is removed.
+    `metadata` holds all metadata fields of the acceptor, or is None if they are unchanged. `history` holds
+    the digests to add; digests of versions below `oldest_history_version` are removed. `slots` holds the
+    slots to write; a version whose slot is None is removed.
     """
 
     metadata: Mapping[str, Any] | None
@@ -71,16 +75,16 @@
 
 @dataclass(frozen=True, slots=True)
 class SendReply:
-    """Answer the request that came with `ticket`; `member_id` is who answers."""
+    """Send a reply from `member_id` to the request that came with `ticket`."""
 
-    ticket: Any  # the driver's own, handed back as it is
+    ticket: Any  # an opaque value of the driver
     member_id: str
     reply: Reply
 
 
 @dataclass(frozen=True, slots=True)
 class CompleteOperation:
-    """Tell who waits under `waiter_id` how its operation ended."""
+    """Report the outcome of an operation to the waiter `waiter_id`."""
 
     waiter_id: int
     outcome: OperationOutcome
@@ -88,14 +92,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ValueCommitted:
-    """Put this value in force: it is the newest that is known to be chosen."""
+    """Apply this value, the newest that is known to be chosen."""
 
     committed: CommittedValue
 
 
 @dataclass(frozen=True, slots=True)
 class LogEntry:
-    """Log this event with its fields."""
+    """Log an event with its fields."""
 
     event: str
     fields: Mapping[str, str | int]
--- a/meadowworks/consensus/membership.py
+++ b/meadowworks/consensus/membership.py
@@ -1,4 +1,4 @@
-"""Which members the next epoch should have, and how a list of members is kept as a value."""
+"""Selection of the next epoch's members, and the encoding of a member list as a value."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
     candidates: Mapping[str, str],
     leaving: str = "",
 ) -> Members | None:
-    """Which members the next epoch should have.
+    """Return the members that the next epoch should have.
 
-    An empty disk at a member's address takes that member's place. No member is removed, for silence or for
-    leaving, below `2 * tolerated_failures + 1`: a member that is away may come back with its disk, and a
-    smaller set survives fewer failures.
+    A candidate at the address of a member replaces that member. A silent or leaving member is only removed
+    while more than `2 * tolerated_failures + 1` members remain: an unreachable member may return with its
+    disk, and a smaller membership tolerates fewer failures.
 
-    :param silent_members: members that have not answered for long, the longest first.
-    :param candidates: ids and addresses of those that are reachable and want to be members.
-    :param leaving: the member that shuts down, if any.
-    :returns: none if the members are as they should be, or the new set has no majority that is in touch.
+    :param silent_members: ids of members that have stopped answering, the longest silent first.
+    :param candidates: ids and addresses of reachable, eligible replicas.
+    :param leaving: the id of the member that is shutting down, if any.
+    :returns: None if no change is needed, or if no majority of the new members is reachable.
     """
     minimum = 2 * tolerated_failures + 1
     members = dict(epoch.members)
@@ -31,26 +31,26 @@
     for candidate, address in sorted(candidates.items()):
         if candidate in members:
             continue
-        for replaced in [d for d, a in members.items() if a == address]:
+        for replaced in [k for k, a in members.items() if a == address]:
             del members[replaced]
         members[candidate] = address
     for member_id in [leaving, *silent]:
         if member_id in members and len(members) > minimum:
             del members[member_id]
-    found = tuple(sorted(members.items()))
-    if found == epoch.members:
+    proposed = tuple(sorted(members.items()))
+    if proposed == epoch.members:
         return None
     if len([member_id for member_id in members if member_id not in silent]) < len(members) // 2 + 1:
         return None
-    return found
+    return proposed
 
 
 def encode_member_list(members: Members) -> bytes:
-    """Members as the value of `MEMBERSHIP_VERSION`: equal for equal sets."""
+    """Return members as a value of `MEMBERSHIP_VERSION`; equal sets have equal values."""
     return "\n".join(f"{member_id} {address}" for member_id, address in sorted(members)).encode()
 
 
 def decode_member_list(value: bytes) -> Members:
-    """The members that `encode_member_list` has encoded."""
+    """Return the members that `encode_member_list` encoded."""
     rows = [line.partition(" ") for line in value.decode().splitlines()]
     return tuple((member_id, address) for member_id, _, address in rows)
--- a/meadowworks/consensus/messages.py
+++ b/meadowworks/consensus/messages.py
@@ -1,7 +1,7 @@
 """Requests to an acceptor, and its replies.
 
-In each request `epoch` is the number of the sender's epoch. The order of a message's fields is their order on
-the wire (`codec`).
+In each request `epoch` is the number of the sender's epoch. Fields are encoded in declaration order
+(`codec`), so their order must not change.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PrepareRequest:
-    """The first round of a proposal: asks for a promise to accept nothing under a lower ballot."""
+    """The first round of a proposal: requests a promise not to accept a value under a lower ballot."""
 
     epoch: int
     version: int
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AcceptRequest:
-    """The second round of a proposal: asks to accept a value under a ballot."""
+    """The second round of a proposal: requests acceptance of a value under a ballot."""
 
     epoch: int
     version: int
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SealRequest:
-    """Ends an epoch at an acceptor: `next_epoch` has been chosen as the one after it."""
+    """Seals an epoch at an acceptor because `next_epoch` has been chosen to follow it."""
 
     epoch: int
     next_epoch: Epoch
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InstallRequest:
-    """Makes an acceptor a member of `next_epoch`, with what the members of the epoch before held."""
+    """Makes an acceptor a member of `next_epoch` with the state of the previous epoch's members."""
 
     epoch: int
     next_epoch: Epoch
@@ -49,21 +49,21 @@
 
 @dataclass(frozen=True, slots=True)
 class QueryRequest:
-    """Asks which version is committed and which is undecided, without their values."""
+    """Requests the committed and the highest undecided version, without their values."""
 
     epoch: int
 
 
 @dataclass(frozen=True, slots=True)
 class SnapshotRequest:
-    """Asks for the committed value and the digests of those before it."""
+    """Requests the committed value and the digests of earlier values."""
 
     epoch: int
 
 
 @dataclass(frozen=True, slots=True)
 class LearnRequest:
-    """Tells an acceptor which value is committed."""
+    """Informs an acceptor of the committed value."""
 
     epoch: int
     committed: CommittedValue
@@ -72,12 +72,12 @@
 
 @dataclass(frozen=True, slots=True)
 class QueryReply:
-    """What an acceptor says of itself.
+    """The state of an acceptor.
 
-    `may_vote`: it is a member of `epoch`, not sealed, and knows of no newer epoch. `highest_version`: the
-    highest version that it has committed or accepted; whatever was acknowledged before it said so is not
-    above the highest of these at any majority. `is_eligible`: it would be a member, with `member_id` at
-    `address`.
+    `may_vote`: the acceptor is a member of `epoch`, is not sealed, and has seen no newer epoch.
+    `highest_version` is the highest version that it has committed or accepted; no version acknowledged before
+    the reply exceeds the maximum of `highest_version` over a majority. `is_eligible`: the acceptor can become
+    or remain a member, as `member_id` at `address`.
     """
 
     epoch: int
@@ -91,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PromiseReply:
-    """The promise that a `PrepareRequest` asked for, and what was accepted before, under which ballot."""
+    """The promise for a `PrepareRequest`, with the value accepted earlier and its ballot."""
 
     ballot: Ballot
     accepted: Ballot
@@ -100,21 +100,21 @@
 
 @dataclass(frozen=True, slots=True)
 class AcceptedReply:
-    """The value was accepted under this ballot."""
+    """Confirms that the value was accepted under this ballot."""
 
     ballot: Ballot
 
 
 @dataclass(frozen=True, slots=True)
 class BallotRejectedReply:
-    """A higher ballot has been promised: this one."""
+    """Rejects a request because this higher ballot has been promised."""
 
     ballot: Ballot
 
 
 @dataclass(frozen=True, slots=True)
 class VersionDecidedReply:
-    """The version is not above one that is committed already."""
+    """Rejects a request because this or a later version is already committed."""
 
     committed: CommittedValue
     history: DigestHistory
@@ -122,16 +122,16 @@
 
 @dataclass(frozen=True, slots=True)
 class StaleEpochReply:
-    """The sender's epoch is over: this one is in force, or about to be."""
+    """Rejects a request because this later epoch has replaced the sender's epoch."""
 
     epoch: Epoch
 
 
 @dataclass(frozen=True, slots=True)
 class SealedReply:
-    """The acceptor takes no more part in the sender's epoch; `next_epoch` has been chosen.
+    """States that the acceptor no longer votes in the sender's epoch because `next_epoch` was chosen.
 
-    `state` is what the acceptor holds, in the reply to a `SealRequest` alone.
+    `state` is the acceptor's state; it is only set in the reply to a `SealRequest`.
     """
 
     next_epoch: Epoch
@@ -140,21 +140,21 @@
 
 @dataclass(frozen=True, slots=True)
 class InstalledReply:
-    """The acceptor is a member of the epoch of this number."""
+    """Confirms that the acceptor is a member of the epoch with this number."""
 
     epoch: int
 
 
 @dataclass(frozen=True, slots=True)
 class NotAMemberReply:
-    """The acceptor is no member of the sender's epoch, or not installed in it: it may not be counted."""
+    """Rejects a request because the acceptor cannot vote in the sender's epoch; `epoch` is its own number."""
 
     epoch: int
 
 
 @dataclass(frozen=True, slots=True)
 class SnapshotReply:
-    """The committed value, and the digests of those before it."""
+    """The committed value and the digests of earlier values."""
 
     committed: CommittedValue
     history: DigestHistory
--- a/meadowworks/consensus/metadata.py
+++ b/meadowworks/consensus/metadata.py
@@ -1,4 +1,4 @@
-"""An acceptor's own fields as they are stored, and an acceptor as it is when its process starts."""
+"""Stored metadata of an acceptor, and creation of the acceptor at process start."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def acceptor_metadata(acceptor: Acceptor) -> dict[str, Any]:
-    """All of an acceptor but its slots and values, by the names under which it is stored."""
+    """Return the acceptor's fields apart from slots and values, by the names under which they are stored."""
     return {
         "disk": acceptor.member_id,
         "seat": acceptor.bootstrap_id,
@@ -40,14 +40,14 @@
     history: Mapping[int, bytes] | None = None,
     slots: Mapping[int, AcceptorSlot] | None = None,
 ) -> Acceptor:
-    """The acceptor of a disk as it is when its process starts.
+    """Return the acceptor of a disk at process start.
 
-    :param metadata: what the disk holds, as `acceptor_metadata` has it; none if the disk is empty.
-    :param new_member_id: the id that an empty disk has from now on.
+    :param metadata: the stored metadata, as returned by `acceptor_metadata`; None if the disk is empty.
+    :param new_member_id: the id to assign if the disk is empty.
     :param address: host and port at which the other replicas reach this one.
-    :param seeds: such addresses of the replicas that form epoch 0.
-    :param bootstrap: this is the first start of the whole installation.
-    :param voting: the settings let this replica be a member.
+    :param seeds: the addresses of the replicas that form epoch 0.
+    :param bootstrap: whether this is the first start of the whole installation.
+    :param voting: whether the settings allow this replica to be a member.
     """
     if metadata is None:
         return _new_acceptor(new_member_id, address, seeds, bootstrap, voting)
@@ -70,14 +70,14 @@
 def _new_acceptor(
     member_id: str, address: str, seeds: tuple[str, ...], bootstrap: bool, voting: bool
 ) -> Acceptor:
-    """The acceptor of an empty disk."""
+    """Return the acceptor of an empty disk."""
     epoch, bootstrap_id = Epoch(NO_EPOCH_NUMBER), ""
-    founder = bootstrap and address in seeds
+    is_seed = bootstrap and address in seeds
     if bootstrap:
-        # At the first start all processes have the same seeds in their settings: these are the members of
-        # epoch 0, by their addresses, since no disk has a name that the others know.
+        # All processes have the same seeds in their settings at the first start. The seeds are the members of
+        # epoch 0 and are identified by address, because the member ids are not yet known to each other.
         epoch = Epoch(0, tuple(sorted((f"@{seed}", seed) for seed in seeds)))
-        bootstrap_id = f"@{address}" if founder else ""
+        bootstrap_id = f"@{address}" if is_seed else ""
     return Acceptor(
-        member_id, address, bootstrap_id, voting, epoch=epoch, installed=founder, metadata_changed=True
+        member_id, address, bootstrap_id, voting, epoch=epoch, installed=is_seed, metadata_changed=True
     )
--- a/meadowworks/consensus/operation_runner.py
+++ b/meadowworks/consensus/operation_runner.py
@@ -1,4 +1,4 @@
-"""How operations are carried through: attempts, rounds of requests, and what each outcome leads to."""
+"""Execution of operations: attempts, rounds of requests, and the handling of outcomes."""
 
 from __future__ import annotations
 
@@ -47,11 +47,11 @@
 )
 from meadowworks.consensus.write_queue import OwnReply, WriteQueue
 
-MAX_PENDING_REQUESTS = 4096  # beyond these the oldest are forgotten, as if no reply came
+MAX_PENDING_REQUESTS = 4096  # above this the oldest are dropped, and their replies are ignored
 
 
 class OperationRunner:
-    """Carries operations through, by requests to the members' acceptors and to the own one."""
+    """Runs operations by sending requests to the members' acceptors, including its own."""
 
     def __init__(
         self, acceptor: Acceptor, tolerated_failures: int, random_fraction: Callable[[], float]
@@ -65,27 +65,27 @@
         self.membership_monitor = MembershipMonitor(acceptor, self.lease, tolerated_failures)
         self.operations: dict[int, Operation] = {}
         self.pending_requests: dict[int, tuple[int, int, str]] = {}  # operation id, round, member id
-        self.last_id = 0  # of operations and of requests
+        self.last_id = 0  # shared by operations and requests
         self.started = self.leaving = False
 
     # -- attempts
 
     def begin_operation(self, now_ns: int, operation: Operation) -> None:
-        """Begins an operation with its first attempt."""
+        """Start an operation with its first attempt."""
         self.last_id += 1
         self.operations[self.last_id] = operation
         self.begin_attempt(now_ns, self.last_id, operation)
 
     def begin_attempt(self, now_ns: int, operation_id: int, operation: Operation) -> None:
-        """Begins an attempt, or ends the operation if there is nothing to do any more."""
+        """Start an attempt, or complete the operation if it is no longer needed."""
         epoch = self.acceptor.newest_epoch()
         operation.round_number += 1
-        if not self.started:  # a ballot may not leave before its incarnation is on the disk
+        if not self.started:  # no ballot may be sent before its incarnation is on disk
             return operation.wait_until(now_ns + RESEND_INTERVAL_NS)
         match operation.kind:
             case OperationKind.MEMBERS:
                 call = self.call_factory.membership_call(epoch, operation)
-                if call is None:  # the members have changed meanwhile
+                if call is None:  # this replica can no longer propose members
                     return self.complete_operation(operation_id, None)
                 operation.quorum_call = call
             case OperationKind.PROPOSE | OperationKind.FINISH:
@@ -102,20 +102,20 @@
         return self.send_round(now_ns, operation_id, operation)
 
     def back_off(self, now_ns: int, operation: Operation) -> None:
-        """Ends an attempt; the next one begins after a time drawn at random, longer each time."""
+        """End the attempt and schedule the next one after a randomized exponential backoff."""
         operation.round_number += 1
         operation.wait_until(now_ns + int(operation.backoff_ns * (0.5 + self.random_fraction())))
         operation.backoff_ns = min(MAX_BACKOFF_NS, 2 * operation.backoff_ns)
 
     def complete_operation(self, operation_id: int, outcome: OperationOutcome | None) -> None:
-        """Ends an operation and tells who waits for it; without an outcome nobody does."""
+        """Remove an operation and report its outcome, if any, to its waiters."""
         operation = self.operations.pop(operation_id)
         for waiter_id in operation.waiter_ids:
             if outcome is not None:
                 self.effects.append(CompleteOperation(waiter_id, outcome))
 
     def complete_reconfiguration(self, now_ns: int, previous_epoch: Epoch, next_epoch: Epoch) -> None:
-        """Carries through a change of members that another replica has had chosen."""
+        """Complete a membership change that has been chosen, unless one is already in progress."""
         if any(o.kind is OperationKind.MEMBERS for o in self.operations.values()):
             return
         operation = Operation(
@@ -131,7 +131,7 @@
     # -- rounds
 
     def send_round(self, now_ns: int, operation_id: int, operation: Operation) -> None:
-        """Sends the round's request to the members that have not answered it."""
+        """Send the request of the current round to the members that have not answered it."""
         call = operation.quorum_call
         assert call is not None
         operation.due_ns = now_ns + RESEND_INTERVAL_NS
@@ -146,7 +146,7 @@
     def send_request(
         self, operation_id: int, round_number: int, member_id: str, address: str, request: Request
     ) -> None:
-        """Sends a request whose reply counts for a round of an operation."""
+        """Send a request whose reply belongs to a round of an operation."""
         self.last_id += 1
         self.pending_requests[self.last_id] = operation_id, round_number, member_id
         while len(self.pending_requests) > MAX_PENDING_REQUESTS:
@@ -154,7 +154,7 @@
         self.effects.append(SendRequest(self.last_id, address, request))
 
     def handle_request(self, now_ns: int, request: Request) -> Reply:
-        """The own acceptor's reply. It may have joined an epoch by it, or learnt a newer version."""
+        """Return the own acceptor's reply, and handle a newer version or epoch that the request brought."""
         epoch, version = self.acceptor.epoch.number, self.acceptor.committed.version
         reply = self.acceptor.handle(request)
         if self.acceptor.committed.version > version:
@@ -169,7 +169,7 @@
     def on_operation_reply(
         self, now_ns: int, operation_id: int, operation: Operation, member_id: str, reply: Reply
     ) -> None:
-        """A member's reply to a request of the present round."""
+        """Handle a member's reply to a request of the current round."""
         if isinstance(reply, SnapshotReply):
             self.record_committed(reply.committed, reply.history)
             if operation.quorum_call is None:
@@ -237,7 +237,7 @@
         self, now_ns: int, operation_id: int, operation: Operation, ballot: Ballot
     ) -> None:
         if ballot == NO_BALLOT and operation.kind in (OperationKind.FINISH, OperationKind.MEMBERS):
-            self.complete_operation(operation_id, None)  # there is nothing to finish
+            self.complete_operation(operation_id, None)  # nothing was accepted, so there is nothing to finish
             return
         operation.min_ballot_number = max(operation.min_ballot_number, ballot.number)
         self.back_off(now_ns, operation)
@@ -252,7 +252,7 @@
         if operation.kind is OperationKind.MEMBERS:
             self.complete_operation(operation_id, None)
             return
-        if operation.kind is OperationKind.LEAVE:  # its next attempt is for the members as they are then
+        if operation.kind is OperationKind.LEAVE:  # the next attempt uses the members of the new epoch
             operation.previous_epoch, operation.value = None, None
         self.back_off(now_ns, operation)
 
@@ -274,7 +274,7 @@
                 self.complete_operation(operation_id, acceptor.committed)
         elif result.committed_version > acceptor.committed.version and result.address != acceptor.address:
             self._fetch_snapshot(now_ns, operation_id, operation, result.address)
-        else:  # a version was accepted and may have been acknowledged: finish it first
+        else:  # an accepted version may have been acknowledged, so it must be finished first
             operation.value = None
             operation.begin_call(
                 self.call_factory.new_proposer(acceptor.newest_epoch(), result.highest_version, operation)
@@ -299,35 +299,35 @@
         self.send_request(operation_id, operation.round_number, "", address, request)
 
     def decided_outcome(self, version: int, value: bytes) -> Committed | Conflict:
-        """How a proposal of a value ends whose version is not above the one committed here."""
+        """Return the outcome of proposing a value for a version that is not above the committed version."""
         committed = self.acceptor.committed
         if version == committed.version:
             return Committed() if value == committed.value else Conflict()
-        known = self.acceptor.history.get(version)
-        return Committed() if known is None or known == digest(value) else Conflict()
+        chosen_digest = self.acceptor.history.get(version)
+        return Committed() if chosen_digest is None or chosen_digest == digest(value) else Conflict()
 
-    # -- what is known
+    # -- learning
 
     def record_committed(self, committed: CommittedValue, history: DigestHistory) -> None:
-        """A value is known to be chosen."""
+        """Record a chosen value."""
         if self.acceptor.learn(committed.version, committed.value, history):
             self.effects.append(ValueCommitted(self.acceptor.committed))
         self.lease.on_value_committed()
 
     def on_epoch_announced(self, now_ns: int, epoch: Epoch) -> None:
-        """An epoch is in force somewhere."""
+        """Record an epoch that another replica has announced."""
         if epoch.number > 0 and self.acceptor.on_epoch_announced(epoch):
             self.membership_monitor.on_new_epoch(now_ns)
             self.lease.on_new_epoch()
             self.log("epoch_learnt", epoch=epoch.number, members=len(epoch.members))
 
     def on_epoch_joined(self, now_ns: int) -> None:
-        """This replica has become a member of an epoch."""
+        """Reset the lease and the timers after joining an epoch."""
         self.membership_monitor.on_new_epoch(now_ns)
         epoch = self.acceptor.epoch
         self.log("epoch_joined", epoch=epoch.number, members=len(epoch.members))
         self.lease.on_new_epoch()
 
     def log(self, event: str, **fields: str | int) -> None:
-        """Has an event logged."""
+        """Request a log entry."""
         self.effects.append(LogEntry(event, fields))
--- a/meadowworks/consensus/operations.py
+++ b/meadowworks/consensus/operations.py
@@ -1,4 +1,4 @@
-"""Operations: what a replica carries through by asking a quorum, in as many attempts as it takes."""
+"""Operations: tasks that a replica completes through quorum calls, in one or more attempts."""
 
 from __future__ import annotations
 
@@ -12,29 +12,29 @@
 from meadowworks.consensus.timing import INITIAL_BACKOFF_NS
 from meadowworks.consensus.values import Epoch
 
-LEAVE_WAITER_ID = -1  # the waiter that `Replica.leave` reports to; the driver's own ids are positive
+LEAVE_WAITER_ID = -1  # the waiter of `Replica.leave`; the ids chosen by the driver are positive
 
 QuorumCall = Proposer | Reconfiguration | QuorumRead | StateTransfer
 
 
 class OperationKind(StrEnum):
-    """What an operation is for."""
+    """The purpose of an operation."""
 
-    PROPOSE = "propose"  # a client's value for a version
-    FINISH = "finish"  # a version that another has begun
-    READ = "read"  # the newest committed value
-    MEMBERS = "members"  # the next epoch's members
-    LEAVE = "leave"  # hand over what this replica knows, and end
+    PROPOSE = "propose"  # propose a client's value for a version
+    FINISH = "finish"  # finish a version that another replica has started
+    READ = "read"  # read the newest committed value
+    MEMBERS = "members"  # choose the next epoch's members
+    LEAVE = "leave"  # transfer the committed value and leave the membership
 
 
 @dataclass(slots=True)
 class Operation:
-    """Something that is carried through, and the attempt that is under way.
+    """An operation and its current attempt.
 
-    `waiter_ids`: whom to tell how it ended. `quorum_call`: none between two attempts. `round_number`: replies
-    to requests of another round come late and are passed over. `due_ns`: when the request goes again, or the
-    next attempt begins. `min_ballot_number`: the highest number of a ballot that stood in the way.
-    `previous_epoch`: the epoch that ends, of a change of members that is chosen already.
+    `waiter_ids`: the waiters to report the outcome to. `quorum_call`: None between attempts. `round_number`:
+    replies to requests of another round are ignored. `due_ns`: when to resend the request or start the next
+    attempt. `min_ballot_number`: the highest number of a ballot that caused a rejection; the next ballot is
+    above it. `previous_epoch`: the epoch to be replaced, if the membership change has been chosen.
     """
 
     kind: OperationKind
@@ -50,10 +50,10 @@
     previous_epoch: Epoch | None = None
 
     def wait_until(self, due_ns: int) -> None:
-        """Ends the attempt; the next one begins at `due_ns`."""
+        """End the attempt and schedule the next one at `due_ns`."""
         self.quorum_call, self.due_ns = None, due_ns
 
     def begin_call(self, quorum_call: QuorumCall) -> None:
-        """Goes on with another quorum call in the same attempt."""
+        """Continue the attempt with another quorum call."""
         self.quorum_call = quorum_call
         self.round_number += 1
--- a/meadowworks/consensus/outcomes.py
+++ b/meadowworks/consensus/outcomes.py
@@ -1,4 +1,4 @@
-"""What a proposal, a reconfiguration or a quorum read has come to."""
+"""Outcomes of quorum calls."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Chosen:
-    """A majority has accepted this value for the version: it is chosen for good."""
+    """A majority has accepted this value for the version; the choice is final."""
 
     version: int
     value: bytes
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Superseded:
-    """This version or a later one is committed already."""
+    """This version or a later one is already committed."""
 
     committed: CommittedValue
     history: DigestHistory = ()
@@ -25,9 +25,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryWithHigherBallot:
-    """A higher ballot has been promised: the proposal may begin again above it.
+    """A higher ballot has been promised; the proposal may be retried above it.
 
-    With `NO_BALLOT` there is nothing to finish: nothing was accepted, and the proposer had no value.
+    `NO_BALLOT` means that nothing was accepted and the proposer had no value, so there is nothing to finish.
     """
 
     ballot: Ballot
@@ -35,9 +35,9 @@
 
 @dataclass(frozen=True, slots=True)
 class EpochChanged:
-    """The epoch is over, or about to be.
+    """The epoch of the call has been replaced by `epoch` or is being replaced.
 
-    `reconfiguration_pending`: members have been sealed for `epoch`, and it may not be installed yet.
+    `reconfiguration_pending`: members have been sealed, but `epoch` may not be installed yet.
     """
 
     epoch: Epoch
@@ -46,10 +46,10 @@
 
 @dataclass(frozen=True, slots=True)
 class QuorumReadResult:
-    """What a majority holds.
+    """The versions held by a majority.
 
-    `highest_version` must be known here before anything is read out. `committed_version` is the highest that
-    any of those who answered has committed; it can be fetched from `address`.
+    `highest_version` must be committed here before a read may return. `committed_version` is the highest
+    version that an answering member has committed; it can be fetched from `address`.
     """
 
     highest_version: int
--- a/meadowworks/consensus/proposer.py
+++ b/meadowworks/consensus/proposer.py
@@ -1,4 +1,4 @@
-"""The proposer of single-decree Paxos: two rounds under one ballot.
+"""The proposer of single-decree Paxos, with two rounds under one ballot.
 
 Source: L. Lamport, "Paxos Made Simple" (2001), section 2.2.
 """
@@ -28,37 +28,37 @@
 
 
 class Proposer:
-    """One attempt, under one ballot, to get a value chosen for a version.
+    """One attempt, under one ballot, to have a value chosen for a version.
 
-    Without a value it finishes what another proposer has begun. A majority of the epoch's members must agree;
-    each is counted once, by its id, and nobody else is.
+    A proposer without a value finishes the proposal of another proposer. A majority of the epoch's members
+    must reply in each round; each member is counted once, by its id, and other replies are ignored.
     """
 
     def __init__(self, epoch: Epoch, version: int, ballot: Ballot, value: bytes | None) -> None:
         self.epoch, self.version, self.ballot, self.value = epoch, version, ballot, value
         self.promises: dict[str, PromiseReply] = {}
         self.acceptances: set[str] = set()
-        self.accepting = False  # in the second round
+        self.accepting = False  # whether the second round has started
         self.outcome: ProposalOutcome | None = None
 
     def request(self) -> VoteRequest:
-        """The request of the present round."""
+        """Return the request of the current round."""
         if self.accepting:
             assert self.value is not None
             return AcceptRequest(self.epoch.number, self.version, self.ballot, self.value)
         return PrepareRequest(self.epoch.number, self.version, self.ballot)
 
     def unanswered_members(self) -> list[tuple[str, str]]:
-        """Members that have not answered this round, with their addresses."""
+        """Return the ids and addresses of members that have not answered in this round."""
         answered = self.acceptances if self.accepting else self.promises.keys()
         return [
             (member_id, address) for member_id, address in self.epoch.members if member_id not in answered
         ]
 
     def on_reply(self, member_id: str, reply: Reply) -> bool:
-        """Takes in a member's reply.
+        """Handle a member's reply.
 
-        :returns: whether the next request is due, or the outcome is there.
+        :returns: whether the next round is due or the outcome is known.
         """
         if self.outcome is not None:
             return False
@@ -83,9 +83,9 @@
         self.promises[member_id] = reply
         if len(self.promises) < self.epoch.majority:
             return False
-        best = max(self.promises.values(), key=lambda p: p.accepted)
-        if best.accepted > NO_BALLOT:
-            self.value = best.value
+        highest_promise = max(self.promises.values(), key=lambda p: p.accepted)
+        if highest_promise.accepted > NO_BALLOT:
+            self.value = highest_promise.value
         if self.value is None:
             self.outcome = RetryWithHigherBallot(NO_BALLOT)
             return True
--- a/meadowworks/consensus/quorum_read.py
+++ b/meadowworks/consensus/quorum_read.py
@@ -1,4 +1,4 @@
-"""A linearizable read: a majority of the members says what it holds."""
+"""A linearizable read of the versions held by a majority of the members."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 
 class QuorumRead:
-    """Asks a majority of an epoch's members what they hold.
+    """Queries a majority of an epoch's members for their versions.
 
-    Whatever was acknowledged before the first request left is not above the outcome's `highest_version`.
+    No version acknowledged before the first request was sent is above the outcome's `highest_version`.
     """
 
     def __init__(self, epoch: Epoch) -> None:
@@ -20,26 +20,28 @@
         self.outcome: EpochChanged | QuorumReadResult | None = None
 
     def request(self) -> QueryRequest:
-        """The only request of a read."""
+        """Return the only request of a read."""
         return QueryRequest(self.epoch.number)
 
     def unanswered_members(self) -> list[tuple[str, str]]:
-        """Members that have not answered, with their addresses."""
-        return [(d, a) for d, a in self.epoch.members if d not in self.replies]
+        """Return the ids and addresses of members that have not answered."""
+        return [
+            (member_id, address) for member_id, address in self.epoch.members if member_id not in self.replies
+        ]
 
     def on_failure(self, member_id: str) -> bool:
-        """Notes that a member could not be reached.
+        """Record that a member could not be reached.
 
-        :returns: whether too few members are left for a majority.
+        :returns: whether a majority can no longer be reached.
         """
         if member_id not in self.replies:
             self.unreachable_members.add(member_id)
         return len(self.epoch.members) - len(self.unreachable_members) < self.epoch.majority
 
     def on_reply(self, member_id: str, reply: Reply) -> bool:
-        """Takes in a member's reply.
+        """Handle a member's reply.
 
-        :returns: whether the outcome is there.
+        :returns: whether the outcome is known.
         """
         if self.outcome is not None:
             return False
--- a/meadowworks/consensus/reconfiguration.py
+++ b/meadowworks/consensus/reconfiguration.py
@@ -1,8 +1,8 @@
-"""A change of members, once it is chosen: stop the old epoch, transfer its state, start the next.
+"""Completion of a chosen membership change: stop the old epoch, transfer its state, start the next one.
 
-Epoch n+1 is chosen by a majority of epoch n as the value of `MEMBERSHIP_VERSION`. Epoch n is then sealed at a
-majority of its members, which from then on neither promise nor accept in it, and what these held, merged, is
-installed with a majority of n+1.
+A majority of epoch n chooses epoch n+1 as the value of `MEMBERSHIP_VERSION`. Epoch n is then sealed at a
+majority of its members, which no longer promise or accept in it. Their merged state is installed at a
+majority of epoch n+1.
 
 Source: L. Lamport, D. Malkhi, L. Zhou, "Reconfiguring a State Machine" (2010).
 """
@@ -23,17 +23,17 @@
 
 
 class Reconfiguration:
-    """Completes a chosen change of members. Several replicas may do so at once, and repeat it."""
+    """Completes a chosen membership change; replicas may run this concurrently and repeatedly."""
 
     def __init__(self, epoch: Epoch, next_epoch: Epoch) -> None:
         self.epoch, self.next_epoch = epoch, next_epoch
-        self.sealed_states: dict[str, AcceptorState] = {}  # of the members that are sealed
+        self.sealed_states: dict[str, AcceptorState] = {}  # by member id
         self.installed_members: set[str] = set()
-        self.installing = False  # a majority is sealed
+        self.installing = False  # whether a majority has been sealed
         self.outcome: EpochChanged | None = None
 
     def request(self) -> SealRequest | InstallRequest:
-        """The request of the present round."""
+        """Return the request of the current round."""
         if not self.installing:
             return SealRequest(self.epoch.number, self.next_epoch)
         merged = Acceptor("")
@@ -42,15 +42,23 @@
         return InstallRequest(self.next_epoch.number, self.next_epoch, merged.export_state())
 
     def unanswered_members(self) -> list[tuple[str, str]]:
-        """Members that have not answered this round, with their addresses."""
+        """Return the ids and addresses of members that have not answered in this round."""
         if self.installing:
-            return [(d, a) for d, a in self.next_epoch.members if d not in self.installed_members]
-        return [(d, a) for d, a in self.epoch.members if d not in self.sealed_states]
+            return [
+                (member_id, address)
+                for member_id, address in self.next_epoch.members
+                if member_id not in self.installed_members
+            ]
+        return [
+            (member_id, address)
+            for member_id, address in self.epoch.members
+            if member_id not in self.sealed_states
+        ]
 
     def on_reply(self, member_id: str, reply: Reply) -> bool:
-        """Takes in a member's reply.
+        """Handle a member's reply.
 
-        :returns: whether the next request is due, or the outcome is there.
+        :returns: whether the next round is due or the outcome is known.
         """
         if self.outcome is not None:
             return False
--- a/meadowworks/consensus/replica.py
+++ b/meadowworks/consensus/replica.py
@@ -1,8 +1,8 @@
-"""One replica's part in the agreement, as a machine without I/O.
+"""A consensus replica as a state machine without I/O.
 
-Every input takes the time; what is to be done comes out of `take_effects`, in order. Nothing that an acceptor
-answers leaves before the write that it rests on is reported by `on_persisted`; no request leaves before the
-incarnation is on the disk. Times are of the steady clock, in nanoseconds.
+Every input takes the current time. `take_effects` returns the resulting effects in order. A reply is only
+sent after `on_persisted` has reported the write that it depends on, and no request is sent before the
+incarnation is on disk. Times are nanoseconds of the monotonic clock.
 """
 
 from __future__ import annotations
@@ -49,12 +49,12 @@
 
 
 class Replica(OperationRunner):
-    """A replica: its inputs, and what is due from time to time.
+    """The inputs and the periodic work of a replica.
 
-    :param acceptor: as `metadata.load_acceptor` has made it.
-    :param tolerated_failures: how many members may be lost; with `2 * tolerated_failures + 1` members none is
-        removed.
-    :param random_fraction: gives numbers from 0 to 1.
+    :param acceptor: the acceptor returned by `metadata.load_acceptor`.
+    :param tolerated_failures: the number of members that may fail; members are only removed while there are
+        more than `2 * tolerated_failures + 1`.
+    :param random_fraction: returns random numbers from 0 to 1.
     """
 
     def __init__(
@@ -62,12 +62,12 @@
     ) -> None:
         super().__init__(acceptor, tolerated_failures, random_fraction)
         self.last_tick_ns = 0
-        self.last_check_ns = 0  # of the members
+        self.last_check_ns = 0  # the last membership check
 
     # -- inputs
 
     def start(self, now_ns: int) -> None:
-        """Begins a new incarnation; its first write holds the number."""
+        """Start a new incarnation; the first write stores its number."""
         self.membership_monitor.on_start(now_ns)
         self.last_tick_ns = now_ns
         self.acceptor.incarnation += 1
@@ -76,9 +76,9 @@
         self.flush(now_ns)
 
     def on_request(self, now_ns: int, ticket: Any, request: Request) -> None:
-        """A request from another replica; `SendReply` answers it with the same ticket."""
+        """Handle another replica's request; a `SendReply` with the same ticket answers it."""
         if self.acceptor.disk_failed or self.writes.is_full():
-            # Guards against replies without number that wait for a disk which takes nothing any more.
+            # Prevents an unbounded number of deferred replies when the disk does not complete writes.
             reply = NotAMemberReply(self.acceptor.epoch.number)
             self.effects.append(SendReply(ticket, self.acceptor.id_in_epoch(request.epoch), reply))
             return
@@ -87,15 +87,15 @@
         self.flush(now_ns)
 
     def on_reply(self, now_ns: int, request_id: int, member_id: str, reply: Reply) -> None:
-        """The reply to a request."""
-        if (found := self.pending_requests.pop(request_id, None)) is None:
+        """Handle the reply to a request."""
+        if (pending := self.pending_requests.pop(request_id, None)) is None:
             return
-        operation_id, round_number, _ = found
+        operation_id, round_number, _ = pending
         self._route_reply(now_ns, operation_id, round_number, member_id, reply)
         self.flush(now_ns)
 
-    def on_request_failed(self, now_ns: int, request_id: int) -> None:  # noqa: ARG002  (inputs take the time)
-        """No reply came to a request, or may come any more. A read ends once it can have no majority."""
+    def on_request_failed(self, now_ns: int, request_id: int) -> None:  # noqa: ARG002  (every input takes the time)
+        """Handle a request that will get no reply; a read ends when it can no longer reach a majority."""
         operation_id, round_number, member_id = self.pending_requests.pop(request_id, (0, 0, ""))
         operation = self.operations.get(operation_id)
         if operation is None or operation.round_number != round_number:
@@ -107,17 +107,17 @@
             self.complete_operation(operation_id, Undecided(RETRY_WITHOUT_LEASE_NS))
 
     def on_persisted(self, now_ns: int, write_id: int) -> None:
-        """A write, and all before it, are on the disk."""
+        """Handle the completion of a write and all writes before it."""
         self.writes.on_persisted(write_id)
         self._check_disk(now_ns)
         self.flush(now_ns)
 
-    def on_persist_failed(self, now_ns: int, write_id: int) -> None:  # noqa: ARG002  (one write is under way)
-        """The disk refused a write: what rests on it waits, and it is tried again."""
+    def on_persist_failed(self, now_ns: int, write_id: int) -> None:  # noqa: ARG002  (only one write is in flight)
+        """Handle a write that the disk rejected; it is retried while dependent items wait."""
         self.writes.on_persist_failed(now_ns)
 
     def propose(self, now_ns: int, waiter_id: int, version: int, value: bytes, deadline_ns: int) -> None:
-        """A client's value for a version. `CompleteOperation` tells what came of it."""
+        """Propose a client's value for a version; `CompleteOperation` reports the outcome."""
         if not self.holds_lease(now_ns):
             self.effects.append(CompleteOperation(waiter_id, Undecided(RETRY_WITHOUT_LEASE_NS)))
             return
@@ -125,8 +125,8 @@
             self.effects.append(CompleteOperation(waiter_id, self.decided_outcome(version, value)))
             return
         for operation in self.operations.values():
-            same = operation.version == version and operation.value == value
-            if same and operation.kind is OperationKind.PROPOSE:
+            is_same_proposal = operation.version == version and operation.value == value
+            if is_same_proposal and operation.kind is OperationKind.PROPOSE:
                 operation.waiter_ids.append(waiter_id)
                 operation.deadline_ns = max(operation.deadline_ns, deadline_ns)
                 return
@@ -136,7 +136,7 @@
         self.flush(now_ns)
 
     def read(self, now_ns: int, waiter_id: int, deadline_ns: int) -> None:
-        """Asks for the newest value that may have been acknowledged before now."""
+        """Read the newest value that may have been acknowledged before now."""
         if not self.started or self.acceptor.newest_epoch().number < 1 or self.leaving:
             self.effects.append(CompleteOperation(waiter_id, Undecided(RETRY_WITHOUT_LEASE_NS)))
             return
@@ -144,9 +144,9 @@
         self.flush(now_ns)
 
     def leave(self, now_ns: int, deadline_ns: int) -> None:
-        """This replica shuts down: what it knows is handed over, and it leaves the members if it may.
+        """Transfer the committed value and leave the membership if possible, before a shutdown.
 
-        `CompleteOperation` with `LEAVE_WAITER_ID` tells when that is done.
+        `CompleteOperation` with `LEAVE_WAITER_ID` reports the completion.
         """
         self.leaving, self.acceptor.is_eligible = True, False
         for operation in list(self.operations.values()):
@@ -159,16 +159,16 @@
         self.flush(now_ns)
 
     def on_committed_value(self, now_ns: int, committed: CommittedValue, history: DigestHistory = ()) -> None:
-        """Another replica says what is committed."""
+        """Record a committed value received from another replica."""
         self.record_committed(committed, history)
         self.flush(now_ns)
 
     def on_query_reply(self, now_ns: int, sent_ns: int, reply: QueryReply) -> None:
-        """Another replica's reply to a request of this one that left at `sent_ns`."""
+        """Record another replica's reply to a query that this replica sent at `sent_ns`."""
         self.lease.on_query_reply(now_ns, sent_ns, reply)
 
     def tick(self, now_ns: int) -> None:
-        """Time has passed; `next_tick_ns` says when to call."""
+        """Perform the work that is due; `next_tick_ns` returns the time of the next call."""
         if now_ns - self.last_tick_ns > STALL_THRESHOLD_NS:
             self.lease.on_stall(now_ns)
             self.writes.on_stall(now_ns)
@@ -186,15 +186,15 @@
                 self._carry_out(now_ns, decision)
         self.flush(now_ns)
 
-    # -- what the driver asks
+    # -- outputs and queries
 
     def take_effects(self) -> list[Effect]:
-        """What is to be done since the last call, in order."""
+        """Return the effects since the last call, in order."""
         effects, self.effects = self.effects, []
         return effects
 
     def next_tick_ns(self) -> int:
-        """When `tick` is next to be called."""
+        """Return the time at which `tick` must be called next."""
         times = [
             self.last_check_ns + MEMBERSHIP_CHECK_INTERVAL_NS,
             *(min(o.due_ns, o.deadline_ns) for o in self.operations.values()),
@@ -204,18 +204,21 @@
         return min(times)
 
     def lease_start_ns(self, now_ns: int) -> int | None:
-        """The time such that whatever was acknowledged before it is known here; none if there is none."""
+        """Return the start of the lease; every value acknowledged before it is committed here.
+
+        :returns: None before the incarnation is on disk or without a confirmed majority.
+        """
         return self.lease.lease_start_ns(now_ns) if self.started else None
 
     def holds_lease(self, now_ns: int) -> bool:
-        """Whether this replica may answer for what it knows."""
+        """Return whether this replica may serve clients from its committed state."""
         lease_start_ns = self.lease_start_ns(now_ns)
         if lease_start_ns is None or self.leaving or self.acceptor.disk_failed:
             return False
         return now_ns - lease_start_ns < LEASE_DURATION_NS
 
     def status(self, now_ns: int) -> dict[str, Any]:
-        """The state that is shown to operators, as JSON."""
+        """Return the state shown to operators, as JSON values."""
         acceptor, lease_start_ns = self.acceptor, self.lease_start_ns(now_ns)
         lease_left_ns = None
         if lease_start_ns is not None:
@@ -233,17 +236,17 @@
             **({"disk_failed": True} if acceptor.disk_failed else {}),
         }
 
-    # -- what is due
+    # -- internal work
 
     def flush(self, now_ns: int) -> None:
-        """Does what has waited for a write that is on the disk, then hands out the next write."""
+        """Process the items whose writes have completed, then issue the next write."""
         while self.writes.ready:
             self._resume(now_ns, self.writes.ready.popleft())
         if (write := self.writes.next_write(now_ns)) is not None:
             self.effects.append(write)
 
     def _check_disk(self, now_ns: int) -> None:
-        """Give up vote and lease while the disk takes no writes; take them up again when it does."""
+        """Give up voting and the lease while the disk accepts no writes; resume when it recovers."""
         has_failed = self.writes.disk_has_failed(now_ns)
         if has_failed == self.acceptor.disk_failed:
             return
@@ -262,7 +265,7 @@
     def _route_reply(
         self, now_ns: int, operation_id: int, round_number: int, member_id: str, reply: Reply
     ) -> None:
-        """Hands a reply to its operation, unless that has ended or is in another round."""
+        """Pass a reply to its operation unless that has ended or is in another round."""
         if isinstance(reply, StaleEpochReply):
             self.on_epoch_announced(now_ns, reply.epoch)
         operation = self.operations.get(operation_id)
@@ -270,7 +273,7 @@
             self.on_operation_reply(now_ns, operation_id, operation, member_id, reply)
 
     def _advance(self, now_ns: int, operation_id: int, operation: Operation) -> None:
-        """Ends an operation that is out of time, sends its request again, or begins its next attempt."""
+        """End an operation at its deadline, resend its request, or start its next attempt."""
         if now_ns >= operation.deadline_ns:
             self.complete_operation(operation_id, Undecided(RETRY_AFTER_TIMEOUT_NS))
         elif now_ns < operation.due_ns:
@@ -303,7 +306,7 @@
         self.begin_operation(now_ns, operation)
 
     def install_lagging_members(self, now_ns: int) -> None:
-        """Installs members that are in touch and have missed the change to this epoch."""
+        """Send an install request to reachable members that have missed the change to this epoch."""
         epoch = self.acceptor.epoch
         for member_id, address in epoch.members:
             peer = self.lease.peers.get(member_id)
@@ -313,4 +316,4 @@
                 continue
             if now_ns - peer.last_reply_ns < MEMBER_SILENCE_TIMEOUT_NS:
                 request = InstallRequest(epoch.number, epoch, self.acceptor.export_state())
-                self.send_request(0, 0, member_id, address, request)  # no operation waits for the reply
+                self.send_request(0, 0, member_id, address, request)  # the reply belongs to no operation
--- a/meadowworks/consensus/timing.py
+++ b/meadowworks/consensus/timing.py
@@ -1,40 +1,45 @@
-"""Durations of the agreement, in nanoseconds of the steady clock, and why each has its value."""
+"""Durations of the consensus protocol, in nanoseconds of the monotonic clock."""
 
 from __future__ import annotations
 
-MILLISECOND_NS, SECOND_NS = 1_000_000, 1_000_000_000
+MILLISECOND_NS = 1_000_000
+SECOND_NS = 1_000_000_000
 
-# So long after a majority was asked a replica may answer for what it knows: the most by which an answer can
-# be out of date in a partition (docs/design/control.md). Several resends fit in: a lost reply ends no lease.
+# A replica may serve clients for this long after it queried a majority. This bounds how stale an answer is in a
+# partition (docs/design/control.md). Several resends fit in, so a lost reply does not end the lease.
 LEASE_DURATION_NS = 1_800 * MILLISECOND_NS
-# A reply is waited for so long before the request goes again.
+# A request is resent if no reply has arrived after this time.
 RESEND_INTERVAL_NS = 300 * MILLISECOND_NS
-# A proposal that met a higher ballot begins again after this, doubled each time and drawn at random, so that
-# two proposers do not keep overtaking each other.
-INITIAL_BACKOFF_NS, MAX_BACKOFF_NS = 20 * MILLISECOND_NS, 500 * MILLISECOND_NS
-# Another replica has so long to finish its own proposal before this one finishes it; less while a member is
-# away, since what one disk alone has accepted is then nearer to being lost.
-FINISH_DELAY_NS, FINISH_DELAY_DEGRADED_NS = 400 * MILLISECOND_NS, 60 * MILLISECOND_NS
-# The next member in order waits longer by this before it finishes a version, or changes the members: as a
-# rule one replica acts, and the others find it done.
-FINISH_RANK_DELAY_NS, RANK_DELAY_NS = 60 * MILLISECOND_NS, 250 * MILLISECOND_NS
-# A member that has not answered for so long counts as away.
+# Delays before a proposal that met a higher ballot is retried. The delay doubles with each retry and is
+# randomized, which prevents two proposers from preempting each other repeatedly.
+INITIAL_BACKOFF_NS = 20 * MILLISECOND_NS
+MAX_BACKOFF_NS = 500 * MILLISECOND_NS
+# Another replica has this long to finish its own proposal before this one finishes it. The delay is shorter
+# while a member is silent, because a value that only one disk has accepted is then more likely to be lost.
+FINISH_DELAY_NS = 400 * MILLISECOND_NS
+FINISH_DELAY_DEGRADED_NS = 60 * MILLISECOND_NS
+# Additional delay per rank before a member finishes a version or changes the membership. Usually one replica
+# acts and the others find the work done.
+FINISH_RANK_DELAY_NS = 60 * MILLISECOND_NS
+RANK_DELAY_NS = 250 * MILLISECOND_NS
+# A member that has not answered for this long is silent.
 MEMBER_SILENCE_TIMEOUT_NS = 2 * SECOND_NS
-# An epoch younger than this may have members that are not installed yet: it counts as degraded.
+# A younger epoch may have members that are not installed yet and is treated as degraded.
 EPOCH_SETTLING_NS = 2 * SECOND_NS
-# Epoch 1 waits so long for `2 * tolerated_failures + 1` members before `tolerated_failures + 1` are enough.
+# Epoch 1 waits this long for `2 * tolerated_failures + 1` members, then accepts `tolerated_failures + 1`.
 BOOTSTRAP_WAIT_NS = 1_500 * MILLISECOND_NS
 MEMBERSHIP_CHECK_INTERVAL_NS = 250 * MILLISECOND_NS
-PEER_EXPIRY_NS = 60 * SECOND_NS  # a disk that has sent nothing for so long is forgotten
-# A tick that comes later than this: the process was suspended, and cannot tell who was silent meanwhile.
+PEER_EXPIRY_NS = 60 * SECOND_NS  # a peer that has not answered for this long is removed
+# A longer gap between ticks means that the process was suspended, so silence timeouts are restarted.
 STALL_THRESHOLD_NS = SECOND_NS
-WRITE_RETRY_DELAY_NS = 200 * MILLISECOND_NS  # before a write that the disk refused is tried again
-# A write that has not ended after this: the disk is unusable. Well above a large write of a slow disk.
+WRITE_RETRY_DELAY_NS = 200 * MILLISECOND_NS  # before a write that the disk rejected is retried
+# The disk is treated as failed if a write takes longer. A large write to a slow disk takes much less.
 DISK_FAILURE_TIMEOUT_NS = SECOND_NS
-# How long a replica tries to finish what another has begun before it looks again whether that is needed.
-FINISH_TIMEOUT_NS, RECONFIGURATION_TIMEOUT_NS = SECOND_NS, 2 * SECOND_NS
-# What is pending when a replica shuts down has so long to end.
+# How long a replica tries to finish another replica's work before it checks again whether that is needed.
+FINISH_TIMEOUT_NS = SECOND_NS
+RECONFIGURATION_TIMEOUT_NS = 2 * SECOND_NS
+# Pending operations have this long to complete when a replica leaves.
 LEAVE_GRACE_NS = 400 * MILLISECOND_NS
-# When a client whose operation was not decided should ask again: soon if it ran out of time, later if this
-# replica has no majority.
-RETRY_AFTER_TIMEOUT_NS, RETRY_WITHOUT_LEASE_NS = 200 * MILLISECOND_NS, SECOND_NS
+# Delays after which a client should retry an undecided operation. Without a lease the delay is longer.
+RETRY_AFTER_TIMEOUT_NS = 200 * MILLISECOND_NS
+RETRY_WITHOUT_LEASE_NS = SECOND_NS
--- a/meadowworks/consensus/values.py
+++ b/meadowworks/consensus/values.py
@@ -1,4 +1,4 @@
-"""The values that the agreement is about: ballots, epochs, slots of an acceptor, committed values."""
+"""Value types of the consensus protocol: ballots, epochs, acceptor slots and committed values."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-# Past versions whose digests are kept, 16 bytes each: a client that repeats a proposal learns whether its
-# value was the one committed. One older than these is taken to be (`OperationRunner.decided_outcome`).
+# The number of past versions whose digests are kept, so that a repeated proposal can be compared with the
+# chosen value. A proposal for an older version is assumed to match it (`OperationRunner.decided_outcome`).
 HISTORY_LENGTH = 256
-NO_EPOCH_NUMBER = -1  # the number of no epoch: below that of every epoch
+NO_EPOCH_NUMBER = -1  # below the number of every epoch
 MEMBERSHIP_VERSION = 0  # the version whose value is the list of the next epoch's members
 DIGEST_BYTES = 16
 
@@ -20,9 +20,9 @@
 class Ballot(NamedTuple):
     """The number of a proposal.
 
-    Ballots are ordered by epoch first: any ballot of a later epoch is above all of an earlier one.
-    `proposer_id` names a member and its incarnation. The incarnation is on the disk before the first request
-    leaves, so no ballot is used twice.
+    Ballots are ordered by epoch first, so every ballot of a later epoch is above all ballots of earlier ones.
+    `proposer_id` consists of a member id and an incarnation. The incarnation is on disk before the first
+    request is sent, so no ballot is used twice.
     """
 
     epoch: int
@@ -35,10 +35,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Epoch:
-    """A period with one set of members.
+    """A period with a fixed set of members.
 
-    A member is a disk, by the name that it gave itself when it was empty: a wiped disk, or another in its
-    place, is another member. Epoch 0 is that of the seeds in the settings; no version is chosen in it.
+    A member is a disk, identified by the id assigned when it was empty; a wiped or replaced disk is a new
+    member. The members of epoch 0 are the seeds from the settings; only the membership is chosen in it.
     """
 
     number: int = NO_EPOCH_NUMBER
@@ -46,11 +46,11 @@
 
     @property
     def majority(self) -> int:
-        """The number of members that makes a quorum."""
+        """The number of members in a quorum."""
         return len(self.members) // 2 + 1
 
     def has_member(self, member_id: str) -> bool:
-        """Whether a member of that id belongs to the epoch."""
+        """Return whether the epoch has a member with this id."""
         return any(name == member_id for name, _ in self.members)
 
 
@@ -59,7 +59,7 @@
 
 @dataclass(slots=True)
 class AcceptorSlot:
-    """What an acceptor has promised and accepted for one version that may be undecided."""
+    """The promise and the accepted value of an acceptor for one version."""
 
     promised: Ballot = NO_BALLOT
     accepted: Ballot = NO_BALLOT
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CommittedValue:
-    """The highest version that is known to be chosen, and its value; version 0 is none."""
+    """The highest version known to be chosen, with its value; version 0 means that there is none."""
 
     version: int = 0
     value: bytes = b""
@@ -79,9 +79,9 @@
 
 @dataclass(frozen=True, slots=True)
 class AcceptorState:
-    """What an acceptor holds of versions, as it is transferred to the members of the next epoch.
+    """The state of an acceptor that is transferred to the members of the next epoch.
 
-    Each of `slots` is a version, the ballots promised and accepted, and the accepted value.
+    Each of `slots` holds a version, the promised ballot, the accepted ballot and the accepted value.
     """
 
     committed: CommittedValue
@@ -90,5 +90,5 @@
 
 
 def digest(value: bytes) -> bytes:
-    """A digest of `DIGEST_BYTES` that stands for a value."""
+    """Return a digest of `DIGEST_BYTES` bytes that identifies a value."""
     return hashlib.blake2b(value, digest_size=DIGEST_BYTES).digest()
--- a/meadowworks/consensus/write_queue.py
+++ b/meadowworks/consensus/write_queue.py
@@ -1,7 +1,7 @@
-"""The order of writes and of what rests on them.
+"""The order of writes and of the items that depend on them.
 
-One write is under way at a time. Whatever rests on an acceptor's changes waits here until the write that
-holds them is on the disk: a reply, an own vote, the start of the replica.
+One write is in flight at a time. An item that depends on an acceptor's changes waits until they are on disk.
+Such items are replies, the replica's own votes, and the start of the replica.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 from meadowworks.consensus.timing import DISK_FAILURE_TIMEOUT_NS, WRITE_RETRY_DELAY_NS
 from meadowworks.consensus.values import AcceptorSlot
 
-# Replies that wait for a write: what some dozens of members send while a slow disk syncs.
+# Bounds the items that wait for writes; above it, requests are rejected.
 MAX_AWAITING_WRITE = 1024
 
 
 @dataclass(frozen=True, slots=True)
 class IncarnationPersisted:
-    """The incarnation is on the disk: requests may leave."""
+    """The incarnation is on disk, so requests may be sent."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnReply:
-    """The own acceptor's reply to a request of an operation."""
+    """The reply of the replica's own acceptor to a request of an operation."""
 
     operation_id: int
     round_number: int
@@ -49,21 +49,21 @@
 
 
 class WriteQueue:
-    """Hands out writes one after another, and what rests on them once they are on the disk."""
+    """Issues writes one at a time and releases dependent items once their writes are on disk."""
 
     def __init__(self, acceptor: Acceptor) -> None:
         self._acceptor = acceptor
         self.last_write_id = self.last_written_id = 0
         self.write_in_flight_id = 0  # 0: none
         self.update_in_flight: StateUpdate | None = None
-        self.write_began_ns = 0  # when the write in flight was first handed out
-        self.write_retry_ns = 0  # when a write that was refused is tried again; 0: none was
-        self.awaiting_write: deque[tuple[int, Deferred]] = deque()  # and the id of the write
+        self.write_began_ns = 0  # when the write in flight was first issued
+        self.write_retry_ns = 0  # when to retry a rejected write; 0: no retry is scheduled
+        self.awaiting_write: deque[tuple[int, Deferred]] = deque()  # with the id of the write each depends on
         self.ready: deque[Deferred] = deque()
         self.persisted_history_versions = set(acceptor.history)
 
     def defer(self, item: Deferred) -> None:
-        """Keeps what rests on all that the acceptor holds until that is on the disk."""
+        """Hold an item until all current changes of the acceptor are on disk."""
         if self._acceptor.has_unwritten_changes():
             self.awaiting_write.append((self.last_write_id + 1, item))
         elif self.write_in_flight_id:
@@ -72,11 +72,11 @@
             self.ready.append(item)
 
     def is_full(self) -> bool:
-        """Whether so much waits for a write that no more is taken on."""
+        """Return whether the number of waiting items has reached its limit."""
         return len(self.awaiting_write) >= MAX_AWAITING_WRITE
 
     def next_write(self, now_ns: int) -> Persist | None:
-        """The next write, if there is anything to write and none is under way."""
+        """Return the next write if there are changes and no write is in flight."""
         if self.write_in_flight_id or not self._acceptor.has_unwritten_changes():
             return None
         self.last_write_id += 1
@@ -85,32 +85,32 @@
         return Persist(self.last_write_id, self.update_in_flight)
 
     def on_persisted(self, write_id: int) -> None:
-        """A write, and all before it, are on the disk."""
+        """Release the items that depend on this write or an earlier one."""
         self.last_written_id, self.write_in_flight_id, self.update_in_flight = write_id, 0, None
         while self.awaiting_write and self.awaiting_write[0][0] <= write_id:
             self.ready.append(self.awaiting_write.popleft()[1])
 
     def on_persist_failed(self, now_ns: int) -> None:
-        """The disk refused the write: what rests on it waits, and it is tried again."""
+        """Schedule a retry of the write in flight, which the disk rejected."""
         self.write_retry_ns = now_ns + WRITE_RETRY_DELAY_NS
 
     def due_retry(self, now_ns: int) -> Persist | None:
-        """The write that was refused, if it is time to try it again."""
+        """Return the rejected write if its retry is due."""
         if not self.write_retry_ns or now_ns < self.write_retry_ns or self.update_in_flight is None:
             return None
         self.write_retry_ns = 0
         return Persist(self.write_in_flight_id, self.update_in_flight)
 
     def disk_has_failed(self, now_ns: int) -> bool:
-        """Whether a write was refused, or has not ended, for so long that the disk counts as unusable."""
+        """Return whether the write in flight has been rejected or incomplete for too long."""
         return bool(self.write_in_flight_id) and now_ns - self.write_began_ns > DISK_FAILURE_TIMEOUT_NS
 
     def on_stall(self, now_ns: int) -> None:
-        """This process was suspended, and with it the write in flight: its time begins anew."""
+        """Restart the timeout of the write in flight after this process was suspended."""
         self.write_began_ns = now_ns
 
     def collect_update(self) -> StateUpdate:
-        """What the acceptor has changed since the last write, as a copy."""
+        """Return a copy of the acceptor's changes since the last write, and mark them as collected."""
         acceptor = self._acceptor
         metadata = acceptor_metadata(acceptor) if acceptor.metadata_changed else None
         committed, added = None, {}
--- a/meadowworks/modelcheck/seeded_faults/consensus.py
+++ b/meadowworks/modelcheck/seeded_faults/consensus.py
@@ -35,7 +35,7 @@
             (
                 "what was accepted before is not taken over",
                 PROPOSER + "_on_promise",
-                "if best.accepted > NO_BALLOT:",
+                "if highest_promise.accepted > NO_BALLOT:",
                 "if False:",
                 CONTENT,
                 (0,),
@@ -267,8 +267,8 @@
             (
                 "a version is learnt and its content is not that",
                 ACCEPTOR + "learn",
-                "known[version] = digest(value)",
-                "known[version] = digest(self.committed.value)",
+                "new_digests[version] = digest(value)",
+                "new_digests[version] = digest(self.committed.value)",
                 ("true",),
                 (0,),
             ),
@@ -388,7 +388,7 @@
                 "an empty disk founds again",
                 METADATA + "_new_acceptor",
                 "if bootstrap:",
-                "if founder := address in seeds:",
+                "if is_seed := address in seeds:",
                 ("one set",),
                 (11,),
             ),
--- a/meadowworks/modelcheck/seeded_faults/replica.py
+++ b/meadowworks/modelcheck/seeded_faults/replica.py
@@ -168,7 +168,7 @@
             (
                 "what is settled stays undecided on the disk",
                 ACCEPTOR + "learn",
-                "self.changed_slots.add(old)",
+                "self.changed_slots.add(decided_version)",
                 "pass",
                 ("whole",),
                 (6,),
