--- a/meadowworks/storage/__init__.py
+++ b/meadowworks/storage/__init__.py
@@ -1,1 +1,1 @@
-"""What a control-plane replica keeps on its disk: its acceptor, hints about backends, records of drains."""
+"""Durable storage of a control-plane replica: acceptor state, backend hints and drain records."""
--- a/meadowworks/storage/sqlite_store.py
+++ b/meadowworks/storage/sqlite_store.py
@@ -1,10 +1,10 @@
 """The durable state of a control-plane replica, in one SQLite file.
 
-Every method that writes has the change on the disk when it returns: it is there after a loss of power. A disk
-that is full or refuses raises `sqlite3.Error` ("database or disk is full", "disk I/O error"). The transaction
-is then rolled back, what was there before stays, and the caller may try again; a replica answers nothing
-meanwhile that would rest on the write. The names of the file, the tables and their columns are those of the
-first release, so that an installation starts from its disks.
+When a method that writes returns, the change is on disk and survives a power failure. If the disk is full or
+fails, the method raises `sqlite3.Error` ("database or disk is full", "disk I/O error"). The transaction is
+then rolled back, and the caller may retry; meanwhile a replica sends no reply that depends on the write. The
+names of the file, the tables and the columns must not change, so that existing installations can read their
+disks.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 
 class SlotRow(NamedTuple):
-    """A row of `slots`; the ballots are msgpack."""
+    """A row of the table `slots`, with the ballots encoded as msgpack."""
 
     version: int
     promised: bytes
@@ -43,21 +43,21 @@
     content: bytes
 
     @classmethod
-    def of(cls, version: int, slot: AcceptorSlot) -> Self:
-        """The row in which a slot is kept."""
+    def from_slot(cls, version: int, slot: AcceptorSlot) -> Self:
+        """Return the row that stores a slot."""
         return cls(version, _encode(slot.promised), _encode(slot.accepted), slot.value)
 
-    def slot(self) -> AcceptorSlot:
-        """The slot that is kept in the row."""
+    def to_slot(self) -> AcceptorSlot:
+        """Return the slot that the row stores."""
         promised, accepted = decode_ballot(_decode(self.promised)), decode_ballot(_decode(self.accepted))
         return AcceptorSlot(promised, accepted, bytes(self.content))
 
 
 @dataclass(frozen=True, slots=True)
 class StoredState:
-    """An acceptor as a disk holds it.
+    """The stored state of an acceptor.
 
-    `metadata`: its own fields, as `consensus.metadata` has them; none if the disk is empty.
+    `metadata` holds the fields described in `consensus.metadata`; it is None if the disk is empty.
     """
 
     metadata: Mapping[str, Any] | None
@@ -67,10 +67,10 @@
 
 
 class SqliteStore:
-    """The one user of a directory's file.
+    """Exclusive access to the database file of a directory.
 
-    Calls may come from one thread after another, never from two at once. Every method raises `sqlite3.Error`
-    if the disk refuses.
+    Different threads may call methods, but not concurrently. Every method raises `sqlite3.Error` if the disk
+    fails.
     """
 
     connection: sqlite3.Connection
@@ -92,27 +92,27 @@
         self.close()
 
     def configure(self, connection: sqlite3.Connection) -> None:
-        """Takes a connection for its own, and makes the tables that are missing."""
+        """Set up a connection for this store and create missing tables."""
         self.connection = connection
-        # Exclusive before WAL: the index of the log is then in the process, and no memory is shared.
+        # Set before WAL mode, so that the WAL index is kept in process memory and not in a shared file.
         self.connection.execute("PRAGMA locking_mode=EXCLUSIVE")
         self.connection.execute("PRAGMA journal_mode=WAL")
-        # A commit is on the disk when it returns, by one sync.
+        # Syncs the WAL on every commit.
         self.connection.execute("PRAGMA synchronous=FULL")
         self.connection.executescript(SCHEMA)
 
     def close(self) -> None:
-        """Closes the file. What was written stays written."""
+        """Close the database file."""
         self.connection.close()
 
     # -- the acceptor
 
     def load(self) -> StoredState:
-        """The acceptor as it was last saved."""
+        """Return the last saved state of the acceptor."""
         rows = self.connection.execute("SELECT name, value FROM meta")
         metadata = {name: _decode(value) for name, value in rows}
         rows = self.connection.execute("SELECT version, promised, accepted, content FROM slots")
-        slots = {row.version: row.slot() for row in map(SlotRow._make, rows)}
+        slots = {row.version: row.to_slot() for row in map(SlotRow._make, rows)}
         row = self.connection.execute("SELECT version, content FROM held").fetchone()
         committed = CommittedValue(row[0], bytes(row[1])) if row else NOTHING_COMMITTED
         rows = self.connection.execute("SELECT version, digest FROM history")
@@ -120,7 +120,7 @@
         return StoredState(metadata or None, committed, history, slots)
 
     def save(self, update: StateUpdate) -> None:
-        """Writes what an acceptor has changed, all of it or nothing."""
+        """Write the changes of an acceptor in one transaction."""
         with self._transaction():
             if update.metadata is not None:
                 rows = [(name, _encode(value)) for name, value in update.metadata.items()]
@@ -143,41 +143,40 @@
         if slot is None:
             self.connection.execute("DELETE FROM slots WHERE version = ?", (version,))
             return
-        row = SlotRow.of(version, slot)
+        row = SlotRow.from_slot(version, slot)
         self.connection.execute("INSERT OR REPLACE INTO slots VALUES (?, ?, ?, ?)", row)
 
     # -- backends
 
     def save_backend_hints(self, rows: Mapping[str, bytes]) -> None:
-        """Replaces the backends' last known states, by their ids.
+        """Replace the stored states of the backends, given by backend id.
 
-        They are a hint for a start after all replicas were lost at once; the next heartbeats confirm them or
-        not.
+        They are used as hints when all replicas restart at once; later heartbeats confirm or correct them.
         """
         with self._transaction():
             self.connection.execute("DELETE FROM lives")
             self.connection.executemany("INSERT INTO lives VALUES (?, ?)", rows.items())
 
     def load_backend_hints(self) -> dict[str, bytes]:
-        """What `save_backend_hints` has saved last."""
+        """Return the rows that `save_backend_hints` saved last."""
         return dict(self.connection.execute("SELECT ident, value FROM lives").fetchall())
 
     def save_drain_records(self, rows: Mapping[str, bytes], removed: Collection[str]) -> None:
-        """Writes records of backends that are draining or gone, and removes others.
+        """Write records of draining or removed backends, and delete the records in `removed`.
 
-        Once this has returned a drain may be acknowledged: no later start forgets it.
+        A drain may be acknowledged once this returns, because it is then preserved across restarts.
         """
         with self._transaction():
             self.connection.executemany("DELETE FROM fences WHERE ident = ?", [(ident,) for ident in removed])
             self.connection.executemany("INSERT OR REPLACE INTO fences VALUES (?, ?)", list(rows.items()))
 
     def load_drain_records(self) -> dict[str, bytes]:
-        """All records that `save_drain_records` has written and not removed."""
+        """Return all records that `save_drain_records` wrote and did not delete."""
         return dict(self.connection.execute("SELECT ident, value FROM fences").fetchall())
 
     @contextmanager
     def _transaction(self) -> Iterator[None]:
-        """Commits what is done in it, or rolls it back."""
+        """Commit the enclosed statements, or roll them back on an exception."""
         self.connection.execute("BEGIN")
         try:
             yield
