--- a/meadowworks/consensus/timing.py
+++ b/meadowworks/consensus/timing.py
@@ -5,8 +5,8 @@
 MILLISECOND_NS = 1_000_000
 SECOND_NS = 1_000_000_000
 
-# A replica may serve clients for this long after it queried a majority. This bounds how stale an answer is in a
-# partition (docs/design/control.md). Several resends fit in, so a lost reply does not end the lease.
+# A replica may serve clients for this long after it queried a majority. This bounds how stale an answer can
+# be in a partition (docs/design/control.md). Several resends fit in, so a lost reply does not end the lease.
 LEASE_DURATION_NS = 1_800 * MILLISECOND_NS
 # A request is resent if no reply has arrived after this time.
 RESEND_INTERVAL_NS = 300 * MILLISECOND_NS
--- a/tests/consensus/helpers.py
+++ b/tests/consensus/helpers.py
@@ -1,4 +1,4 @@
-"""What the tests of the agreement share."""
+"""Shared helpers of the consensus tests."""
 
 from __future__ import annotations
 
@@ -20,20 +20,20 @@
 ABC = Epoch(1, (A, B, C))
 
 
-def member(disk: str, epoch: Epoch = ABC) -> Acceptor:
-    """The acceptor of a member, at its address."""
-    address = dict((A, B, C, D, E))[disk]
-    return Acceptor(disk, address, epoch=epoch, installed=epoch.has_member(disk), incarnation=1)
+def member(member_id: str, epoch: Epoch = ABC) -> Acceptor:
+    """Return the acceptor of a replica, installed if the replica is a member of `epoch`."""
+    address = dict((A, B, C, D, E))[member_id]
+    return Acceptor(member_id, address, epoch=epoch, installed=epoch.has_member(member_id), incarnation=1)
 
 
-def run_call(call: Any, acceptors: list[Acceptor]) -> Any:
-    """Asks those that are in reach, round after round, until there is an outcome or nothing moves."""
+def run_call(call: Any, reachable: list[Acceptor]) -> Any:
+    """Return the outcome of a quorum call that only reaches some acceptors; None if it does not complete."""
     for _ in range(4):
         request = call.request()
-        targets = {disk for disk, _ in call.unanswered_members()}
-        for one in acceptors:
-            if one.id_in_epoch(request.epoch) in targets and call.on_reply(
-                one.id_in_epoch(request.epoch), one.handle(request)
+        targets = {member_id for member_id, _ in call.unanswered_members()}
+        for acceptor in reachable:
+            if acceptor.id_in_epoch(request.epoch) in targets and call.on_reply(
+                acceptor.id_in_epoch(request.epoch), acceptor.handle(request)
             ):
                 break
         if call.outcome is not None:
@@ -41,14 +41,14 @@
     return None
 
 
-def proposer(acceptor: Acceptor, value: bytes | None, version: int = 6) -> Proposer:
-    """A proposer of the acceptor's replica."""
-    job = Operation(OperationKind.PROPOSE, version, value, 0, [])
-    return QuorumCallFactory(acceptor, 1).new_proposer(acceptor.newest_epoch(), version, job)
+def new_proposer(acceptor: Acceptor, value: bytes | None, version: int = 6) -> Proposer:
+    """Return a proposer of the acceptor's replica."""
+    operation = Operation(OperationKind.PROPOSE, version, value, 0, [])
+    return QuorumCallFactory(acceptor, 1).new_proposer(acceptor.newest_epoch(), version, operation)
 
 
 def started_replica(acceptor: Acceptor) -> Replica:
-    """A replica whose first write is on the disk."""
+    """Return a replica whose first write has completed."""
     replica = Replica(acceptor, 1, lambda: 0.5)
     replica.start(0)
     (write,) = replica.take_effects()
--- a/tests/consensus/test_acceptor.py
+++ b/tests/consensus/test_acceptor.py
@@ -1,4 +1,4 @@
-"""Acceptors: whose requests they vote on, and what they are after a start."""
+"""Acceptors: which requests they vote on, and their state after a start."""
 
 from __future__ import annotations
 
@@ -28,31 +28,34 @@
 from tests.consensus.helpers import ABC, B, C, D, member
 
 
-def test_an_empty_disk_founds_at_the_first_start_alone_and_by_its_seat() -> None:
+def test_an_empty_disk_joins_epoch_0_only_as_a_seed_at_bootstrap() -> None:
     seeds = ("h:0", "h:1", "h:2")
-    founder = load_acceptor(None, new_member_id="x", address="h:1", seeds=seeds, bootstrap=True, voting=True)
-    assert founder.may_vote()
-    assert founder.epoch.number == 0
-    assert founder.id_in_epoch(0) == "@h:1"
-    assert founder.id_in_epoch(1) == "x"
-    assert founder.epoch.members == (("@h:0", "h:0"), ("@h:1", "h:1"), ("@h:2", "h:2"))
-    assert founder.metadata_changed
+    seed_acceptor = load_acceptor(
+        None, new_member_id="x", address="h:1", seeds=seeds, bootstrap=True, voting=True
+    )
+    assert seed_acceptor.may_vote()
+    assert seed_acceptor.epoch.number == 0
+    assert seed_acceptor.id_in_epoch(0) == "@h:1"
+    assert seed_acceptor.id_in_epoch(1) == "x"
+    assert seed_acceptor.epoch.members == (("@h:0", "h:0"), ("@h:1", "h:1"), ("@h:2", "h:2"))
+    assert seed_acceptor.metadata_changed
     ballot = Ballot(0, 1, "q")
-    assert founder.handle(PrepareRequest(0, 0, ballot)) == PromiseReply(ballot, NO_BALLOT, b"")
-    assert founder.handle(PrepareRequest(0, 1, ballot)) == NotAMemberReply(
-        0
-    )  # no version before there are members
-    other = load_acceptor(None, new_member_id="y", address="h:7", seeds=seeds, bootstrap=True, voting=True)
-    later = load_acceptor(None, new_member_id="z", address="h:1", seeds=seeds, bootstrap=False, voting=True)
-    for one in (other, later):
-        assert not one.may_vote()
-        assert isinstance(one.handle(PrepareRequest(0, 0, ballot)), NotAMemberReply)
-        assert isinstance(one.handle(SealRequest(0, ABC)), NotAMemberReply)
-    assert later.epoch.number == NO_EPOCH_NUMBER
-    assert later.id_in_epoch(0) == ""
+    assert seed_acceptor.handle(PrepareRequest(0, 0, ballot)) == PromiseReply(ballot, NO_BALLOT, b"")
+    # epoch 0 accepts no version apart from the membership
+    assert seed_acceptor.handle(PrepareRequest(0, 1, ballot)) == NotAMemberReply(0)
+    non_seed = load_acceptor(None, new_member_id="y", address="h:7", seeds=seeds, bootstrap=True, voting=True)
+    replacement = load_acceptor(
+        None, new_member_id="z", address="h:1", seeds=seeds, bootstrap=False, voting=True
+    )
+    for acceptor in (non_seed, replacement):
+        assert not acceptor.may_vote()
+        assert isinstance(acceptor.handle(PrepareRequest(0, 0, ballot)), NotAMemberReply)
+        assert isinstance(acceptor.handle(SealRequest(0, ABC)), NotAMemberReply)
+    assert replacement.epoch.number == NO_EPOCH_NUMBER
+    assert replacement.id_in_epoch(0) == ""
 
 
-def test_a_request_under_another_epochs_ballot_is_not_voted_on() -> None:
+def test_a_request_with_a_ballot_of_another_epoch_is_rejected() -> None:
     a = member("a")
     assert (
         a.handle(PrepareRequest(1, 3, Ballot(2, 1, "q")))
@@ -62,37 +65,37 @@
     assert not a.slots
 
 
-def test_an_acceptor_that_comes_back_where_it_was_keeps_its_seal_and_its_vote_on_the_members() -> None:
-    after = Epoch(2, (B, C, D))
+def test_an_acceptor_reinstalled_in_its_epoch_keeps_its_seal_and_membership_slot() -> None:
+    next_epoch = Epoch(2, (B, C, D))
     a = member("a")
     a.slots[0] = AcceptorSlot(Ballot(1, 1, "q"), Ballot(1, 1, "q"), b"members")
-    a.seal(1, after)
-    meta = Replica(a, 1, lambda: 0.5)
+    a.seal(1, next_epoch)
+    replica = Replica(a, 1, lambda: 0.5)
     a.metadata_changed = True
-    kept = meta.writes.collect_update().metadata
+    stored = replica.writes.collect_update().metadata
     for voting in (False, True):
-        back = load_acceptor(
-            kept, new_member_id="", address="h:0", seeds=(), bootstrap=False, voting=voting, slots=a.slots
+        restarted = load_acceptor(
+            stored, new_member_id="", address="h:0", seeds=(), bootstrap=False, voting=voting, slots=a.slots
         )
-        back.installed = False  # it was started with voting off before
-        reply = back.handle(InstallRequest(1, ABC, AcceptorState(CommittedValue(), (), ())))
+        restarted.installed = False  # as after an earlier start with voting disabled
+        reply = restarted.handle(InstallRequest(1, ABC, AcceptorState(CommittedValue(), (), ())))
         assert (reply == InstalledReply(1)) is voting
-        assert not back.may_vote()
-        assert back.sealed_by == after
-        assert back.slots[0].accepted == Ballot(1, 1, "q")
+        assert not restarted.may_vote()
+        assert restarted.sealed_by == next_epoch
+        assert restarted.slots[0].accepted == Ballot(1, 1, "q")
 
 
-def test_undecided_versions_are_bounded_and_what_is_known_goes_on() -> None:
+def test_undecided_versions_are_bounded_but_existing_ones_and_the_membership_proceed() -> None:
     acceptor = member("a")
     for version in range(1, MAX_UNDECIDED_VERSIONS + 1):
         ballot = Ballot(1, 1, "b.1")
         assert isinstance(acceptor.handle(AcceptRequest(1, version, ballot, b"v")), AcceptedReply)
-    further = PrepareRequest(1, MAX_UNDECIDED_VERSIONS + 1, Ballot(1, 1, "b.1"))
-    assert acceptor.handle(further) == NotAMemberReply(1)
+    new_version = PrepareRequest(1, MAX_UNDECIDED_VERSIONS + 1, Ballot(1, 1, "b.1"))
+    assert acceptor.handle(new_version) == NotAMemberReply(1)
     assert len(acceptor.slots) == MAX_UNDECIDED_VERSIONS
-    known = PrepareRequest(1, 7, Ballot(1, 2, "b.1"))
-    assert isinstance(acceptor.handle(known), PromiseReply)
-    change = PrepareRequest(1, MEMBERSHIP_VERSION, Ballot(1, 2, "b.1"))
-    assert isinstance(acceptor.handle(change), PromiseReply)
+    existing_version = PrepareRequest(1, 7, Ballot(1, 2, "b.1"))
+    assert isinstance(acceptor.handle(existing_version), PromiseReply)
+    membership = PrepareRequest(1, MEMBERSHIP_VERSION, Ballot(1, 2, "b.1"))
+    assert isinstance(acceptor.handle(membership), PromiseReply)
     acceptor.learn(MAX_UNDECIDED_VERSIONS, b"v")
-    assert isinstance(acceptor.handle(further), PromiseReply)
+    assert isinstance(acceptor.handle(new_version), PromiseReply)
--- a/tests/consensus/test_codec.py
+++ b/tests/consensus/test_codec.py
@@ -1,4 +1,4 @@
-"""Requests and replies on the wire."""
+"""Encoding and decoding of requests and replies."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     Ballot,
     CommittedValue,
 )
-from meadowworks.gossip import messages as post
+from meadowworks.gossip import messages as gossip_messages
 from tests.consensus.helpers import ABC
 from tests.gateway.mutations import mutants
 
@@ -63,24 +63,24 @@
 ]
 
 
-def test_every_request_and_reply_is_among_those_that_travel() -> None:
+def test_every_message_type_is_covered() -> None:
     assert {type(message) for message in MESSAGES} == set(codec.FIELD_DECODERS)
 
 
 @pytest.mark.parametrize("message", MESSAGES)
-def test_requests_and_replies_travel_unchanged_and_mutants_are_refused_or_harmless(message: Any) -> None:
-    raw = post.decode(post.encode(codec.encode(message)))
+def test_messages_round_trip_and_mutants_are_rejected_or_decode_to_valid_messages(message: Any) -> None:
+    raw = gossip_messages.decode(gossip_messages.encode(codec.encode(message)))
     assert codec.decode(raw) == message
-    refused = total = 0
+    rejected = total = 0
     for _, mutant in mutants(raw):
         total += 1
         try:
-            found = codec.decode(mutant)
-        except post.DECODE_ERRORS:
-            refused += 1
+            decoded = codec.decode(mutant)
+        except gossip_messages.DECODE_ERRORS:
+            rejected += 1
         else:
-            assert codec.WIRE_NAMES[type(found)] == mutant[0]
-            codec.decode(post.decode(post.encode(codec.encode(found))))
-    assert refused > total / 2
-    with pytest.raises(post.DECODE_ERRORS):
+            assert codec.WIRE_NAMES[type(decoded)] == mutant[0]
+            codec.decode(gossip_messages.decode(gossip_messages.encode(codec.encode(decoded))))
+    assert rejected > total / 2
+    with pytest.raises(gossip_messages.DECODE_ERRORS):
         codec.decode(raw[:-1])
--- a/tests/consensus/test_lease.py
+++ b/tests/consensus/test_lease.py
@@ -1,4 +1,4 @@
-"""The lease: what a majority has confirmed, and from when it counts."""
+"""The lease: which replies confirm it, and when it starts."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 from tests.consensus.helpers import A, B, C, member
 
 
-def test_the_lease_counts_from_when_the_request_of_the_slowest_of_a_majority_left() -> None:
+def test_the_lease_starts_when_the_oldest_request_of_a_majority_was_sent() -> None:
     lease = LeaseTracker(member("a"))
-    assert lease.lease_start_ns(100) is None  # this replica alone is no majority
+    assert lease.lease_start_ns(100) is None  # without replies there is no majority
     lease.on_query_reply(now_ns=50, sent_ns=10, reply=member("b").query_reply())
     assert lease.lease_start_ns(100) == 10
     lease.on_query_reply(now_ns=60, sent_ns=40, reply=member("c").query_reply())
     assert lease.lease_start_ns(100) == 40
 
 
-def test_a_reply_that_speaks_of_a_version_unknown_here_counts_once_that_is_committed_here() -> None:
+def test_a_reply_with_an_uncommitted_version_counts_once_the_version_is_committed() -> None:
     own, other = member("a"), member("b")
     ballot = Ballot(1, 1, "c.1")
     other.slots[3] = AcceptorSlot(ballot, ballot, b"three")
@@ -29,7 +29,7 @@
     assert lease.lease_start_ns(100) == 10
 
 
-def test_what_this_replica_has_accepted_and_does_not_know_to_be_chosen_holds_its_own_vote_back() -> None:
+def test_an_own_undecided_version_holds_back_the_own_confirmation() -> None:
     own = member("a")
     lease = LeaseTracker(own)
     lease.query_self(20)
@@ -39,18 +39,18 @@
     assert lease.lease_start_ns(100) == 20
 
 
-def test_replies_of_an_older_epoch_do_not_count_and_those_before_a_new_one_no_longer() -> None:
+def test_replies_of_an_older_epoch_do_not_count() -> None:
     own = member("a")
     lease = LeaseTracker(own)
     lease.on_query_reply(now_ns=50, sent_ns=10, reply=member("b").query_reply())
     assert own.on_epoch_announced(Epoch(2, (A, B, C)))
     lease.on_new_epoch()
-    lease.on_query_reply(now_ns=60, sent_ns=20, reply=member("b").query_reply())  # of epoch 1 still
+    lease.on_query_reply(now_ns=60, sent_ns=20, reply=member("b").query_reply())  # still of epoch 1
     lease.on_query_reply(now_ns=60, sent_ns=20, reply=member("c").query_reply())
     assert lease.lease_start_ns(100) is None
 
 
-def test_an_empty_disk_at_a_known_address_takes_the_place_and_a_silent_one_is_forgotten() -> None:
+def test_a_new_disk_replaces_the_peer_at_its_address_and_a_silent_peer_expires() -> None:
     lease = LeaseTracker(member("a"))
     old, new = member("b"), member("b")
     new.member_id = "b2"
--- a/tests/consensus/test_membership.py
+++ b/tests/consensus/test_membership.py
@@ -1,4 +1,4 @@
-"""Which members the next epoch has."""
+"""Selection of the members of the next epoch."""
 
 from __future__ import annotations
 
@@ -14,31 +14,31 @@
 
 
 @pytest.mark.parametrize(
-    ("tolerate", "members", "silent", "candidates", "leaving", "found"),
+    ("tolerated_failures", "members", "silent", "candidates", "leaving", "expected"),
     [
         (1, (A, B, C), [], {}, "", None),
-        (1, (A, B, C), [], {"c2": "h:2"}, "", (A, B, ("c2", "h:2"))),  # wiped at its address
+        (1, (A, B, C), [], {"c2": "h:2"}, "", (A, B, ("c2", "h:2"))),  # replaced at the same address
         (1, (A, B, C), ["c"], {"c2": "h:2"}, "", (A, B, ("c2", "h:2"))),
-        (1, (A, B, C), [], {"d": "h:3"}, "", (A, B, C, D)),  # planned: in, then out
+        (1, (A, B, C), [], {"d": "h:3"}, "", (A, B, C, D)),  # planned replacement: add first, remove later
         (1, (A, B, C, D), [], {}, "a", (B, C, D)),
-        (1, (A, B, C), ["a"], {"d": "h:3"}, "", (B, C, D)),  # sudden
-        (1, (A, B, C), [], {"d": "h:3", "e": "h:4"}, "", (A, B, C, D, E)),  # more than 2t+1
-        (1, (A, B, C, D, E), ["d"], {}, "", (A, B, C, E)),  # a silent one among extras
-        (1, (A, B, C, D, E), ["e", "d"], {}, "a", (B, C, D)),  # who leaves, then the longest silent
-        (1, (A, B, C), ["a"], {}, "", None),  # never below 2t+1
+        (1, (A, B, C), ["a"], {"d": "h:3"}, "", (B, C, D)),  # replaces a silent member
+        (1, (A, B, C), [], {"d": "h:3", "e": "h:4"}, "", (A, B, C, D, E)),  # above the minimum
+        (1, (A, B, C, D, E), ["d"], {}, "", (A, B, C, E)),  # removes a silent member above the minimum
+        (1, (A, B, C, D, E), ["e", "d"], {}, "a", (B, C, D)),  # removes the leaving, then the longest silent
+        (1, (A, B, C), ["a"], {}, "", None),  # not below the minimum
         (1, (A, B, C), [], {}, "a", None),
         (2, (A, B, C, D, E), ["e"], {}, "a", None),
-        (1, (A, B, C), ["a", "b", "c"], {"d": "h:3"}, "", None),  # no majority in touch
+        (1, (A, B, C), ["a", "b", "c"], {"d": "h:3"}, "", None),  # no reachable majority
         (1, (A, B, C), ["a", "b"], {"d": "h:3"}, "", (B, C, D)),
         (0, (A,), [], {"b": "h:1"}, "a", (B,)),
     ],
 )
-def test_the_next_members_are_those_in_touch_and_never_fewer_than_the_settings_speak_of(
-    tolerate: int,
+def test_next_members_replaces_unreachable_members_and_keeps_the_minimum(
+    tolerated_failures: int,
     members: tuple[tuple[str, str], ...],
     silent: list[str],
     candidates: dict[str, str],
     leaving: str,
-    found: Any,
+    expected: Any,
 ) -> None:
-    assert next_members(Epoch(3, members), tolerate, silent, candidates, leaving) == found
+    assert next_members(Epoch(3, members), tolerated_failures, silent, candidates, leaving) == expected
--- a/tests/consensus/test_proposer.py
+++ b/tests/consensus/test_proposer.py
@@ -1,4 +1,4 @@
-"""Proposers: ballots, and who is counted."""
+"""Proposers: unique ballots, and which replies count."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
     Ballot,
     Epoch,
 )
-from tests.consensus.helpers import ABC, B, C, D, member, proposer, run_call
+from tests.consensus.helpers import ABC, B, C, D, member, new_proposer, run_call
 
 
-def test_a_ballot_is_not_used_twice_by_a_box_that_lost_power_before_its_own_write() -> None:
-    p, b, c = (member(disk) for disk in "abc")
-    first = proposer(p, b"X")
-    for one in (b, c):
-        first.on_reply(one.member_id, one.handle(first.request()))
-    b.handle(first.request())  # accepted at b alone; p's own write is never made, and power is lost
-    again = load_acceptor(
+def test_a_ballot_is_not_reused_after_a_power_loss_before_the_own_write() -> None:
+    a, b, c = (member(member_id) for member_id in "abc")
+    first = new_proposer(a, b"X")
+    for acceptor in (b, c):
+        first.on_reply(acceptor.member_id, acceptor.handle(first.request()))
+    b.handle(first.request())  # only b accepts; a loses power before its own write
+    restarted = load_acceptor(
         {
             "disk": "a",
             "seat": "",
@@ -44,46 +44,46 @@
         bootstrap=False,
         voting=True,
     )
-    Replica(again, 1, lambda: 0.5).start(0)
-    second = proposer(again, b"Y")
-    assert again.incarnation == 2
+    Replica(restarted, 1, lambda: 0.5).start(0)
+    second = new_proposer(restarted, b"Y")
+    assert restarted.incarnation == 2
     assert second.ballot != first.ballot
-    assert run_call(second, [again, c]) == Chosen(6, b"Y")  # p acknowledges Y, and is lost for good
-    finisher = proposer(b, None)
-    found = run_call(finisher, [b, c])
-    while found is not None and not isinstance(found, Chosen):  # a higher ballot stood in the way
+    assert run_call(second, [restarted, c]) == Chosen(6, b"Y")  # Y is acknowledged before a is lost
+    finisher = new_proposer(b, None)
+    outcome = run_call(finisher, [b, c])
+    while outcome is not None and not isinstance(outcome, Chosen):  # rejected by a higher ballot
         finisher = Proposer(ABC, 6, Ballot(1, finisher.ballot.number + 1, "b.1"), None)
-        found = run_call(finisher, [b, c])
-    assert found == Chosen(6, b"Y")
+        outcome = run_call(finisher, [b, c])
+    assert outcome == Chosen(6, b"Y")
 
 
-def test_only_members_are_counted_each_once_and_under_its_own_ballot() -> None:
-    op = proposer(member("a"), b"X")
-    said = PromiseReply(op.ballot, NO_BALLOT, b"")
-    assert not op.on_reply("x", said)
-    assert not op.on_reply("a", said)
-    assert not op.on_reply("a", said)
-    assert not op.on_reply("b", PromiseReply(Ballot(1, 1, "z.1"), NO_BALLOT, b""))
-    assert not op.accepting
-    assert op.on_reply("b", said)
-    assert op.accepting
-    took = AcceptedReply(op.ballot)
-    for who, reply in (
-        ("x", took),
-        ("a", took),
-        ("a", took),
+def test_only_replies_of_members_count_once_each_and_under_the_own_ballot() -> None:
+    proposer = new_proposer(member("a"), b"X")
+    promise = PromiseReply(proposer.ballot, NO_BALLOT, b"")
+    assert not proposer.on_reply("x", promise)
+    assert not proposer.on_reply("a", promise)
+    assert not proposer.on_reply("a", promise)
+    assert not proposer.on_reply("b", PromiseReply(Ballot(1, 1, "z.1"), NO_BALLOT, b""))
+    assert not proposer.accepting
+    assert proposer.on_reply("b", promise)
+    assert proposer.accepting
+    accepted = AcceptedReply(proposer.ballot)
+    for member_id, reply in (
+        ("x", accepted),
+        ("a", accepted),
+        ("a", accepted),
         ("b", AcceptedReply(Ballot(1, 9, "z.1"))),
     ):
-        assert not op.on_reply(who, reply)
-    assert not op.on_reply("c", said)  # late, of the first round
-    assert op.on_reply("c", took)
-    assert op.outcome == Chosen(6, b"X")
-    change, state = Reconfiguration(ABC, Epoch(2, (B, C, D))), Acceptor("").export_state()
-    for who in ("x", "a", "a"):
-        assert not change.on_reply(who, SealedReply(Epoch(2, (B, C, D)), state))
-    assert change.on_reply("b", SealedReply(Epoch(2, (B, C, D)), state))
-    assert change.installing
-    for who in ("a", "x", "b", "b"):  # a is no member of the next epoch
-        assert not change.on_reply(who, InstalledReply(2))
-    assert change.on_reply("d", InstalledReply(2))
-    assert change.outcome == EpochChanged(Epoch(2, (B, C, D)), False)
+        assert not proposer.on_reply(member_id, reply)
+    assert not proposer.on_reply("c", promise)  # a late reply of the first round
+    assert proposer.on_reply("c", accepted)
+    assert proposer.outcome == Chosen(6, b"X")
+    reconfiguration, state = Reconfiguration(ABC, Epoch(2, (B, C, D))), Acceptor("").export_state()
+    for member_id in ("x", "a", "a"):
+        assert not reconfiguration.on_reply(member_id, SealedReply(Epoch(2, (B, C, D)), state))
+    assert reconfiguration.on_reply("b", SealedReply(Epoch(2, (B, C, D)), state))
+    assert reconfiguration.installing
+    for member_id in ("a", "x", "b", "b"):  # a is not a member of the next epoch
+        assert not reconfiguration.on_reply(member_id, InstalledReply(2))
+    assert reconfiguration.on_reply("d", InstalledReply(2))
+    assert reconfiguration.outcome == EpochChanged(Epoch(2, (B, C, D)), False)
--- a/tests/consensus/test_replica.py
+++ b/tests/consensus/test_replica.py
@@ -1,4 +1,4 @@
-"""A replica as a machine: shutting down, and what leaves before its first write."""
+"""Replicas: leaving, and requests before the first write."""
 
 from __future__ import annotations
 
@@ -15,26 +15,26 @@
 from tests.consensus.helpers import A, B, C, D, member, started_replica
 
 
-def test_a_leaver_waits_until_the_epoch_without_it_has_a_majority() -> None:
-    before, after = Epoch(1, (A, B, C, D)), Epoch(2, (A, B, C))
-    replica = started_replica(member("d", before))
+def test_a_leaving_replica_waits_for_a_majority_of_the_epoch_without_it() -> None:
+    old_epoch, new_epoch = Epoch(1, (A, B, C, D)), Epoch(2, (A, B, C))
+    replica = started_replica(member("d", old_epoch))
     replica.leave(0, 9 * SECOND_NS)
     replica.take_effects()
-    (job,) = replica.operations
-    question = max(number for number, (_, turn, _) in replica.pending_requests.items() if turn)
-    replica.on_reply(1, question, "a", StaleEpochReply(after))  # at one of three
+    (operation_id,) = replica.operations
+    request_id = max(key for key, (_, round_number, _) in replica.pending_requests.items() if round_number)
+    replica.on_reply(1, request_id, "a", StaleEpochReply(new_epoch))  # one of three members
     replica.tick(SECOND_NS)
-    asked = [effect for effect in replica.take_effects() if isinstance(effect, SendRequest)]
-    assert {ask.address for ask in asked} == {"h:0", "h:1", "h:2"}
-    assert job in replica.operations
-    one, two, _ = asked
-    replica.on_reply(SECOND_NS, one.request_id, "a", member("a", after).handle(one.request))
+    requests = [effect for effect in replica.take_effects() if isinstance(effect, SendRequest)]
+    assert {effect.address for effect in requests} == {"h:0", "h:1", "h:2"}
+    assert operation_id in replica.operations
+    first, second, _ = requests
+    replica.on_reply(SECOND_NS, first.request_id, "a", member("a", new_epoch).handle(first.request))
     assert not any(isinstance(effect, CompleteOperation) for effect in replica.take_effects())
-    replica.on_reply(SECOND_NS, two.request_id, "b", member("b", after).handle(two.request))
+    replica.on_reply(SECOND_NS, second.request_id, "b", member("b", new_epoch).handle(second.request))
     assert CompleteOperation(LEAVE_WAITER_ID, Committed()) in replica.take_effects()
 
 
-def test_nothing_is_asked_before_the_life_is_on_the_disk() -> None:
+def test_no_request_is_sent_before_the_incarnation_is_on_disk() -> None:
     replica = Replica(member("d", Epoch(1, (A, B, C, D))), 1, lambda: 0.5)
     replica.start(0)
     (write,) = replica.take_effects()
--- a/tests/consensus/test_state_transfer.py
+++ b/tests/consensus/test_state_transfer.py
@@ -1,4 +1,4 @@
-"""The hand-over of a member that leaves."""
+"""State transfer of a leaving member."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from tests.consensus.helpers import ABC, member
 
 
-def test_what_a_leaver_alone_holds_is_on_a_majority_of_the_others_when_it_ends() -> None:
-    a, b, c = (member(disk) for disk in "abc")
+def test_the_committed_value_is_on_a_majority_of_the_other_members_after_a_transfer() -> None:
+    a, b, c = (member(member_id) for member_id in "abc")
     c.learn(4, b"four", {3: b"3" * 16}.items())
-    op = StateTransfer(ABC, "c", c.committed, c.digest_history())
-    asked = [disk for disk, _ in op.unanswered_members()]
-    assert asked == ["a", "b"]
-    assert not op.on_reply("a", a.handle(op.request()))
-    assert not op.on_reply("a", a.handle(op.request()))
-    assert not op.on_reply("c", c.handle(op.request()))
-    assert not op.on_reply("x", c.handle(op.request()))
-    assert op.on_reply("b", b.handle(op.request()))
-    assert op.outcome == QuorumReadResult(4, 4, "")
-    for one in (a, b):
-        assert one.committed == CommittedValue(4, b"four")
-        assert one.history == {3: b"3" * 16, 4: digest(b"four")}
-        assert one.committed_changed
+    transfer = StateTransfer(ABC, "c", c.committed, c.digest_history())
+    unanswered = [member_id for member_id, _ in transfer.unanswered_members()]
+    assert unanswered == ["a", "b"]
+    assert not transfer.on_reply("a", a.handle(transfer.request()))
+    assert not transfer.on_reply("a", a.handle(transfer.request()))
+    assert not transfer.on_reply("c", c.handle(transfer.request()))
+    assert not transfer.on_reply("x", c.handle(transfer.request()))
+    assert transfer.on_reply("b", b.handle(transfer.request()))
+    assert transfer.outcome == QuorumReadResult(4, 4, "")
+    for acceptor in (a, b):
+        assert acceptor.committed == CommittedValue(4, b"four")
+        assert acceptor.history == {3: b"3" * 16, 4: digest(b"four")}
+        assert acceptor.committed_changed
--- a/tests/gateway/test_acceptor_recovery.py
+++ b/tests/gateway/test_acceptor_recovery.py
@@ -1,4 +1,4 @@
-"""The acceptor after a loss of power: what was saved is there."""
+"""Recovery of an acceptor from its disk after a power failure."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 from meadowworks.storage.sqlite_store import SqliteStore
 
 
-def test_an_acceptor_restores_what_it_has_saved_after_a_loss_of_power(tmp_path: Path) -> None:
-    def acceptor(disk: SqliteStore) -> Acceptor:
-        stored = disk.load()
+def test_an_acceptor_is_restored_from_its_disk_after_a_power_failure(tmp_path: Path) -> None:
+    def load(store: SqliteStore) -> Acceptor:
+        stored = store.load()
         return load_acceptor(
             stored.metadata,
             new_member_id="d",
@@ -34,26 +34,26 @@
             slots=stored.slots,
         )
 
-    disk = SqliteStore(tmp_path / "d")
-    assert disk.load().metadata is None
-    replica = Replica(acceptor(disk), 0, lambda: 0.5)
-    found = replica.acceptor
-    found.install(Epoch(1, (("d", "h:1"),)), found.export_state())
-    found.handle(PrepareRequest(1, 3, Ballot(1, 4, "p")))
-    found.handle(AcceptRequest(1, 3, Ballot(1, 4, "p"), b"three"))
-    disk.save(replica.writes.collect_update())
-    shutil.copytree(tmp_path / "d", tmp_path / "after")  # as the power goes: what is on the disk, unclosed
-    found.learn(3, b"three")
-    disk.save(replica.writes.collect_update())
+    store = SqliteStore(tmp_path / "d")
+    assert store.load().metadata is None
+    replica = Replica(load(store), 0, lambda: 0.5)
+    acceptor = replica.acceptor
+    acceptor.install(Epoch(1, (("d", "h:1"),)), acceptor.export_state())
+    acceptor.handle(PrepareRequest(1, 3, Ballot(1, 4, "p")))
+    acceptor.handle(AcceptRequest(1, 3, Ballot(1, 4, "p"), b"three"))
+    store.save(replica.writes.collect_update())
+    shutil.copytree(tmp_path / "d", tmp_path / "after")  # copied while open, as after a power failure
+    acceptor.learn(3, b"three")
+    store.save(replica.writes.collect_update())
     shutil.copytree(tmp_path / "d", tmp_path / "later")
-    again = acceptor(SqliteStore(tmp_path / "after"))
-    assert again.member_id == "d"
-    assert again.may_vote()
-    assert again.epoch == found.epoch
-    assert again.handle(PrepareRequest(1, 3, Ballot(1, 3, "q"))) == BallotRejectedReply(Ballot(1, 4, "p"))
+    restored = load(SqliteStore(tmp_path / "after"))
+    assert restored.member_id == "d"
+    assert restored.may_vote()
+    assert restored.epoch == acceptor.epoch
+    assert restored.handle(PrepareRequest(1, 3, Ballot(1, 3, "q"))) == BallotRejectedReply(Ballot(1, 4, "p"))
     promised = PromiseReply(Ballot(1, 5, "q"), Ballot(1, 4, "p"), b"three")
-    assert again.handle(PrepareRequest(1, 3, Ballot(1, 5, "q"))) == promised
-    later = acceptor(SqliteStore(tmp_path / "later"))
+    assert restored.handle(PrepareRequest(1, 3, Ballot(1, 5, "q"))) == promised
+    later = load(SqliteStore(tmp_path / "later"))
     assert later.committed == CommittedValue(3, b"three")
     assert not later.slots
     assert later.history == {3: digest(b"three")}
--- a/tests/gateway/test_sqlite_store.py
+++ b/tests/gateway/test_sqlite_store.py
@@ -1,4 +1,4 @@
-"""The durable state of a replica: a disk that is full, and the end of a store."""
+"""The SQLite store of a replica: a full disk, closing and reopening."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     )
 
 
-def test_a_full_disk_changes_nothing_and_the_same_write_succeeds_once_there_is_room(tmp_path: Path) -> None:
+def test_a_write_to_a_full_disk_changes_nothing_and_succeeds_once_there_is_space(tmp_path: Path) -> None:
     with SqliteStore(tmp_path) as store:
         store.save(update(1, b"small"))
         store.save_drain_records({"b0": b"draining"}, ())
@@ -46,7 +46,7 @@
         assert store.load().committed == CommittedValue(2, LARGE)
 
 
-def test_a_store_is_closed_at_the_end_of_its_block_and_the_next_one_reads_what_was_saved(
+def test_a_store_closes_at_the_end_of_its_block_and_a_new_one_reads_the_saved_state(
     tmp_path: Path,
 ) -> None:
     with SqliteStore(tmp_path) as store:
@@ -54,5 +54,5 @@
         saved = store.load()
     with pytest.raises(sqlite3.ProgrammingError):
         store.load()
-    with SqliteStore(tmp_path) as again:
-        assert again.load() == saved
+    with SqliteStore(tmp_path) as reopened:
+        assert reopened.load() == saved
--- a/tests/gateway/test_unusable_disk.py
+++ b/tests/gateway/test_unusable_disk.py
@@ -1,4 +1,4 @@
-"""A control plane that starts on a disk that it cannot use ends with one line and status 2."""
+"""A control plane whose disk is unusable at the start prints one line and exits with status 2."""
 
 from __future__ import annotations
 
@@ -20,27 +20,27 @@
 from tests.gateway.test_fleet import NETS
 
 
-def break_disk(how: str, disk: Path) -> None:
-    if how == "a file in its place":
+def break_disk(damage: str, disk: Path) -> None:
+    if damage == "a file in its place":
         disk.write_text("no folder")
         return
     disk.mkdir()
-    if how == "garbage in the database":
+    if damage == "garbage in the database":
         (disk / FILE_NAME).write_bytes(b"this is no database, and long enough to be looked at" * 50)
     else:
         (disk / FILE_NAME).mkdir()
 
 
 @pytest.mark.parametrize(
-    "how", ["a file in its place", "garbage in the database", "a folder in the database's place"]
+    "damage", ["a file in its place", "garbage in the database", "a folder in the database's place"]
 )
-def test_an_unusable_disk_is_one_line_and_status_2(how: str, tmp_path: Path) -> None:
+def test_an_unusable_disk_is_reported_in_one_line_with_status_2(damage: str, tmp_path: Path) -> None:
     disk = tmp_path / "disk"
-    break_disk(how, disk)
+    break_disk(damage, disk)
     settings = tmp_path / "settings.json"
     layout = SystemLayout(next(NETS) % 250, free_ports())
     settings.write_text(json.dumps(layout.node_settings(0, disk, True)))
-    found = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-m", "meadowworks.controlplane"],
         env={**os.environ, "MEADOWWORKS_NODE_FILE": str(settings)},
         capture_output=True,
@@ -48,12 +48,12 @@
         timeout=30,
         check=False,
     )
-    assert found.returncode == 2, found.stderr
-    (line,) = found.stderr.splitlines()
+    assert result.returncode == 2, result.stderr
+    (line,) = result.stderr.splitlines()
     assert line.startswith(f"meadowworks: the data directory {disk} cannot be used: ")
 
 
-def test_a_disk_that_refuses_the_first_write_is_told_alike(tmp_path: Path) -> None:
+def test_a_disk_that_rejects_the_first_write_is_reported_as_unusable(tmp_path: Path) -> None:
     async def main() -> None:
         layout = SystemLayout(next(NETS) % 250, free_ports())
         server = ControlPlaneServer(parse_settings(json.dumps(layout.node_settings(0, tmp_path, True))))
