--- a/meadowworks/consensus/acceptor.py
+++ b/meadowworks/consensus/acceptor.py
@@ -209,7 +209,7 @@
         if not next_epoch.has_member(self.member_id) or next_epoch.number < self.newest_epoch().number:
             return NotAMemberReply(self.epoch.number)
         if not self.installed and not self.is_eligible:
-            return NotAMemberReply(self.epoch.number)  # voting is disabled in the settings
+            return NotAMemberReply(self.epoch.number)  # voting is disabled, or this replica is leaving
         if next_epoch.number > self.epoch.number:  # otherwise it rejoins its own epoch and keeps its seal
             self.epoch, self.sealed_by = next_epoch, None
             if self.slots.pop(MEMBERSHIP_VERSION, None):
