--- a/meadowworks/config/__init__.py
+++ b/meadowworks/config/__init__.py
@@ -1,1 +1,1 @@
-"""The operator's configuration: schema, validation, incremental reading, route look-up."""
+"""The operator's configuration: schema, validation, incremental parsing and route lookup."""
--- a/meadowworks/config/incremental_json.py
+++ b/meadowworks/config/incremental_json.py
@@ -1,7 +1,7 @@
-"""JSON read in steps, so that a large configuration does not hold the event loop. No I/O, no clock.
+"""An incremental JSON parser: a large configuration is parsed in steps and does not block the event loop.
 
-The value is the one that `json.loads` makes of the same bytes. What ends within a window is read by the
-library at once; a longer array or object is walked element by element.
+The result equals that of `json.loads` for the same bytes. `json` parses every value that ends within a window
+of `WINDOW_CHARS`; longer arrays and objects are parsed element by element. No I/O, no clock.
 """
 
 from __future__ import annotations
@@ -14,9 +14,9 @@
 
 from meadowworks.runtime.steps import Steps
 
-WINDOW_CHARS = 4096  # that the library reads at once: some ten microseconds
-VALUES_PER_STEP = 16  # that are read between two steps: some hundred microseconds
-MAX_DEPTH = 900  # of arrays and objects in each other; `json.loads` ends near 1,000
+WINDOW_CHARS = 4096  # characters that `json` parses at once: some ten microseconds
+VALUES_PER_STEP = 16  # values parsed in one step: some hundred microseconds
+MAX_DEPTH = 900  # levels of nested arrays and objects; `json.loads` fails near 1,000
 
 JsonValue: TypeAlias = Any  # what `json.loads` returns
 Transform: TypeAlias = Callable[[JsonValue], Any]
@@ -29,14 +29,14 @@
 def parse_json_steps(
     body: bytes, path: JsonPath = (), transform: Transform | None = None
 ) -> Steps[JsonValue]:
-    """Read the value of a JSON text.
-
-    :param path: of the arrays whose elements are transformed: keys from the outermost in, None for a place in
-        an array.
-    :param transform: applied to the elements of an array at `path` that is walked. Those of an array which
-        fits a window remain as they are.
-    :raises ValueError: if the text is not JSON.
-    :raises RecursionError: if it is nested too deep.
+    """Parse a JSON document.
+
+    :param path: path of the arrays whose elements are transformed: object keys from the root down, None for
+        an array element.
+    :param transform: applied to the elements of an array at `path` that is longer than a window. The elements
+        of an array that fits into a window are not transformed.
+    :raises ValueError: if the document is not valid JSON.
+    :raises RecursionError: if it is nested too deeply.
     """
     text = body.decode(json.detect_encoding(body), "surrogatepass")
     return (yield from _Parser(text, path, transform).steps())
@@ -44,10 +44,10 @@
 
 @dataclass(slots=True)
 class _OpenContainer:
-    """An array or object that is being walked.
+    """An array or object that is parsed element by element.
 
-    :ivar closing: the character that ends it.
-    :ivar key: where in an object the next value goes; None in an array.
+    :ivar closing: the closing bracket.
+    :ivar key: the key of the next value of an object; None in an array.
     :ivar transform: applied to the elements of an array.
     """
 
@@ -57,7 +57,7 @@
     transform: Transform | None
 
     def add(self, value: JsonValue) -> None:
-        """Put a value into its place."""
+        """Add a value under the current key, or append it to the array."""
         if self.key is not None:
             self.container[self.key] = value
         else:
@@ -65,9 +65,9 @@
 
 
 class _Parser:
-    """Reads one text.
+    """A parser of one document.
 
-    `_position` is where the next token begins, `_value` the newest complete value.
+    `_position` is the start of the next token, `_value` the last complete value.
     """
 
     def __init__(self, text: str, path: JsonPath, transform: Transform | None) -> None:
@@ -76,10 +76,10 @@
         self._transform = transform
         self._position = 0
         self._value: JsonValue = None
-        self._open: list[_OpenContainer] = []  # from the outermost in
+        self._open: list[_OpenContainer] = []  # outermost first
 
     def steps(self) -> Steps[JsonValue]:
-        """Read the whole text."""
+        """Parse the whole document."""
         self._skip_whitespace()
         values = 0
         while True:
@@ -92,13 +92,13 @@
                 yield
 
     def _read_value(self) -> bool:
-        """Read a value, or the beginning of an array or object that ends beyond the window.
+        """Read a value, or the start of an array or object that ends beyond the window.
 
         :returns: whether the value is complete.
         """
-        found = _read_within_window(self._text, self._position)
-        if found is not None:
-            self._value, self._position = found
+        parsed = _read_within_window(self._text, self._position)
+        if parsed is not None:
+            self._value, self._position = parsed
             return True
         container = self._open_container()
         self._skip_whitespace()
@@ -112,12 +112,12 @@
         return False
 
     def _open_container(self) -> _OpenContainer:
-        """Begin to walk an array or object.
+        """Start parsing an array or object element by element.
 
-        :raises RecursionError: if it is nested too deep.
+        :raises RecursionError: if it is nested too deeply.
         """
         if len(self._open) >= MAX_DEPTH:
-            raise RecursionError("arrays and objects are nested too deep")
+            raise RecursionError(f"arrays and objects are nested more than {MAX_DEPTH} levels deep")
         is_object = self._text[self._position] == "{"
         self._position += 1
         if is_object:
@@ -126,10 +126,10 @@
         return _OpenContainer([], "]", None, self._transform if at_path else None)
 
     def _place_value(self) -> bool:
-        """Put the value where it belongs, and with it each array or object that it ends.
+        """Add the value to the innermost open container, and close each container that ends with it.
 
-        :returns: whether the document is complete; then `_value` is the document's.
-        :raises ValueError: if neither a comma nor an end follows.
+        :returns: whether the document is complete; `_value` is then the value of the document.
+        :raises ValueError: if neither a comma nor a closing bracket follows the value.
         """
         while self._open:
             innermost = self._open[-1]
@@ -143,54 +143,54 @@
                     innermost.key = self._read_key()
                 return False
             if character != innermost.closing:
-                raise ValueError("neither a comma nor an end follows a value")
+                raise ValueError(f"expected ',' or {innermost.closing!r} after a value")
             self._position += 1
             self._value = self._open.pop().container
         self._skip_whitespace()
         if self._position != len(self._text):
-            raise ValueError("something follows the value")
+            raise ValueError("unexpected data after the value")
         return True
 
     def _read_key(self) -> str:
-        """Read an object's key, up to where its value begins.
+        """Read an object's key and the colon after it.
 
-        :raises ValueError: if there is none, or no colon behind it.
+        :raises ValueError: if either is missing.
         """
         if self._next_character() != '"':
-            raise ValueError("a key is no string")
+            raise ValueError("expected a string as key")
         key, self._position = _scan_value(self._text, self._position)
         self._skip_whitespace()
         if self._next_character() != ":":
-            raise ValueError("a key has no value")
+            raise ValueError("expected ':' after a key")
         self._position += 1
         self._skip_whitespace()
         return str(key)
 
     def _next_character(self) -> str:
-        """The character at the position; empty at the end."""
+        """Return the character at the position; empty at the end of the text."""
         return self._text[self._position : self._position + 1]
 
     def _skip_whitespace(self) -> None:
         if self._next_character() in (" ", "\t", "\n", "\r"):
-            found = _match_whitespace(self._text, self._position)
-            assert found is not None  # the pattern matches nothing, too
-            self._position = found.end()
+            match = _match_whitespace(self._text, self._position)
+            assert match is not None  # the pattern matches the empty string, too
+            self._position = match.end()
 
 
 def _read_within_window(text: str, position: int) -> tuple[JsonValue, int] | None:
-    """Read a value by the library.
+    """Parse a value with `json`, arrays and objects only up to the end of the window.
 
-    :returns: the value and where it ends; None for an array or object that ends beyond the window.
-    :raises ValueError: if there is no value.
+    :returns: the value and its end position; None for an array or object that ends beyond the window.
+    :raises ValueError: if there is no valid value at the position.
     """
     is_container = text[position : position + 1] in ("{", "[")
     try:
         if not is_container:
-            return _scan_value(text, position)  # a window could cut a number short
+            return _scan_value(text, position)  # a window could truncate a number
         value, end = _scan_value(text[position : position + WINDOW_CHARS], 0)
         return value, position + end
     except StopIteration:
-        message = "there is no value"
+        message = "expected a value"
     except ValueError as error:
         message = str(error)
     if is_container and position + WINDOW_CHARS < len(text):
--- a/meadowworks/config/route_table.py
+++ b/meadowworks/config/route_table.py
@@ -1,4 +1,4 @@
-"""A version of the operator's configuration in force: routes looked up by host and path."""
+"""The route table of one version of the operator's configuration: routes are looked up by host and path."""
 
 from __future__ import annotations
 
@@ -9,20 +9,19 @@
 from meadowworks.config.incremental_json import JsonValue, parse_json_steps
 from meadowworks.runtime.steps import Steps, run_to_completion
 
-# The page's bound: a latency target lies less than a minute above its route's deadline.
-MAX_TARGET_OVER_DEADLINE_MS = 60_000
-MAX_CANONICAL_NUMBER = 1e15  # below it every integer is exact as a float; larger ones are left to the schema
-NUMBER_TYPES = (int, float)  # by `type`, since a bool is an int, too
+MAX_TARGET_OVER_DEADLINE_MS = 60_000  # a route's latency target exceeds its deadline by less than this
+MAX_CANONICAL_NUMBER = 1e15  # smaller integers are exact as floats; the schema reads larger ones
+NUMBER_TYPES = (int, float)  # compared with `type()`, since bool is a subclass of int
 ROUTE_TYPES = ("safe", "unsafe")
 ROUTE_FIELDS = frozenset(
     ("name", "prefix", "type", "deadlineMs", "targetMs", "prio", "svc", "split", "tries")
-)  # of the users' page; others pass, and are reported
-ROUTES_PER_STEP = 64  # that are put into a table between two steps: some hundred microseconds
-ROUTES_PATH = ("vhosts", None, "prefixes")  # where the routes stand in the configuration's JSON
+)  # documented fields; others have no effect and are reported
+ROUTES_PER_STEP = 64  # routes added to a table in one step: some hundred microseconds
+ROUTES_PATH = ("vhosts", None, "prefixes")  # JSON path of the arrays of routes
 
 
 class WeightedService(NamedTuple):
-    """A service that requests of a route go to, and its part of them."""
+    """A service that a route sends requests to, and the weight of its share of them."""
 
     name: str
     weight: float
@@ -32,31 +31,31 @@
 
 
 class WeightedServicesCache:
-    """Keeps equal services of many routes once: most of a large configuration's routes share a few."""
+    """A cache that stores equal service lists once: a large configuration has many routes, but few lists."""
 
     def __init__(self) -> None:
         self._by_name: dict[str, WeightedServices] = {}
         self._splits: dict[WeightedServices, WeightedServices] = {}
 
     def single(self, name: str) -> WeightedServices:
-        """Return the services of a route to one service."""
+        """Return the service list of a route with one service."""
         services = self._by_name.get(name)
         if services is None:
             services = self._by_name[name] = (WeightedService(name, 1.0),)
         return services
 
     def split(self, services: WeightedServices) -> WeightedServices:
-        """Return the services of a route to several."""
+        """Return the service list of a route with several services."""
         return self._splits.setdefault(services, services)
 
 
 class Route(NamedTuple):
-    """One route.
+    """A route.
 
-    :ivar is_safe: whether its requests may run twice.
-    :ivar max_attempts: of one request, the first and its retries.
-    :ivar weighted_services: in the configuration's order.
-    :ivar prefix: of the paths that go this way; begins with a slash.
+    :ivar is_safe: whether its requests may be executed more than once.
+    :ivar max_attempts: the maximum number of attempts per request, the first one included.
+    :ivar weighted_services: in the order of the configuration.
+    :ivar prefix: the path prefix that the route matches; begins with a slash.
     """
 
     name: str
@@ -69,9 +68,9 @@
     prefix: str = ""
 
     def pick_service(self, random_fraction: float) -> str:
-        """Return the service that a request goes to.
+        """Return the service that a request is sent to.
 
-        :param random_fraction: from 0 up to, but without, 1; evenly distributed over requests.
+        :param random_fraction: at least 0 and less than 1; evenly distributed over requests.
         """
         if len(self.weighted_services) == 1:
             return self.weighted_services[0].name
@@ -85,12 +84,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteTable:
-    """A version of the configuration. Times in milliseconds, sizes in bytes.
+    """A version of the configuration.
 
     :ivar routes_by_host: by host in lower case, then by prefix.
-    :ivar max_connections: by service: what each of its backends takes; 0 for no limit.
-    :ivar health_paths: by service.
-    :ivar latency_targets_ms: by service: the longest of the routes to it.
+    :ivar max_connections: by service: the maximum number of connections per backend; 0 for no limit.
+    :ivar health_paths: by service: the path of its health check.
+    :ivar latency_targets_ms: by service: the longest latency target of its routes.
     """
 
     version: int
@@ -104,9 +103,9 @@
     latency_targets_ms: dict[str, float] = field(default_factory=dict)
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Return the host's route with the longest prefix of the path.
+        """Return the host's route whose prefix is the longest match for the path.
 
-        :param host: as in the request; its case and its port do not matter.
+        :param host: as in the request; case and port are ignored.
         """
         routes = self.routes_by_host.get(host.partition(":")[0].lower())
         if not routes:
@@ -118,74 +117,83 @@
         return None
 
 
-# -- routes of the plain form
+# -- routes in canonical form
 
 
 def parse_canonical_route(raw: JsonValue, cache: WeightedServicesCache) -> Route | None:
-    """Read a route of the plain form, which is consistent except for the names of its services.
+    """Read a route in canonical form without the schema, which takes much longer.
 
-    :returns: None for any other, which `schema.RouteSchema` reads: it says what is wrong, or takes "2" for 2.
+    In canonical form each field has its documented JSON type and a valid value. The services of the route may
+    still be undefined.
+
+    :returns: None for any other route. `schema.RouteSchema` either converts its values ("2" to 2) or reports
+        the error.
     """
     try:
-        name, prefix, kind = raw["name"], raw["prefix"], raw["type"]
+        name, prefix, route_type = raw["name"], raw["prefix"], raw["type"]
         deadline, target = raw["deadlineMs"], raw["targetMs"]
         priority, max_attempts = raw.get("prio", 0), raw.get("tries", 1)
     except (KeyError, TypeError):
         return None
     if not (type(name) is str and name and type(prefix) is str and prefix[:1] == "/"):
         return None
-    if kind not in ROUTE_TYPES or type(priority) is not int:
+    if route_type not in ROUTE_TYPES or type(priority) is not int:
         return None
     if type(max_attempts) is not int or max_attempts < 1:
         return None
-    if not _are_plain_times(deadline, target):
+    if not _are_canonical_times(deadline, target):
         return None
-    if (services := _parse_plain_services(raw, cache)) is None:
+    if (services := _parse_canonical_services(raw, cache)) is None:
         return None
     return Route(
-        name, kind == "safe", float(deadline), float(target), priority, max_attempts, services, prefix
+        name, route_type == "safe", float(deadline), float(target), priority, max_attempts, services, prefix
     )
 
 
 def collect_unknown_fields(raw: JsonValue, unknown_fields: set[str]) -> None:
-    """Add the names of a route's fields that no reader of routes knows."""
+    """Add the names of the undocumented fields of a route to a set."""
     if type(raw) is dict and not raw.keys() <= ROUTE_FIELDS:
         unknown_fields.update(raw.keys() - ROUTE_FIELDS)
 
 
 def route_transform(unknown_fields: set[str] | None = None) -> Callable[[JsonValue], Any]:
-    """Return what turns the plain routes of a text into `Route`s as they are read, and leaves the others.
+    """Return a function that converts raw routes in canonical form to `Route` and returns others unchanged.
 
-    :param unknown_fields: gets the names of fields that no reader of routes knows.
+    :param unknown_fields: the names of undocumented fields are added to it.
     """
     cache = WeightedServicesCache()
 
-    def compact(raw: JsonValue) -> Any:
+    def transform(raw: JsonValue) -> Any:
         if unknown_fields is not None:
             collect_unknown_fields(raw, unknown_fields)
         return parse_canonical_route(raw, cache) or raw
 
-    return compact
+    return transform
 
 
-def _are_plain_times(deadline: JsonValue, target: JsonValue) -> bool:
+def _are_canonical_times(deadline: JsonValue, target: JsonValue) -> bool:
     if type(deadline) not in NUMBER_TYPES or type(target) not in NUMBER_TYPES:
         return False
     return bool(0 < deadline < MAX_CANONICAL_NUMBER and 0 <= target < deadline + MAX_TARGET_OVER_DEADLINE_MS)
 
 
-def _parse_plain_services(raw: dict[str, JsonValue], cache: WeightedServicesCache) -> WeightedServices | None:
-    """Read the services of a route of the plain form: one, or a split that has weight."""
+def _parse_canonical_services(
+    raw: dict[str, JsonValue], cache: WeightedServicesCache
+) -> WeightedServices | None:
+    """Read the services of a route in canonical form: one service or a split.
+
+    :returns: None if they are not in canonical form, or if the weights of the split add up to 0.
+    """
     if "split" not in raw:
         name = raw.get("svc")
         return cache.single(name) if type(name) is str else None
     if "svc" in raw or type(raw["split"]) is not list:
         return None
     services = []
-    for share in raw["split"]:
-        if type(share) is not dict:
+    for entry in raw["split"]:
+        if type(entry) is not dict:
             return None
-        name, weight = share.get("svc"), share.get("weight", -1)
+        name, weight = entry.get("svc"), entry.get("weight", -1)
         if type(name) is not str or not name:
             return None
         if type(weight) not in NUMBER_TYPES or not 0 <= weight < MAX_CANONICAL_NUMBER:
@@ -195,29 +203,29 @@
     return cache.split(tuple(services)) if has_weight else None
 
 
-# -- the whole table
+# -- the route table
 
 
 def load_route_table(body: bytes) -> RouteTable:
-    """Load a valid configuration."""
+    """Build the route table of a valid configuration."""
     return run_to_completion(load_route_table_steps(body))
 
 
 def load_route_table_steps(body: bytes) -> Steps[RouteTable]:
-    """Load a valid configuration in steps, for one that is large."""
+    """Build the route table of a valid configuration in steps that do not block the event loop."""
     document = yield from parse_json_steps(body, ROUTES_PATH, route_transform())
     routes_by_host: dict[str, dict[str, Route]] = {}
     latency_targets_ms: dict[str, float] = {}
     cache = WeightedServicesCache()
     for host in document["vhosts"]:
         routes = routes_by_host.setdefault(host["host"].lower(), {})
-        for number, raw in enumerate(host["prefixes"]):
-            route = raw if type(raw) is Route else parse_canonical_route(raw, cache) or _parse_any_route(raw)
+        for index, raw in enumerate(host["prefixes"]):
+            route = raw if type(raw) is Route else parse_canonical_route(raw, cache) or _convert_route(raw)
             routes[route.prefix] = route
             for service in route.weighted_services:
                 if latency_targets_ms.get(service.name, -1.0) < route.target_ms:
                     latency_targets_ms[service.name] = route.target_ms
-            if number % ROUTES_PER_STEP == 0:
+            if index % ROUTES_PER_STEP == 0:
                 yield
     limits, services = document["limits"], document["svcs"]
     return RouteTable(
@@ -233,8 +241,8 @@
     )
 
 
-def _parse_any_route(raw: dict[str, JsonValue]) -> Route:
-    """Read a route that is valid, but not of the plain form."""
+def _convert_route(raw: dict[str, JsonValue]) -> Route:
+    """Convert a valid route that is not in canonical form."""
     split = raw.get("split") or [{"svc": raw["svc"], "weight": 1}]
     return Route(
         name=raw["name"],
@@ -243,6 +251,6 @@
         target_ms=float(raw["targetMs"]),
         priority=int(raw.get("prio", 0)),
         max_attempts=int(raw.get("tries", 1)),
-        weighted_services=tuple(WeightedService(share["svc"], float(share["weight"])) for share in split),
+        weighted_services=tuple(WeightedService(entry["svc"], float(entry["weight"])) for entry in split),
         prefix=raw["prefix"],
     )
--- a/meadowworks/config/schema.py
+++ b/meadowworks/config/schema.py
@@ -1,6 +1,7 @@
 """The marshmallow schema of the operator's configuration.
 
-Source: the users' page on the protocol. Unknown fields pass; a field of the wrong type does not.
+Source: the protocol page of the user documentation. Unknown fields are ignored; a field of the wrong type is
+an error.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteDefinition:
-    """A route as the schema has read it; either `service` or `split` should be given."""
+    """A route as loaded by `RouteSchema`; valid if exactly one of `service` and `split` is set."""
 
     name: str
     prefix: str
@@ -80,7 +81,7 @@
 
 
 class RequestLimitsSchema(LenientSchema):
-    """`limits`."""
+    """The `limits` object."""
 
     max_header_bytes = fields.Integer(
         data_key="maxHeaderBytes", required=True, validate=validate.Range(min=1)
@@ -93,7 +94,7 @@
 
 
 class ConfigurationSchema(LenientSchema):
-    """The whole configuration; the order of the fields is that in which errors are reported."""
+    """The whole configuration; errors are reported in the order of these fields."""
 
     version = fields.String(data_key="ver", required=True, validate=VERSION_FORMAT)
     services = fields.List(fields.Nested(ServiceSchema), data_key="svcs", required=True)
--- a/meadowworks/config/validation.py
+++ b/meadowworks/config/validation.py
@@ -1,8 +1,8 @@
-"""Whether the operator's configuration makes sense, and if not, the first reason why.
+"""Validation of the operator's configuration; only the first error is reported.
 
-`schema.ConfigurationSchema` describes a configuration. It reads the outermost object, and each service, host
-and route that has not the plain form: reading 52,000 plain routes by it would take seconds. Its errors are
-reported first, in its order of fields; then what it can't see.
+`schema.ConfigurationSchema` describes a configuration. It validates the top-level object and each service,
+host and route that is not in canonical form; validating 52,000 canonical routes with it would take seconds.
+Errors of the schema are reported first, in the order of its fields, then inconsistencies between elements.
 """
 
 from __future__ import annotations
@@ -39,21 +39,24 @@
 HOST_FIELD = fields.Nested(HostSchema)
 ROUTE_FIELD = fields.Nested(RouteSchema)
 FIELD_KEYS = [field.data_key or name for name, field in CONFIGURATION_SCHEMA.fields.items()]
-LARGE_LISTS = ("svcs", "vhosts")  # whose elements are read one by one
+LARGE_LISTS = ("svcs", "vhosts")  # validated element by element
 
 
 @dataclass(frozen=True, slots=True)
 class InvalidConfiguration:
-    """Why a configuration is refused, in one short sentence."""
+    """The result for a configuration that is rejected.
+
+    :ivar reason: one short sentence.
+    """
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class ValidConfiguration:
-    """A configuration that may be taken, and the number of its version.
+    """The result for a configuration that is accepted.
 
-    :ivar unknown_fields: of its routes, sorted: they have no effect.
+    :ivar unknown_fields: names of undocumented fields of its routes, sorted; these have no effect.
     """
 
     version: int
@@ -61,48 +64,49 @@
 
 
 class _SchemaError(Exception):
-    """An element is not as the schema says; the message is the sentence for the operator."""
+    """Raised when an element violates the schema; the message is shown to the operator."""
 
 
 def validate_configuration(body: bytes) -> ValidConfiguration | InvalidConfiguration:
-    """Say whether a configuration, as JSON, may be taken."""
+    """Validate a configuration, given as JSON."""
     return run_to_completion(validation_steps(body))
 
 
 def validation_steps(body: bytes) -> Steps[ValidConfiguration | InvalidConfiguration]:
-    """Say whether a configuration may be taken, in steps, for one that is large."""
+    """Validate a configuration in steps that do not block the event loop."""
     unknown_fields: set[str] = set()
     try:
         document = yield from parse_json_steps(body, ROUTES_PATH, route_transform(unknown_fields))
     except (ValueError, RecursionError):
         return InvalidConfiguration("it cannot be read whole")
     try:
-        checked = yield from _DocumentValidator(document, unknown_fields).steps()
+        result = yield from _DocumentValidator(document, unknown_fields).steps()
     except _SchemaError as error:
         return InvalidConfiguration(str(error))
-    if isinstance(checked, ValidConfiguration) and unknown_fields:
-        return replace(checked, unknown_fields=tuple(sorted(unknown_fields)))
-    return checked
+    if isinstance(result, ValidConfiguration) and unknown_fields:
+        return replace(result, unknown_fields=tuple(sorted(unknown_fields)))
+    return result
 
 
 class _DocumentValidator:
-    """Validates one document, whose plain routes have been read already, and takes it apart as it goes.
+    """A validator of one parsed document, whose canonical routes have already been converted to `Route`.
 
-    :raises _SchemaError: from its steps, at the first element that is not as the schema says.
+    It drops the routes from the document as it validates them. Its steps raise `_SchemaError` at the first
+    element that violates the schema.
     """
 
     def __init__(self, document: JsonValue, unknown_fields: set[str]) -> None:
         self._document = document
-        self._unknown_fields = unknown_fields  # of routes
+        self._unknown_fields = unknown_fields  # undocumented fields of routes
         self._services: set[str] = set()
         self._route_names: set[str] = set()
         self._prefixes_by_host: dict[str, set[str]] = {}
         self._cache = WeightedServicesCache()
-        self._inconsistency: str | None = None  # the first, which counts if the schema finds nothing wrong
+        self._inconsistency: str | None = None  # the first one; schema errors take precedence over it
 
     def steps(self) -> Steps[ValidConfiguration | InvalidConfiguration]:
-        """Check everything, in the order in which errors are reported."""
-        errors = self._outline_errors()
+        """Validate the whole document in the order in which errors are reported."""
+        errors = self._top_level_errors()
         if not isinstance(self._document, dict):
             raise _SchemaError(first_error(errors))
         for key in FIELD_KEYS:
@@ -115,83 +119,89 @@
             return InvalidConfiguration(self._inconsistency)
         return ValidConfiguration(int(self._document["ver"], 16))
 
-    def _outline_errors(self) -> dict[Any, Any]:
-        """What the schema finds in the outermost object, without the elements of the large lists."""
-        outline = self._document
-        if isinstance(outline, dict):
-            outline = {
+    def _top_level_errors(self) -> dict[Any, Any]:
+        """Return the schema's errors in the top-level object, without those in elements of `LARGE_LISTS`."""
+        top_level = self._document
+        if isinstance(top_level, dict):
+            top_level = {
                 key: [] if key in LARGE_LISTS and isinstance(value, list) else value
-                for key, value in outline.items()
+                for key, value in top_level.items()
             }
-        errors: dict[Any, Any] = CONFIGURATION_SCHEMA.validate(outline)
+        errors: dict[Any, Any] = CONFIGURATION_SCHEMA.validate(top_level)
         return errors
 
     def _check_services(self) -> Steps[None]:
-        for number, raw in enumerate(self._document["svcs"]):
-            name = _plain_service_name(raw) or _load(SERVICE_FIELD, raw, f"svcs.{number}")["name"]
+        for index, raw in enumerate(self._document["svcs"]):
+            name = _canonical_service_name(raw) or _load(SERVICE_FIELD, raw, f"svcs.{index}")["name"]
             if name in self._services:
-                self._note("a service stands there twice")
+                self._record_inconsistency("two services have the same name")
             self._services.add(name)
-            if number % ROUTES_PER_STEP == 0:
+            if index % ROUTES_PER_STEP == 0:
                 yield
 
     def _check_hosts(self) -> Steps[None]:
-        for number, host in enumerate(self._document["vhosts"]):
-            path = f"vhosts.{number}"
-            if not _is_plain_host(host):
-                _load(HOST_FIELD, {**host, "prefixes": []} if _has_list_of_prefixes(host) else host, path)
+        for index, host in enumerate(self._document["vhosts"]):
+            path = f"vhosts.{index}"
+            if not _is_canonical_host(host):
+                _load(HOST_FIELD, {**host, "prefixes": []} if _has_prefix_list(host) else host, path)
             prefixes_in_use = self._prefixes_by_host.setdefault(host["host"].lower(), set())
             yield from self._check_routes(host["prefixes"], prefixes_in_use, f"{path}.prefixes")
 
-    def _check_routes(self, raws: list[JsonValue], prefixes_in_use: set[str], path: str) -> Steps[None]:
-        for number in range(len(raws)):
-            raw, raws[number] = (
-                raws[number],
-                None,
-            )  # released one by one: all at once would hold the loop, too
+    def _check_routes(self, raw_routes: list[JsonValue], prefixes_in_use: set[str], path: str) -> Steps[None]:
+        for index in range(len(raw_routes)):
+            # Releases the routes one by one: freeing all at once would block the event loop.
+            raw, raw_routes[index] = raw_routes[index], None
             collect_unknown_fields(raw, self._unknown_fields)
             route = raw if type(raw) is Route else parse_canonical_route(raw, self._cache)
             if route is not None:
                 error = _unknown_service_error((s.name for s in route.weighted_services), self._services)
-                self._note_route(route.name, route.prefix, prefixes_in_use, error)
+                self._check_consistency(route.name, route.prefix, prefixes_in_use, error)
             else:
-                loaded: RouteDefinition = _load(ROUTE_FIELD, raw, f"{path}.{number}")
+                loaded: RouteDefinition = _load(ROUTE_FIELD, raw, f"{path}.{index}")
                 error = route_error(loaded, self._services)
-                self._note_route(loaded.name, loaded.prefix, prefixes_in_use, error)
-            if number % ROUTES_PER_STEP == 0 or route is None:
+                self._check_consistency(loaded.name, loaded.prefix, prefixes_in_use, error)
+            if index % ROUTES_PER_STEP == 0 or route is None:
                 yield
 
-    def _note_route(self, name: str, prefix: str, prefixes_in_use: set[str], error: str | None) -> None:
-        """Note what is inconsistent about a route: by itself, or beside those before it."""
+    def _check_consistency(
+        self, name: str, prefix: str, prefixes_in_use: set[str], error: str | None
+    ) -> None:
+        """Record the inconsistency of a route, if it is the first.
+
+        :param prefixes_in_use: of earlier routes of the same host; the prefix of this route is added.
+        :param error: the error within the route itself, if there is one.
+        """
         if self._inconsistency is not None:
             return
         if error is not None:
-            self._note(f"route {name}: {error}")
+            self._record_inconsistency(f"route {name}: {error}")
         elif prefix in prefixes_in_use or name in self._route_names:
-            self._note(f"route {name}: its name or its place is another's too")
+            self._record_inconsistency(
+                f"route {name}: another route has the same name, or the same host and prefix"
+            )
         prefixes_in_use.add(prefix)
         self._route_names.add(name)
 
-    def _note(self, inconsistency: str) -> None:
+    def _record_inconsistency(self, inconsistency: str) -> None:
         if self._inconsistency is None:
             self._inconsistency = inconsistency
 
 
 def route_error(route: RouteDefinition, services: set[str]) -> str | None:
-    """Say what is inconsistent about a route that is as the schema says, if anything is.
+    """Return the inconsistency within a route that satisfies the schema; None if it is consistent.
 
-    :param services: the names of the configuration's services.
+    :param services: the names of all services of the configuration.
     """
     if (route.service is None) == (route.split is None):
-        return "it wants a service or a split"
+        return "it needs exactly one of svc and split"
     split = route.split or []
-    names = [route.service] if route.service is not None else [share.name for share in split]
+    names = [route.service] if route.service is not None else [entry.name for entry in split]
     if error := _unknown_service_error(names, services):
         return error
-    if split and not sum(share.weight for share in split) > 0:
-        return "its split has no weight"
+    if split and not sum(entry.weight for entry in split) > 0:
+        return "the weights of its split add up to 0"
     if route.target_ms >= route.deadline_ms + MAX_TARGET_OVER_DEADLINE_MS:
-        return "its targetMs lies a minute or more over its deadlineMs"
+        return "its targetMs exceeds its deadlineMs by a minute or more"
     return None
 
 
@@ -203,9 +213,9 @@
 
 
 def _load(field: fields.Nested, raw: JsonValue, path: str) -> Any:
-    """Read an element by its schema.
+    """Load an element with its schema.
 
-    :raises _SchemaError: with one sentence that names the field.
+    :raises _SchemaError: with one sentence that names the invalid field.
     """
     try:
         return field.deserialize(raw)
@@ -213,8 +223,8 @@
         raise _SchemaError(first_error(error.messages, path)) from None
 
 
-def _plain_service_name(raw: JsonValue) -> str | None:
-    """Return the name of a service of the plain form."""
+def _canonical_service_name(raw: JsonValue) -> str | None:
+    """Return the name of a service in canonical form; None for any other."""
     if type(raw) is not dict:
         return None
     name, health_path, max_connections = raw.get("name"), raw.get("healthPath", "/"), raw.get("maxConns", 0)
@@ -225,10 +235,10 @@
     return name or None
 
 
-def _is_plain_host(raw: JsonValue) -> bool:
-    """Whether a host has the plain form, its routes left out."""
-    return _has_list_of_prefixes(raw) and type(raw.get("host")) is str and bool(raw["host"])
+def _is_canonical_host(raw: JsonValue) -> bool:
+    """Return whether a host is in canonical form, regardless of its routes."""
+    return _has_prefix_list(raw) and type(raw.get("host")) is str and bool(raw["host"])
 
 
-def _has_list_of_prefixes(raw: JsonValue) -> bool:
+def _has_prefix_list(raw: JsonValue) -> bool:
     return type(raw) is dict and type(raw.get("prefixes")) is list
--- a/tests/gateway/test_validation.py
+++ b/tests/gateway/test_validation.py
@@ -37,7 +37,7 @@
         return InvalidConfiguration(first_error(error.messages))
     services = [service["name"] for service in found["services"]]
     if len(set(services)) < len(services):
-        return InvalidConfiguration("a service stands there twice")
+        return InvalidConfiguration("two services have the same name")
     places: set[tuple[str, str]] = set()
     names: set[str] = set()
     for host in found["hosts"]:
@@ -46,7 +46,9 @@
                 return InvalidConfiguration(f"route {route.name}: {inconsistency}")
             place = (host["host"].lower(), route.prefix)
             if place in places or route.name in names:
-                return InvalidConfiguration(f"route {route.name}: its name or its place is another's too")
+                return InvalidConfiguration(
+                    f"route {route.name}: another route has the same name, or the same host and prefix"
+                )
             places.add(place)
             names.add(route.name)
     return ValidConfiguration(int(found["version"], 16))
@@ -114,7 +116,7 @@
     [
         (("ver",), "c", "ver: is not eight hexadecimal digits"),
         (("limits",), None, "limits: Field may not be null."),
-        (("svcs", 1, "name"), "s", "a service stands there twice"),
+        (("svcs", 1, "name"), "s", "two services have the same name"),
         (("svcs", 1, "maxConns"), -1, "svcs.1.maxConns: Must be greater than or equal to 0."),
         (("vhosts",), {}, "vhosts: Not a valid list."),
         (("vhosts", 1), None, "vhosts.1: Field may not be null."),
@@ -125,15 +127,19 @@
             "a",
             "vhosts.0.prefixes.1.prefix: does not begin with a slash",
         ),
-        (("vhosts", 0, "prefixes", 1, "name"), "a", "route a: its name or its place is another's too"),
+        (
+            ("vhosts", 0, "prefixes", 1, "name"),
+            "a",
+            "route a: another route has the same name, or the same host and prefix",
+        ),
         (("vhosts", 0, "prefixes", 1, "svc"), "u", "route b: service u is unknown"),
         (
             ("vhosts", 0, "prefixes", 1, "targetMs"),
             60_900,
-            "route b: its targetMs lies a minute or more over its",
+            "route b: its targetMs exceeds its deadlineMs by a minute or more",
         ),
         (("vhosts", 0, "prefixes", 0, "split", 0, "svc"), "u", "route a: service u is unknown"),
-        (("vhosts", 0, "prefixes", 0, "svc"), "s", "route a: it wants a service or a split"),
+        (("vhosts", 0, "prefixes", 0, "svc"), "s", "route a: it needs exactly one of svc and split"),
         (
             ("vhosts", 0, "prefixes", 1, "deadlineMs"),
             0,
