--- a/meadowworks/modelcheck/seeded_faults/gossip.py
+++ b/meadowworks/modelcheck/seeded_faults/gossip.py
@@ -16,7 +16,7 @@
         "a late beat takes a drain back",
         MODEL,
         HEARTBEATS + "record_heartbeat",
-        "state = furthest_state(heartbeat.state, self._drain_state(instance_id), known_state)",
+        "state = furthest_state(heartbeat.state, self._drain_state(instance_id), registered_state)",
         "state = heartbeat.state",
         ("never back", "own words"),
     ),
--- a/meadowworks/registry/__init__.py
+++ b/meadowworks/registry/__init__.py
@@ -1,9 +1,9 @@
-"""The service registry: which instances of backends there are, and in which state. No I/O, no clock.
+"""The service registry: the backend instances and their states. No I/O, no clock.
 
-- ``backend_state``: the states of an instance, and the value under which it is published;
-- ``heartbeat_schema``: what a heartbeat's document must hold;
-- ``heartbeats``: the instances that call one control-plane node;
-- ``backends``: what all control-plane nodes publish, merged into one directory;
-- ``drain_log``: drains that outlive a loss of power;
-- ``zone_redirects``: which control-plane node a backend is asked to call instead.
+- ``backend_state``: the states of an instance and its published value;
+- ``heartbeat_schema``: the schema of a heartbeat document;
+- ``heartbeats``: the instances that send their heartbeats to one control-plane node;
+- ``backends``: the directory of instances, merged from the reports of all control-plane nodes;
+- ``drain_log``: drains and departures, stored durably on several disks;
+- ``zone_redirects``: redirects of backends to a control-plane node of their own zone.
 """
--- a/meadowworks/registry/backend_metrics.py
+++ b/meadowworks/registry/backend_metrics.py
@@ -1,4 +1,4 @@
-"""The metrics of a directory of backends, which both programs tell."""
+"""The metrics of a backend directory, exported by control-plane nodes and proxies."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 
 
 def backend_metrics(backends: BackendDirectory) -> Iterator[MetricFamily]:
-    """How many instances of each service are in each state."""
-    counts = Counter((one.service, one.state) for one in backends.instances.values())
+    """Yield the number of instances by service and state."""
+    counts = Counter((instance.service, instance.state) for instance in backends.instances.values())
     yield gauge(
         "meadowworks_backends",
         "Backend instances known here, by service and state.",
--- a/meadowworks/registry/backend_state.py
+++ b/meadowworks/registry/backend_state.py
@@ -1,7 +1,7 @@
-"""The states of a backend instance, and the value under which control-plane nodes publish it.
+"""The states of a backend instance and the value that control-plane nodes publish for it.
 
-An instance is one process of a backend; a restart is a new instance with an id of its own. It goes from up
-to draining to gone, and never back.
+An instance is one process of a backend; a restarted process is a new instance with a new id. The
+state changes from up to draining to gone, never in the other direction.
 """
 
 from __future__ import annotations
@@ -9,19 +9,19 @@
 from typing import Any, NamedTuple
 
 UP, DRAINING, GONE = "up", "draining", "gone"
-SUSPECT = "quiet"  # up by all reports, but without a heartbeat for long; never published as a state
+SUSPECT = "quiet"  # up, but without recent heartbeats; derived from the reports, never published
 STATE_RANK = {UP: 0, DRAINING: 1, GONE: 2}
-BACKEND_KEY_PREFIX = "b/"  # of the keys under which instances are published; the id follows
+BACKEND_KEY_PREFIX = "b/"  # key of a published instance: this prefix and the instance id
 
 
 class BackendValue(NamedTuple):
-    """The published value of an instance, by place as it stands in messages and on disk.
+    """The published value of an instance; messages and the disk hold its fields by position.
 
-    Its fields are as another node sent them, and may be of any type: who uses them converts them first.
+    The fields are as received from another node and may be of any type: the reader has to convert them.
 
-    :ivar sequence: rises with each heartbeat, so that a late one is known.
-    :ivar warmup_ms: for how long the instance gets a reduced share from its start.
-    :ivar is_suspect: 1 if the publishing node has had no heartbeat for long.
+    :ivar sequence: increases with each heartbeat, which makes a late heartbeat detectable.
+    :ivar warmup_ms: the duration of slow start, with a reduced share of requests.
+    :ivar is_suspect: 1 if the publishing node has received no heartbeat recently.
     """
 
     service: Any
@@ -38,10 +38,9 @@
 
 
 def parse_drain(raw: Any) -> BackendValue | None:
-    """Reads a published value.
+    """Parse a published value.
 
-    :returns: the value if it is of an instance that is draining or gone; None for any other, and for what is
-        malformed.
+    :returns: the value if its instance is draining or gone; None for any other or malformed value.
     """
     try:
         fields = tuple(raw)
@@ -52,5 +51,5 @@
 
 
 def furthest_state(*states: str) -> str:
-    """Returns the state that is the furthest from up to draining to gone."""
+    """Return the last of the states in the order up, draining, gone."""
     return max(states, key=STATE_RANK.__getitem__)
--- a/meadowworks/registry/backends.py
+++ b/meadowworks/registry/backends.py
@@ -1,8 +1,8 @@
-"""The directory of backend instances, merged from what all control-plane nodes publish.
+"""The directory of backend instances, merged from the reports of all control-plane nodes.
 
-Every node and proxy merges its own. An instance that any node reports as draining or gone is so for good. It
-is suspect only if every node that is alive and knows it says so: a backend may call any node, and change to
-another.
+Each node and each proxy merges its own directory. An instance that any node reports as draining or gone stays
+in that state. An instance is suspect only if every live node with a report of it reports it as suspect: a
+backend may send its heartbeats to any node and may change the node.
 """
 
 from __future__ import annotations
@@ -23,14 +23,15 @@
     BackendValue,
 )
 
-# A source that has published nothing for this long has no say on who is alive. Nodes publish each second.
+# The reports of a source without updates for this long do not keep an instance from being suspect. Nodes
+# publish every second.
 SOURCE_TIMEOUT_NS = 8_000_000_000
 NS_PER_MS = 1e6
 
 
 @dataclass(slots=True)
 class InstanceReport:
-    """What one control-plane node says of an instance."""
+    """The report of one control-plane node on an instance."""
 
     service: str
     address: str
@@ -43,18 +44,18 @@
 
     @classmethod
     def from_value(cls, raw: Any) -> InstanceReport:
-        """Converts a published value, by place as in ``BackendValue``.
+        """Convert a published value with the fields of ``BackendValue``.
 
-        :raises TypeError, ValueError: if it is malformed.
+        :raises TypeError, ValueError: if the value is malformed.
         """
         value = BackendValue._make(raw)
         if value.state not in STATE_RANK:
-            raise ValueError("unknown state")
+            raise ValueError(f"unknown state {value.state!r}")
         if value.address:
             split_address(str(value.address))
         warmup_ms = float(value.warmup_ms)
         if not 0 <= warmup_ms < math.inf:
-            raise ValueError("no time to warm up")
+            raise ValueError(f"warm-up time of {warmup_ms} ms is negative or not finite")
         return cls(
             service=str(value.service),
             address=str(value.address),
@@ -69,11 +70,11 @@
 
 @dataclass(slots=True)
 class BackendInstance:
-    """An instance by all reports together.
+    """An instance as merged from all reports. Times are of this process's clock.
 
     :ivar state: up, draining, gone or suspect.
-    :ivar first_seen_ns: when this process first learnt of it.
-    :ivar warm_at_ns: when its slow start ends, by this process's clock; 0 if it was warm when first seen.
+    :ivar first_seen_ns: the time of the first report.
+    :ivar warm_at_ns: the end of its slow start; 0 if it needed none when first seen.
     """
 
     instance_id: str
@@ -88,12 +89,12 @@
 
     @property
     def accepts_requests(self) -> bool:
-        """Whether a request may go there; a suspect instance may well be alive."""
+        """Whether requests may be sent to it. A suspect instance may be alive and accepts requests."""
         return self.state not in (DRAINING, GONE)
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """The host and the port of an address.
+    """Split an address into host and port.
 
     :raises ValueError: if it has no port.
     """
@@ -102,14 +103,14 @@
 
 
 class BackendDirectory:
-    """The instances that this process knows.
+    """The backend instances of all services, with the reports that they are merged from.
 
-    :ivar source_silence_ns: returns for how long a source has published nothing.
+    :ivar source_silence_ns: returns the time since a source's last update.
     :ivar clock: returns the time in nanoseconds.
     :ivar reports: by instance id, then by source.
-    :ivar instances: by id; one without an address is not among them.
-    :ivar superseded: ids of instances at whose address another has answered.
-    :ivar changed_ids: instances whose state has changed since the caller last cleared this.
+    :ivar instances: by id, without instances whose address is unknown.
+    :ivar superseded: ids of instances whose address another instance has taken over.
+    :ivar changed_ids: ids of instances whose state has changed since the caller last cleared this set.
     """
 
     def __init__(self, source_silence_ns: Callable[[str], int], clock: Callable[[], int]) -> None:
@@ -122,7 +123,7 @@
         self._sources: set[str] = set()
 
     def on_update(self, update: KeyUpdate) -> None:
-        """Merges an update; one that is of no instance, or malformed, changes no instance."""
+        """Merge an update. Updates of other keys and malformed values are ignored."""
         if not update.key.startswith(BACKEND_KEY_PREFIX):
             return
         instance_id = update.key.removeprefix(BACKEND_KEY_PREFIX)
@@ -140,17 +141,17 @@
         self._refresh(instance_id)
 
     def mark_superseded(self, instance_id: str) -> None:
-        """Takes an instance as gone: another one has answered at its address."""
+        """Mark an instance as gone because another instance has answered at its address."""
         self.superseded.add(instance_id)
         self._refresh(instance_id)
 
     def refresh_all(self) -> None:
-        """Merges anew: sources fall silent without an update."""
+        """Merge all instances again, since the silence of a source changes states without an update."""
         for instance_id in list(self.instances):
             self._refresh(instance_id)
 
     def merged_state(self, instance_id: str) -> str:
-        """Returns the state of an instance by all reports together."""
+        """Return the state of an instance, merged from all reports."""
         reports = self.reports.get(instance_id)
         if not reports or instance_id in self.superseded:
             return GONE
@@ -161,20 +162,20 @@
             report for source, report in reports.items() if self.source_silence_ns(source) < SOURCE_TIMEOUT_NS
         ]
         if not alive and all(self.source_silence_ns(name) >= SOURCE_TIMEOUT_NS for name in self._sources):
-            # Guards against a partition: where no source is received, silence says nothing of the backends.
+            # Prevents all backends from becoming suspect when a partition cuts this process off.
             return UP
         return SUSPECT if all(report.is_suspect for report in alive) else UP
 
     def is_reported(self, instance_id: str) -> bool:
-        """Returns whether any source reports an instance."""
+        """Return whether any source reports an instance."""
         return instance_id in self.reports
 
     def is_draining_or_gone(self, instance_id: str) -> bool:
-        """Returns whether any source reports an instance as draining or gone."""
+        """Return whether any source reports an instance as draining or gone."""
         return any(STATE_RANK[report.state] for report in self.reports.get(instance_id, {}).values())
 
     def instances_by_service(self) -> dict[str, list[BackendInstance]]:
-        """Returns the instances of each service, without those that are gone."""
+        """Return the instances of each service, without those that are gone."""
         services: dict[str, list[BackendInstance]] = {}
         for instance in self.instances.values():
             if instance.state != GONE:
@@ -182,7 +183,7 @@
         return services
 
     def summary(self) -> dict[str, list[str]]:
-        """Returns service, address, zone and state of each instance, as the programs' status shows them."""
+        """Return service, address, zone and state of each instance for the status endpoint."""
         return {
             instance_id: [
                 instance.service,
@@ -200,7 +201,7 @@
             self.reports.pop(instance_id, None)
 
     def _add_instance(self, instance_id: str, report: InstanceReport) -> None:
-        if not report.address:  # the departure of an instance that was unknown to its node
+        if not report.address:  # departure of an instance that the reporting node had no heartbeat of
             return
         host, port = split_address(report.address)
         now_ns = self.clock()
@@ -211,7 +212,7 @@
             port,
             report.zone,
             report.capacity,
-            "",  # no state yet: the first merge sets it, and counts as a change
+            "",  # differs from every state: the first merge sets the state and marks it as changed
             now_ns,
             now_ns + int(report.warmup_ms * NS_PER_MS) if report.warmup_ms else 0,
         )
--- a/meadowworks/registry/heartbeat_schema.py
+++ b/meadowworks/registry/heartbeat_schema.py
@@ -1,7 +1,7 @@
-"""What a heartbeat's document must hold. Source: the users' page on the protocol of backends.
+"""The schema of a heartbeat document.
 
-The page's example nests the fields in ``details`` and ``status``; its text lists them side by side and calls
-some otherwise. Both forms are taken, also mixed.
+Source: the backend protocol page of the user documentation. Its example nests the fields in ``details`` and
+``status``; its text lists them flat and under partly different names. Both forms are accepted, also mixed.
 """
 
 from __future__ import annotations
@@ -13,23 +13,23 @@
 
 from meadowworks.registry.backend_state import DRAINING, UP
 
-MAX_TEXT_LENGTH = 200  # characters of an id and of each name; bounds what one backend adds to every message
-MAX_CAPACITY = 1e6  # requests at once, far above any real server: a weight stays a sane number
-MAX_WARMUP_MS = 3.6e6  # an hour
-FIELD_ALIASES = {"service": "svc", "version": "ver", "slots": "capacity"}  # as the page's text calls them
+MAX_TEXT_LENGTH = 200  # characters of an id or name; bounds the size of a backend in messages
+MAX_CAPACITY = 1e6  # concurrent requests; keeps the weight of a backend in a sane range
+MAX_WARMUP_MS = 3.6e6  # one hour
+FIELD_ALIASES = {"service": "svc", "version": "ver", "slots": "capacity"}  # names in the page's text
 
 
 class InvalidHeartbeatError(ValueError):
-    """A document that is no heartbeat, in one short sentence. A retry of the same document fails alike."""
+    """Raised for a malformed document, with one short sentence. A retry with the same document fails, too."""
 
 
 @dataclass(slots=True)
 class BackendHeartbeat:
-    """A heartbeat that has been validated.
+    """A validated heartbeat.
 
     :ivar address: host and port of the backend.
-    :ivar capacity: requests that it serves at once.
-    :ivar sequence: rises with each heartbeat of the instance.
+    :ivar capacity: the number of requests that it serves concurrently.
+    :ivar sequence: increases with each heartbeat of the instance.
     """
 
     service: str
@@ -42,16 +42,16 @@
 
 
 class BaseHeartbeatSchema(Schema):
-    """Ignores unknown fields: newer backends may send more."""
+    """A schema that ignores unknown fields, which newer backends may send."""
 
     class Meta:
-        """marshmallow's options."""
+        """Options of marshmallow."""
 
         unknown = EXCLUDE
 
 
 class DetailsSchema(BaseHeartbeatSchema):
-    """What stays the same for an instance's whole lifetime."""
+    """The fields that are constant during the lifetime of an instance."""
 
     svc = fields.String(required=True, validate=validate.Length(min=1, max=MAX_TEXT_LENGTH))
     zone = fields.String(required=True, validate=validate.Length(max=MAX_TEXT_LENGTH))
@@ -60,7 +60,7 @@
 
 
 class StatusSchema(BaseHeartbeatSchema):
-    """What changes from heartbeat to heartbeat."""
+    """The fields that change from heartbeat to heartbeat."""
 
     state = fields.String(required=True, validate=validate.OneOf([UP, DRAINING]))
     calls = fields.Integer(required=True, validate=validate.Range(min=0))
@@ -68,7 +68,7 @@
 
 
 class HeartbeatSchema(BaseHeartbeatSchema):
-    """The whole document."""
+    """The whole heartbeat document."""
 
     addr = fields.String(required=True, validate=validate.Regexp(r"^[^:\s]{1,200}:[0-9]{1,5}\Z"))
     details = fields.Nested(DetailsSchema, required=True)
@@ -79,15 +79,15 @@
 
 
 def parse_heartbeat(document: Any) -> BackendHeartbeat:
-    """Validates the JSON document of a heartbeat.
+    """Validate the JSON document of a heartbeat.
 
-    :raises InvalidHeartbeatError: naming the fields that are wrong.
+    :raises InvalidHeartbeatError: with the names of the invalid fields.
     """
     try:
         loaded = _HEARTBEAT_SCHEMA.load(_nest_fields(document))
     except ValidationError as error:
-        wrong = error.messages
-        names = f": {', '.join(sorted(map(str, wrong)))}" if isinstance(wrong, dict) else ""
+        messages = error.messages
+        names = f": {', '.join(sorted(map(str, messages)))}" if isinstance(messages, dict) else ""
         raise InvalidHeartbeatError(f"no heartbeat{names}") from None
     details, status = loaded["details"], loaded["status"]
     return BackendHeartbeat(
@@ -102,16 +102,16 @@
 
 
 def _nest_fields(document: Any) -> Any:
-    """Returns a document in the form of the page's example; a nested field wins over one side by side."""
+    """Return a document with nested fields; a nested field takes precedence over a flat one."""
     if not isinstance(document, dict):
         return document
     nested = {"addr": document["addr"]} if "addr" in document else {}
     for name, schema in (("details", DetailsSchema), ("status", StatusSchema)):
-        table = document.get(name, {})
-        if not isinstance(table, dict):
+        section = document.get(name, {})
+        if not isinstance(section, dict):
             return document
-        for place in (table, document):
-            for key, value in place.items():
+        for source in (section, document):
+            for key, value in source.items():
                 field_name = FIELD_ALIASES.get(key, key)
                 if field_name in schema._declared_fields:
                     nested.setdefault(name, {}).setdefault(field_name, value)
--- a/meadowworks/registry/heartbeats.py
+++ b/meadowworks/registry/heartbeats.py
@@ -1,8 +1,8 @@
-"""The backend instances that call this control-plane node.
+"""The backend instances that send their heartbeats to this control-plane node.
 
-Source: the users' page on the protocol of backends. An instance is published when it registers and when its
-state changes, not at each heartbeat, so that heartbeats cost the other nodes nothing. A crash sends nothing:
-an instance without heartbeats is published as suspect, and only a call to leave makes it gone.
+Source: the backend protocol page of the user documentation. An instance is published when it registers and
+when its state changes, not at each heartbeat, so that heartbeats cause no load on other nodes. An instance
+whose heartbeats stop, for example after a crash, is published as suspect; only a leave call makes it gone.
 """
 
 from __future__ import annotations
@@ -25,31 +25,34 @@
     parse_heartbeat,
 )
 
-# A restart of this node or a slow network costs an instance one heartbeat or two, not four.
+# A restart of this node or a slow network loses one or two heartbeats of an instance, not four.
 MISSED_HEARTBEATS_UNTIL_SUSPECT = 4
-# For this long an instance that is gone or suspect is remembered: its late calls must find it.
+# Instances that are gone or suspect stay registered for this long, so that late calls are recognized.
 RETENTION_NS = 60_000_000_000
-# Instances that call this node. Beyond it the one that was silent the longest gives way if it is suspect,
-# otherwise a new one is refused: guards against ids without end.
+# Bounds the memory for instance ids. A new instance replaces the one that has been silent the longest if that
+# is suspect, otherwise it is rejected.
 MAX_REGISTRATIONS = 16384
-# Registrations of ids that left before anything was known of them. Each is a record in every drain log, which
-# holds 8,192: those of nine nodes fit in beside the drains of known backends.
+# Registrations of instances that left before any node had reported them. Each takes a record in the drain log
+# of every node, which holds 8,192: the departures of nine nodes leave room for the drains of other backends.
 MAX_UNKNOWN_DEPARTURES = 512
 
 
 @dataclass(frozen=True, slots=True)
 class InvalidCall:
-    """The call makes no sense, for a reason in one short sentence; a retry fails alike."""
+    """The call is malformed; a retry of the same call fails, too.
+
+    :ivar reason: one short sentence.
+    """
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class CallAccepted:
-    """The call has been taken.
+    """The call is accepted.
 
-    :ivar version: of this node's updates: the call may be acknowledged once that is on enough disks; 0 if
-        it may be at once.
+    :ivar version: the version of this node's updates that has to be on enough disks before the call may be
+        acknowledged; 0 if it may be acknowledged at once.
     """
 
     version: int
@@ -57,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RegistryFull:
-    """Too many instances call this node; a retry at another node may succeed."""
+    """Too many instances are registered at this node; a retry at another node may succeed."""
 
 
 CallOutcome: TypeAlias = CallAccepted | InvalidCall | RegistryFull
@@ -65,11 +68,11 @@
 
 @dataclass(slots=True)
 class Registration:
-    """An instance that calls this node.
+    """An instance that sends its heartbeats to this node.
 
-    :ivar sequence: the highest of its heartbeats.
-    :ivar last_heartbeat_ns: when it last called; when it left, if it is gone.
-    :ivar published_version: the version under which its present state was published.
+    :ivar sequence: the highest sequence number of its heartbeats.
+    :ivar last_heartbeat_ns: the time of its last heartbeat, or of its departure.
+    :ivar published_version: the version under which its current state was published.
     """
 
     service: str
@@ -84,7 +87,7 @@
     published_version: int = 0
 
     def to_value(self) -> list[Any]:
-        """Returns the value to publish, by place as in ``BackendValue``."""
+        """Return the value to publish, in the order of the fields of ``BackendValue``."""
         return [
             self.service,
             self.address,
@@ -98,11 +101,11 @@
 
 
 class HeartbeatRegistry:
-    """Decides what this node publishes of the instances that call it.
+    """The registry of the instances that send their heartbeats to this node; publishes their states.
 
-    :ivar suspect_after_ns: the silence after which an instance is suspect.
-    :ivar registrations: by instance id; who called last stands last.
-    :ivar unknown_departures: ids of registrations that left before anything was known of them.
+    :ivar suspect_after_ns: the time without a heartbeat after which an instance is suspect.
+    :ivar registrations: by instance id, the most recent caller last.
+    :ivar unknown_departures: ids of registered instances that left before any node had reported them.
     """
 
     def __init__(
@@ -113,12 +116,13 @@
         is_reported: Callable[[str], bool] = lambda _: False,
         max_registrations: int = MAX_REGISTRATIONS,
     ) -> None:
-        """Begins without instances.
+        """Create an empty registry.
 
-        :param publish: publishes the value of a key, or deletes the key for None; returns the version.
-        :param heartbeat_ms: the interval at which backends call.
-        :param drain_state: how far an instance has gone by any node's report; up for an unknown one.
-        :param is_reported: whether any node has reported an instance.
+        :param publish: publishes the value of a key, or deletes the key if the value is None; returns the
+            version of the update.
+        :param heartbeat_ms: the interval of heartbeats.
+        :param drain_state: returns the state of an instance in the drain log; up for an unknown instance.
+        :param is_reported: returns whether any node has reported an instance.
         """
         self._publish_value = publish
         self._drain_state = drain_state
@@ -129,7 +133,7 @@
         self.unknown_departures: set[str] = set()
 
     def record_heartbeat(self, now_ns: int, instance_id: str, document: Any) -> CallOutcome:
-        """Takes a heartbeat, given as a JSON document."""
+        """Record a heartbeat, given as a JSON document."""
         try:
             heartbeat = parse_heartbeat(document)
         except InvalidHeartbeatError as error:
@@ -137,9 +141,9 @@
         if not is_valid_id(instance_id):
             return InvalidCall("no id")
         registration = self.registrations.pop(instance_id, None)
-        known_state = registration.state if registration else UP
-        # Guards against a heartbeat that is behind what is known, here or anywhere: no state goes back.
-        state = furthest_state(heartbeat.state, self._drain_state(instance_id), known_state)
+        registered_state = registration.state if registration else UP
+        # Prevents a late heartbeat from setting back a state that this or another node has reported.
+        state = furthest_state(heartbeat.state, self._drain_state(instance_id), registered_state)
         if registration is not None:
             self.registrations[instance_id] = registration
             self._renew(now_ns, instance_id, heartbeat, state)
@@ -150,10 +154,10 @@
         return CallAccepted(registration.published_version if registration.state != UP else 0)
 
     def leave(self, now_ns: int, instance_id: str) -> CallOutcome:
-        """Takes the call of an instance that leaves, or of the platform in its place.
+        """Record the departure of an instance, on a call of the instance itself or of its platform.
 
-        An instance that never called this node may be known elsewhere, also where nobody has told this node
-        of it yet: its end is published all the same, and so is on disk before it is acknowledged.
+        An instance without a registration here may be registered at a node whose report has not arrived yet.
+        Its departure is published, too, and is therefore on disk before it is acknowledged.
         """
         if not is_valid_id(instance_id):
             return InvalidCall("no id")
@@ -174,7 +178,7 @@
         return CallAccepted(registration.published_version)
 
     def tick(self, now_ns: int) -> None:
-        """Publishes what comes of silence and of other nodes' reports; called each second."""
+        """Publish state changes due to missing heartbeats or reports of other nodes; called every second."""
         for instance_id, registration in list(self.registrations.items()):
             silence_ns = now_ns - registration.last_heartbeat_ns
             drain_state = self._drain_state(instance_id)
@@ -183,14 +187,14 @@
                 registration.is_suspect = True
                 self._publish(instance_id, registration)
             if STATE_RANK[drain_state] > STATE_RANK[registration.state]:
-                # Guards against the end of the node that reported it: this node's older report would count.
+                # Prevents a return to this node's older report when the node that reported the drain ends.
                 registration.state = drain_state
                 self._publish(instance_id, registration)
             if silence_ns > RETENTION_NS + self.suspect_after_ns:
                 self._delete(instance_id)
 
     def durable_values(self) -> dict[str, list[Any]]:
-        """Returns the values of the instances that call and are not gone, to be stored for a restart."""
+        """Return the values of all instances neither gone nor suspect, to be stored for a restart."""
         return {
             instance_id: registration.to_value()
             for instance_id, registration in self.registrations.items()
@@ -198,9 +202,9 @@
         }
 
     def restore(self, now_ns: int, values: dict[str, list[Any]]) -> None:
-        """Publishes stored values after a restart, as if each instance had called just now.
+        """Publish stored values after a restart, as if each instance had just sent a heartbeat.
 
-        Those that live call again, and the others become suspect as ever. A drain reported since holds.
+        Instances that send no further heartbeat become suspect. A drain in the drain log takes precedence.
         """
         for instance_id, (service, address, zone, capacity, state, sequence, _, _) in values.items():
             registration = Registration(
@@ -234,7 +238,7 @@
         return registration
 
     def _renew(self, now_ns: int, instance_id: str, heartbeat: BackendHeartbeat, state: str) -> None:
-        """Notes a further heartbeat; publishes a new state, and the end of a suspicion."""
+        """Record a heartbeat of a registered instance; publish a new state or the end of suspicion."""
         registration = self.registrations[instance_id]
         registration.last_heartbeat_ns = now_ns
         is_late = heartbeat.sequence <= registration.sequence
@@ -247,10 +251,10 @@
             self._publish(instance_id, registration)
 
     def _make_room(self, now_ns: int) -> bool:
-        """Returns whether one more instance may register, having dropped suspect ones for it."""
+        """Drop suspect instances if the registry is full; return whether one more instance may register."""
         while len(self.registrations) >= self._max_registrations:
-            instance_id, oldest = next(iter(self.registrations.items()))
-            if now_ns - oldest.last_heartbeat_ns <= self.suspect_after_ns:
+            instance_id, registration = next(iter(self.registrations.items()))
+            if now_ns - registration.last_heartbeat_ns <= self.suspect_after_ns:
                 return False
             self._delete(instance_id)
         return True
@@ -267,5 +271,5 @@
 
 
 def is_valid_id(instance_id: str) -> bool:
-    """Returns whether an id is neither empty nor too long."""
+    """Return whether an id is neither empty nor too long."""
     return 0 < len(instance_id) <= MAX_TEXT_LENGTH
--- a/meadowworks/registry/zone_redirects.py
+++ b/meadowworks/registry/zone_redirects.py
@@ -1,4 +1,4 @@
-"""Which control-plane node a backend is asked to call from now on: one of its own zone (``beatUrl``)."""
+"""Redirects of backends to a control-plane node of their own zone, sent as ``beatUrl``."""
 
 from __future__ import annotations
 
@@ -6,15 +6,14 @@
 
 from meadowworks.registry.heartbeats import MAX_REGISTRATIONS
 
-# For this long an address is not named again after a backend has failed to reach it.
-REDIRECT_BACKOFF_NS = 10_000_000_000
+REDIRECT_BACKOFF_NS = 10_000_000_000  # pause of redirects to an address that a backend failed to reach
 
 
 class ZoneRedirects:
-    """The addresses that were named to backends, and those that were found unreachable.
+    """The open redirects, and the addresses that backends failed to reach.
 
-    :ivar redirect_targets: by instance, the address that it was asked to call.
-    :ivar avoid_until_ns: by address, until when it is not named.
+    :ivar redirect_targets: by instance id: the address that it was redirected to.
+    :ivar avoid_until_ns: by address: the time until which no instance is redirected to it.
     """
 
     def __init__(self) -> None:
@@ -22,23 +21,23 @@
         self.avoid_until_ns: dict[str, int] = {}
 
     def on_heartbeat(self, now_ns: int, instance_id: str) -> None:
-        """Notes that an instance calls this node; if it was sent elsewhere, it has failed there."""
-        failed = self.redirect_targets.pop(instance_id, None)
-        if failed is not None:
-            self.avoid_until_ns[failed] = now_ns + REDIRECT_BACKOFF_NS
+        """Handle a heartbeat at this node; if the instance was redirected, the redirect has failed."""
+        failed_address = self.redirect_targets.pop(instance_id, None)
+        if failed_address is not None:
+            self.avoid_until_ns[failed_address] = now_ns + REDIRECT_BACKOFF_NS
         self.avoid_until_ns = {
             address: until_ns for address, until_ns in self.avoid_until_ns.items() if until_ns > now_ns
         }
 
     def choose(self, now_ns: int, instance_id: str, addresses: Iterable[str]) -> str | None:
-        """Returns the first address that may be suggested to an instance, if there is one."""
+        """Return the first address that is not avoided as redirect for an instance; None if there is none."""
         for address in addresses:
             if self.avoid_until_ns.get(address, 0) <= now_ns:
-                self._remember(instance_id, address)
+                self._record_redirect(instance_id, address)
                 return address
         return None
 
-    def _remember(self, instance_id: str, address: str) -> None:
+    def _record_redirect(self, instance_id: str, address: str) -> None:
         self.redirect_targets[instance_id] = address
-        while len(self.redirect_targets) > MAX_REGISTRATIONS:  # the oldest go first
+        while len(self.redirect_targets) > MAX_REGISTRATIONS:  # evicts the oldest redirect
             del self.redirect_targets[next(iter(self.redirect_targets))]
