--- a/meadowworks/gossip/__init__.py
+++ b/meadowworks/gossip/__init__.py
@@ -1,6 +1,6 @@
-"""How control-plane nodes and proxies know each other and exchange updates, free of I/O and clocks.
+"""Peer discovery and the exchange of updates between control-plane nodes and proxies. No I/O, no clock.
 
-- ``updates``: versioned updates by source, reconciled by version vectors (anti-entropy);
+- ``updates``: versioned updates by source, reconciled with version vectors (anti-entropy);
 - ``peer_sampling``: a bounded partial view of the peers, shuffled between neighbours;
-- ``messages``: the pull request and its reply, and their encoding.
+- ``messages``: pull requests and replies and their encoding.
 """
--- a/meadowworks/gossip/messages.py
+++ b/meadowworks/gossip/messages.py
@@ -1,8 +1,8 @@
-"""The pull request and its reply, and their encoding as msgpack bodies of HTTP calls on the inner port.
+"""Pull requests and replies and their encoding as msgpack bodies of HTTP calls on the inner port.
 
-``POST /pull`` asks a control-plane node for updates. The node holds the reply back until it has an update
-that is urgent, or until the requester's limit: a long poll. A message is an array whose fields go by place;
-nodes of two releases meet in a roll-out, so fields are neither moved nor dropped.
+``POST /pull`` is a long poll for updates: a control-plane node delays the reply until it has an urgent
+update, at most for as long as the request allows. A message is an array of positional fields. Two releases
+run side by side during a rollout, so fields must not be moved or removed.
 """
 
 from __future__ import annotations
@@ -15,22 +15,21 @@
 from meadowworks.gossip.peer_sampling import PeerRecord
 from meadowworks.gossip.updates import SourceDelta
 
-if TYPE_CHECKING:  # a proxy sends no consensus messages: their import would be a tenth of its start
+if TYPE_CHECKING:  # a proxy needs no consensus messages; importing them takes a tenth of its start time
     from meadowworks.consensus.messages import QueryReply
     from meadowworks.consensus.values import DigestHistory, Epoch
 
-# What decoding a message of another shape raises.
-DECODE_ERRORS = (TypeError, ValueError, AttributeError, LookupError)
+DECODE_ERRORS = (TypeError, ValueError, AttributeError, LookupError)  # raised for malformed messages
 
 
 class MalformedMessageError(ValueError):
-    """A body that is no message between nodes. A retry of the same body fails alike."""
+    """Raised for a body that is not a valid message. A retry with the same body fails, too."""
 
 
 class DrainAcknowledgement(NamedTuple):
-    """All drains that a source has published up to a version are on the sender's disk.
+    """The statement that all drains of a source up to a version are on the sender's disk.
 
-    A version vector can't state this: it tells what is in memory.
+    A version vector does not imply this, since it covers updates that are only in memory.
     """
 
     source: str
@@ -38,7 +37,7 @@
 
 
 class CompressedConfig(NamedTuple):
-    """A version of the configuration, compressed by zlib; 0 and nothing where none is held."""
+    """A version of the configuration, compressed with zlib; version 0 and no data if there is none."""
 
     version: int = 0
     data: bytes = b""
@@ -46,17 +45,16 @@
 
 @dataclass(frozen=True, slots=True)
 class PullRequest:
-    """Asks a control-plane node for the updates that the sender lacks.
+    """A request to a control-plane node for the updates that the sender lacks.
 
     :ivar sender: the requester's own record.
-    :ivar peers: a sample of its view; empty where none is wanted in return.
-    :ivar version_vector: by source, the newest version that it holds.
-    :ivar config_version: the version of the configuration that it holds; 0 for none.
-    :ivar max_wait_ms: for how long the reply may be held back for want of urgent updates.
-    :ivar load_report: what a proxy has counted since its last pull, as ``load_balancing.load_reports``
-        encodes it.
-    :ivar epoch_number: the newest epoch of members that a control-plane node knows; None from a proxy.
-    :ivar drain_acknowledgement: of the node asked, from a control-plane node.
+    :ivar peers: a sample of its view; if empty, the reply carries no sample either.
+    :ivar version_vector: by source, the newest version that the requester has.
+    :ivar config_version: the version of the requester's configuration; 0 for none.
+    :ivar max_wait_ms: the maximum time for which the reply may be delayed if there is no urgent update.
+    :ivar load_report: a proxy's counts since its last pull, as encoded by ``load_balancing.load_reports``.
+    :ivar epoch_number: the newest membership epoch of a control-plane node; None from a proxy.
+    :ivar drain_acknowledgement: from a control-plane node, for drains of the receiving node.
     """
 
     sender: PeerRecord
@@ -69,7 +67,7 @@
     drain_acknowledgement: DrainAcknowledgement | None = None
 
     def encode(self) -> bytes:
-        """Returns the body of the call."""
+        """Return the body of the request."""
         acknowledgement = self.drain_acknowledgement
         return encode(
             [
@@ -87,16 +85,16 @@
 
 @dataclass(frozen=True, slots=True)
 class PullReply:
-    """What a control-plane node knows and the requester lacks.
+    """The reply of a control-plane node, with the updates that the requester lacks.
 
     :ivar sender: the node's own record.
     :ivar peers: a sample of its view, if the request carried one.
-    :ivar has_lease: whether a majority of disks has answered the node recently; without it what the node
-        says may be out of date.
+    :ivar has_lease: whether a majority of disks has answered the node recently; otherwise the reply may be
+        stale.
     :ivar config: the configuration, if it is newer than the requester's.
-    :ivar acceptor_state: between control-plane nodes, what the node's acceptor says of itself.
-    :ivar epoch: between control-plane nodes, the members, if the requester knows older ones.
-    :ivar decided_digests: between control-plane nodes, digests of earlier versions, beside ``config``.
+    :ivar acceptor_state: between control-plane nodes, the state of the node's acceptor.
+    :ivar epoch: between control-plane nodes, the members, if the requester's epoch is older.
+    :ivar decided_digests: between control-plane nodes, digests of earlier versions, sent with ``config``.
     """
 
     sender: PeerRecord
@@ -109,7 +107,7 @@
     decided_digests: DigestHistory = ()
 
     def encode(self) -> bytes:
-        """Returns the body of the reply."""
+        """Return the body of the reply."""
         return encode(
             [
                 encode_peer(self.sender),
@@ -122,7 +120,7 @@
         )
 
     def encode_consensus_fields(self) -> list[Any]:
-        """Returns the fields between control-plane nodes, as they stand at a reply's end."""
+        """Return the last fields of a reply, which only control-plane nodes exchange."""
         if self.acceptor_state is None and self.epoch is None:
             return [None, None, []]
         from meadowworks.consensus import codec
@@ -130,48 +128,48 @@
         return [
             None if self.acceptor_state is None else codec.encode(self.acceptor_state),
             None if self.epoch is None else codec.encode_epoch(self.epoch),
-            [list(one) for one in self.decided_digests],
+            [list(entry) for entry in self.decided_digests],
         ]
 
 
 def encode(value: Any) -> bytes:
-    """Encodes a value of lists, maps, strings, numbers and bytes."""
+    """Encode a value made of lists, maps, strings, numbers and bytes."""
     return msgpack.packb(value, use_bin_type=True)  # type: ignore[no-any-return]
 
 
 def decode(body: bytes) -> Any:
-    """Decodes what ``encode`` returns.
+    """Decode a body that ``encode`` has returned.
 
-    :raises MalformedMessageError: for any other body.
+    :raises MalformedMessageError: if the body is not valid msgpack.
     """
     try:
         return msgpack.unpackb(body, raw=False, strict_map_key=False)
-    except Exception as error:  # the library raises half a dozen kinds
-        raise MalformedMessageError(f"no msgpack: {error}") from None
+    except Exception as error:  # msgpack raises many unrelated types
+        raise MalformedMessageError(f"invalid msgpack: {error}") from None
 
 
 def decode_consensus_fields(
-    seen: Any, epoch: Any, history: Any
+    acceptor_state: Any, epoch: Any, digests: Any
 ) -> tuple[QueryReply | None, Epoch | None, DigestHistory]:
-    """Reads the fields between control-plane nodes.
+    """Decode the fields that only control-plane nodes exchange.
 
     :raises ValueError, TypeError, KeyError: if they are malformed.
     """
-    if seen is None and epoch is None and history == []:
+    if acceptor_state is None and epoch is None and digests == []:
         return None, None, ()
     from meadowworks.consensus import codec
     from meadowworks.consensus.messages import QueryReply
 
-    found = None if seen is None else codec.decode(seen)
-    if not (found is None or isinstance(found, QueryReply)):
-        raise ValueError("no state of an acceptor")
-    return found, None if epoch is None else codec.decode_epoch(epoch), codec.decode_history(history)
+    state = None if acceptor_state is None else codec.decode(acceptor_state)
+    if not (state is None or isinstance(state, QueryReply)):
+        raise ValueError(f"expected the state of an acceptor, not {type(state).__name__}")
+    return state, None if epoch is None else codec.decode_epoch(epoch), codec.decode_history(digests)
 
 
 def decode_pull_request(body: bytes) -> PullRequest:
-    """Decodes the body of a pull.
+    """Decode the body of a pull request.
 
-    :raises MalformedMessageError: if it is none.
+    :raises MalformedMessageError: if it is malformed.
     """
     try:
         sender, peers, vector, config_version, max_wait_ms, load_report, epoch, acknowledgement = decode(body)
@@ -186,18 +184,18 @@
             None if acknowledgement is None else decode_acknowledgement(acknowledgement),
         )
     except DECODE_ERRORS as error:
-        raise MalformedMessageError(f"no pull: {error}") from None
+        raise MalformedMessageError(f"malformed pull request: {error}") from None
 
 
 def decode_pull_reply(body: bytes) -> PullReply:
-    """Decodes the reply to a pull.
+    """Decode the body of a pull reply.
 
-    :raises MalformedMessageError: if it is none.
+    :raises MalformedMessageError: if it is malformed.
     """
     try:
         sender, peers, deltas, has_lease, config, acceptor_state, epoch, digests = decode(body)
         if config is not None and not isinstance(config[1], bytes):
-            raise ValueError("no configuration")
+            raise ValueError("the data of the configuration is not bytes")
         return PullReply(
             decode_peer(sender),
             tuple(map(decode_peer, peers)),
@@ -207,11 +205,11 @@
             *decode_consensus_fields(acceptor_state, epoch, digests),
         )
     except DECODE_ERRORS as error:
-        raise MalformedMessageError(f"no reply to a pull: {error}") from None
+        raise MalformedMessageError(f"malformed pull reply: {error}") from None
 
 
 def encode_peer(peer: PeerRecord) -> list[Any]:
-    """Returns a peer's record as it stands in a message."""
+    """Return a peer's record as encoded in a message."""
     return [
         peer.name,
         peer.host,
@@ -224,9 +222,9 @@
 
 
 def decode_peer(raw: Any) -> PeerRecord:
-    """Reads a peer's record.
+    """Decode a peer's record.
 
-    :raises ValueError, TypeError: if it is none.
+    :raises ValueError, TypeError: if it is malformed.
     """
     name, host, port, zone, is_voter, incarnation, heartbeat = raw
     return PeerRecord(
@@ -235,18 +233,18 @@
 
 
 def encode_delta(delta: SourceDelta) -> list[Any]:
-    """Returns a delta as it stands in a message."""
+    """Return a delta as encoded in a message."""
     return [delta.source, delta.is_snapshot, delta.latest_version, [list(change) for change in delta.changes]]
 
 
 def decode_delta(raw: Any) -> SourceDelta:
-    """Reads a delta.
+    """Decode a delta.
 
-    :raises ValueError, TypeError: if it is none.
+    :raises ValueError, TypeError: if it is malformed.
     """
     source, is_snapshot, latest_version, changes = raw
     if not isinstance(source, str) or not isinstance(latest_version, int):
-        raise ValueError("no delta of a source")
+        raise ValueError("expected a string as source and an integer as version of a delta")
     return SourceDelta(
         source,
         bool(is_snapshot),
@@ -256,8 +254,8 @@
 
 
 def decode_acknowledgement(raw: Any) -> DrainAcknowledgement:
-    """Reads an acknowledgement of drains.
+    """Decode an acknowledgement of drains.
 
-    :raises ValueError, TypeError, LookupError: if it is none.
+    :raises ValueError, TypeError, LookupError: if it is malformed.
     """
     return DrainAcknowledgement(str(raw[0]), int(raw[1]))
--- a/meadowworks/gossip/updates.py
+++ b/meadowworks/gossip/updates.py
@@ -1,9 +1,9 @@
 """Versioned updates by source, reconciled by version vectors.
 
-Each process is a source: it numbers the updates of its own keys, and every other process passes them on
-unchanged. A process states by a version vector up to which version it holds each source, and gets what it
-lacks: a snapshot where it knows nothing of a source or fell behind its compacted versions, otherwise the
-changes since. A source's versions never go back; a process that restarts is a new source.
+Each process is a source: it assigns versions to the updates of its own keys, and other processes forward them
+unchanged. A process sends a version vector, with the version that it has of each source, and receives the
+missing updates: a snapshot if it has none of a source or is behind the source's compacted version, otherwise
+the changes since its version. The versions of a source never decrease; a restarted process is a new source.
 
 Source: Scuttlebutt reconciliation (van Renesse et al., "Efficient Reconciliation and Flow Control for
 Anti-Entropy Protocols", LADIS 2008). As there, only the latest value of a key is kept.
@@ -17,26 +17,26 @@
 
 from sortedcontainers import SortedDict
 
-# A source without updates for this long has ended: control-plane nodes publish one each second.
+# A source without updates for this long expires. Control-plane nodes publish an update every second.
 SOURCE_EXPIRY_NS = 60_000_000_000
-# Deleted keys that a source remembers. A process that lags further behind gets a snapshot, so this bounds
-# the memory of a source whose keys come and go.
+# Tombstones kept per source; bounds memory when keys are created and deleted continually. A process that
+# lacks a dropped tombstone gets a snapshot.
 MAX_TOMBSTONES = 256
-NO_VERSION = -1  # below the first version of a source
+NO_VERSION = -1  # less than any version of a source
 
-Value: TypeAlias = Any  # what msgpack carries; None deletes the key
-# A plain tuple: a reply may carry thousands of changes.
+Value: TypeAlias = Any  # a value that msgpack can encode; None deletes the key
+# A plain tuple, since a reply may contain thousands of changes.
 Change: TypeAlias = tuple[int, str, Value]  # version, key, value
 
 
 @dataclass(slots=True)
 class SourceLog:
-    """The latest value of each key of one source, in the order of their versions.
+    """The latest value of each key of one source, in the order of versions.
 
-    :ivar latest_version: the newest version held.
-    :ivar compacted_version: up to here tombstones are dropped; who lags behind it needs a snapshot.
-    :ivar entries: by key, the version and value of its last change.
-    :ivar last_update_ns: when ``latest_version`` last rose, by this process's clock.
+    :ivar latest_version: the newest version received.
+    :ivar compacted_version: tombstones up to it may have been dropped; a process behind it needs a snapshot.
+    :ivar entries: by key, the version and the value of its last change.
+    :ivar last_update_ns: the time at which ``latest_version`` last increased, by this process's clock.
     """
 
     latest_version: int = 0
@@ -46,7 +46,7 @@
     last_update_ns: int = 0
 
     def put(self, version: int, key: str, value: Value) -> None:
-        """Replaces the value of a key."""
+        """Replace the value of a key."""
         if replaced := self.entries.get(key):
             self.key_by_version.pop(replaced[0], None)
         self.entries[key] = version, value
@@ -54,7 +54,7 @@
         self.latest_version = max(self.latest_version, version)
 
     def compact(self, max_tombstones: int) -> None:
-        """Drops the oldest tombstones beyond a number."""
+        """Drop the oldest tombstones beyond a maximum number."""
         tombstones = [
             (version, key) for version, key in self.key_by_version.items() if self.entries[key][1] is None
         ]
@@ -64,7 +64,7 @@
             self.compacted_version = max(self.compacted_version, version)
 
     def changes_since(self, version: int) -> tuple[Change, ...]:
-        """Returns the changes after a version; all of them for ``NO_VERSION``."""
+        """Return the changes after a version; all of them for ``NO_VERSION``."""
         versions: Iterable[int] = (
             self.key_by_version if version == NO_VERSION else self.key_by_version.irange(version + 1)
         )
@@ -73,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyUpdate:
-    """An event: a source has published a new value of a key, or deleted it (``value`` is None)."""
+    """The event that a source has published a new value of a key, or has deleted the key (value None)."""
 
     source: str
     key: str
@@ -82,10 +82,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SourceDelta:
-    """What a process lacks of one source.
+    """The updates of one source that a process lacks.
 
-    :ivar is_snapshot: ``changes`` are all keys of the source and replace what is held of it.
-    :ivar latest_version: the version of the source that is reached with these changes.
+    :ivar is_snapshot: whether ``changes`` contains all keys of the source and replaces its previous keys.
+    :ivar latest_version: the version of the source after these changes.
     """
 
     source: str
@@ -95,13 +95,13 @@
 
 
 class UpdateStore:
-    """The updates of all sources that this process knows, and those it publishes itself.
+    """The updates of all sources, including those that this process publishes.
 
-    :ivar source_id: the source under which this process publishes; new at each start.
-    :ivar sources: by source, what is held of it.
-    :ivar update_listeners: called with each update, also with those of this process.
-    :ivar version_listeners: called with a source and a version once every update up to it has been handed
-        to ``update_listeners``.
+    :ivar source_id: the source of this process; new at each start.
+    :ivar sources: by source, its log.
+    :ivar update_listeners: called with each update, including those of this process.
+    :ivar version_listeners: called with a source and a version after ``update_listeners`` have been called
+        with every update up to this version.
     """
 
     def __init__(self, source_id: str, max_tombstones: int = MAX_TOMBSTONES) -> None:
@@ -112,9 +112,9 @@
         self.version_listeners: list[Callable[[str, int], None]] = []
 
     def publish(self, key: str, value: Value) -> int:
-        """Publishes a value of a key of this process, or deletes the key.
+        """Publish the value of a key of this process; None deletes the key.
 
-        :returns: the version of this update.
+        :returns: the version of the update.
         """
         log = self.sources[self.source_id]
         log.put(log.latest_version + 1, key, value)
@@ -126,29 +126,29 @@
         return version
 
     def remote_version_vector(self) -> dict[str, int]:
-        """Returns the newest version held of each other source: what a pull states."""
+        """Return the newest version of each other source, as sent in a pull request."""
         return {name: log.latest_version for name, log in self.sources.items() if name != self.source_id}
 
     def version_vector(self) -> dict[str, int]:
-        """Returns the newest version held of each source, this process included."""
+        """Return the newest version of each source, including this process."""
         return {name: log.latest_version for name, log in self.sources.items()}
 
     def deltas_since(self, vector: Mapping[str, int], requester: str) -> list[SourceDelta]:
-        """Returns what a process with this version vector lacks, its own updates left out."""
+        """Return the updates that a process with this version vector lacks, except for its own."""
         deltas = []
         for name, log in self.sources.items():
-            held = vector.get(name, NO_VERSION)
-            if name == requester or held >= log.latest_version:
+            version = vector.get(name, NO_VERSION)
+            if name == requester or version >= log.latest_version:
                 continue
-            is_snapshot = held < log.compacted_version or held < 0
-            changes = log.changes_since(NO_VERSION if is_snapshot else held)
+            is_snapshot = version < log.compacted_version or version < 0
+            changes = log.changes_since(NO_VERSION if is_snapshot else version)
             deltas.append(SourceDelta(name, is_snapshot, log.latest_version, changes))
         return deltas
 
     def apply(self, now_ns: int, delta: SourceDelta) -> None:
-        """Takes in a delta and notifies the listeners of what it changes.
+        """Apply a delta and notify the listeners of the changes.
 
-        A delta older than what is held changes nothing: replies may come late, twice or out of order.
+        A delta that is not newer than the log is ignored: replies may arrive late, twice or out of order.
         """
         if delta.source == self.source_id:
             return
@@ -160,21 +160,21 @@
         if delta.is_snapshot:
             self._delete_missing_keys(log, delta)
         for version, key, value in delta.changes:
-            held = log.entries.get(key)
-            if held is not None and held[0] >= version:
+            entry = log.entries.get(key)
+            if entry is not None and entry[0] >= version:
                 continue
             log.put(version, key, value)
-            if held is None or held[1] != value:
+            if entry is None or entry[1] != value:
                 self.notify_update(KeyUpdate(delta.source, key, value))
         log.latest_version = max(log.latest_version, delta.latest_version)
         log.last_update_ns = now_ns
         self._notify_version(delta.source, log.latest_version)
 
     def _delete_missing_keys(self, log: SourceLog, snapshot: SourceDelta) -> None:
-        """Deletes the keys that a snapshot no longer contains."""
+        """Delete the keys that a snapshot no longer contains."""
         missing = set(log.entries) - {key for _, key, _ in snapshot.changes}
-        # A snapshot lacks the tombstones that the source has compacted: a process that lags behind it would
-        # keep those keys if it got changes from here, so it gets a snapshot too.
+        # Prevents a process behind this version from keeping deleted keys: the snapshot lacks the tombstones
+        # that the source has dropped, so this process, too, can only forward a snapshot.
         log.compacted_version = snapshot.latest_version
         for key in missing:
             version, value = log.entries.pop(key)
@@ -183,24 +183,24 @@
                 self.notify_update(KeyUpdate(snapshot.source, key, None))
 
     def silence_ns(self, now_ns: int, source_id: str) -> int:
-        """Returns for how long a source has published nothing, in nanoseconds; 0 for this process."""
+        """Return the time since a source's last update in nanoseconds; 0 for this process."""
         if source_id == self.source_id:
             return 0
         log = self.sources.get(source_id)
         return now_ns - log.last_update_ns if log else SOURCE_EXPIRY_NS
 
     def expire_sources(self, now_ns: int) -> list[str]:
-        """Forgets the sources that have ended, and notifies the listeners that their keys are deleted.
+        """Remove expired sources and notify the listeners that their keys are deleted.
 
-        :returns: the sources that were forgotten.
+        :returns: the removed sources.
         """
         silence_ns = {
             name: now_ns - log.last_update_ns for name, log in self.sources.items() if name != self.source_id
         }
-        # Guards against a partition: where no source at all is received, it is this process that is cut off.
-        if all(silent > SOURCE_EXPIRY_NS for silent in silence_ns.values()):
+        # Prevents a partition that cuts this process off from expiring all sources.
+        if all(silence > SOURCE_EXPIRY_NS for silence in silence_ns.values()):
             return []
-        expired = [name for name, silent in silence_ns.items() if silent > SOURCE_EXPIRY_NS]
+        expired = [name for name, silence in silence_ns.items() if silence > SOURCE_EXPIRY_NS]
         for name in expired:
             for key, (_, value) in self.sources.pop(name).entries.items():
                 if value is not None:
@@ -208,7 +208,7 @@
         return expired
 
     def notify_update(self, update: KeyUpdate) -> None:
-        """Hands an update to the listeners."""
+        """Call the update listeners with an update."""
         for listener in self.update_listeners:
             listener(update)
 
