--- a/meadowworks/gossip/peer_sampling.py
+++ b/meadowworks/gossip/peer_sampling.py
@@ -83,8 +83,8 @@
     def _supersede_earlier_incarnation(self, record: PeerRecord) -> None:
         """Raise this process's heartbeat above that of an earlier incarnation.
 
-        Prevents peers from ignoring this process until its heartbeat has caught up with the earlier record, if
-        the clock was set back before the start of this process.
+        Prevents peers from ignoring this process until its heartbeat has caught up with the earlier record,
+        if the clock was set back before the start of this process.
         """
         if record.incarnation != self.local.incarnation and record.heartbeat >= self.local.heartbeat:
             self.local = replace(self.local, heartbeat=record.heartbeat + 1)
