--- a/tests/gateway/configurations.py
+++ b/tests/gateway/configurations.py
@@ -1,4 +1,4 @@
-"""A small configuration that several tests change."""
+"""A small configuration that several tests modify."""
 
 from __future__ import annotations
 
--- a/tests/gateway/durable_node.py
+++ b/tests/gateway/durable_node.py
@@ -1,4 +1,4 @@
-"""A control-plane node's registry with a disk that is written by hand."""
+"""The registry of a control-plane node with a disk whose writes the test triggers."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def heartbeat(state: str = "up", sequence: int = 1, **fields: Any) -> dict[str, Any]:
-    """A heartbeat's document; `fields` replace those on its top level."""
+    """Return a heartbeat document; `fields` replace its top-level fields."""
     return {
         "addr": "10.0.0.9:80",
         "details": {"svc": "s", "ver": "v1", "zone": "north", "capacity": 2},
@@ -19,7 +19,7 @@
 
 
 class DurableNode(RegistryNode):
-    """Registers four instances at most. `rows` are what its disk holds, from the start on."""
+    """A registry of at most four instances; `rows` is the content of its disk."""
 
     def __init__(self, host: str, incarnation: int = 1, rows: dict[str, Any] | None = None) -> None:
         super().__init__(f"{host}.{incarnation}", max_registrations=4)
@@ -29,14 +29,14 @@
         self.heartbeats.restore(0, self.rows)
 
     def write_all(self) -> None:
-        """Writes until nothing is owed to the disk."""
+        """Write batches until no write is pending."""
         while batch := self.drain_log.next_batch():
             rows = {**self.rows, **batch.rows}
             self.rows = {key: value for key, value in rows.items() if key not in batch.deleted}
             self.drain_log.on_written()
 
     def pull(self, other: RegistryNode, reply: bool = True) -> None:
-        """Pulls, with an acknowledgement of the other's present incarnation; the reply may be lost."""
+        """Pull from a node and acknowledge its drains; without `reply`, the reply is lost."""
         self.acknowledge_drains(self.host, other.source_id, other)
         if reply:
             for delta in other.deltas_for(self):
@@ -49,7 +49,7 @@
         tolerated_failures: int = 1,
         is_voter: bool = True,
     ) -> bool:
-        """Whether the call with this outcome may be acknowledged."""
+        """Return whether the call with this outcome may be acknowledged."""
         assert isinstance(outcome, CallAccepted)
         assert outcome.version
         return self.drain_log.is_replicated(outcome.version, voters, tolerated_failures, is_voter)
--- a/tests/gateway/test_backend_directory.py
+++ b/tests/gateway/test_backend_directory.py
@@ -1,4 +1,4 @@
-"""The merged state of a backend: it never goes back, whoever reports it and in whatever order."""
+"""The merged state of a backend, which never regresses, and suspicion of silent backends."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 from tests.gateway.helpers import HEARTBEAT, SECOND, recording_publisher
 
 
-def test_a_backend_never_goes_back_whoever_reports_it_and_in_whatever_order() -> None:
+def test_the_state_of_a_backend_never_regresses_in_any_order_of_reports() -> None:
     up, drain = ["s", "h:1", "z", 2.0, "up", 5, 0, 0], ["s", "h:1", "z", 2.0, "draining", 6, 0, 0]
-    gone, quiet = ["", "", "", 0.0, "gone", 0, 0, 0], ["s", "h:1", "z", 2.0, "up", 5, 0, 1]
+    gone, suspect = ["", "", "", 0.0, "gone", 0, 0, 0], ["s", "h:1", "z", 2.0, "up", 5, 0, 1]
     for first, second, state in (
         (up, drain, "draining"),
         (drain, up, "draining"),
         (up, gone, "gone"),
         (gone, up, "gone"),
-        (quiet, up, "up"),
-        (up, quiet, "up"),
+        (suspect, up, "up"),
+        (up, suspect, "up"),
     ):
         directory = BackendDirectory(lambda _: 0, lambda: 0)
         directory.on_update(KeyUpdate("one", "b/i", up))
@@ -33,14 +33,14 @@
     assert registry.record_heartbeat(0, "i", HEARTBEAT) == CallAccepted(0)
     drained = {**HEARTBEAT, "status": {"state": "draining", "calls": 5}}
     assert registry.record_heartbeat(1, "i", drained) == accepted
-    assert registry.record_heartbeat(2, "i", HEARTBEAT) == accepted  # a late one
+    assert registry.record_heartbeat(2, "i", HEARTBEAT) == accepted  # late heartbeat
     assert registry.registrations["i"].state == "draining"
     assert registry.leave(3, "i") == accepted
     assert registry.record_heartbeat(4, "i", drained) == accepted
     assert registry.registrations["i"].state == "gone"
 
 
-def test_a_silent_backend_is_suspect_and_a_silent_source_vouches_for_nobody() -> None:
+def test_a_backend_is_suspect_without_heartbeats_or_without_reports_of_live_sources() -> None:
     published: list[Any] = []
     registry = HeartbeatRegistry(recording_publisher(published), 1000)
     registry.record_heartbeat(0, "i", HEARTBEAT)
@@ -50,14 +50,14 @@
     assert published[-1][-1] == 1
     registry.record_heartbeat(6 * SECOND, "i", {**HEARTBEAT, "status": {"state": "up", "calls": 9}})
     assert published[-1][-1] == 0
-    silent = {"one": 0, "two": 0}
-    directory = BackendDirectory(lambda name: silent[name], lambda: 0)
+    silence_ns = {"one": 0, "two": 0}
+    directory = BackendDirectory(lambda name: silence_ns[name], lambda: 0)
     directory.on_update(KeyUpdate("one", "b/i", published[0]))
     directory.on_update(KeyUpdate("two", "b/j", published[0]))
-    silent["one"] = 9 * SECOND
+    silence_ns["one"] = 9 * SECOND
     directory.refresh_all()
     assert (directory.instances["i"].state, directory.instances["j"].state) == ("quiet", "up")
-    silent["two"] = 9 * SECOND  # nobody at all is heard: that says nothing of the backends
+    silence_ns["two"] = 9 * SECOND  # without any live source, no backend is suspect
     directory.refresh_all()
     assert directory.instances["i"].state == "up"
 
@@ -76,13 +76,13 @@
         {"state": "well"},
     ],
 )
-def test_a_malformed_report_changes_nothing_and_leaves_nothing(changed: dict[str, Any]) -> None:
+def test_a_malformed_report_is_ignored_and_leaves_no_entry(changed: dict[str, Any]) -> None:
     directory = BackendDirectory(lambda _: 0, lambda: 0)
-    sound = BackendValue("s", "h:1", "z", 2.0, "up", 1, 0, 0)
-    directory.on_update(KeyUpdate("source", "b/i", list(sound._replace(**changed))))
+    valid = BackendValue("s", "h:1", "z", 2.0, "up", 1, 0, 0)
+    directory.on_update(KeyUpdate("source", "b/i", list(valid._replace(**changed))))
     assert not directory.reports
     assert not directory.instances
-    directory.on_update(KeyUpdate("source", "b/i", list(sound)))
+    directory.on_update(KeyUpdate("source", "b/i", list(valid)))
     assert directory.instances["i"].state == "up"
     directory.on_update(KeyUpdate("source", "b/i", None))
     directory.on_update(KeyUpdate("source", "b/unknown", None))
--- a/tests/gateway/test_configuration.py
+++ b/tests/gateway/test_configuration.py
@@ -1,4 +1,4 @@
-"""Configurations: what the operators' page calls invalid is rejected, and what is valid loads."""
+"""Configurations that the documentation calls invalid are rejected; all accepted ones load."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 
 
 def test_a_mutated_configuration_is_rejected_or_loads() -> None:
-    refused = 0
-    for where, mutant in mutants(CONFIG):
+    rejected = 0
+    for path, mutant in mutants(CONFIG):
         body = json.dumps(mutant).encode()
-        found = validate_configuration(body)
-        refused += isinstance(found, InvalidConfiguration)
-        if isinstance(found, ValidConfiguration):
+        result = validate_configuration(body)
+        rejected += isinstance(result, InvalidConfiguration)
+        if isinstance(result, ValidConfiguration):
             load_route_table(body)
-        if where in (("ver",), ("svcs",), ("limits",), ("vhosts",)):
-            assert isinstance(found, InvalidConfiguration)
-    assert refused > 60
+        if path in (("ver",), ("svcs",), ("limits",), ("vhosts",)):
+            assert isinstance(result, InvalidConfiguration)
+    assert rejected > 60
 
 
 @pytest.mark.parametrize(
@@ -42,19 +42,19 @@
         ("split", [{"svc": "s", "weight": 0}]),
     ],
 )
-def test_what_the_operators_page_calls_invalid_is_rejected(field: str, value: Any) -> None:
-    wrong = copy.deepcopy(CONFIG)
+def test_a_configuration_that_the_documentation_calls_invalid_is_rejected(field: str, value: Any) -> None:
+    invalid = copy.deepcopy(CONFIG)
     if field == "split":
-        del wrong["vhosts"][0]["prefixes"][0]["svc"]
-    wrong["vhosts"][0]["prefixes"][0][field] = value
-    assert isinstance(validate_configuration(json.dumps(wrong).encode()), InvalidConfiguration)
+        del invalid["vhosts"][0]["prefixes"][0]["svc"]
+    invalid["vhosts"][0]["prefixes"][0][field] = value
+    assert isinstance(validate_configuration(json.dumps(invalid).encode()), InvalidConfiguration)
     assert validate_configuration(json.dumps(CONFIG).encode()) == ValidConfiguration(7)
     assert isinstance(
         validate_configuration(json.dumps(CONFIG).encode()[:-9]), InvalidConfiguration
-    )  # cut short
+    )  # truncated
 
 
-def test_the_longest_prefix_of_the_host_is_the_route() -> None:
+def test_the_route_with_the_longest_matching_prefix_of_the_host_is_found() -> None:
     table = load_route_table(json.dumps(CONFIG).encode())
     for path, name in (
         ("/a/x", "r0"),
--- a/tests/gateway/test_drain_log.py
+++ b/tests/gateway/test_drain_log.py
@@ -1,4 +1,4 @@
-"""Drains and departures outlive any loss of power that the settings tolerate."""
+"""Drains and departures survive power loss and the tolerated disk failures."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from tests.gateway.helpers import SECOND
 
 
-def test_a_drain_is_replicated_only_once_both_disks_have_it_in_whatever_order_things_come() -> None:
+def test_a_drain_is_replicated_only_once_both_disks_have_it() -> None:
     a, b = DurableNode("a"), DurableNode("b")
     a.heartbeats.record_heartbeat(0, "i", heartbeat())
     b.pull(a)
@@ -18,15 +18,15 @@
     assert isinstance(drained, CallAccepted)
     assert not a.is_replicated(drained)
     a.write_all()
-    assert not a.is_replicated(drained)  # b's acknowledgement is of an earlier version
+    assert not a.is_replicated(drained)  # b has acknowledged an earlier version only
     b.pull(a, reply=False)
     b.pull(a)
-    b.pull(a)  # b has the drain in its memory alone
+    b.pull(a)  # b has the drain in memory only
     assert not a.is_replicated(drained)
     assert b.updates.remote_version_vector()[a.source_id] == drained.version
     b.write_all()
     assert not a.is_replicated(drained)  # b has not acknowledged it yet
-    b.pull(a, reply=False)  # the reply is lost, but the request came, with the acknowledgement
+    b.pull(a, reply=False)  # the request arrives with the acknowledgement, but the reply is lost
     assert a.is_replicated(drained)
     assert not a.is_replicated(drained, ())
     assert not a.is_replicated(drained, ("b",), 2)
@@ -34,7 +34,7 @@
     assert a.is_replicated(drained, ("b",), 0, is_voter=False)
 
 
-def test_the_own_disk_counts_only_once_it_is_written() -> None:
+def test_the_own_disk_counts_only_after_its_write() -> None:
     a, b = DurableNode("a"), DurableNode("b")
     drained = a.heartbeats.record_heartbeat(0, "i", heartbeat("draining"))
     b.pull(a)
@@ -50,7 +50,7 @@
     assert "i" in a.rows
 
 
-def test_a_drain_that_comes_during_a_write_waits_for_the_next_write() -> None:
+def test_a_drain_during_a_write_becomes_durable_with_the_next_write() -> None:
     a, b = DurableNode("a"), DurableNode("b")
     first = a.heartbeats.record_heartbeat(0, "i", heartbeat("draining"))
     b.pull(a)
@@ -59,7 +59,7 @@
     a.updates.publish("pulse", 1)
     b.pull(a)
     b.pull(a)
-    assert not a.is_replicated(first)  # newer updates that need no write do not end the write in flight
+    assert not a.is_replicated(first)  # updates that need no write do not complete the write in flight
     second = a.heartbeats.record_heartbeat(0, "j", heartbeat("draining"))
     third = a.heartbeats.record_heartbeat(0, "k", heartbeat("draining"))
     b.pull(a)
@@ -80,7 +80,7 @@
     assert a.is_replicated(third)
 
 
-def test_no_instance_is_up_again_after_all_nodes_lose_power_and_one_its_disk() -> None:
+def test_a_drain_survives_power_loss_of_all_nodes_and_the_loss_of_one_disk() -> None:
     nodes = [DurableNode(host) for host in "abc"]
     a, b, c = nodes
     a.heartbeats.record_heartbeat(0, "i", heartbeat())
@@ -91,10 +91,10 @@
     b.write_all()
     b.pull(a)
     assert a.is_replicated(drained, ("b", "c"))
-    for lost in (a, b):  # its disk does not come back
+    for lost in (a, b):  # its disk is lost
         restarted = [DurableNode(node.host, 2, node.rows) for node in nodes if node is not lost]
         for node in restarted:
-            node.heartbeats.record_heartbeat(2, "i", heartbeat("up", 1))  # a late one
+            node.heartbeats.record_heartbeat(2, "i", heartbeat("up", 1))  # late heartbeat
         for node in restarted:
             for source in restarted:
                 if source is not node:
@@ -103,7 +103,7 @@
         assert states == ["draining"] * 2, lost.host
 
 
-def test_acknowledgements_between_other_incarnations_say_nothing_of_the_present_ones() -> None:
+def test_acknowledgements_of_other_incarnations_are_ignored() -> None:
     a, b = DurableNode("a"), DurableNode("b")
     for sequence in range(5):
         a.heartbeats.record_heartbeat(0, f"i{sequence % 3}", heartbeat("draining", sequence))
@@ -122,17 +122,17 @@
     assert len(restarted.drain_log.acknowledged_versions) <= 64
 
 
-def test_a_drain_outlives_the_node_that_reported_it_and_is_forgotten_in_the_end() -> None:
+def test_a_drain_survives_its_reporting_node_and_is_deleted_after_the_retention() -> None:
     a, b = DurableNode("a"), DurableNode("b")
     b.heartbeats.record_heartbeat(0, "i", heartbeat())
     a.heartbeats.record_heartbeat(0, "i", heartbeat("draining"))
     b.pull(a)
     b.write_all()
-    b.heartbeats.tick(SECOND)  # b reports it too from now on
+    b.heartbeats.tick(SECOND)  # b reports the drain, too, from now on
     assert b.directory.reports["i"]["b.1"].state == "draining"
     b.directory.on_update(KeyUpdate("a.1", "b/i", None))
     assert b.directory.instances["i"].state == "draining"
-    b.heartbeats.tick(70 * SECOND)  # silent for long
+    b.heartbeats.tick(70 * SECOND)  # after a long time without heartbeats
     assert "i" not in b.heartbeats.registrations
     assert not b.directory.is_draining_or_gone("i")
     assert b.heartbeats.record_heartbeat(71 * SECOND, "i", heartbeat("up", 0)) != CallAccepted(0)
@@ -154,7 +154,7 @@
     assert batch.deleted == {"6"}
 
 
-def test_malformed_updates_are_no_drains() -> None:
+def test_malformed_updates_are_not_recorded_as_drains() -> None:
     drain_log = DrainLog("me")
     for value in (None, 7, "draining", [], ["draining"] * 4, ["s", "h:1", "z", 2, ["gone"], 1, 0, 0]):
         drain_log.on_update(0, KeyUpdate("s", "b/i", value))
@@ -162,12 +162,12 @@
     assert not drain_log.records
     assert drain_log.next_batch() is None
     drain_log.on_update(0, KeyUpdate("s", "b/i", ["", "", "", 0, "gone", 0, 0, 0]))
-    # This source knows the address.
+    # Only this report contains the address.
     drain_log.on_update(1, KeyUpdate("t", "b/i", ["s", "h:1", "z", 2, "draining", 1, 0, 0]))
     assert drain_log.records["i"].value[:5] == ("s", "h:1", "z", 2, "gone")
 
 
-def test_a_drain_holds_until_the_instance_leaves_long_after() -> None:
+def test_a_drain_is_kept_until_the_instance_leaves() -> None:
     node = DurableNode("a")
     node.heartbeats.record_heartbeat(0, "i", heartbeat())
     drained = node.heartbeats.record_heartbeat(SECOND, "i", heartbeat("draining", 2))
@@ -180,7 +180,7 @@
                 == drained
             )
         assert node.drain_log.state("i") == "draining"
-    # A heartbeat from before the drain comes last of all.
+    # A heartbeat from before the drain arrives last.
     assert node.heartbeats.record_heartbeat(91 * SECOND, "i", heartbeat("up", 1)) != CallAccepted(0)
     assert isinstance(node.heartbeats.leave(92 * SECOND, "i"), CallAccepted)
     assert node.directory.instances["i"].state == "gone"
--- a/tests/gateway/test_heartbeat_schema.py
+++ b/tests/gateway/test_heartbeat_schema.py
@@ -1,11 +1,11 @@
-"""The forms in which a heartbeat's document may come."""
+"""The accepted forms of a heartbeat document."""
 
 from __future__ import annotations
 
 from tests.gateway.durable_node import DurableNode, heartbeat
 
 
-def test_nested_and_flat_fields_and_both_names_of_a_field_are_taken_alike() -> None:
+def test_nested_and_flat_fields_and_alternative_names_are_equivalent() -> None:
     flat = {
         "addr": "10.0.0.9:80",
         "service": "s",
--- a/tests/gateway/test_incremental_json.py
+++ b/tests/gateway/test_incremental_json.py
@@ -1,4 +1,4 @@
-"""`config.incremental_json`: a text that is read in steps has the value that the library reads."""
+"""`config.incremental_json`: the result of the incremental parser equals that of `json.loads`."""
 
 from __future__ import annotations
 
@@ -19,33 +19,33 @@
     '["a",{}]'.encode("utf-16"),
     b"[" * 3000,
 )
-MARKS = (b"{", b"}", b"]", b'"', b",", b":", b"\\", b"0")
-
-
-def mutate(chance: random.Random, text: bytearray) -> None:
-    """Change none, one or two characters, and sometimes drop the rest."""
-    for _ in range(chance.randrange(3)):
-        at = chance.randrange(len(text) or 1)
-        put = chance.choice([text[at : at + 1], b"", chance.choice(MARKS)])
-        text[at : at + chance.choice([0, 1])] = put
-        if chance.random() < 0.1:
-            del text[at:]
-
-
-def test_a_text_read_in_steps_is_what_the_library_reads(monkeypatch: pytest.MonkeyPatch) -> None:
-    chance = random.Random(5)
-    broken = 0
-    for turn in range(4000):
-        monkeypatch.setattr(incremental_json, "WINDOW_CHARS", chance.choice([3, 9, 40]))
-        text = bytearray(TEXTS[turn % len(TEXTS)])
-        mutate(chance, text)
+TOKENS = (b"{", b"}", b"]", b'"', b",", b":", b"\\", b"0")
+
+
+def mutate(rng: random.Random, text: bytearray) -> None:
+    """Change up to two characters, and sometimes truncate the text."""
+    for _ in range(rng.randrange(3)):
+        position = rng.randrange(len(text) or 1)
+        inserted = rng.choice([text[position : position + 1], b"", rng.choice(TOKENS)])
+        text[position : position + rng.choice([0, 1])] = inserted
+        if rng.random() < 0.1:
+            del text[position:]
+
+
+def test_parsing_in_steps_yields_the_value_of_json_loads(monkeypatch: pytest.MonkeyPatch) -> None:
+    rng = random.Random(5)
+    invalid = 0
+    for iteration in range(4000):
+        monkeypatch.setattr(incremental_json, "WINDOW_CHARS", rng.choice([3, 9, 40]))
+        text = bytearray(TEXTS[iteration % len(TEXTS)])
+        mutate(rng, text)
         body = bytes(text)
         try:
             value = json.loads(body)
         except (ValueError, RecursionError):
-            broken += 1
+            invalid += 1
             with pytest.raises((ValueError, RecursionError)):
                 run_to_completion(parse_json_steps(body))
         else:
             assert repr(run_to_completion(parse_json_steps(body))) == repr(value)
-    assert 1000 < broken < 3500
+    assert 1000 < invalid < 3500
--- a/tests/gateway/test_validation.py
+++ b/tests/gateway/test_validation.py
@@ -1,4 +1,4 @@
-"""`config.validation`: its verdicts are those of the schema alone, whatever is read past it."""
+"""`config.validation`: its results equal those of a validation by the schema alone."""
 
 from __future__ import annotations
 
@@ -25,36 +25,36 @@
 from tests.gateway.mutations import mutants
 
 
-def reference_verdict(body: bytes) -> ValidConfiguration | InvalidConfiguration:
-    """The verdict in the plain way: the schema reads all, then what it can't see is looked for."""
+def reference_result(body: bytes) -> ValidConfiguration | InvalidConfiguration:
+    """Validate with the schema alone, then check the consistency between elements."""
     try:
         document = json.loads(body)
     except (ValueError, RecursionError):
         return InvalidConfiguration("it cannot be read whole")
     try:
-        found = ConfigurationSchema().load(document)
+        loaded = ConfigurationSchema().load(document)
     except ValidationError as error:
         return InvalidConfiguration(first_error(error.messages))
-    services = [service["name"] for service in found["services"]]
+    services = [service["name"] for service in loaded["services"]]
     if len(set(services)) < len(services):
         return InvalidConfiguration("two services have the same name")
-    places: set[tuple[str, str]] = set()
+    prefixes: set[tuple[str, str]] = set()
     names: set[str] = set()
-    for host in found["hosts"]:
+    for host in loaded["hosts"]:
         for route in host["prefixes"]:
             if inconsistency := route_error(route, set(services)):
                 return InvalidConfiguration(f"route {route.name}: {inconsistency}")
-            place = (host["host"].lower(), route.prefix)
-            if place in places or route.name in names:
+            host_and_prefix = (host["host"].lower(), route.prefix)
+            if host_and_prefix in prefixes or route.name in names:
                 return InvalidConfiguration(
                     f"route {route.name}: another route has the same name, or the same host and prefix"
                 )
-            places.add(place)
+            prefixes.add(host_and_prefix)
             names.add(route.name)
-    return ValidConfiguration(int(found["version"], 16))
+    return ValidConfiguration(int(loaded["version"], 16))
 
 
-ODD_VALUES: tuple[Any, ...] = (
+REPLACEMENT_VALUES: tuple[Any, ...] = (
     *(0, 0.0, -0.0, 1e999, -1, 1e-9, 60_900, 60_899.9, 10**400, 1e15, 2**70, float("nan")),
     *("2", "x", "", " ", "/", "/a/", "a", "s", "t", "safe", "ONE.example", "0000000C", "0000000c\n"),
     *(None, True, False, [], {}, [[]], [None]),
@@ -62,51 +62,53 @@
 )
 
 
-def odd_value(chance: random.Random, value: Any) -> Any:
-    """What may stand in a value's place: figures at the bounds, other types, what is another's."""
-    return chance.choice([*ODD_VALUES, value, [value], [value, value], {"a": value}])
+def replacement_value(rng: random.Random, value: Any) -> Any:
+    """Return a replacement for a value: a number at a bound, another type or the value of another element."""
+    return rng.choice([*REPLACEMENT_VALUES, value, [value], [value, value], {"a": value}])
 
 
-def places(document: Any) -> list[tuple[Any, Any]]:
-    """Every list and table of a document, with each of its keys."""
-    rows = list(document.items()) if isinstance(document, dict) else list(enumerate(document))
-    inner = [place for _, value in rows if isinstance(value, dict | list) for place in places(value)]
-    return [(document, key) for key, _ in rows] + inner
+def locations(document: Any) -> list[tuple[Any, Any]]:
+    """Return each list and object of a document with each of its indices or keys."""
+    items = list(document.items()) if isinstance(document, dict) else list(enumerate(document))
+    inner = [
+        location for _, value in items if isinstance(value, dict | list) for location in locations(value)
+    ]
+    return [(document, key) for key, _ in items] + inner
 
 
-def random_mutant(chance: random.Random) -> Any:
-    """A configuration with one to three changes: of more than one it matters which is reported."""
+def random_mutant(rng: random.Random) -> Any:
+    """Return a configuration with one to three mutations; with several, the order of reporting matters."""
     mutant = copy.deepcopy(CONFIG)
-    for _ in range(chance.choice([1, 1, 1, 2, 3])):
-        holder, key = chance.choice(places(mutant))
-        if chance.random() < 0.2:
-            del holder[key]
+    for _ in range(rng.choice([1, 1, 1, 2, 3])):
+        container, key = rng.choice(locations(mutant))
+        if rng.random() < 0.2:
+            del container[key]
         else:
-            holder[key] = odd_value(chance, holder[key])
+            container[key] = replacement_value(rng, container[key])
         if not mutant:
             break
     return mutant
 
 
 @pytest.mark.parametrize("window", [4, 90, 8192])
-def test_the_verdict_on_a_mutated_configuration_is_the_schemas_own(
+def test_the_result_for_a_mutated_configuration_equals_that_of_the_schema(
     window: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(incremental_json, "WINDOW_CHARS", window)
-    chance = random.Random(window)
-    drawn = [mutant for _, mutant in mutants(CONFIG)] + [random_mutant(chance) for _ in range(700)]
+    rng = random.Random(window)
+    samples = [mutant for _, mutant in mutants(CONFIG)] + [random_mutant(rng) for _ in range(700)]
     valid = 0
     reasons = set()
-    for mutant in drawn:
-        body = json.dumps(mutant, indent=chance.choice([None, 1])).encode()
-        found = validate_configuration(body)
-        assert found == reference_verdict(body), body
-        if isinstance(found, ValidConfiguration):
+    for mutant in samples:
+        body = json.dumps(mutant, indent=rng.choice([None, 1])).encode()
+        result = validate_configuration(body)
+        assert result == reference_result(body), body
+        if isinstance(result, ValidConfiguration):
             valid += 1
             routes = sum(map(len, load_route_table(body).routes_by_host.values()))
             assert routes == sum(len(host["prefixes"]) for host in mutant["vhosts"])
         else:
-            reasons.add(found.reason)
+            reasons.add(result.reason)
     assert valid > 60
     assert len(reasons) > 90
 
@@ -148,31 +150,33 @@
         (("vhosts", 0, "prefixes", 1, "deadlineMs"), "900", None),
     ],
 )
-def test_verdicts_word_for_word(path: tuple[Any, ...], value: Any, reason: str | None) -> None:
-    mutant = holder = copy.deepcopy(CONFIG)
+def test_the_reason_for_rejecting_a_configuration(
+    path: tuple[Any, ...], value: Any, reason: str | None
+) -> None:
+    mutant = container = copy.deepcopy(CONFIG)
     for key in path[:-1]:
-        holder = holder[key]
-    holder[path[-1]] = value
-    found = validate_configuration(json.dumps(mutant).encode())
+        container = container[key]
+    container[path[-1]] = value
+    result = validate_configuration(json.dumps(mutant).encode())
     if reason is None:
-        assert found == ValidConfiguration(12)
+        assert result == ValidConfiguration(12)
     else:
-        assert isinstance(found, InvalidConfiguration)
-        assert found.reason.startswith(reason)
+        assert isinstance(result, InvalidConfiguration)
+        assert result.reason.startswith(reason)
 
 
-def test_errors_are_reported_in_the_order_of_the_schemas_fields() -> None:
+def test_errors_are_reported_in_the_order_of_the_schema_fields() -> None:
     assert validation.FIELD_KEYS == ["ver", "svcs", "limits", "vhosts"]
 
 
-def test_fields_of_routes_that_nobody_knows_pass_and_are_named() -> None:
+def test_unknown_fields_of_routes_are_accepted_and_reported() -> None:
     document = json.loads(build_configuration(7, {"/a/": ("safe", "s"), "/b/": ("unsafe", "s")}))
     routes = [route for host in document["vhosts"] for route in host["prefixes"]]
     routes[0]["dedlineMs"] = 5
-    routes[1] |= {"sessions": "cookie", "prio": "1"}  # not of the plain form
-    checked = validate_configuration(json.dumps(document).encode())
-    assert isinstance(checked, ValidConfiguration)
-    assert checked.unknown_fields == ("dedlineMs", "sessions")
-    plain = validate_configuration(build_configuration(7, {"/a/": ("safe", "s")}))
-    assert isinstance(plain, ValidConfiguration)
-    assert plain.unknown_fields == ()
+    routes[1] |= {"sessions": "cookie", "prio": "1"}  # not in canonical form
+    result = validate_configuration(json.dumps(document).encode())
+    assert isinstance(result, ValidConfiguration)
+    assert result.unknown_fields == ("dedlineMs", "sessions")
+    without_unknown_fields = validate_configuration(build_configuration(7, {"/a/": ("safe", "s")}))
+    assert isinstance(without_unknown_fields, ValidConfiguration)
+    assert without_unknown_fields.unknown_fields == ()
--- a/tests/gateway/test_zone_redirects.py
+++ b/tests/gateway/test_zone_redirects.py
@@ -1,15 +1,15 @@
-"""Which address a backend is asked to call."""
+"""The choice of the address that a backend is redirected to."""
 
 from __future__ import annotations
 
 from meadowworks.registry.zone_redirects import REDIRECT_BACKOFF_NS, ZoneRedirects
 
 
-def test_an_address_that_a_backend_could_not_reach_is_not_named_for_a_while() -> None:
+def test_an_address_that_a_backend_failed_to_reach_is_avoided_for_a_time() -> None:
     redirects = ZoneRedirects()
     redirects.on_heartbeat(0, "i")
     assert redirects.choose(0, "i", ["p:1", "q:1"]) == "p:1"
-    redirects.on_heartbeat(1, "i")  # it is back: p failed
+    redirects.on_heartbeat(1, "i")  # i calls this node again, so p has failed
     assert redirects.choose(1, "i", ["p:1", "q:1"]) == "q:1"
     assert redirects.choose(1, "j", ["p:1"]) is None
     redirects.on_heartbeat(2, "i")
