--- a/meadowworks/config/incremental_json.py
+++ b/meadowworks/config/incremental_json.py
@@ -18,7 +18,7 @@
 VALUES_PER_STEP = 16  # values parsed in one step: some hundred microseconds
 MAX_DEPTH = 900  # levels of nested arrays and objects; `json.loads` fails near 1,000
 
-JsonValue: TypeAlias = Any  # what `json.loads` returns
+JsonValue: TypeAlias = Any  # a value returned by `json.loads`
 Transform: TypeAlias = Callable[[JsonValue], Any]
 JsonPath: TypeAlias = tuple[str | None, ...]
 
--- a/meadowworks/registry/drain_log.py
+++ b/meadowworks/registry/drain_log.py
@@ -143,7 +143,7 @@
         self.deleted.discard(instance_id)
 
     def _evict_oldest(self) -> None:
-        """Delete the oldest durable record, if there is one; acknowledgements wait for the other records."""
+        """Delete a durable record, if there is one; acknowledgements wait for the other records."""
         candidates = [
             (record.state != GONE, record.last_reported_ns, instance_id)
             for instance_id, record in self.records.items()
