--- a/meadowworks/forwarding/__init__.py
+++ b/meadowworks/forwarding/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions on one request, free of I/O: its attempts, their endpoints, and what bounds them."""
+"""Forwarding decisions without I/O: request attempts, endpoint selection, retry and memory limits."""
--- a/meadowworks/forwarding/connection_pool.py
+++ b/meadowworks/forwarding/connection_pool.py
@@ -1,4 +1,7 @@
-"""Idle connections to backends, by instance: none is used for another instance, and none outlives its own."""
+"""Idle connections to backends, pooled by instance.
+
+A connection is never reused for another instance, and is closed when its instance is gone.
+"""
 
 from __future__ import annotations
 
@@ -8,22 +11,23 @@
 from meadowworks.forwarding.endpoint_load import EndpointLoad
 
 SECOND = 1_000_000_000
-# How long an idle connection is kept whose backend names no time in `Keep-Alive`: less than the usual 5 s.
+# Idle time of connections whose backend sends no `Keep-Alive` timeout: below the usual default of 5 s.
 DEFAULT_KEEP_ALIVE_NS = 4 * SECOND
-# How long before the named time it is closed: guards against a request that crosses the backend's close.
+# Connections are closed this long before the announced timeout.
+# Prevents a request from being sent while the backend closes its end.
 KEEP_ALIVE_MARGIN_NS = SECOND
-# Idle connections to one instance: about its slots, so that a burst over does not hold descriptors.
+# Idle connections per instance: about its slots, so that a past burst does not hold descriptors.
 MAX_IDLE_CONNECTIONS = 24
 
 
 class PoolableConnection(Protocol):
-    """What the pool needs of a connection."""
+    """Interface that the pool requires of a connection."""
 
     def usable(self) -> bool:
-        """Whether it may carry another request."""
+        """Return whether the connection can carry another request."""
 
     def close(self) -> None:
-        """End it."""
+        """Close the connection."""
 
 
 ConnectionT = TypeVar("ConnectionT", bound=PoolableConnection)
@@ -31,71 +35,80 @@
 
 @dataclass(slots=True)
 class EndpointPool(Generic[ConnectionT]):
-    """One instance: its load and its idle connections."""
+    """Load and idle connections of one instance."""
 
     load: EndpointLoad = field(default_factory=EndpointLoad)
-    idle: list[tuple[int, ConnectionT]] = field(default_factory=list)  # kept until when; the newest last
+    idle: list[tuple[int, ConnectionT]] = field(default_factory=list)  # (expiry, connection), newest last
 
 
 class ConnectionPool(Generic[ConnectionT]):
-    """The instances that requests are sent to, by id. Times are of a steady clock, in nanoseconds."""
+    """Endpoint pools by instance id. All times are monotonic, in nanoseconds."""
 
     def __init__(self) -> None:
         self.endpoints: dict[str, EndpointPool[ConnectionT]] = {}
 
     def endpoint(self, backend_id: str) -> EndpointPool[ConnectionT]:
-        """The pool of an instance; a new one if there is none."""
-        if (found := self.endpoints.get(backend_id)) is None:
-            found = self.endpoints[backend_id] = EndpointPool()
-        return found
+        """Return the pool of an instance; create it if it is missing."""
+        if (endpoint := self.endpoints.get(backend_id)) is None:
+            endpoint = self.endpoints[backend_id] = EndpointPool()
+        return endpoint
 
     def load(self, backend_id: str) -> EndpointLoad:
-        """The load of an instance."""
+        """Return the load of an instance; create its pool if it is missing."""
         return self.endpoint(backend_id).load
 
     def find_load(self, backend_id: str) -> EndpointLoad | None:
-        """The load of an instance, unless it has been evicted."""
-        found = self.endpoints.get(backend_id)
-        return None if found is None else found.load
+        """Return the load of an instance; None if the instance has been evicted."""
+        endpoint = self.endpoints.get(backend_id)
+        return None if endpoint is None else endpoint.load
 
     def acquire(self, now: int, backend_id: str) -> ConnectionT | None:
-        """The newest idle connection that may carry a request, if any; the caller owns it."""
+        """Remove and return the newest usable idle connection; None if there is none.
+
+        The caller owns the connection. Expired and unusable connections are closed.
+        """
         endpoint = self.endpoint(backend_id)
         while endpoint.idle:
-            until_ns, connection = endpoint.idle.pop()
-            if now < until_ns and connection.usable():
+            expires_ns, connection = endpoint.idle.pop()
+            if now < expires_ns and connection.usable():
                 return connection
             connection.close()
         return None
 
     def release(self, now: int, backend_id: str, connection: ConnectionT, keep_alive_s: int | None) -> None:
-        """Take a connection back after a complete response, or close it.
+        """Return a connection to the pool after a complete response, or close it.
 
-        :param keep_alive_s: how long its backend says that it keeps the connection; None if it does not say
+        It is closed if it is unusable, its keep-alive time is too short, its instance was evicted, or the pool
+        of the instance is full.
+
+        :param keep_alive_s: the timeout in the backend's `Keep-Alive` header, in seconds; None without one
         """
         endpoint = self.endpoints.get(backend_id)
-        idle_ns = (
+        max_idle_ns = (
             DEFAULT_KEEP_ALIVE_NS if keep_alive_s is None else keep_alive_s * SECOND - KEEP_ALIVE_MARGIN_NS
         )
-        if endpoint is None or idle_ns <= 0 or not connection.usable():
+        if endpoint is None or max_idle_ns <= 0 or not connection.usable():
             return connection.close()
         if len(endpoint.idle) >= MAX_IDLE_CONNECTIONS:
             return connection.close()
-        endpoint.idle.append((now + idle_ns, connection))
+        endpoint.idle.append((now + max_idle_ns, connection))
         return None
 
     def record_zone_load(self, now: int, backend_id: str, in_flight: float) -> None:
-        """Record what the proxies of an instance's zone have said of its load."""
+        """Record the load of an instance that its zone's load report states."""
         self.load(backend_id).record_zone_load(now, in_flight)
 
     def evict(self, now: int, live_backend_ids: set[str]) -> None:
-        """Close connections to instances that are gone, and those that were idle for long enough."""
+        """Close expired idle connections and those to instances that are not live.
+
+        The pool of an instance that is not live is dropped once no attempt is in flight there.
+        """
         for backend_id, endpoint in list(self.endpoints.items()):
             is_live = backend_id in live_backend_ids
             kept = []
-            for until_ns, connection in endpoint.idle:
-                if is_live and now < until_ns and connection.usable():
-                    kept.append((until_ns, connection))
+            for expires_ns, connection in endpoint.idle:
+                if is_live and now < expires_ns and connection.usable():
+                    kept.append((expires_ns, connection))
                 else:
                     connection.close()
             endpoint.idle = kept
--- a/meadowworks/forwarding/endpoint_load.py
+++ b/meadowworks/forwarding/endpoint_load.py
@@ -1,7 +1,7 @@
-"""How busy one backend instance is taken to be, and how long a request takes there.
+"""Estimated load and service time of one backend instance.
 
-Three sources are joined: the proxy's own requests in flight, what the backend's responses say of its load,
-and the load reports of its zone.
+The estimate combines three sources: this proxy's requests in flight, the load that the backend reports in
+its responses, and the load reports of its zone.
 """
 
 from __future__ import annotations
@@ -11,54 +11,60 @@
 from meadowworks.forwarding.endpoint_selection import update_service_time
 
 SECOND = 1_000_000_000
-# A backend that could not be reached is passed over for so long: a restart takes a second or more.
+# How long a backend is avoided after a failed connection attempt; a restart takes at least a second.
 UNREACHABLE_PENALTY_NS = SECOND
-# For so long what a response said of its backend's load counts, less and less: requests take about as long.
+# The load reported in a response loses its weight linearly over this time, about the duration of a request.
 BACKEND_LOAD_TTL_NS = 400_000_000
-# Part of a local backend's requests that is taken to be of other proxies.
+# Assumed fraction of a local backend's requests that come from other proxies.
 OTHER_PROXIES_SHARE = 0.6
-# For so long the load report of its zone counts: three reports.
+# How long a zone's load report is valid: three report intervals.
 ZONE_LOAD_TTL_NS = 3 * SECOND
 
 
 @dataclass(slots=True)
 class EndpointLoad:
-    """The load of one instance; times of a steady clock in nanoseconds, loads in requests."""
+    """Load of one instance, in requests. All times are monotonic, in nanoseconds."""
 
-    in_flight: int = 0  # this proxy's attempts
-    other_proxies_in_flight: float = 0.0  # requests of other proxies, as its newest response said
+    in_flight: int = 0  # attempts of this proxy
+    other_proxies_in_flight: float = 0.0  # requests of other proxies, by the newest response
     backend_load_reported_ns: int = 0
-    zone_load: float = 0.0  # requests there by its zone's load report
+    zone_load: float = 0.0  # requests of all proxies, by the zone's load report
     zone_load_reported_ns: int = -ZONE_LOAD_TTL_NS
-    service_time_ns: float | None = None  # what a request takes there alone
+    service_time_ns: float | None = None  # average time of a request without queueing
     avoided_until_ns: int = 0
 
     def record_backend_load(self, now: int, running: int, waiting: int) -> None:
-        """Record what a response says of its backend's load, the response's own request left out."""
+        """Record the load that a backend reports in a response; it excludes that response's request."""
         self.other_proxies_in_flight = max(0.0, running + waiting - self.in_flight)
         self.backend_load_reported_ns = now
 
     def record_zone_load(self, now: int, in_flight: float) -> None:
-        """Record what the proxies of its zone have said of its load."""
+        """Record the number of requests in flight that the zone's load report states."""
         self.zone_load, self.zone_load_reported_ns = in_flight, now
 
     def record_service_time(self, elapsed_ns: int, load: float, capacity: float) -> None:
-        """Record a response after `elapsed_ns` to a request that found `load` others there."""
+        """Update the service time with a response.
+
+        :param elapsed_ns: the duration of the request
+        :param load: the other requests in flight when it was sent
+        :param capacity: the slots of the instance
+        """
         self.service_time_ns = update_service_time(self.service_time_ns, elapsed_ns, load, capacity)
 
     def mark_unreachable(self, now: int) -> None:
-        """Pass it over for a moment: no connection came up."""
+        """Avoid the instance for `UNREACHABLE_PENALTY_NS` after a failed connection attempt."""
         self.avoided_until_ns = now + UNREACHABLE_PENALTY_NS
 
     def is_avoided(self, now: int) -> bool:
-        """Whether it could not be reached a moment ago."""
+        """Return whether the instance is still avoided after a failed connection attempt."""
         return now < self.avoided_until_ns
 
     def estimate(self, now: int, same_zone: bool) -> float:
-        """The requests that it is taken to work on: this proxy's, and others' as its newest response said.
+        """Return the estimated number of requests in flight at the instance.
 
-        As that grows old, the zone's load report takes its place: guards against a backend that looks idle
-        because it is too busy to answer.
+        That is this proxy's attempts, plus the requests of other proxies as the newest response reports them.
+        As that response ages, the zone's load report replaces it. Prevents a backend that is too busy to
+        respond from being taken for idle.
         """
         freshness = max(0.0, 1 - (now - self.backend_load_reported_ns) / BACKEND_LOAD_TTL_NS)
         report_is_fresh = now - self.zone_load_reported_ns < ZONE_LOAD_TTL_NS
--- a/meadowworks/forwarding/endpoint_selection.py
+++ b/meadowworks/forwarding/endpoint_selection.py
@@ -1,8 +1,8 @@
-"""Which endpoints a request may go to at this moment, and how long each would take.
+"""Selection of the endpoints that a request may be sent to, with the expected delay of each.
 
-The weights come from the policy: they follow capacity, and stay within the proxy's zone. Two things are
-decided here from what the proxy sees request by request, and the policy cannot know: how long an endpoint
-would take just now, and that a request may leave a zone without a free slot for one that has a slot free.
+The weights come from the balancing policy: they follow capacity and stay within the proxy's zone. This module
+adds what needs per-request data, which the policy does not have: the expected delay of each endpoint, and
+whether a request may leave its zone because no slot is free there.
 """
 
 from __future__ import annotations
@@ -10,22 +10,23 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-# A remote endpoint must promise a delay this many times shorter: what is known of it is older, and bytes
-# between zones cost.
+# Factor on the expected delay of remote endpoints: their load data is older, and cross-zone traffic costs.
 CROSS_ZONE_PENALTY = 1.4
-# Part of the latency target that the delay in the local zone may take before other zones are considered:
-# requests of one route differ severalfold in their work. More for larger responses, whose bytes between zones
-# must be worth it.
-LOCAL_DELAY_SHARE, LOCAL_DELAY_SHARE_PER_KB, MAX_LOCAL_DELAY_SHARE = 0.5, 0.1, 1.0
-# Weight of a new response in the moving average of the service time.
+# Fraction of the latency target that the local delay may reach before other zones are considered. It leaves
+# room because requests of one route differ severalfold in their work.
+LOCAL_DELAY_SHARE = 0.5
+# Added to that fraction per kB of response: cross-zone traffic costs more for larger responses.
+LOCAL_DELAY_SHARE_PER_KB = 0.1
+MAX_LOCAL_DELAY_SHARE = 1.0
+# Weight of a new sample in the moving average of the service time.
 SERVICE_TIME_GAIN = 0.1
 
 
 class EndpointChoices(NamedTuple):
-    """The endpoints that a request may go to at this moment, by number.
+    """Endpoints that a request may be sent to, by endpoint number.
 
-    `weights` are slots; `delays_ns` is how long a request would take at each, in nanoseconds; `has_free_slot`
-    says whether any endpoint of the local zone has a free slot.
+    `weights` are in slots; `delays_ns` are the expected times to a response, in nanoseconds; `has_free_slot`
+    is whether any endpoint of the local zone has a free slot.
     """
 
     weights: Mapping[int, float]
@@ -39,31 +40,34 @@
 def estimate_delays(
     weights: Mapping[int, float], load: Mapping[int, float], service_times: Mapping[int, float]
 ) -> dict[int, float]:
-    """How long a request would take at each endpoint: its service time, times the queue before it.
+    """Return the expected time to a response at each endpoint, in nanoseconds.
 
-    :param weights: the slots of an endpoint, fewer while it warms up: such a one never counts as free
-    :param load: the requests in flight at each
-    :param service_times: what is known of the time that a request takes there alone, in nanoseconds
+    That is the service time, multiplied by the load per slot if there is a queue. Endpoints without a known
+    service time get the median of the others.
+
+    :param weights: the slots of each endpoint; fewer while it warms up, so that it does not count as free
+    :param load: the requests in flight at each endpoint
+    :param service_times: the known times of a request without queueing, in nanoseconds
     """
-    usual = sorted(service_times.values())[len(service_times) // 2] if service_times else 1.0
+    median = sorted(service_times.values())[len(service_times) // 2] if service_times else 1.0
     return {
-        endpoint: service_times.get(endpoint, usual)
+        endpoint: service_times.get(endpoint, median)
         * max(1.0, (load.get(endpoint, 0.0) + 1) / max(weight, 1e-3))
         for endpoint, weight in weights.items()
     }
 
 
 def has_free_slot(weights: Mapping[int, float], load: Mapping[int, float]) -> bool:
-    """Whether one of the endpoints can take a request without a queue."""
+    """Return whether any endpoint can take a request without queueing."""
     return any(load.get(endpoint, 0.0) + 1 <= weight for endpoint, weight in weights.items())
 
 
 def local_zone_suffices(
     local: Mapping[int, float], load: Mapping[int, float], service_times: Mapping[int, float]
 ) -> bool:
-    """Whether `choose_endpoints` would take the local endpoints alone, whatever there is in other zones.
+    """Return whether `choose_endpoints` would ignore the endpoints of other zones.
 
-    So it is where a slot is free, and all service times are known.
+    This holds if an endpoint has a free slot and all local service times are known.
     """
     return local.keys() <= service_times.keys() and has_free_slot(local, load)
 
@@ -76,12 +80,13 @@
     target_ns: float,
     response_bytes: float = 0.0,
 ) -> EndpointChoices:
-    """The endpoints of the local zone, and those of other zones too where the local ones are too busy.
+    """Return the endpoints of the local zone, with those of other zones if the local zone is too busy.
 
-    They are if no slot is free there, and no endpoint is likely to answer within the latency target.
+    The local zone is too busy if it has no free slot, and if every expected delay there exceeds the share of
+    the latency target that `LOCAL_DELAY_SHARE` and the response size allow.
 
-    :param target_ns: the route's latency target
-    :param response_bytes: what a response of the service measures as a rule
+    :param target_ns: the latency target of the route, in nanoseconds
+    :param response_bytes: the average size of the service's responses
     """
     share = min(MAX_LOCAL_DELAY_SHARE, LOCAL_DELAY_SHARE + LOCAL_DELAY_SHARE_PER_KB * response_bytes / 1000)
     delays = estimate_delays({**local, **remote}, load, service_times)
@@ -96,12 +101,12 @@
 
 
 def update_service_time(estimate: float | None, elapsed_ns: float, load: float, weight: float) -> float:
-    """The moving average of the time that a request takes alone, in nanoseconds.
+    """Return the updated moving average of the service time without queueing, in nanoseconds.
 
-    :param estimate: the average so far, if any
-    :param elapsed_ns: how long the newest request took
-    :param load: the other requests that it found in flight
+    :param estimate: the average so far; None before the first sample
+    :param elapsed_ns: the duration of the newest request
+    :param load: the other requests in flight when it was sent
     :param weight: the slots of the endpoint
     """
-    alone = elapsed_ns / max(1.0, (load + 1) / max(weight, 1e-3))
-    return alone if estimate is None else estimate + SERVICE_TIME_GAIN * (alone - estimate)
+    sample_ns = elapsed_ns / max(1.0, (load + 1) / max(weight, 1e-3))
+    return sample_ns if estimate is None else estimate + SERVICE_TIME_GAIN * (sample_ns - estimate)
--- a/meadowworks/forwarding/memory_budget.py
+++ b/meadowworks/forwarding/memory_budget.py
@@ -1,4 +1,4 @@
-"""Bounds the bytes of request and response bodies that a proxy holds for all its clients together."""
+"""Limit on the bytes of request and response bodies that a process buffers for all its clients."""
 
 from __future__ import annotations
 
@@ -6,28 +6,27 @@
 
 
 class MemoryBudget:
-    """At most `limit_bytes` at a time: guards against many large bodies at once."""
+    """Shared budget of `limit_bytes`. Prevents many concurrent large bodies from exhausting the memory."""
 
     def __init__(self, limit_bytes: int) -> None:
         self.limit_bytes, self.reserved_bytes = limit_bytes, 0
 
     def reserve(self, size: int) -> bool:
-        """Whether `size` more bytes may be held; they are counted if so."""
+        """Reserve `size` bytes; return False, with nothing reserved, if they would exceed the limit."""
         if self.reserved_bytes + size > self.limit_bytes:
             return False
         self.reserved_bytes += size
         return True
 
     def release(self, size: int) -> None:
-        """Give back bytes that were reserved."""
+        """Release reserved bytes."""
         self.reserved_bytes -= size
 
 
 class MemoryReservation:
-    """What one request holds of a budget; a context manager that gives it back.
+    """The part of a budget that one request holds; a context manager that releases it on exit.
 
-    What is reserved afterwards, by an attempt that has outlasted its request, is given back by another
-    `release`.
+    An attempt that outlasts its request may reserve more after the exit; another `release` frees that.
     """
 
     def __init__(self, budget: MemoryBudget) -> None:
@@ -45,13 +44,13 @@
         self.release()
 
     def reserve(self, size: int) -> bool:
-        """Whether `size` more bytes may be held for this request; they are counted if so."""
+        """Reserve `size` bytes for this request; return False if they would exceed the budget's limit."""
         if not self.budget.reserve(size):
             return False
         self.reserved_bytes += size
         return True
 
     def release(self) -> None:
-        """Give back all that this request holds."""
+        """Release all bytes that this request holds."""
         reserved, self.reserved_bytes = self.reserved_bytes, 0
         self.budget.release(reserved)
--- a/meadowworks/forwarding/request_attempts.py
+++ b/meadowworks/forwarding/request_attempts.py
@@ -1,8 +1,8 @@
-"""The attempts of one request as a state machine free of I/O: events in, commands out.
+"""State machine of the attempts of one request, without I/O: events in, commands out.
 
-Whether a retry may follow is decided by `meadowworks.attempts.retry_policy`; here stands what the end of each
-attempt proves, and which response may be given. Two rules hold: an unsafe request is retried only with proof
-that it did not run, and is answered 503 only with that proof. What is given up is answered at once.
+`meadowworks.attempts.retry_policy` decides whether a retry may follow. This module decides what the end of an
+attempt proves and which response the client gets. An unsafe request is retried, or answered with 503, only
+with proof that it did not run. A request without further attempts is answered at once.
 """
 
 from __future__ import annotations
@@ -27,22 +27,21 @@
 from meadowworks.forwarding.response_check import NOT_RUN_STATUSES
 
 MS = 1_000_000
-# Part of the hedging delay after which a second request is sent beside the first where a slot is free: it
-# takes nobody's turn there.
+# Fraction of the hedging delay after which a hedge is sent if a slot is free: no other request waits for it.
 EARLY_HEDGE_SHARE = 0.5
-# Basis of Retry-After: within this time another slot is likely to be free.
+# Basis of Retry-After: a slot is likely to become free within this time.
 RETRY_AFTER_BASE_NS = 60 * MS
-# With less time left no attempt begins: a connection and a response take longer.
+# Minimum time left to start an attempt: connecting and receiving a response take longer than this.
 MIN_ATTEMPT_NS = 20 * MS
-RETRY_BUDGET_EXHAUSTED = NoRetry("no retry is left in the service's budget")
+RETRY_BUDGET_EXHAUSTED = NoRetry("the retry budget of the service is exhausted")
 CLIENT_DISCONNECTED = NoRetry("the client has disconnected")
 
 
 class RetryLimiter(Protocol):
-    """Bounds the retries of a service's requests."""
+    """Limit on the retries of a service's requests."""
 
     def take_retry(self, now: int) -> bool:
-        """Whether a retry may be sent at the time `now`; it is counted if so."""
+        """Return whether a retry may be sent at `now`, and count it if so."""
 
 
 # -- events
@@ -50,15 +49,15 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestReceived:
-    """The request has been read and admitted."""
+    """Event: the request was read and admitted."""
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """An attempt is over.
+    """Event: an attempt ended.
 
-    :param outcome: what is known of it: `ANSWERED`, `NEVER_RAN`, `FAILED` or `CANCELLED` of the retry policy
-    :param status: the status code of its response; 0 without a response that is valid
+    :param outcome: its state: `ANSWERED`, `NEVER_RAN`, `FAILED` or `CANCELLED` of the retry policy
+    :param status: the status code of its response; 0 without a valid response
     """
 
     number: int
@@ -68,12 +67,12 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerExpired:
-    """The time that `RequestAttempts.next_timer_ns` names has come."""
+    """Event: the time that `RequestAttempts.next_timer_ns` returned has been reached."""
 
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """Nobody waits for the response any more."""
+    """Event: the client closed its connection before the response."""
 
 
 Event = RequestReceived | AttemptEnded | TimerExpired | ClientDisconnected
@@ -83,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendAttempt:
-    """Send the request to this endpoint, and set a timer for `wait_until_ns`."""
+    """Command: send the request to an endpoint and set a timer for `wait_until_ns`."""
 
     number: int
     endpoint: int
@@ -92,28 +91,29 @@
 
 @dataclass(frozen=True, slots=True)
 class Wait:
-    """Do nothing until an attempt ends, or until the time `until_ns`."""
+    """Command: wait until an attempt ends, or until `until_ns`."""
 
     until_ns: int
 
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempts:
-    """End the attempts in flight: nobody waits for them, and they may run again."""
+    """Command: cancel the attempts in flight; the client has disconnected and the request is safe."""
 
 
 @dataclass(frozen=True, slots=True)
 class ForwardResponse:
-    """Send the response of this attempt to the client as it is."""
+    """Command: forward the response of an attempt to the client unchanged."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class RejectRequest:
-    """Send a response of the proxy's own.
+    """Command: respond to the client with an error of the proxy.
 
-    :param retry_after_ns: if not 0, the request has not run and never will, and may be sent again then
+    :param retry_after_ns: the delay after which the client may retry; if not 0, the request has not run and
+        never will
     """
 
     status: int
@@ -125,12 +125,12 @@
 
 @dataclass(slots=True)
 class RequestAttempts:
-    """The attempts of one request. All times are of one steady clock, in nanoseconds.
+    """The attempts of one request. All times are monotonic, in nanoseconds.
 
-    :param route_policy: what the retry policy reads of the route
-    :param retry_policy: the number of the policy, as `meadowworks.attempts.retry_policy` counts them
-    :param deadline_ns: when the client's time or the operator's is over
-    :param retry_budget: what bounds the retries of the service
+    :param route_policy: the retry settings of the route
+    :param retry_policy: the number of the policy, 0 to 3; see `meadowworks.attempts.retry_policy`
+    :param deadline_ns: the earlier of the client's deadline and the route's
+    :param retry_budget: the limit on the service's retries
     """
 
     route_policy: RouteRetryPolicy
@@ -138,17 +138,17 @@
     deadline_ns: int
     retry_budget: RetryLimiter
     attempts: dict[int, Attempt] = field(default_factory=dict)  # by number, from 1
-    # Statuses of attempts that the backend itself answered with a failure, by number.
+    # Statuses of attempts that the backend itself answered with a failure, by attempt number.
     backend_failures: dict[int, int] = field(default_factory=dict)
-    latest_hedge_ns: int = 0  # until when the newest attempt is waited for where no slot is free
+    latest_hedge_ns: int = 0  # when the newest attempt is hedged if no slot becomes free before
     client_disconnected: bool = False
 
     def handle_event(self, event: Event, now: int, choices: EndpointChoices, random_value: float) -> Command:
-        """Decide what follows from an event.
+        """Process an event and return the command that follows from it.
 
         :param now: the time of the event
-        :param choices: the endpoints that another attempt could go to at this moment
-        :param random_value: a random number from 0 up to, but not including, 1
+        :param choices: the endpoints that another attempt could be sent to now
+        :param random_value: a random number in [0, 1)
         """
         if isinstance(event, AttemptEnded):
             return self._on_attempt_ended(event, now, choices, random_value)
@@ -159,11 +159,11 @@
         return self._on_client_disconnected(now)
 
     def next_timer_ns(self, now: int) -> int:
-        """When `TimerExpired` is due, unless an attempt ends before."""
+        """Return when `TimerExpired` is due, unless an attempt ends before."""
         due = [
-            one.wait_until_ns
-            for one in self.attempts.values()
-            if one.state == SENT and one.wait_until_ns > now
+            attempt.wait_until_ns
+            for attempt in self.attempts.values()
+            if attempt.state == SENT and attempt.wait_until_ns > now
         ]
         return min([*due, self.deadline_ns])
 
@@ -171,7 +171,7 @@
         if self.deadline_ns - now < MIN_ATTEMPT_NS:
             return self._reject(now, random_value)
         endpoint = retries.pick_fastest(choices.weights, (), choices.delays_ns, random_value)
-        # Guards against work for nobody: without hope of a response in time the request is rejected at once.
+        # Prevents wasted work: a request is rejected at once if no response is expected before its deadline.
         if endpoint is None or choices.delays_ns.get(endpoint, 0.0) > self.deadline_ns - now:
             return self._reject(now, random_value)
         return self._send(now, endpoint, choices.weights)
@@ -185,34 +185,33 @@
             return ForwardResponse(number)
         if outcome == FAILED and status and status not in NOT_RUN_STATUSES:
             self.backend_failures[number] = status
-        if any(one.state in (SENT, OVERDUE) for one in self.attempts.values()):
+        if any(attempt.state in (SENT, OVERDUE) for attempt in self.attempts.values()):
             return self._wait(now)
         return self._retry_or_finish(now, choices, random_value)
 
     def _on_timer(self, now: int, choices: EndpointChoices, random_value: float) -> Command:
-        """Hedge: an attempt was waited for long enough, and another may go beside it.
+        """Hedge an attempt that is overdue; reject the request at its deadline.
 
-        The first response counts. Where a slot is free the second request goes sooner. At the deadline all
-        is over.
+        The first response counts. The hedge is sent earlier if a slot is free.
         """
         if now >= self.deadline_ns:
             return self._reject(now, random_value)
-        for one in self.attempts.values():
+        for attempt in self.attempts.values():
             if (
-                one.state == SENT
-                and one.wait_until_ns <= now < self.latest_hedge_ns
+                attempt.state == SENT
+                and attempt.wait_until_ns <= now < self.latest_hedge_ns
                 and not choices.has_free_slot
             ):
-                one.wait_until_ns = self.latest_hedge_ns
-            elif one.state == SENT and one.wait_until_ns <= now:
-                one.state = OVERDUE
-                found = self._next_attempt(now, choices, random_value)
-                if isinstance(found, Retry):
-                    return self._send(now, found.backend, choices.weights)
+                attempt.wait_until_ns = self.latest_hedge_ns
+            elif attempt.state == SENT and attempt.wait_until_ns <= now:
+                attempt.state = OVERDUE
+                decision = self._decide_retry(now, choices, random_value)
+                if isinstance(decision, Retry):
+                    return self._send(now, decision.backend, choices.weights)
         return self._wait(now)
 
     def _on_client_disconnected(self, now: int) -> Command:
-        """Nothing more is sent. An unsafe request that may have run goes on, as its client wanted it."""
+        """Stop sending attempts. Those of an unsafe request continue, because they may have run already."""
         self.client_disconnected = True
         return CancelAttempts() if self.route_policy.idempotent else self._wait(now)
 
@@ -230,10 +229,10 @@
     def _wait(self, now: int) -> Wait:
         return Wait(self.next_timer_ns(now))
 
-    def _next_attempt(self, now: int, choices: EndpointChoices, random_value: float) -> Retry | NoRetry:
+    def _decide_retry(self, now: int, choices: EndpointChoices, random_value: float) -> Retry | NoRetry:
         if self.client_disconnected:
             return CLIENT_DISCONNECTED
-        found = retries.decide_retry(
+        decision = retries.decide_retry(
             self.route_policy,
             self.retry_policy,
             [*self.attempts.values()],
@@ -242,15 +241,15 @@
             random_value,
             choices.delays_ns,
         )
-        if isinstance(found, NoRetry) or self.retry_budget.take_retry(now):
-            return found
+        if isinstance(decision, NoRetry) or self.retry_budget.take_retry(now):
+            return decision
         return RETRY_BUDGET_EXHAUSTED
 
     def _retry_or_finish(self, now: int, choices: EndpointChoices, random_value: float) -> Command:
-        found = self._next_attempt(now, choices, random_value)
-        if isinstance(found, Retry):
-            return self._send(now, found.backend, choices.weights)
-        if self.backend_failures:  # the backend's own failure is the response
+        decision = self._decide_retry(now, choices, random_value)
+        if isinstance(decision, Retry):
+            return self._send(now, decision.backend, choices.weights)
+        if self.backend_failures:  # forward the first failure that a backend responded with
             return ForwardResponse(next(iter(self.backend_failures)))
         return self._reject(now, random_value)
 
@@ -261,9 +260,10 @@
 
 
 def route_retry_policy(safe: bool, time_left_ns: int, hedge_wait_ns: int) -> RouteRetryPolicy:
-    """What the retry policy reads of a route.
+    """Return the settings of a route that the retry policy needs.
 
-    :param hedge_wait_ns: how long an attempt is waited for before another may go beside it
+    :param time_left_ns: the time until the request's deadline
+    :param hedge_wait_ns: how long an attempt may take before it is hedged
     """
     return RouteRetryPolicy(
         idempotent=safe,
@@ -275,7 +275,7 @@
 
 
 def choose_retry_policy(safe: bool, max_attempts: int, overloaded: bool) -> int:
-    """The number of the retry policy: what the operator allows; without retries under overload."""
+    """Return the number of the retry policy that the route allows; 0, no retries, under overload."""
     if max_attempts <= 1 or overloaded:
         return 0
     return 1 if not safe else RETRY_ANY_FAILURE + (max_attempts > 2)
--- a/meadowworks/forwarding/response_check.py
+++ b/meadowworks/forwarding/response_check.py
@@ -1,4 +1,7 @@
-"""What a response proves of the attempt that it ends. Source: the users' page on the protocol."""
+"""Validation of backend responses: what a response proves about its attempt.
+
+Source: the protocol page for users.
+"""
 
 from __future__ import annotations
 
@@ -7,20 +10,20 @@
 
 from meadowworks.attempts.retry_policy import ANSWERED, FAILED, NEVER_RAN
 
-# Statuses that say that the request has not run: not forwarded as they are without proof of it.
+# Statuses that tell a client that the request did not run; not forwarded without proof of that.
 NOT_RUN_STATUSES = (408, 421, 429, 503)
 
-HeaderLookup = Callable[[bytes], bytes | None]  # the value of a header, named in lower case
+HeaderLookup = Callable[[bytes], bytes | None]  # maps a lower-case header name to its value
 
 
 @dataclass(frozen=True, slots=True)
 class ResponseVerdict:
-    """What a response is worth.
+    """Result of checking a response.
 
-    :param outcome: what is known of the attempt, as `meadowworks.attempts.retry_policy` names it
-    :param is_valid: the response is this request's own, and may go to its client
-    :param instance_superseded: another instance answers at the backend's address
-    :param connection_reusable: the connection may carry a further request
+    :param outcome: the state of the attempt, one of the constants of `meadowworks.attempts.retry_policy`
+    :param is_valid: whether the response belongs to this request and may be sent to its client
+    :param instance_superseded: whether another instance has replaced the backend at its address
+    :param connection_reusable: whether the connection can carry another request
     """
 
     outcome: int
@@ -30,7 +33,7 @@
 
 
 def outcome_of_status(status: int, not_run: bool) -> int:
-    """What a backend's response says of an attempt.
+    """Return the state of an attempt that ended with a response.
 
     :param not_run: whether the response states that the request did not run
     """
@@ -42,20 +45,20 @@
 def rejection_reason(
     request_id: bytes | None, status: int, header: HeaderLookup, first_on_connection: bool
 ) -> str | None:
-    """Why a response is not the complete one to the request `request_id`; None if it is.
+    """Return why a response is not a valid one to the request `request_id`; None if it is valid.
 
-    :param first_on_connection: the connection has carried no request before, so a failure that names no
-        request can be no other's
+    :param first_on_connection: whether this is the first request on its connection; a failure without a
+        request id then belongs to it
     """
     response_request_id = header(b"x-request-id")
     if request_id is not None and response_request_id != request_id:
         is_mismatch = response_request_id is not None or status < 300 or not first_on_connection
         if is_mismatch:
-            return "another request's response"
+            return "response to another request"
     if 200 <= status < 300 and header(b"x-backend-seal") is None:
-        return "a success without a seal"
+        return "success without X-Backend-Seal"
     if header(b"content-encoding") not in (None, b"identity"):
-        return "an encoded body"
+        return "body with a content encoding"
     return None
 
 
@@ -66,13 +69,13 @@
     header: HeaderLookup,
     first_on_connection: bool,
 ) -> ResponseVerdict:
-    """What a complete response on a connection to the instance `backend_id` proves.
+    """Check a complete response on a connection to the instance `backend_id`.
 
-    :param first_on_connection: it answers the connection's first request
+    :param first_on_connection: whether this is the first request on its connection
     """
     if rejection_reason(request_id, status, header, first_on_connection):
-        # Guards against a late response to an earlier request in this one's place, which would be taken for
-        # this one's: as its success, or as proof that it did not run.
+        # Prevents a late response to an earlier request from being taken for this one's, either as a success
+        # or as proof that the request did not run.
         return ResponseVerdict(FAILED, is_valid=False, connection_reusable=False)
     if status == 421:
         return ResponseVerdict(
--- a/meadowworks/forwarding/retry_budget.py
+++ b/meadowworks/forwarding/retry_budget.py
@@ -1,25 +1,25 @@
-"""How many retries a proxy may send to a service, without a word between proxies.
+"""Retry budget of a service at one proxy, without coordination between proxies.
 
-The operator's bound holds for the sum over all proxies in every window: so many retries for each request, and
-a slack. Each proxy stays within its own requests' part, and an allowance so small that all of them together
-stay within the slack.
+The operator limits the retries of all proxies together in every window: a ratio of the requests, plus a
+slack. Each proxy limits itself to that ratio of its own requests, plus a constant so small that the sum over
+all proxies stays within the slack.
 """
 
 from __future__ import annotations
 
 from collections import deque
 
-# Part of the ratio that is used: other proxies count their requests at other moments.
+# Fraction of the configured ratio that is used, because the windows of the proxies are not aligned.
 RATIO_SAFETY_FACTOR = 0.9
-# Retries in a window beyond the requests' part: a proxy with few requests may retry too.
+# Retries allowed per window in addition to the ratio, so that a proxy with few requests can retry too.
 BASE_RETRIES = 2
 
 
 class RetryBudget:
-    """The requests and retries of one service in a sliding window.
+    """Requests and retries of one service in a sliding window. All times are monotonic, in nanoseconds.
 
-    :param ratio: retries allowed for each request
-    :param window_ns: the length of the window, by a steady clock in nanoseconds
+    :param ratio: the retries allowed per request
+    :param window_ns: the length of the window
     """
 
     def __init__(self, ratio: float, window_ns: int) -> None:
@@ -28,11 +28,11 @@
         self.retries: deque[int] = deque()
 
     def record_request(self, now: int) -> None:
-        """Count a request that came at the time `now`."""
+        """Count a request that arrived at `now`."""
         self.requests.append(now)
 
     def take_retry(self, now: int) -> bool:
-        """Whether a retry may be sent; it is counted if so."""
+        """Return whether a retry may be sent, and count it if so."""
         retries, requests = self.window_counts(now)
         if retries + 1 > self.ratio * requests + BASE_RETRIES:
             return False
@@ -40,8 +40,8 @@
         return True
 
     def window_counts(self, now: int) -> tuple[int, int]:
-        """Retries and requests in the window that ends now."""
-        for times in (self.requests, self.retries):
-            while times and times[0] <= now - self.window_ns:
-                times.popleft()
+        """Return the number of retries and of requests in the window that ends at `now`."""
+        for times_ns in (self.requests, self.retries):
+            while times_ns and times_ns[0] <= now - self.window_ns:
+                times_ns.popleft()
         return len(self.retries), len(self.requests)
--- a/meadowworks/forwarding/split_sequence.py
+++ b/meadowworks/forwarding/split_sequence.py
@@ -1,8 +1,8 @@
-"""Spreads the requests of a route over its services more evenly than chance does.
+"""Low-discrepancy sequences that split the requests of a route among its services.
 
-Each route follows a low-discrepancy sequence: its points rise by the golden ratio, modulo 1 (Weyl 1916;
-Knuth, The Art of Computer Programming 3, 6.4). After n requests each service's share is off its weight by an
-order of log(n)/n; drawn by chance it would be by an order of 1/sqrt(n).
+The points of a sequence advance by the golden ratio modulo 1 (Weyl 1916; Knuth, The Art of Computer
+Programming 3, 6.4). After n requests, the share of each service differs from its weight by O(log(n)/n); with
+random points the difference would be O(1/sqrt(n)).
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 
 
 class SplitSequence:
-    """The next point of each route, from 0 up to, but without, 1.
+    """Generator of points in [0, 1), with a sequence for each route.
 
-    :param random_fraction: draws each route's first point, so that proxies do not go in step
+    :param random_fraction: returns the first point of a route; being random, it keeps proxies out of step
     """
 
     def __init__(self, random_fraction: Callable[[], float]) -> None:
@@ -23,7 +23,7 @@
         self._points: dict[str, float] = {}  # by route
 
     def next_point(self, route_name: str) -> float:
-        """The point of the route's next request."""
+        """Return the point for the next request of the route."""
         point = self._points.get(route_name)
         if point is None:
             point = self._random_fraction()
@@ -31,5 +31,5 @@
         return point
 
     def clear(self) -> None:
-        """Forget all routes: another configuration is in force."""
+        """Restart the sequences of all routes, after a configuration change."""
         self._points.clear()
