--- a/meadowworks/forwarding/connection_pool.py
+++ b/meadowworks/forwarding/connection_pool.py
@@ -78,8 +78,8 @@
     def release(self, now: int, backend_id: str, connection: ConnectionT, keep_alive_s: int | None) -> None:
         """Return a connection to the pool after a complete response, or close it.
 
-        It is closed if it is unusable, its keep-alive time is too short, its instance was evicted, or the pool
-        of the instance is full.
+        It is closed if it is unusable, its keep-alive time is too short, its instance was evicted, or the
+        instance's pool is full.
 
         :param keep_alive_s: the timeout in the backend's `Keep-Alive` header, in seconds; None without one
         """
