--- a/meadowworks/proxy/__main__.py
+++ b/meadowworks/proxy/__main__.py
@@ -1,8 +1,8 @@
-"""The proxy's entry point."""
+"""Entry point of the proxy."""
 
 import gc
 
-gc.disable()  # until the start is over: it makes much and drops little
+gc.disable()  # during startup, which allocates much and frees little
 
 from meadowworks.runtime import lazy_imports  # noqa: E402
 
--- a/meadowworks/proxy/control_plane_client.py
+++ b/meadowworks/proxy/control_plane_client.py
@@ -1,4 +1,7 @@
-"""Pulls configurations, updates and load reports from one control-plane node at a time, by long polls."""
+"""Client of the control plane: pulls configurations and updates from one node at a time, by long polls.
+
+The requests carry this proxy's load reports.
+"""
 
 from __future__ import annotations
 
@@ -24,25 +27,25 @@
 from meadowworks.runtime.peer_client import PeerClient
 from meadowworks.runtime.steps import Steps
 
-# Guards against a reply that would fill the memory when it is decompressed.
+# Prevents a compressed reply from exhausting the memory when it is decompressed.
 MAX_CONFIG_BYTES = 64 << 20
-# Every so many pulls the proxy's own record goes along, so that it stays known.
+# The proxy's own peer record is sent with one pull in this many, so that it does not expire.
 PULLS_PER_OWN_RECORD = 5
-# Until another look for a node, while none is known.
+# Pause while no control-plane node is known.
 NO_NODE_PAUSE_S = 0.2
-# After a pull that failed by a fault of our own.
+# Pause after a pull that failed with an unexpected exception.
 FAULT_PAUSE_S = 0.5
 log = logs.get_logger("proxy")
 
 
 def decode_config_steps(compressed: bytes) -> Steps[RouteTable]:
-    """Decompress and load a configuration, in steps between which others run."""
+    """Decompress and load a configuration, in steps between which other tasks can run."""
     body = yield from decompress_steps(compressed, MAX_CONFIG_BYTES)
     return (yield from load_route_table_steps(body))
 
 
 class ControlPlaneClient:
-    """Keeps a proxy's view up to date.
+    """Puller that keeps a proxy's view of the control plane up to date.
 
     :param incarnation: the id of this process
     """
@@ -64,14 +67,16 @@
         self.peer_clients: dict[tuple[str, int], PeerClient] = {}
 
     def peer_client(self, host: str, port: int) -> PeerClient:
-        """The client of a control-plane node, with the connections to it."""
+        """Return the client of a control-plane node, with its connections; create it if it is missing."""
         return self.peer_clients.setdefault((host, port), PeerClient(host, port))
 
     async def pull_forever(self) -> None:
-        """Pull without end.
+        """Pull in an endless loop.
+
+        An unexpected exception in one pull does not end the loop. Prevents the proxy from serving by a view
+        that is no longer updated.
 
-        A fault in one pull does not end the next: a proxy that hears nothing any more would go on serving by
-        what it has.
+        :raises InvariantError: the state of the proxy is inconsistent
         """
         while True:
             try:
@@ -84,7 +89,7 @@
                 await asyncio.sleep(FAULT_PAUSE_S)
 
     async def pull_once(self) -> None:
-        """Send one request to one control-plane node, and take in its reply."""
+        """Send one request to one control-plane node and apply its reply."""
         node = self._choose_node()
         if node is None:
             await asyncio.sleep(NO_NODE_PAUSE_S)
@@ -104,19 +109,19 @@
             await asyncio.sleep(self._schedule.on_failure(self._view.route_table is not None))
             return
         now = now_ns()
-        self._take_reply(reply, table, now)
+        self._apply_reply(reply, table, now)
         has_config = self._view.route_table is not None
         pause_s = self._schedule.on_reply(reply.has_lease, has_config)
         if not reply.has_lease:
-            # Guards against a node that is cut off from the others and goes on telling what is old.
+            # Prevents the proxy from following a partitioned node, whose state no longer changes.
             self._selector.mark_failed(now, host)
             await asyncio.sleep(pause_s)
         self._view.on_reply(sent_ns, reply.has_lease, now)
 
     def advance_heartbeat(self, now: int) -> None:
-        """Show the peers that this process is alive, and forget those that are not.
+        """Advance this process's heartbeat and remove peers whose heartbeat has stopped.
 
-        To be called every second.
+        Must be called every second.
         """
         self.known_peers.advance_heartbeat()
         self.known_peers.expire(now)
@@ -127,17 +132,17 @@
         return self._selector.choose(now_ns(), self.known_peers.voters(), seeds)
 
     def _build_request(self, report: LoadReport) -> PullRequest:
-        own_record = self.known_peers.local
+        local_record = self.known_peers.local
         return PullRequest(
-            own_record,
-            (own_record,) if self._pull_count % PULLS_PER_OWN_RECORD == 0 else (),
+            local_record,
+            (local_record,) if self._pull_count % PULLS_PER_OWN_RECORD == 0 else (),
             self._view.gossip.remote_version_vector(),
             self._view.config_version,
             self._schedule.long_poll_ms,
             report.pack() if report else None,
         )
 
-    def _take_reply(self, reply: PullReply, table: RouteTable | None, now: int) -> None:
+    def _apply_reply(self, reply: PullReply, table: RouteTable | None, now: int) -> None:
         self._pull_count += 1
         self.known_peers.merge(now, [reply.sender, *reply.peers])
         for delta in reply.deltas:
@@ -148,7 +153,10 @@
 
 
 def local_peer_record(settings: LiveSettings, incarnation: str) -> PeerRecord:
-    """What this process says of itself. Its heartbeat begins above that of an earlier process."""
+    """Return the peer record of this process.
+
+    Its heartbeat starts at the wall-clock time, above that of an earlier process.
+    """
     node = settings.current
     heartbeat = int(time.time())
     return PeerRecord(node.node, node.ip, node.peer_port, node.zone, False, incarnation, heartbeat)
--- a/meadowworks/proxy/control_plane_view.py
+++ b/meadowworks/proxy/control_plane_view.py
@@ -1,6 +1,6 @@
-"""What a proxy knows from the control plane: the configuration in force, and the backends.
+"""A proxy's copy of the control plane's state: the active configuration and the backends.
 
-The control plane's nodes tell it in updates and configurations; nothing here waits or sends.
+`ControlPlaneClient` applies the configurations and updates that it receives; this module does no I/O.
 """
 
 from __future__ import annotations
@@ -21,18 +21,18 @@
 from meadowworks.runtime.live_settings import LiveSettings
 
 MS, SECOND = 1_000_000, 1_000_000_000
-# After the start: how long a lease holder is waited for, and then a backend of every service. The platform's
-# next poll of readyz comes within it.
+# How long a starting proxy waits for a lease holder, and then again for a backend of each service.
+# The platform polls readyz again within this time.
 STARTUP_GRACE_NS = 3 * SECOND
-# The latency target of a service that no route names.
+# Latency target of a service that no route refers to.
 DEFAULT_TARGET_MS = 1000.0
 log = logs.get_logger("proxy")
 
 
 class ControlPlaneView:
-    """The proxy's copy of the control plane's state.
+    """The active configuration, the backends, and the balancer of each service.
 
-    :param incarnation: the id of this process, under which it would publish updates itself
+    :param incarnation: the id of this process, the source of any updates it would publish
     """
 
     def __init__(
@@ -49,15 +49,15 @@
         self.route_table_listeners: list[Callable[[RouteTable], None]] = []
         self.balancers: dict[str, ServiceBalancer] = {}  # by service
         self.started_ns = now_ns()
-        self.initial_sync_ns = 0  # when the first list of backends was taken as one to serve by
+        self.initial_sync_ns = 0  # when the first list of backends was accepted; 0 before
 
     @property
     def config_version(self) -> int:
-        """The version of the configuration in force; 0 if there is none."""
+        """The version of the active configuration; 0 if there is none."""
         return self.route_table.version if self.route_table else 0
 
     def apply_route_table(self, table: RouteTable) -> None:
-        """Put a version in force, as a whole: what begins from now on goes by it. Never an older one."""
+        """Activate a configuration for all new requests, unless it is not newer than the active one."""
         if self.route_table is not None and table.version <= self.route_table.version:
             return
         self.route_table = table
@@ -80,7 +80,7 @@
         )
 
     def refresh_endpoints(self) -> None:
-        """Hand backends that have changed to their services' balancers."""
+        """Pass changed backends on to the balancers of their services."""
         if not self.backends.changed_ids:
             return
         for instance_id in self.backends.changed_ids:
@@ -94,35 +94,35 @@
         self.evict_connections(now)
 
     def mark_superseded(self, instance_id: str) -> None:
-        """Take a backend out: another instance has answered at its address."""
+        """Remove a backend because another instance answered at its address."""
         log.info("backend_superseded", backend=instance_id)
         self.backends.mark_superseded(instance_id)
         self.refresh_endpoints()
 
     def evict_connections(self, now: int) -> None:
-        """Close idle connections that are not needed any more."""
+        """Close expired idle connections and those to backends that are gone."""
         self._pool.evict(now, set(self.backends.instances))
 
     def on_reply(self, sent_ns: int, has_lease: bool, now: int) -> None:
-        """Record that a node of the control plane has answered.
+        """Record a reply of a control-plane node.
 
-        :param sent_ns: when the request left
-        :param has_lease: whether the node holds a lease: its state is the newest
-        :param now: when the reply was taken in
+        :param sent_ns: when the request was sent
+        :param has_lease: whether the node holds a lease, so that its state is the newest
+        :param now: when the reply was applied
         """
         self.staleness.on_reply(sent_ns, has_lease)
         self.check_initial_sync(now)
 
     def check_initial_sync(self, now: int) -> None:
-        """Serve by the list that is there: once a lease holder has sent it, or after a while without one."""
+        """Accept the current list of backends once a lease holder replied, or after `STARTUP_GRACE_NS`."""
         waited_long = now - self.started_ns > STARTUP_GRACE_NS
         if not self.initial_sync_ns and (self.staleness.has_been_confirmed or waited_long):
             self.initial_sync_ns = now
 
     def is_ready(self, now: int) -> bool:
-        """Whether requests can be served: there is a configuration, and a backend of every service.
+        """Return whether requests can be served: there is a configuration, and a backend for each service.
 
-        A service without a backend is not waited for longer than `STARTUP_GRACE_NS`.
+        Services without a backend delay readiness by at most `STARTUP_GRACE_NS` after the initial sync.
         """
         if self.route_table is None or not self.initial_sync_ns:
             return False
@@ -130,7 +130,7 @@
         return has_backends or now - self.initial_sync_ns > STARTUP_GRACE_NS
 
     def expire(self, now: int) -> None:
-        """Let go of what sources have said that are silent. To be called every second."""
+        """Remove the updates of silent sources. Must be called every second."""
         self.gossip.expire_sources(now)
         self.backends.refresh_all()
         self.refresh_endpoints()
--- a/meadowworks/proxy/endpoint_selector.py
+++ b/meadowworks/proxy/endpoint_selector.py
@@ -1,4 +1,4 @@
-"""Which endpoints a request of a service may go to now: its balancer's weights, and the load of each."""
+"""Selection of endpoints for a request, from the weights of its service's balancer and their load."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 
 
 class EndpointSnapshot:
-    """The endpoints of a service as they are at one moment, by number.
+    """State of a service's endpoints at one moment, by endpoint number.
 
-    Made for each request and each of its events: a plain class with slots is the quickest to make.
+    Created for each event of each request; a plain class with slots is the cheapest to create.
     """
 
     __slots__ = ("load", "local", "remote", "service_times")
@@ -29,11 +29,11 @@
         self.local: dict[int, float] = {}  # weights in the proxy's zone
         self.remote: dict[int, float] = {}  # weights in other zones
         self.load: dict[int, float] = {}  # requests in flight
-        self.service_times: dict[int, float] = {}  # nanoseconds, where it is known
+        self.service_times: dict[int, float] = {}  # in nanoseconds, where known
 
 
 class EndpointSelector:
-    """Joins the balancers' weights, the list of backends and the load of each."""
+    """Selector that combines the balancers' weights with the backends' states and loads."""
 
     def __init__(
         self,
@@ -46,27 +46,34 @@
         self._pool = pool
 
     def select(self, balancer: ServiceBalancer, target_ns: float, now: int) -> EndpointChoices:
-        """The endpoints that a request may go to.
+        """Return the endpoints that a request may be sent to.
 
-        :param target_ns: the latency target of its route
+        :param target_ns: the latency target of its route, in nanoseconds
         """
-        found = EndpointSnapshot()
-        listed = self._collect(found, balancer, balancer.weights, now)
-        if local_zone_suffices(found.local, found.load, found.service_times):
-            return EndpointChoices(found.local, estimate_delays(found.local, found.load, found.service_times))
-        self._collect(found, balancer, balancer.remote_weights, now)
+        snapshot = EndpointSnapshot()
+        listed = self._collect(snapshot, balancer, balancer.weights, now)
+        if local_zone_suffices(snapshot.local, snapshot.load, snapshot.service_times):
+            return EndpointChoices(
+                snapshot.local, estimate_delays(snapshot.local, snapshot.load, snapshot.service_times)
+            )
+        self._collect(snapshot, balancer, balancer.remote_weights, now)
         choices = choose_endpoints(
-            found.local, found.remote, found.load, found.service_times, target_ns, balancer.response_bytes
+            snapshot.local,
+            snapshot.remote,
+            snapshot.load,
+            snapshot.service_times,
+            target_ns,
+            balancer.response_bytes,
         )
-        # Where all are avoided a request goes to one of them rather than nowhere.
+        # If all endpoints are avoided, the request is sent to one of them rather than rejected.
         return choices if choices.weights else EndpointChoices(listed, {}, False)
 
     def _collect(
-        self, found: EndpointSnapshot, balancer: ServiceBalancer, weights: Mapping[int, float], now: int
+        self, snapshot: EndpointSnapshot, balancer: ServiceBalancer, weights: Mapping[int, float], now: int
     ) -> dict[int, float]:
-        """Add endpoints that may be tried to the snapshot.
+        """Add the endpoints that are eligible for a request to the snapshot.
 
-        :returns: the weights of all that are listed, with those that could not be reached a moment ago
+        :returns: the weights of all endpoints that accept requests, avoided ones included
         """
         names, instances = balancer.endpoint_ids.name_by_index, self._backends.instances
         local_zone = self._settings.current.zone
@@ -74,16 +81,16 @@
         for endpoint, weight in weights.items():
             instance = instances.get(names[endpoint])
             if instance is None or not instance.accepts_requests:
-                continue  # the weights are a moment behind the list
+                continue  # the weights are slightly older than the backend list
             listed[endpoint] = weight
             load = self._pool.load(instance.instance_id)
             if load.is_avoided(now):
                 continue
             is_local = instance.zone == local_zone
-            candidates = found.local if is_local else found.remote
+            candidates = snapshot.local if is_local else snapshot.remote
             if weight > candidates.get(endpoint, 0.0):
                 candidates[endpoint] = weight
-            found.load[endpoint] = load.estimate(now, is_local)
+            snapshot.load[endpoint] = load.estimate(now, is_local)
             if load.service_time_ns is not None:
-                found.service_times[endpoint] = load.service_time_ns
+                snapshot.service_times[endpoint] = load.service_time_ns
         return listed
--- a/meadowworks/proxy/forwarder.py
+++ b/meadowworks/proxy/forwarder.py
@@ -1,4 +1,4 @@
-"""Runs the attempts of a request: the I/O for `RequestAttempts`, which decides."""
+"""Execution of a request's attempts: the I/O for the decisions of `RequestAttempts`."""
 
 from __future__ import annotations
 
@@ -42,18 +42,18 @@
 from meadowworks.runtime.server_connection import HttpConnection
 
 MS, SECOND = 1_000_000, 1_000_000_000
-# A request that was held for this part of its route's latency target, and reached no backend, is counted as a
-# failure of the route.
+# A rejected request that reached no backend counts as a route failure if it took longer than this fraction of
+# the route's latency target.
 NO_BACKEND_TARGET_SHARE = 0.25
 
 
 @dataclass(frozen=True, slots=True)
 class ClientContext:
-    """Who waits for a response.
+    """The client of a request: its deadline, memory and connection.
 
-    :param deadline_ns: until when, by the process's clock
-    :param memory: what the request and its response hold of the memory for bodies
-    :param connection: the client's connection, unless it has gone already
+    :param deadline_ns: the monotonic time until which the client waits
+    :param memory: the body memory that the request and its response hold
+    :param connection: the client's connection; None if it has closed already
     """
 
     deadline_ns: int
@@ -61,12 +61,12 @@
     connection: HttpConnection | None
 
     def is_disconnected(self) -> bool:
-        """Whether nobody waits for the response any more."""
+        """Return whether the client has disconnected."""
         return self.connection is not None and self.connection.disconnected
 
 
 class Forwarder:
-    """Has requests answered by backends."""
+    """Forwarder of requests to backends."""
 
     def __init__(
         self,
@@ -91,7 +91,7 @@
     async def forward(
         self, route: Route, service: str, request: UpstreamRequest, client: ClientContext
     ) -> Response | RejectRequest:
-        """The final response to a request: a backend's, or one of the proxy's own."""
+        """Return the final response to a request: a backend's response, or a rejection by the proxy."""
         now = now_ns()
         balancer = self._view.balancers[service]
         retry_budget = self._retry_budget(service)
@@ -117,13 +117,13 @@
         return result
 
     def backend(self, balancer: ServiceBalancer, endpoint: int) -> BackendInstance:
-        """The backend instance of an endpoint's number."""
+        """Return the backend instance of an endpoint number."""
         return self._view.backends.instances[balancer.endpoint_ids.name_by_index[endpoint]]
 
     async def run_attempt(
         self, backend: BackendInstance, request: UpstreamRequest, client: ClientContext
     ) -> AttemptResult:
-        """Send a request to a backend, and record what its response says."""
+        """Send a request to a backend and record the result."""
         instance_id, same_zone = backend.instance_id, backend.zone == self._settings.current.zone
         load_before = self._pool.load(instance_id).estimate(now_ns(), same_zone)
         if not same_zone:
@@ -139,15 +139,15 @@
         return result
 
     def retry_windows(self, now: int) -> dict[str, tuple[int, int]]:
-        """Retries and requests in the window of each service's retry budget."""
+        """Return the retries and requests in the window of each service's retry budget."""
         return {service: budget.window_counts(now) for service, budget in self.retry_budgets.items()}
 
     def _retry_budget(self, service: str) -> RetryBudget:
-        if (found := self.retry_budgets.get(service)) is None:
+        if (budget := self.retry_budgets.get(service)) is None:
             bounds = self._settings.current.bounds
             window_ns = int(bounds.retry_window_s * SECOND)
-            found = self.retry_budgets[service] = RetryBudget(bounds.retry_ratio, window_ns)
-        return found
+            budget = self.retry_budgets[service] = RetryBudget(bounds.retry_ratio, window_ns)
+        return budget
 
     def _record_response(
         self, backend: BackendInstance, response: Response, elapsed_ns: int, load_before: float
@@ -159,7 +159,7 @@
 
 
 class AttemptRunner:
-    """Runs the commands of one request's attempts until it has its response."""
+    """Executor of the commands of `RequestAttempts` for one request."""
 
     __slots__ = (
         "_attempts",
@@ -190,14 +190,14 @@
         self._target_ns = route.target_ms * MS
         self._request = request
         self._client = client
-        self._tasks: dict[asyncio.Task[AttemptResult], int] = {}  # attempts in flight, by task
-        self._responses: dict[int, Response | None] = {}  # of attempts that have ended, by number
-        self._reached_backend = False  # whether any attempt was sent over a connection that was up
+        self._tasks: dict[asyncio.Task[AttemptResult], int] = {}  # numbers of attempts in flight, by task
+        self._responses: dict[int, Response | None] = {}  # responses of ended attempts, by number
+        self._reached_backend = False  # whether any attempt may have reached a backend
 
     async def run(self, started_ns: int) -> Response | RejectRequest:
-        """The response to the request.
+        """Return the response to the request, or the proxy's rejection.
 
-        :param started_ns: when the request was taken on
+        :param started_ns: when forwarding started
         """
         connection = self._client.connection
         command = self._handle(RequestReceived(), started_ns, self._choices(started_ns))
@@ -233,13 +233,13 @@
         self._tasks[task] = command.number
 
     async def _next_command(self) -> Command:
-        """What follows from the next event: an attempt has ended, or its timer has expired."""
+        """Wait for an attempt to end or for the timer to expire, and return the resulting command."""
         now = now_ns()
         timeout_s = max(0.0, (self._attempts.next_timer_ns(now) - now) / 1e9)
         done, _ = await asyncio.wait(self._tasks, timeout=timeout_s, return_when=asyncio.FIRST_COMPLETED)
         now = now_ns()
         for task in done:
-            if is_answered(task):  # the client gets this response: there is no endpoint to choose
+            if is_answered(task):  # this response is forwarded, so no endpoint has to be chosen
                 return self._on_attempt_ended(task, now, NO_ENDPOINTS)
         choices = self._choices(now)
         if not done:
@@ -288,12 +288,12 @@
             self._count_failure(counter_names.failure_without_backend(rejection.status))
 
     def _abandon_attempts(self) -> None:
-        """Bound attempts that nobody waits for: guards against backends that never answer."""
+        """Cancel the remaining attempts at the deadline. Prevents leaks if a backend never responds."""
         time_left_s = (self._client.deadline_ns - now_ns()) / 1e9
         for task in self._tasks:
             self._forwarder.tasks.cancel_after(task, time_left_s, self._client.memory.release)
 
 
 def is_answered(task: asyncio.Task[AttemptResult]) -> bool:
-    """Whether an attempt has ended with a response for the client."""
+    """Return whether an attempt ended with a response that goes to the client."""
     return not task.cancelled() and task.result().outcome == ANSWERED
--- a/meadowworks/proxy/http_headers.py
+++ b/meadowworks/proxy/http_headers.py
@@ -1,10 +1,10 @@
-"""Which headers a proxy passes on, by RFC 9110 (7.6.1, hop-by-hop) and the gateway's own protocol."""
+"""Headers that a proxy forwards, by RFC 9110, section 7.6.1 (hop-by-hop), and the gateway's protocol."""
 
 from __future__ import annotations
 
 from meadowworks.runtime.http_connection import Headers, Response
 
-# Headers that concern one connection alone. Content-Length is stated anew: bodies are passed on complete.
+# Headers that apply to one connection only. Content-Length is set again, because bodies are buffered.
 HOP_BY_HOP_HEADERS = frozenset(
     (
         b"connection",
@@ -19,16 +19,16 @@
         b"content-length",
     )
 )
-# Request headers that the proxy answers itself or states anew for each attempt.
+# Request headers that the proxy handles itself or sets for each attempt.
 GATEWAY_HEADERS = frozenset((b"x-deadline-ms", b"x-want-backend", b"expect"))
 
 
 def forwarded_request_headers(headers: Headers) -> Headers:
-    """The headers of a client's request that go to the backend.
+    """Return the headers of a client's request that are forwarded to the backend.
 
-    :param headers: with names in lower case, as the server's parser leaves them
+    :param headers: with lower-case names, as the server's parser returns them
     """
-    named = {
+    connection_options = {
         token.strip().lower()
         for name, value in headers
         if name == b"connection"
@@ -37,13 +37,13 @@
     return [
         (name, value)
         for name, value in headers
-        if name not in HOP_BY_HOP_HEADERS and name not in GATEWAY_HEADERS and name not in named
+        if name not in HOP_BY_HOP_HEADERS and name not in GATEWAY_HEADERS and name not in connection_options
     ]
 
 
 def forwarded_response_headers(response: Response) -> Headers:
-    """The headers of a backend's response that go to the client."""
-    named = {
+    """Return the headers of a backend's response that are forwarded to the client."""
+    connection_options = {
         token.strip().lower()
         for name, value in response.headers
         if name.lower() == b"connection"
@@ -52,12 +52,12 @@
     return [
         (name, value)
         for name, value in response.headers
-        if name.lower() not in HOP_BY_HOP_HEADERS and name.lower() not in named
+        if name.lower() not in HOP_BY_HOP_HEADERS and name.lower() not in connection_options
     ]
 
 
 def keep_alive_timeout_s(response: Response) -> int | None:
-    """The whole seconds that `Keep-Alive: timeout=` names, if it does."""
+    """Return the timeout in the `Keep-Alive` header, in whole seconds; None without one."""
     for part in (response.header(b"keep-alive") or b"").split(b","):
         name, _, value = part.strip().partition(b"=")
         if name.lower() == b"timeout" and value.strip().isdigit():
@@ -66,7 +66,7 @@
 
 
 def parse_ms(value: bytes | None, default: float) -> float:
-    """The milliseconds that a header names; `default` if it is missing or no number."""
+    """Return a header's value in milliseconds; `default` if it is missing or not a number."""
     try:
         return float(value) if value is not None else default
     except ValueError:
--- a/meadowworks/proxy/internal_api.py
+++ b/meadowworks/proxy/internal_api.py
@@ -1,4 +1,4 @@
-"""What a proxy tells on its internal port (`/status`), and the platform on `readyz`."""
+"""HTTP endpoints for operators: `/status` and metrics on the internal port, readiness on `readyz`."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 from meadowworks.runtime.request_body import read_body
 from meadowworks.runtime.response_writer import send_response
 
-# Requests on the internal port have no body; guards against one that does not end.
+# Requests on the internal port have no body. Prevents reading an endless one.
 MAX_BODY_BYTES = 65536
 
 
 class InternalApi:
-    """Read-only: nothing that is asked here changes the proxy.
+    """Read-only API: no request changes the proxy.
 
-    :param is_ready: whether the platform may send clients here
-    :param send_metrics: answers a scrape
+    :param is_ready: returns whether the platform may route clients to this proxy
+    :param send_metrics: sends the response to a scrape
     """
 
     def __init__(
@@ -44,13 +44,13 @@
         self._send_metrics = send_metrics
 
     async def handle_readiness(self, scope: Scope, receive: Receive, send: Send) -> None:  # noqa: ARG002
-        """Answer the platform's poll, 200 while clients may be sent here, else 503; and scrapes."""
+        """Respond to the platform's poll with 200 while the proxy is ready, else 503; also serve metrics."""
         if scope["path"] == METRICS_PATH:
             return await self._send_metrics(send)
         return await send_response(send, 200 if self._is_ready() else 503)
 
     async def handle(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Answer `/status` and scrapes of metrics; an ASGI application."""
+        """Serve `/status` and metrics; an ASGI application."""
         await read_body(receive, MAX_BODY_BYTES)
         if scope["path"] == METRICS_PATH:
             return await self._send_metrics(send)
@@ -59,7 +59,7 @@
         return await send_response(send, 200, json.dumps(self.status()).encode())
 
     def status(self) -> dict[str, Any]:
-        """The state of the proxy, as the command line reads it."""
+        """Return the state of the proxy for the command line."""
         now, view = now_ns(), self._view
         return {
             "node": self._settings.current.node,
--- a/meadowworks/proxy/load_reporting.py
+++ b/meadowworks/proxy/load_reporting.py
@@ -1,7 +1,7 @@
-"""Load reports: what this proxy has met at the backends, and what the proxies of each zone have together.
+"""Load reports: this proxy's requests and attempts, and the sums over the proxies of each zone.
 
-A proxy's report goes to the control plane with its pulls. The sums by zone come back as updates, and are what
-the balancers decide by.
+A proxy sends its report to the control plane with its pulls. The sums by zone come back as updates, and the
+balancers base their decisions on them.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 from meadowworks.runtime.live_settings import LiveSettings
 
 MS = 1_000_000
-OWN_REPORT_MS = 1000  # what a report of this proxy's own covers that stands in for its zone's
+OWN_REPORT_MS = 1000  # period covered by the proxy's own report when it replaces its zone's
 log = logs.get_logger("proxy")
 
 
 class LoadReporter:
-    """Counts what this proxy meets, and hands the zones' reports to the balancers."""
+    """Collector of this proxy's load report; it passes the zones' reports on to the balancers."""
 
     def __init__(
         self,
@@ -40,13 +40,13 @@
         self._pool = pool
         self._unsent = LoadReport()
         self._last_second = LoadReport()
-        self._withdrawn: dict[str, int] = {}  # requests by service that were reported as demand and are none
+        self._withdrawn: dict[str, int] = {}  # withdrawn requests already reported as demand, by service
         view.gossip.update_listeners.append(self.on_update)
 
     # -- this proxy's own report
 
     def record_request(self, service: str) -> None:
-        """Count a request that was admitted or rejected by the proxy itself."""
+        """Count a request, admitted or rejected by the proxy, unless it offsets a withdrawn one."""
         if self._withdrawn.get(service, 0):
             self._withdrawn[service] -= 1
             return
@@ -54,10 +54,9 @@
         self._last_second.record_request(service)
 
     def withdraw_request(self, service: str) -> None:
-        """Take back a request that was not served because its client has gone.
+        """Subtract a request that was not served because its client disconnected.
 
-        Guards against clients that come and go: what nobody waits for is no demand, and would have the
-        policy refuse others.
+        Prevents abandoned requests from counting as demand, for which the policy would reject other requests.
         """
         if self._unsent.service_requests.get(service, 0):
             self._unsent.service_requests[service] -= 1
@@ -67,7 +66,7 @@
             self._last_second.service_requests[service] -= 1
 
     def record_attempt(self, instance_id: str, result: AttemptResult) -> None:
-        """Count an attempt that has ended."""
+        """Count an attempt that ended."""
         answered, elapsed_ms = result.outcome == ANSWERED, result.elapsed_ns / MS
         for report in (self._unsent, self._last_second):
             report.record_attempt(instance_id, answered, elapsed_ms)
@@ -77,18 +76,18 @@
                 )
 
     def take_unsent(self) -> LoadReport:
-        """What was counted since the last time, to be sent now."""
+        """Return the counts since the last call and reset them."""
         report, self._unsent = self._unsent, LoadReport()
         return report
 
     def restore_unsent(self, report: LoadReport) -> None:
-        """Add up again what could not be sent."""
+        """Add a report that could not be sent to the current counts."""
         self._unsent.merge(report.pack())
 
     # -- the zones' reports
 
     def on_update(self, update: KeyUpdate) -> None:
-        """Take in the report of a zone, as the control plane has added it up."""
+        """Apply a zone's report, which the control plane has summed up; ignore other updates."""
         zone = update.key.removeprefix(LOAD_REPORT_PREFIX)
         if not update.key.startswith(LOAD_REPORT_PREFIX) or update.value is None:
             return
@@ -103,11 +102,11 @@
     def apply_zone_report(
         self, zone: str, covers_ms: int, backends: Iterable[Sequence[Any]], requests: Mapping[str, int]
     ) -> None:
-        """Hand a zone's sums to the balancers.
+        """Pass a zone's sums on to the balancers.
 
-        :param covers_ms: the time over which they were counted
-        :param backends: the fields of `BackendSums` of each backend
-        :param requests: the requests of each service
+        :param covers_ms: the period over which they were counted, in milliseconds
+        :param backends: a row with the fields of `BackendSums` for each backend
+        :param requests: the number of requests by service
         """
         now, zone_number = now_ns(), self._settings.current.zones.index(zone)
         loads: dict[str, dict[str, BackendLoad]] = {}
@@ -131,12 +130,14 @@
             )
 
     def replace_overdue_report(self, now: int) -> None:
-        """Let this proxy's own counts of the last second stand in for its zone's report if that is overdue.
+        """Replace the report of the proxy's zone by its own counts of the last second if it is overdue.
 
-        To be called every second.
+        Must be called every second.
         """
-        own, self._last_second = self._last_second, LoadReport()
+        last_second, self._last_second = self._last_second, LoadReport()
         settings = self._settings.current
         local_zone = settings.zones.index(settings.zone)
         if any(balancer.report_overdue(now, local_zone) for balancer in self._view.balancers.values()):
-            self.apply_zone_report(settings.zone, OWN_REPORT_MS, own.backend_sums(), own.service_requests)
+            self.apply_zone_report(
+                settings.zone, OWN_REPORT_MS, last_second.backend_sums(), last_second.service_requests
+            )
--- a/meadowworks/proxy/metrics.py
+++ b/meadowworks/proxy/metrics.py
@@ -1,4 +1,4 @@
-"""The metrics of a proxy: docs/metrics.md lists them."""
+"""Prometheus metrics of a proxy; docs/metrics.md lists them."""
 
 from __future__ import annotations
 
@@ -21,18 +21,18 @@
 EVENT_METRICS = {
     counter_names.CLIENT_DISCONNECTED: (
         "clients_gone",
-        "Requests whose client had gone before the response.",
+        "Requests whose client disconnected before the response.",
     ),
-    counter_names.NOT_ADMITTED: ("admission_rejections", "Requests that admission control has refused."),
-    counter_names.CROSS_ZONE_ATTEMPTS: ("cross_zone_attempts", "Attempts at backends of another zone."),
+    counter_names.NOT_ADMITTED: ("admission_rejections", "Requests rejected by admission control."),
+    counter_names.CROSS_ZONE_ATTEMPTS: ("cross_zone_attempts", "Attempts sent to backends of another zone."),
 }
 
 
 class ProxyMetrics:
-    """Reads the figures of a proxy's parts.
+    """Collector that reads the metrics from a proxy's parts.
 
-    :param is_ready: whether the platform may send clients here
-    :param pending_requests: how many requests are not answered yet
+    :param is_ready: returns whether the platform may route clients to this proxy
+    :param pending_requests: returns the number of requests without a response so far
     """
 
     def __init__(
@@ -52,7 +52,7 @@
         self._pending_requests = pending_requests
 
     def collect(self) -> Iterator[MetricFamily]:
-        """All metrics at this moment."""
+        """Yield all metrics with their current values."""
         now = now_ns()
         yield from self._counted()
         yield from self._state(now)
@@ -63,7 +63,7 @@
         counts = self._counters.responses
         yield counter(
             PREFIX + "responses",
-            "Responses to clients, by who gave them (backend or proxy) and status code.",
+            "Responses to clients, by origin (backend or proxy) and status code.",
             *(
                 Sample(count, ("backend", name))
                 for name, count in counts.items()
@@ -101,21 +101,25 @@
 
     def _state(self, now: int) -> Iterator[MetricFamily]:
         view = self._view
-        yield gauge(PREFIX + "ready", "1 if clients may be sent here.", Sample(self._is_ready()))
+        yield gauge(PREFIX + "ready", "1 if the proxy is ready for clients.", Sample(self._is_ready()))
         yield gauge(
             PREFIX + "view_fresh",
-            "1 if a lease holder of the control plane has answered lately.",
+            "1 if a lease holder of the control plane has replied recently.",
             Sample(view.staleness.is_fresh(now)),
         )
         yield gauge(
-            PREFIX + "config_version", "Configuration in force; 0: none.", Sample(view.config_version)
+            PREFIX + "config_version",
+            "Version of the active configuration; 0: none.",
+            Sample(view.config_version),
         )
         yield gauge(
-            PREFIX + "pending_requests", "Requests without an answer yet.", Sample(self._pending_requests())
+            PREFIX + "pending_requests",
+            "Requests without a response so far.",
+            Sample(self._pending_requests()),
         )
         yield gauge(
             PREFIX + "body_memory_bytes",
-            "Memory that bodies of requests and responses hold.",
+            "Memory held by request and response bodies.",
             Sample(self._memory.reserved_bytes),
         )
 
@@ -123,13 +127,13 @@
         balancers = self._view.balancers
         yield gauge(
             PREFIX + "admission_ratio",
-            "Part of a service's requests that is let in.",
+            "Fraction of a service's requests that is admitted.",
             *(Sample(balancer.admission_ratio, (name,)) for name, balancer in balancers.items()),
             labels=("service",),
         )
         yield gauge(
             PREFIX + "priority_admission_ratio",
-            "Part of a service's requests of a priority that is let in; 0 is the most urgent.",
+            "Fraction of a service's requests of a priority that is admitted; 0 is the most urgent.",
             *(
                 Sample(balancer.admission_ratio_of(priority), (name, str(priority)))
                 for name, balancer in balancers.items()
@@ -139,7 +143,7 @@
         )
         yield gauge(
             PREFIX + "demand_requests_per_second",
-            "Requests a second that clients of all zones ask of a service.",
+            "Requests per second to a service from the clients of all zones.",
             *(Sample(balancer.controller.demand, (name,)) for name, balancer in balancers.items()),
             labels=("service",),
         )
--- a/meadowworks/proxy/request_handler.py
+++ b/meadowworks/proxy/request_handler.py
@@ -1,4 +1,4 @@
-"""The way of one client request through the proxy, from its headers to the end of its response."""
+"""Processing of one client request, from its headers to the end of its response."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 from meadowworks.runtime.server_connection import HttpConnection
 
 MS, SECOND = 1_000_000, 1_000_000_000
-# Responses of the proxy's own. In 300 ms a node with a lease is found, if there is one; in a second other
-# requests have given memory back.
+# Rejections by the proxy. A lease holder, if there is one, is found within 300 ms; other requests release
+# memory within a second.
 NOT_CONFIGURED = RejectRequest(503, 300 * MS)
 VIEW_IS_STALE = RejectRequest(503, 300 * MS)
 OUT_OF_MEMORY = RejectRequest(503, SECOND)
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True)
 class RequestHead:
-    """A request without its body."""
+    """Request line and headers of a request."""
 
     method: bytes
     request_target: bytes  # in origin form
@@ -43,8 +43,8 @@
     host: str
     request_id: bytes | None  # X-Request-Id
     deadline_header: bytes | None  # X-Deadline-Ms
-    connection: HttpConnection | None  # the client's, unless it has gone already
-    received_ns: int  # when the headers had been read, by the steady clock
+    connection: HttpConnection | None  # the client's; None if it has closed already
+    received_ns: int  # when the headers were complete, monotonic time
 
     @property
     def path(self) -> str:
@@ -53,12 +53,12 @@
 
     @property
     def client_disconnected(self) -> bool:
-        """Whether nobody waits for the response any more."""
+        """Whether the client has disconnected."""
         return self.connection is not None and self.connection.disconnected
 
 
 def read_head(scope: Scope) -> RequestHead:
-    """The head of a request as the server has parsed it."""
+    """Return the head of a request from the server's scope."""
     host, request_id, deadline = "", None, None
     for name, value in scope["headers"]:
         if name == b"host":
@@ -80,12 +80,12 @@
 
 
 def request_timeout_ms(route: Route, head: RequestHead) -> float:
-    """How long the request may take: the operator's limit, or the client's if that is less."""
+    """Return the time limit of a request in milliseconds: the route's, or the client's if that is shorter."""
     return min(route.deadline_ms, parse_ms(head.deadline_header, route.deadline_ms))
 
 
 class RequestHandler:
-    """Serves the requests of all clients."""
+    """Handler for the requests of all clients."""
 
     def __init__(
         self, view: ControlPlaneView, forwarder: Forwarder, memory: MemoryBudget, counters: ProxyCounters
@@ -116,7 +116,7 @@
             if not memory.reserve(len(body)):
                 return await self._reject(send, OUT_OF_MEMORY)
             context = ClientContext(deadline_ns, memory, head.connection)
-            await self._exchange(send, route, table, head, body, context)
+            await self._forward_request(send, route, table, head, body, context)
         return None
 
     async def _read_body(self, receive: Receive, table: RouteTable, deadline_ns: int) -> bytes | BodyError:
@@ -124,12 +124,12 @@
         return await read_body(receive, table.max_body_bytes, self._memory, time_left_s)
 
     def _pick_service(self, route: Route) -> str:
-        """A service of the route by weight."""
+        """Return a service of the route, chosen by weight."""
         if len(route.weighted_services) == 1:
             return route.weighted_services[0].name
         return route.pick_service(self._splits.next_point(route.name))
 
-    async def _exchange(
+    async def _forward_request(
         self,
         send: Send,
         route: Route,
@@ -138,7 +138,7 @@
         body: bytes,
         context: ClientContext,
     ) -> None:
-        """Have the request answered by a backend, and send its response to the client."""
+        """Forward the request to a backend and send the response to the client."""
         request = UpstreamRequest(
             head.method, head.request_target, forwarded_request_headers(head.headers), body, head.request_id
         )
@@ -152,7 +152,7 @@
             else:
                 await self._respond(send, result, table)
         except TimeoutError:
-            # Guards against a client that does not read its response, which is held in memory for it.
+            # Prevents a client that does not read its response from holding memory.
             self._counters.count_route_failure(route.name, counter_names.RESPONSE_ABORTED)
             if head.connection is not None:
                 head.connection.transport.abort()
@@ -178,7 +178,6 @@
 
     async def _reject_route(self, send: Send) -> None:
         if not self._view.staleness.is_fresh(now_ns()):
-            # Guards against a configuration of before a partition or a freeze, which may lack a route that
-            # exists.
+            # Prevents a 404 for a route that only a stale configuration lacks, after a partition or a freeze.
             return await self._reject(send, VIEW_IS_STALE)
         return await send_response(send, 404, NO_ROUTE_BODY)
--- a/meadowworks/proxy/server.py
+++ b/meadowworks/proxy/server.py
@@ -1,4 +1,4 @@
-"""The proxy's process: its parts and their lifecycle, from the start to the graceful shutdown."""
+"""The proxy process: its parts and their lifecycle, from startup to graceful shutdown."""
 
 from __future__ import annotations
 
@@ -28,20 +28,20 @@
 from meadowworks.runtime.node_settings import NodeSettings
 from meadowworks.runtime.process import run_program
 
-# Part of the machine's memory that request and response bodies may take; the rest is the program's.
+# Fraction of the configured memory that request and response bodies may take; the rest is for the process.
 BODY_MEMORY_SHARE = 0.4
-# Part of the descriptors that clients may take; the rest is for backends and the control plane.
+# Fraction of the file descriptors for clients; the rest is for backends and the control plane.
 CLIENT_FD_SHARE = 0.6
-# How long connections may still come after readyz says no: two polls of the platform, a second apart.
+# How long connections are accepted after readyz fails: two polls of the platform, a second apart.
 READINESS_DRAIN_S = 2.3
-# How long before the end of the platform's grace time the last connections are closed.
+# The last connections are closed this long before the platform's grace period ends.
 SHUTDOWN_MARGIN_S = 0.3
 SHUTDOWN_POLL_S = 0.02
 log = logs.get_logger("proxy")
 
 
 class ProxyServer:
-    """One proxy. To be made within a running event loop."""
+    """One proxy; must be created within a running event loop."""
 
     def __init__(self, settings: NodeSettings) -> None:
         self.incarnation = f"{settings.node}.{uuid4().hex[:8]}"
@@ -84,27 +84,27 @@
 
     @property
     def settings(self) -> NodeSettings:
-        """The settings in force."""
+        """The current settings."""
         return self._settings.current
 
     @property
     def backends(self) -> BackendDirectory:
-        """The backends that the proxy knows."""
+        """The directory of known backends."""
         return self.view.backends
 
     def is_ready(self) -> bool:
-        """Whether the platform may send clients here."""
+        """Return whether the platform may route clients to this proxy."""
         return not self.shutting_down and self.view.is_ready(now_ns())
 
     def reload_settings(self) -> None:
-        """Read the settings file again."""
+        """Reload the settings file."""
         self._settings.reload()
 
     async def serve(self, shutdown_requested: asyncio.Future[None]) -> None:
         """Serve until the future is done, then shut down gracefully.
 
-        :raises OSError: an address cannot be listened at
-        :raises InvariantError: a background task has found a state that is wrong
+        :raises OSError: an address cannot be bound
+        :raises InvariantError: a background task found an inconsistent state
         """
         self._settings.reload_on_sighup()
         await self._listen()
@@ -117,10 +117,10 @@
         await self.shut_down()
 
     async def shut_down(self) -> None:
-        """End in steps, when no request is pending any more or the platform's grace time is over.
+        """Shut down gracefully, within the platform's grace period.
 
-        The proxy says that it is not ready, serves whom the platform still sends, and then closes idle
-        connections and takes no more.
+        The proxy first reports that it is not ready and still accepts connections. It then closes idle ones,
+        accepts no more, and waits until no request is pending or the grace period is over.
         """
         loop = asyncio.get_running_loop()
         started_s = loop.time()
@@ -137,7 +137,7 @@
         while self.http_server.pending_count() and loop.time() - started_s < grace_s - SHUTDOWN_MARGIN_S:
             await asyncio.sleep(SHUTDOWN_POLL_S)
         self.http_server.close()
-        await asyncio.sleep(SHUTDOWN_POLL_S)  # what was written last leaves
+        await asyncio.sleep(SHUTDOWN_POLL_S)  # lets the last responses leave
 
     async def _send_metrics(self, send: Send) -> None:
         from meadowworks.proxy.metrics import ProxyMetrics
@@ -160,7 +160,7 @@
         await self.http_server.listen(*settings.bind["http"])
 
     def _apply_limits(self, table: RouteTable) -> None:
-        """Put the limits of a configuration in force for open connections and new ones."""
+        """Apply the limits of a configuration to open and new connections."""
         limits = self.http_server.limits
         limits.max_header_bytes = table.max_header_bytes
         limits.header_timeout_s = table.header_timeout_ms / 1000
@@ -173,5 +173,5 @@
 
 
 def main() -> int:
-    """Run the program; returns its exit code."""
+    """Run the program and return its exit code."""
     return run_program(serve)
--- a/meadowworks/proxy/timers.py
+++ b/meadowworks/proxy/timers.py
@@ -1,4 +1,4 @@
-"""What a proxy does from time to time."""
+"""Periodic work of a proxy."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from meadowworks.runtime.clock import now_ns
 
 HOUSEKEEPING_INTERVAL_S = 1.0
-# The balancers' own turns come every half second: twice as often, so that none comes late by a whole turn.
+# Half of the balancers' own interval of 0.5 s, so that none of their ticks is late by a whole interval.
 POLICY_TICK_S = 0.25
 COUNTER_LOG_INTERVAL_S = 10.0
 log = logs.get_logger("proxy")
 
 
 class Timers:
-    """The periodic work of a proxy.
+    """Scheduler of a proxy's periodic work.
 
-    :param pending_requests: the number of requests that are not answered yet
+    :param pending_requests: returns the number of requests without a response so far
     """
 
     def __init__(
@@ -43,13 +43,13 @@
         self._pending_requests = pending_requests
 
     def start(self, tasks: BackgroundTasks) -> None:
-        """Begin; the work ends with its tasks."""
+        """Start the periodic tasks, which run until `tasks` is closed."""
         tasks.start(tasks.run_periodically(HOUSEKEEPING_INTERVAL_S, self.run_housekeeping))
         tasks.start(tasks.run_periodically(POLICY_TICK_S, self.tick_balancers))
         tasks.start(tasks.run_periodically(COUNTER_LOG_INTERVAL_S, self.log_counters))
 
     def run_housekeeping(self) -> None:
-        """Let go of what is old, once a second."""
+        """Advance the heartbeat, discard expired state and replace an overdue load report."""
         now = now_ns()
         self._client.advance_heartbeat(now)
         self._view.expire(now)
@@ -57,7 +57,7 @@
         self._view.evict_connections(now)
 
     def tick_balancers(self) -> None:
-        """Give each balancer its turn, and log what it has decided."""
+        """Run a tick of each balancer and log its decisions."""
         now = now_ns()
         for balancer in self._view.balancers.values():
             balancer.tick(now)
@@ -66,5 +66,5 @@
             balancer.log_entries.clear()
 
     def log_counters(self) -> None:
-        """Log what was counted."""
+        """Log the counters."""
         self._counters.log_changes(self._pending_requests(), self._forwarder.retry_windows(now_ns()))
--- a/meadowworks/proxy/upstream_attempt.py
+++ b/meadowworks/proxy/upstream_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at a request: one backend instance, over a connection of that instance alone."""
+"""One attempt at a request, sent to one backend instance over a connection to that instance."""
 
 from __future__ import annotations
 
@@ -17,26 +17,26 @@
 from meadowworks.runtime.http_connection import ClientConnection, Headers, Response, connect
 
 MS = 1_000_000
-# A machine without power is silent: another backend is tried while the client still waits.
+# A machine without power does not reply; the timeout leaves time to try another backend.
 CONNECT_TIMEOUT_S = 1.0
-# A larger response is none: the proxy holds each in memory until it is complete.
+# Larger responses fail, because the proxy buffers each response until it is complete.
 MAX_RESPONSE_BYTES = 32 << 20
 METHODS_WITH_BODY = frozenset((b"POST", b"PUT", b"PATCH"))
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamRequest:
-    """What goes to whichever backend: unchanged but for what concerns one connection."""
+    """A request as it is sent to any backend, without hop-by-hop headers."""
 
     method: bytes
-    request_target: bytes  # in origin form, as it stands on the request line
+    request_target: bytes  # in origin form, as on the request line
     headers: Headers
     body: bytes
     request_id: bytes | None  # X-Request-Id
 
 
 class ReportedLoad(NamedTuple):
-    """The requests at a backend, as `X-Backend-Load` of its response says."""
+    """Requests at a backend, as the `X-Backend-Load` header of its response reports them."""
 
     running: int
     waiting: int
@@ -44,13 +44,13 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptResult:
-    """How an attempt ended.
+    """Result of an attempt.
 
-    :param outcome: what is known of it, as `meadowworks.attempts.retry_policy` names it
-    :param response: the backend's response, if it is valid
-    :param elapsed_ns: from the attempt's start to its end
-    :param instance_superseded: another instance answers at the address
-    :param backend_load: what the response says of its backend's load
+    :param outcome: the state of the attempt, one of the constants of `meadowworks.attempts.retry_policy`
+    :param response: the backend's response; None without a valid one
+    :param elapsed_ns: the time from the start to the end of the attempt
+    :param instance_superseded: whether another instance has replaced the backend at its address
+    :param backend_load: the load that the response reports; None without a valid report
     """
 
     outcome: int
@@ -61,7 +61,7 @@
 
     @property
     def status(self) -> int:
-        """The status code of the response; 0 if there is none."""
+        """The status code of the response; 0 without one."""
         return self.response.status if self.response else 0
 
 
@@ -73,25 +73,27 @@
     reserve: Callable[[int], bool] | None = None,
     client_disconnected: Callable[[], bool] = lambda: False,
 ) -> AttemptResult:
-    """Send a request to a backend. Raises nothing but a cancellation; its connection is released or closed.
+    """Send a request to a backend and return the result; the connection is released or closed.
 
-    :param deadline_ns: when the client's time is over; it is sent to the backend
-    :param reserve: reserves memory for each chunk of the response; without it the response is cut off
-    :param client_disconnected: whether nobody waits for the response any more
+    :param deadline_ns: the client's deadline, which is forwarded to the backend
+    :param reserve: reserves memory for a chunk of the response; if it returns False, the attempt fails
+    :param client_disconnected: returns whether the client has disconnected
+    :raises asyncio.CancelledError: the attempt was cancelled; no other exception is raised
     """
     started_ns = now_ns()
     load = pool.load(backend.instance_id)
     load.in_flight += 1
     connection: ClientConnection | None = None
     try:
-        # Guards against a late response to another request, which nothing tells from one without an id.
+        # A request without an id gets a new connection. Prevents a late response to another request from
+        # being taken for its own, because only the id tells them apart.
         connection = pool.acquire(started_ns, backend.instance_id) if request.request_id is not None else None
         first_on_connection = connection is None
         if connection is None:
             timeout_s = min(CONNECT_TIMEOUT_S, max(0.001, (deadline_ns - started_ns) / 1e9))
             connection = await connect(backend.host, backend.port, timeout_s)
             if client_disconnected():
-                # Guards against work for nobody, above all an order that nobody waits for any more.
+                # Prevents wasted work, and unsafe requests that run although their client has disconnected.
                 connection.close()
                 return AttemptResult(NEVER_RAN, None, now_ns() - started_ns)
         response = await connection.request(
@@ -118,7 +120,7 @@
 
 
 def attempt_headers(request: UpstreamRequest, backend: BackendInstance, deadline_ns: int) -> Headers:
-    """The headers of one attempt: the request's, the time left, and the instance that is meant."""
+    """Return the headers of one attempt: the request's, the time left, and the intended instance."""
     time_left_ms = (deadline_ns - now_ns()) // MS
     headers = [
         *request.headers,
@@ -139,7 +141,7 @@
     started_ns: int,
     first_on_connection: bool,
 ) -> AttemptResult:
-    """Judge a complete response, and release its connection or close it."""
+    """Check a complete response and release or close its connection."""
     now = now_ns()
     load = parse_backend_load(response)
     if load is not None:
@@ -167,7 +169,7 @@
 
 
 def parse_backend_load(response: Response) -> ReportedLoad | None:
-    """What `X-Backend-Load: running,waiting,slots` says, if it makes sense."""
+    """Return the load in `X-Backend-Load: running,waiting,slots`; None if it is missing or malformed."""
     parts = (response.header(b"x-backend-load") or b"").split(b",")
     if len(parts) == 3 and all(part.strip().isdigit() for part in parts):
         return ReportedLoad(int(parts[0]), int(parts[1]))
