--- a/tests/gateway/features/request_attempts.feature
+++ b/tests/gateway/features/request_attempts.feature
@@ -1,24 +1,24 @@
-Feature: One request on its way
-  What the end of a try proves decides whether another may follow, and what the client may be told.
+Feature: Attempts of one request
+  The end of an attempt decides whether a retry may follow, and which response the client gets.
 
-  Scenario Outline: A try ends and there is another backend
-    Given a <kind> request with two backends and <tries> tries
-    When its first try ends by <end>
-    Then it is <then>
+  Scenario Outline: An attempt ends and there is another backend
+    Given a <kind> request with two backends and at most <attempts> attempts
+    When its first attempt ends with <end>
+    Then the request is <result>
 
     Examples:
-      | kind   | tries | end                   | then           |
-      | unsafe | 2     | no connection         | sent elsewhere |
-      | unsafe | 2     | 503 stating not run   | sent elsewhere |
-      | unsafe | 2     | 421                   | sent elsewhere |
-      | unsafe | 2     | a reset               | answered 502   |
-      | unsafe | 2     | a bare 503            | answered 502   |
-      | unsafe | 2     | a bare 429            | answered 502   |
-      | unsafe | 2     | 500                   | forwarded 500  |
-      | unsafe | 1     | no connection         | answered 503   |
-      | unsafe | 1     | a reset               | answered 502   |
-      | safe   | 2     | a reset               | sent elsewhere |
-      | safe   | 2     | 500                   | sent elsewhere |
-      | safe   | 1     | a reset               | answered 502   |
-      | safe   | 1     | 503 stating not run   | answered 503   |
-      | unsafe | 2     | 200                   | forwarded 200  |
+      | kind   | attempts | end                | result                    |
+      | unsafe | 2        | no connection      | sent to the other backend |
+      | unsafe | 2        | 503 with X-Not-Run | sent to the other backend |
+      | unsafe | 2        | 421                | sent to the other backend |
+      | unsafe | 2        | a reset            | rejected 502              |
+      | unsafe | 2        | 503                | rejected 502              |
+      | unsafe | 2        | 429                | rejected 502              |
+      | unsafe | 2        | 500                | forwarded 500             |
+      | unsafe | 1        | no connection      | rejected 503              |
+      | unsafe | 1        | a reset            | rejected 502              |
+      | safe   | 2        | a reset            | sent to the other backend |
+      | safe   | 2        | 500                | sent to the other backend |
+      | safe   | 1        | a reset            | rejected 502              |
+      | safe   | 1        | 503 with X-Not-Run | rejected 503              |
+      | unsafe | 2        | 200                | forwarded 200             |
--- a/tests/gateway/test_endpoint_load.py
+++ b/tests/gateway/test_endpoint_load.py
@@ -1,4 +1,4 @@
-"""How busy a backend is taken to be."""
+"""Load estimate of a backend."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from tests.gateway.helpers import SECOND
 
 
-def test_a_backend_too_busy_to_answer_does_not_look_idle() -> None:
+def test_a_backend_too_busy_to_respond_does_not_look_idle() -> None:
     pool: ConnectionPool[ClientConnection] = ConnectionPool()
     load = pool.load("b")
     load.in_flight += 1
--- a/tests/gateway/test_http_headers.py
+++ b/tests/gateway/test_http_headers.py
@@ -1,4 +1,4 @@
-"""Which headers go along."""
+"""Headers that a proxy forwards."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 @pytest.mark.parametrize(
-    ("headers", "kept"),
+    ("headers", "forwarded"),
     [
         (
             [(b"host", b"h"), (b"connection", b"close, x-mine"), (b"x-mine", b"1"), (b"accept", b"*")],
@@ -25,7 +25,7 @@
         ),
     ],
 )
-def test_headers_of_one_connection_do_not_go_along(
-    headers: list[tuple[bytes, bytes]], kept: list[bytes]
+def test_hop_by_hop_headers_are_not_forwarded(
+    headers: list[tuple[bytes, bytes]], forwarded: list[bytes]
 ) -> None:
-    assert [name for name, _ in forwarded_request_headers(headers)] == kept
+    assert [name for name, _ in forwarded_request_headers(headers)] == forwarded
--- a/tests/gateway/test_load_reporter.py
+++ b/tests/gateway/test_load_reporter.py
@@ -1,4 +1,4 @@
-"""`proxy.load_reporting`: what nobody waits for any more is no demand."""
+"""Load reports of a proxy: requests of disconnected clients do not count as demand."""
 
 from __future__ import annotations
 
@@ -11,20 +11,21 @@
 
 
 @pytest.mark.parametrize(
-    ("acts", "reported"),
+    ("actions", "reported"),
     [
-        ("ask ask ask go send", [2]),
-        ("ask send go ask ask send ask send", [1, 1, 1]),  # reported already: taken from the next
-        ("ask send go send", [1, 0]),
+        ("request request request withdraw send", [2]),
+        # A request that was reported before it was withdrawn is subtracted from the next report.
+        ("request send withdraw request request send request send", [1, 1, 1]),
+        ("request send withdraw send", [1, 0]),
     ],
 )
-def test_a_request_whose_client_has_gone_is_taken_back(acts: str, reported: list[int]) -> None:
+def test_a_request_whose_client_disconnected_is_withdrawn(actions: str, reported: list[int]) -> None:
     view = SimpleNamespace(gossip=SimpleNamespace(update_listeners=[]))
     reporter = LoadReporter(cast(Any, None), cast(Any, view), cast(Any, None))
-    found = []
-    for act in acts.split():
-        if act == "send":
-            found.append(reporter.take_unsent().service_requests.get("s", 0))
+    sent = []
+    for action in actions.split():
+        if action == "send":
+            sent.append(reporter.take_unsent().service_requests.get("s", 0))
         else:
-            (reporter.record_request if act == "ask" else reporter.withdraw_request)("s")
-    assert found == reported
+            (reporter.record_request if action == "request" else reporter.withdraw_request)("s")
+    assert sent == reported
--- a/tests/gateway/test_proxy_counters.py
+++ b/tests/gateway/test_proxy_counters.py
@@ -1,4 +1,4 @@
-"""What a proxy logs of its counters."""
+"""Log of a proxy's counters."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 def test_an_idle_proxy_logs_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    said: list[Any] = []
+    logged: list[Any] = []
     monkeypatch.setattr(
-        "meadowworks.proxy.counters.log.info", lambda *words, **fields: said.append((words, fields))
+        "meadowworks.proxy.counters.log.info", lambda *events, **fields: logged.append((events, fields))
     )
     counters = ProxyCounters()
     counters.log_changes(0, {})
-    assert not said
+    assert not logged
     counters.increment("200")
     counters.log_changes(0, {})
     counters.log_changes(0, {})
-    assert len(said) == 1
+    assert len(logged) == 1
--- a/tests/gateway/test_request_attempts.py
+++ b/tests/gateway/test_request_attempts.py
@@ -1,4 +1,4 @@
-"""What follows from the end of an attempt, from time that passes, and from a client that goes."""
+"""State machine of a request's attempts: ends of attempts, timers, and clients that disconnect."""
 
 from __future__ import annotations
 
@@ -39,8 +39,8 @@
 NO_FREE_SLOT = CHOICES._replace(has_free_slot=False)
 
 
-class RetriesAllowed:
-    """A retry budget that allows all, or none."""
+class FixedRetryLimiter:
+    """Retry limiter that allows all retries or none."""
 
     def __init__(self, allowed: bool = True) -> None:
         self.allowed = allowed
@@ -49,64 +49,73 @@
         return self.allowed
 
 
-def attempts_of(
-    safe: bool, target_ns: int = SECOND, limit_ns: int = 2 * SECOND, tries: int = 2, retries: bool = True
+def make_attempts(
+    safe: bool,
+    target_ns: int = SECOND,
+    deadline_ns: int = 2 * SECOND,
+    max_attempts: int = 2,
+    retries: bool = True,
 ) -> RequestAttempts:
-    rules, policy = route_retry_policy(safe, limit_ns, target_ns), choose_retry_policy(safe, tries, False)
-    return RequestAttempts(rules, policy, limit_ns, RetriesAllowed(retries))
+    route_policy, retry_policy = (
+        route_retry_policy(safe, deadline_ns, target_ns),
+        choose_retry_policy(safe, max_attempts, False),
+    )
+    return RequestAttempts(route_policy, retry_policy, deadline_ns, FixedRetryLimiter(retries))
 
 
-ENDS = {
+ATTEMPT_ENDS = {
     "no connection": (NEVER_RAN, 0),
     "a reset": (FAILED, 0),
-    "503 stating not run": (outcome_of_status(503, True), 503),
+    "503 with X-Not-Run": (outcome_of_status(503, True), 503),
     "421": (outcome_of_status(421, False), 421),
-    "a bare 503": (outcome_of_status(503, False), 503),
-    "a bare 429": (outcome_of_status(429, False), 429),
+    "503": (outcome_of_status(503, False), 503),
+    "429": (outcome_of_status(429, False), 429),
     "500": (outcome_of_status(500, False), 500),
     "200": (outcome_of_status(200, False), 200),
 }
 
 
-@given(parsers.parse("a {kind} request with two backends and {tries:d} tries"), target_fixture="attempts")
-def a_request(kind: str, tries: int) -> RequestAttempts:
+@given(
+    parsers.parse("a {kind} request with two backends and at most {max_attempts:d} attempts"),
+    target_fixture="attempts",
+)
+def a_request(kind: str, max_attempts: int) -> RequestAttempts:
     safe = kind == "safe"
-    return attempts_of(safe, tries=tries)
+    return make_attempts(safe, max_attempts=max_attempts)
 
 
-@when(parsers.parse("its first try ends by {end}"), target_fixture="command")
-def first_ends(attempts: RequestAttempts, end: str) -> Any:
+@when(parsers.parse("its first attempt ends with {end}"), target_fixture="command")
+def first_attempt_ends(attempts: RequestAttempts, end: str) -> Any:
     first = attempts.handle_event(RequestReceived(), 0, CHOICES, 0.3)
     assert isinstance(first, SendAttempt)
-    state, status = ENDS[end]
-    return attempts.handle_event(AttemptEnded(first.number, state, status), 1000, CHOICES, 0.3)
+    outcome, status = ATTEMPT_ENDS[end]
+    return attempts.handle_event(AttemptEnded(first.number, outcome, status), 1000, CHOICES, 0.3)
 
 
-@then(parsers.parse("it is {outcome}"))
-def it_is(attempts: RequestAttempts, command: Any, outcome: str) -> None:
-    if outcome == "sent elsewhere":
+@then(parsers.parse("the request is {result}"))
+def request_is(attempts: RequestAttempts, command: Any, result: str) -> None:
+    if result == "sent to the other backend":
         assert isinstance(command, SendAttempt)
         assert command.endpoint != attempts.attempts[1].backend
         return
-    word, status = outcome.split()
-    if word == "forwarded":
+    action, status = result.split()
+    if action == "forwarded":
         assert isinstance(command, ForwardResponse)
         assert command.number == 1
         return
     assert isinstance(command, RejectRequest)
     assert command.status == int(status)
-    assert (command.retry_after_ns > 0) == (
-        command.status == 503
-    )  # who was not run is told when to come back
+    # A client whose request did not run gets a Retry-After.
+    assert (command.retry_after_ns > 0) == (command.status == 503)
 
 
-def test_a_silent_safe_attempt_has_another_beside_it_and_the_first_response_counts() -> None:
-    attempts = attempts_of(True, SECOND // 2)
+def test_a_slow_safe_attempt_is_hedged_and_the_first_response_counts() -> None:
+    attempts = make_attempts(True, SECOND // 2)
     first = attempts.handle_event(RequestReceived(), 0, CHOICES, 0.1)
     assert isinstance(first, SendAttempt)
     assert first.wait_until_ns == SECOND // 4
-    full = attempts.handle_event(TimerExpired(), first.wait_until_ns, NO_FREE_SLOT, 0.1)
-    assert full == Wait(SECOND // 2)  # it would take another's turn
+    without_slot = attempts.handle_event(TimerExpired(), first.wait_until_ns, NO_FREE_SLOT, 0.1)
+    assert without_slot == Wait(SECOND // 2)  # an early hedge would delay another request
     second = attempts.handle_event(TimerExpired(), SECOND // 2, NO_FREE_SLOT, 0.1)
     assert isinstance(second, SendAttempt)
     assert second.endpoint != first.endpoint
@@ -116,8 +125,8 @@
     assert isinstance(attempts.handle_event(answered, SECOND, CHOICES, 0.1), ForwardResponse)
 
 
-def test_a_silent_unsafe_attempt_is_waited_for_alone_and_never_promised_not_to_have_run() -> None:
-    attempts = attempts_of(False, SECOND // 2)
+def test_a_slow_unsafe_attempt_is_not_hedged_and_not_rejected_as_not_run() -> None:
+    attempts = make_attempts(False, SECOND // 2)
     first = attempts.handle_event(RequestReceived(), 0, CHOICES, 0.1)
     assert isinstance(first, SendAttempt)
     assert first.wait_until_ns == 2 * SECOND
@@ -126,23 +135,23 @@
     assert (command.status, command.retry_after_ns) == (504, 0)
 
 
-def test_without_a_retry_left_in_the_budget_no_further_attempt_is_sent() -> None:
-    attempts = attempts_of(True, retries=False)
+def test_no_retry_is_sent_once_the_retry_budget_is_exhausted() -> None:
+    attempts = make_attempts(True, retries=False)
     attempts.handle_event(RequestReceived(), 0, CHOICES, 0.1)
     command = attempts.handle_event(AttemptEnded(1, FAILED, 0), 1, CHOICES, 0.1)
     assert isinstance(command, RejectRequest)
     assert command.status == 502
     budget = RetryBudget(0.2, 10 * SECOND)
-    for k in range(100):
-        budget.record_request(k)
+    for now in range(100):
+        budget.record_request(now)
     taken = sum(budget.take_retry(1000) for _ in range(100))
     assert 10 <= taken <= 0.2 * 100 + 2
     assert not budget.take_retry(1000)
-    assert budget.take_retry(11 * SECOND)  # the window has moved on
+    assert budget.take_retry(11 * SECOND)  # the window has moved
 
 
-def test_with_no_hope_of_an_response_in_time_it_is_rejected_at_once() -> None:
-    attempts = attempts_of(False, SECOND, SECOND)
+def test_a_request_is_rejected_at_once_if_no_response_is_expected_in_time() -> None:
+    attempts = make_attempts(False, SECOND, SECOND)
     slow = CHOICES._replace(delays_ns={1: 3.0 * SECOND, 2: 3.0 * SECOND})
     command = attempts.handle_event(RequestReceived(), 0, slow, 0.1)
     assert isinstance(command, RejectRequest)
@@ -151,14 +160,17 @@
 
 
 @pytest.mark.parametrize("safe", [True, False])
-def test_for_a_client_that_has_gone_nothing_more_is_sent(safe: bool) -> None:
-    rules, policy = route_retry_policy(safe, 2 * SECOND, SECOND // 2), choose_retry_policy(safe, 3, False)
-    attempts = RequestAttempts(rules, policy, 2 * SECOND, RetryBudget(1.0, 10 * SECOND))
+def test_nothing_more_is_sent_after_the_client_disconnected(safe: bool) -> None:
+    route_policy, retry_policy = (
+        route_retry_policy(safe, 2 * SECOND, SECOND // 2),
+        choose_retry_policy(safe, 3, False),
+    )
+    attempts = RequestAttempts(route_policy, retry_policy, 2 * SECOND, RetryBudget(1.0, 10 * SECOND))
     choices = EndpointChoices({1: 1.0, 2: 1.0, 3: 1.0}, {})
     first = attempts.handle_event(RequestReceived(), 0, choices, 0.1)
-    left = attempts.handle_event(ClientDisconnected(), 1, choices, 0.1)
+    on_disconnect = attempts.handle_event(ClientDisconnected(), 1, choices, 0.1)
     assert isinstance(first, SendAttempt)
-    assert isinstance(left, CancelAttempts) == safe
+    assert isinstance(on_disconnect, CancelAttempts) == safe
     assert isinstance(attempts.handle_event(TimerExpired(), SECOND, choices, 0.1), Wait)
     ended = AttemptEnded(1, CANCELLED if safe else FAILED, 0)
     command = attempts.handle_event(ended, SECOND, choices, 0.1)
--- a/tests/gateway/test_split_sequence.py
+++ b/tests/gateway/test_split_sequence.py
@@ -1,4 +1,4 @@
-"""`forwarding.split_sequence`: each service of a split gets its share, with few requests at a proxy too."""
+"""Split of a route's requests: each service gets its share, even with few requests per proxy."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 def test_each_service_gets_its_share_of_300_requests(
     weights: tuple[float, ...], proxies: int, requests: int
 ) -> None:
-    chance, route, counts = random.Random(7), route_of(*weights), dict.fromkeys(range(len(weights)), 0)
+    generator, route, counts = random.Random(7), route_of(*weights), dict.fromkeys(range(len(weights)), 0)
     for _ in range(proxies):
-        sequence = SplitSequence(chance.random)
+        sequence = SplitSequence(generator.random)
         for _ in range(requests):
             counts[int(route.pick_service(sequence.next_point("r"))[1:])] += 1
     for number, weight in enumerate(weights):
@@ -30,7 +30,7 @@
     assert all(counts[number] == 0 for number, weight in enumerate(weights) if not weight)
 
 
-def test_routes_do_not_share_their_points() -> None:
+def test_each_route_has_its_own_sequence() -> None:
     sequence = SplitSequence(iter([0.1, 0.7, 0.3]).__next__)
     assert [sequence.next_point(name) for name in ("a", "b")] == [0.1, 0.7]
     assert sequence.next_point("a") == pytest.approx(0.1 + 0.618034 - 0.0, abs=1e-5)
