--- a/meadowworks/proxy/forwarder.py
+++ b/meadowworks/proxy/forwarder.py
@@ -97,7 +97,7 @@
         retry_budget = self._retry_budget(service)
         retry_budget.record_request(now)
         self._reporter.record_request(service)
-        balancer.priorities.record_request(route.priority)
+        balancer.priority_admission.record_request(route.priority)
         admission_ratio = balancer.admission_ratio_of(route.priority)
         if admission_ratio < 1 and self.random.random() >= admission_ratio:
             self.counters.increment(counter_names.NOT_ADMITTED)
@@ -106,8 +106,8 @@
             )
         overloaded = balancer.max_retries == 0
         attempts = RequestAttempts(
-            route_retry_policy(route.safe, client.deadline_ns - now, int(route.target_ms * MS)),
-            choose_retry_policy(route.safe, route.max_attempts, overloaded),
+            route_retry_policy(route.is_safe, client.deadline_ns - now, int(route.target_ms * MS)),
+            choose_retry_policy(route.is_safe, route.max_attempts, overloaded),
             client.deadline_ns,
             retry_budget,
         )
--- a/tests/gateway/test_forwarder.py
+++ b/tests/gateway/test_forwarder.py
@@ -21,7 +21,7 @@
 from meadowworks.proxy.upstream_attempt import AttemptResult, UpstreamRequest
 from meadowworks.runtime.background_tasks import BackgroundTasks
 from meadowworks.runtime.clock import now_ns
-from tests.gateway.helpers import SECOND, backend
+from tests.gateway.helpers import SECOND, make_backend
 
 REQUEST = UpstreamRequest(b"GET", b"/a", [], b"", b"q")
 
@@ -70,9 +70,9 @@
     for _ in range(200):
         fixture.forward(0)
         fixture.forward(1)
-    assert set(fixture.balancer.priorities.counts) == {0, 1}
+    assert set(fixture.balancer.priority_admission.counts) == {0, 1}
     rejected = fixture.forwarder.counters.responses["let in no more"]
-    ratios = fixture.balancer.priorities.ratios(0.5)
+    ratios = fixture.balancer.priority_admission.ratios(0.5)
     assert ratios[0] > 0.8 > 0.2 > ratios[1]
     assert rejected == pytest.approx(200, abs=50)
     fixture.forwarder.random = cast(Any, SimpleNamespace(random=lambda: 0.5))
@@ -101,5 +101,5 @@
     for is_disconnected in (True, False):
         connection = cast(Any, SimpleNamespace(disconnected=is_disconnected))
         client = ClientContext(now_ns() + SECOND, MemoryReservation(MemoryBudget(100)), connection)
-        asyncio.run(fixture.forwarder.run_attempt(backend("me", ("h", 1)), REQUEST, client))
+        asyncio.run(fixture.forwarder.run_attempt(make_backend("me", ("h", 1)), REQUEST, client))
     assert observed == [True, False]
--- a/tests/gateway/test_memory_budget.py
+++ b/tests/gateway/test_memory_budget.py
@@ -11,7 +11,7 @@
 from meadowworks.runtime.background_tasks import BackgroundTasks
 from meadowworks.runtime.clock import now_ns
 from meadowworks.runtime.http_connection import ClientConnection
-from tests.gateway.helpers import SECOND, Raw, backend, until
+from tests.gateway.helpers import SECOND, RawServer, make_backend, wait_until
 from tests.gateway.test_fleet import ROUTES, Fleet, fleet  # noqa: F401  # the fixture
 
 
@@ -27,8 +27,8 @@
             pass
 
     async def main() -> None:
-        server, pool, budget = Raw(serve), ConnectionPool[ClientConnection](), MemoryBudget(1500)
-        instance = backend("me", await server.open())
+        server, pool, budget = RawServer(serve), ConnectionPool[ClientConnection](), MemoryBudget(1500)
+        instance = make_backend("me", await server.open())
         request = UpstreamRequest(b"GET", b"/", [(b"host", b"h"), (b"x-request-id", b"q")], b"", b"q")
         first_reservation, second_reservation = MemoryReservation(budget), MemoryReservation(budget)
         first = await send_attempt(pool, instance, request, now_ns() + SECOND, first_reservation.reserve)
@@ -57,18 +57,18 @@
 
     async def main() -> None:
         server, pool, budget, tasks = (
-            Raw(serve),
+            RawServer(serve),
             ConnectionPool[ClientConnection](),
             MemoryBudget(1500),
             BackgroundTasks(),
         )
-        instance, reservation = backend("me", await server.open()), MemoryReservation(budget)
+        instance, reservation = make_backend("me", await server.open()), MemoryReservation(budget)
         request = UpstreamRequest(b"GET", b"/", [(b"host", b"h"), (b"x-request-id", b"q")], b"", b"q")
         task = tasks.start(send_attempt(pool, instance, request, now_ns() + 9 * SECOND, reservation.reserve))
-        await until(lambda: budget.reserved_bytes == 10, "half of the body has arrived")
+        await wait_until(lambda: budget.reserved_bytes == 10, "half of the body has arrived")
         tasks.cancel_after(task, 0.01, reservation.release)
-        await until(task.done, "the attempt has ended", 2.0)
-        await until(lambda: not tasks.running, "no task is running")
+        await wait_until(task.done, "the attempt has ended", 2.0)
+        await wait_until(lambda: not tasks.running, "no task is running")
         assert task.cancelled()
         assert not budget.reserved_bytes
         assert not pool.load("me").in_flight
--- a/tests/gateway/test_request_handler.py
+++ b/tests/gateway/test_request_handler.py
@@ -17,25 +17,25 @@
 from meadowworks.runtime import node_settings
 from meadowworks.runtime.clock import now_ns
 from meadowworks.runtime.http_connection import connect
-from tests.gateway.helpers import SECOND, ask, until
+from tests.gateway.helpers import SECOND, send_request, wait_until
 from tests.gateway.test_fleet import ROUTES, Fleet, fleet  # noqa: F401  # the fixture
 
 
 async def replace_config(fleet: Fleet, place: int, version: int, routes: Any) -> None:  # noqa: F811
     """Replace the configuration as an operator does: retry at any control-plane node until one accepts it."""
     for retry in range(50):
-        if (status := await fleet.replace((place + retry) % 3, version, routes)) == 200:
+        if (status := await fleet.replace_config((place + retry) % 3, version, routes)) == 200:
             return
         assert status in (429, 503), status
-        await until(lambda: any(fleet.nodes[k].holds_lease() for k in range(3)), "a node holds a lease")
+        await wait_until(lambda: any(fleet.nodes[k].holds_lease() for k in range(3)), "a node holds a lease")
     raise AssertionError("no control-plane node accepted the configuration")
 
 
 async def start_fleet(fleet: Fleet) -> Any:  # noqa: F811
     """Start a gateway with version 1 of the configuration and return its first proxy."""
-    await fleet.begin()
+    await fleet.start_all()
     await replace_config(fleet, 0, 1, ROUTES)
-    await fleet.ready()
+    await fleet.wait_until_ready()
     return fleet.nodes[3]
 
 
@@ -49,27 +49,27 @@
         node, gate = await start_fleet(fleet), asyncio.Event()
         for backend in fleet.backends:
             backend.handler = gate.wait  # type: ignore[assignment]
-        connection = await connect(*fleet.plan.proxy_addresses()[0], 2.0)
+        connection = await connect(*fleet.layout.proxy_addresses()[0], 2.0)
         call = asyncio.create_task(
-            ask(fleet.plan.proxy_addresses()[0], method, target, "gone", b"", connection)
+            send_request(fleet.layout.proxy_addresses()[0], method, target, "gone", b"", connection)
         )
-        await until(
+        await wait_until(
             lambda: any(backend.handled_request_ids for backend in fleet.backends),
             "a backend processes the request",
         )
         connection.close()
         assert isinstance((await asyncio.gather(call, return_exceptions=True))[0], Exception)
         if method == b"GET":
-            await until(
+            await wait_until(
                 lambda: not node.http_server.pending_count(), "the request ends long before its deadline", 1.0
             )
             pools = node.connection_pool.endpoints.values()
             assert not any(pool.load.in_flight or pool.idle for pool in pools)
         else:
-            await until(lambda: not node.http_server.server_state.connections, "the connection is gone")
+            await wait_until(lambda: not node.http_server.server_state.connections, "the connection is gone")
             assert node.http_server.pending_count() == 1  # the unsafe request may have run, so it continues
             gate.set()
-            await until(lambda: not node.http_server.pending_count(), "the request has ended")
+            await wait_until(lambda: not node.http_server.pending_count(), "the request has ended")
             assert any(pool.idle for pool in node.connection_pool.endpoints.values())
         gate.set()
         assert [request for backend in fleet.backends for request in backend.handled_request_ids] == ["gone"]
@@ -85,7 +85,7 @@
         for backend in fleet.backends:
             backend.handler = never.wait  # type: ignore[assignment]
         started_ns = now_ns()
-        assert (await fleet.serve(0, b"POST", b"/order/a")).status == 504  # it may have run
+        assert (await fleet.send_to_proxy(0, b"POST", b"/order/a")).status == 504  # it may have run
         assert now_ns() - started_ns < 1.9 * SECOND  # the client's deadline is 1.5 s
         ((name, failures),) = node.counters.route_failures.items()
         names = [route.name for route in node.view.route_table.routes_by_host["local.example"].values()]
@@ -96,7 +96,7 @@
             for connection in list(backend.server.server_state.connections):
                 connection.transport.abort()
         started_ns = now_ns()
-        rejected = await fleet.serve(0, b"POST", b"/order/b")
+        rejected = await fleet.send_to_proxy(0, b"POST", b"/order/b")
         assert rejected.status == 503
         assert rejected.header(b"retry-after")
         assert rejected.header(b"x-backend-seal") is None
@@ -116,19 +116,19 @@
         node, gate = await start_fleet(fleet), asyncio.Event()
         for backend in fleet.backends:
             backend.handler = gate.wait  # type: ignore[assignment]
-        address = fleet.plan.proxy_addresses()[0]
+        address = fleet.layout.proxy_addresses()[0]
         connections = [await connect(*address, 2.0) for _ in range(3)]
         calls = [
-            asyncio.create_task(ask(address, method, target, f"w{k}", b"", connections[k]))
+            asyncio.create_task(send_request(address, method, target, f"w{k}", b"", connections[k]))
             for k, (method, target) in enumerate([(b"POST", b"/order/a"), (b"GET", b"/read/a")])
         ]
-        await until(
+        await wait_until(
             lambda: sum(len(backend.handled_request_ids) for backend in fleet.backends) == 2,
             "the backends process the requests",
         )
         await replace_config(fleet, 1, 2, {"/new/": ("safe", "lookup")})
-        await until(lambda: node.view.route_table.version == 2, "version 2 is active")
-        settings = fleet.plan.node_settings(3, tmp_path / "disk-3", True)
+        await wait_until(lambda: node.view.route_table.version == 2, "version 2 is active")
+        settings = fleet.layout.node_settings(3, tmp_path / "disk-3", True)
         settings["network"]["seeds"] = settings["network"]["seeds"][:1]
         path = tmp_path / "settings.json"
         path.write_text(json.dumps(settings))
@@ -138,7 +138,7 @@
         gate.set()
         assert [reply.status for reply in await asyncio.gather(*calls)] == [200, 200]
         for connection in connections:  # used and idle ones: none was closed
-            assert (await ask(address, b"GET", b"/new/a", "n", b"", connection)).status == 200
+            assert (await send_request(address, b"GET", b"/new/a", "n", b"", connection)).status == 200
             connection.close()
 
     fleet.run(scenario())
@@ -156,7 +156,7 @@
 
         node.view.apply_route_table = fail_once
         await replace_config(fleet, 1, 2, ROUTES)
-        await until(lambda: node.view.route_table.version == 2, "version 2 is active nevertheless")
+        await wait_until(lambda: node.view.route_table.version == 2, "version 2 is active nevertheless")
         assert failed_versions == [2]
 
     fleet.run(scenario())
--- a/tests/gateway/test_upstream_attempt.py
+++ b/tests/gateway/test_upstream_attempt.py
@@ -13,7 +13,7 @@
 from meadowworks.proxy.upstream_attempt import AttemptResult, UpstreamRequest, send_attempt
 from meadowworks.runtime.clock import now_ns
 from meadowworks.runtime.http_connection import ClientConnection
-from tests.gateway.helpers import SECOND, Raw, backend, reset, until
+from tests.gateway.helpers import SECOND, RawServer, make_backend, reset_connection, wait_until
 
 scenarios("features/upstream_attempt.feature")
 
@@ -95,7 +95,7 @@
                 request_id = head.lower().split(b"x-request-id: ")[1].split(b"\r\n")[0]
                 for chunk in response_chunks(behavior, request_id):
                     if chunk is None:
-                        return reset(writer)
+                        return reset_connection(writer)
                     if not chunk:
                         return writer.close()
                     writer.write(chunk)
@@ -103,7 +103,7 @@
         except (asyncio.IncompleteReadError, ConnectionError):
             pass
 
-    server = Raw(serve)
+    server = RawServer(serve)
     address = await server.open()
     if behavior == "with a refused connection":
         server.close()
@@ -116,7 +116,7 @@
         request = UpstreamRequest(
             method, b"/x", [(b"host", b"h"), (b"x-request-id", request_id)], b"", request_id
         )
-        results.append(await send_attempt(pool, backend("me", address), request, now_ns() + SECOND))
+        results.append(await send_attempt(pool, make_backend("me", address), request, now_ns() + SECOND))
         for _ in range(5):
             await asyncio.sleep(0)
     for endpoint in pool.endpoints.values():
@@ -195,7 +195,7 @@
 
     def __init__(self, chunks: list[bytes | None]) -> None:
         self.chunks, self.received, self.opened, self.closed = chunks, [], 0, 0  # type: ignore[var-annotated]
-        self.raw = Raw(self.serve)
+        self.raw = RawServer(self.serve)
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.opened, is_first = self.opened + 1, True
@@ -224,19 +224,19 @@
 async def send_three(case: str) -> tuple[ScriptedBackend, list[AttemptResult]]:
     """Send three requests in sequence; the second gets the response of the case."""
     server = ScriptedBackend(SECOND_RESPONSES[case][0])
-    instance = backend("me", await server.raw.open())
+    instance = make_backend("me", await server.raw.open())
     pool: ConnectionPool[ClientConnection] = ConnectionPool()
     results = [await send_attempt(pool, instance, make_request(b"one"), now_ns() + SECOND)]
     second = asyncio.create_task(send_attempt(pool, instance, make_request(b"two"), now_ns() + SECOND))
     if "silence" in case:
-        await until(lambda: len(server.received) == 2, "the second request was read")
+        await wait_until(lambda: len(server.received) == 2, "the second request was read")
         for _ in range(5):
             await asyncio.sleep(0)
         assert not second.done()  # without a response, the attempt neither ends nor is sent again
         second.cancel()
         assert isinstance((await asyncio.gather(second, return_exceptions=True))[0], asyncio.CancelledError)
         results.append(AttemptResult(FAILED, None, 0))
-        await until(lambda: server.closed == 1, "its connection is closed")
+        await wait_until(lambda: server.closed == 1, "its connection is closed")
     else:
         results.append(await second)
     results.append(await send_attempt(pool, instance, make_request(b"three"), now_ns() + SECOND))
@@ -265,7 +265,7 @@
 def test_a_request_without_an_id_uses_a_new_connection() -> None:
     async def main() -> None:
         server = ScriptedBackend([OK.replace(b"mine", b"late")])
-        instance = backend("me", await server.raw.open())
+        instance = make_backend("me", await server.raw.open())
         pool: ConnectionPool[ClientConnection] = ConnectionPool()
         for request_id in (b"one", None, None):
             result = await send_attempt(pool, instance, make_request(request_id), now_ns() + SECOND)
@@ -281,13 +281,13 @@
 def test_nothing_is_sent_if_the_client_disconnects_during_the_connect() -> None:
     async def main() -> None:
         server = ScriptedBackend([OK])
-        instance = backend("me", await server.raw.open())
+        instance = make_backend("me", await server.raw.open())
         pool: ConnectionPool[ClientConnection] = ConnectionPool()
         result = await send_attempt(
             pool, instance, make_request(b"one"), now_ns() + SECOND, client_disconnected=lambda: True
         )
         assert (result.outcome, result.response) == (NEVER_RAN, None)
-        await until(lambda: server.closed == 1, "its connection is closed")
+        await wait_until(lambda: server.closed == 1, "its connection is closed")
         assert not server.received
         load = pool.load("me")
         assert not load.in_flight
