--- a/meadowworks/proxy/metrics.py
+++ b/meadowworks/proxy/metrics.py
@@ -1,4 +1,4 @@
-"""The metrics of a proxy: docs/metrics.md lists them."""
+"""Prometheus metrics of a proxy; docs/metrics.md lists them."""
 
 from __future__ import annotations
 
@@ -29,10 +29,10 @@
 
 
 class ProxyMetrics:
-    """Reads the figures of a proxy's parts.
+    """Collector that reads the metrics from a proxy's parts.
 
-    :param is_ready: whether the platform may send clients here
-    :param pending_requests: how many requests are not answered yet
+    :param is_ready: returns whether the platform may route clients to this proxy
+    :param pending_requests: returns the number of requests without a response so far
     """
 
     def __init__(
@@ -52,7 +52,7 @@
         self._pending_requests = pending_requests
 
     def collect(self) -> Iterator[MetricFamily]:
-        """All metrics at this moment."""
+        """Yield all metrics with their current values."""
         now = now_ns()
         yield from self._counted()
         yield from self._state(now)
@@ -108,10 +108,14 @@
             Sample(view.staleness.is_fresh(now)),
         )
         yield gauge(
-            PREFIX + "config_version", "Configuration in force; 0: none.", Sample(view.config_version)
+            PREFIX + "config_version",
+            "Configuration in force; 0: none.",
+            Sample(view.config_version),
         )
         yield gauge(
-            PREFIX + "pending_requests", "Requests without an answer yet.", Sample(self._pending_requests())
+            PREFIX + "pending_requests",
+            "Requests without an answer yet.",
+            Sample(self._pending_requests()),
         )
         yield gauge(
             PREFIX + "body_memory_bytes",
