--- a/meadowworks/controlplane/__init__.py
+++ b/meadowworks/controlplane/__init__.py
@@ -1,1 +1,1 @@
-"""The control plane's program: the configuration, the service registry and gossip, served over HTTP."""
+"""The control-plane program, which serves the configuration, the backend registry and gossip over HTTP."""
--- a/meadowworks/controlplane/__main__.py
+++ b/meadowworks/controlplane/__main__.py
@@ -1,12 +1,12 @@
-"""Starts the control plane: `python3 -O -m meadowworks.controlplane`."""
+"""Start the control plane: `python3 -O -m meadowworks.controlplane`."""
 
 import gc
 
-gc.disable()  # a start makes much and drops little; `run_program` enables it again
+gc.disable()  # startup allocates many long-lived objects; `run_program` enables collection again
 
 from meadowworks.runtime import lazy_imports  # noqa: E402
 
-lazy_imports.install()  # before anything that it leaves out is imported
+lazy_imports.install()  # must run before the modules whose import it defers
 
 from meadowworks.controlplane.server import main  # noqa: E402
 
--- a/meadowworks/controlplane/api.py
+++ b/meadowworks/controlplane/api.py
@@ -1,4 +1,4 @@
-"""The requests and replies of the API that backends and operators call."""
+"""Requests, replies and routes of the API for backends and operators."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ApiRequest:
-    """A call to `/api/Resource.Action/resource_id`; the id is empty if the path has none."""
+    """A request to `/api/Resource.Action/resource_id`; the id is empty if the path has none."""
 
     resource_id: str
     body: bytes
@@ -18,11 +18,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ApiReply:
-    """What a call is answered with.
+    """The reply to a request.
 
-    :param status: HTTP status.
+    :param status: HTTP status code.
     :param body: a JSON document.
-    :param retry_after_s: value of the `Retry-After` header; 0 for none.
+    :param retry_after_s: value of the `Retry-After` header in seconds; 0 omits the header.
     """
 
     status: int
@@ -31,7 +31,7 @@
 
 
 class ApiRoute(NamedTuple):
-    """What a call is looked up by: its HTTP method and `Resource.Action`."""
+    """The HTTP method and the `Resource.Action` that identify a handler."""
 
     method: str
     action: str
@@ -42,5 +42,5 @@
 
 
 def error_reply(status: int, reason: str, retry_after_s: float = 0.0) -> ApiReply:
-    """Make the reply to a call that failed; `reason` is for the caller's log."""
+    """Return the reply to a failed request; the caller may log `reason`."""
     return ApiReply(status, json.dumps({"err": reason}).encode(), retry_after_s)
--- a/meadowworks/controlplane/api_endpoint.py
+++ b/meadowworks/controlplane/api_endpoint.py
@@ -1,4 +1,4 @@
-"""The HTTP endpoint for backends and operators: bounds what is read, and finds the handler of a call."""
+"""The HTTP endpoint for backends and operators, which limits request bodies and dispatches requests."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 from meadowworks.runtime.response_writer import send_response
 
 PATH_PREFIX = "/api/"
-BODY_TIMEOUT_S = 300.0  # an operator's configuration: 7 MB over a line of 200 kbit/s take that long
-BODIES_MEMORY_SHARE = 0.25  # of the node's memory, for all bodies while they arrive
-BODY_MEMORY_SHARE = 0.1  # of it for one body: to validate it takes four times its size beside it
+BODY_TIMEOUT_S = 300.0  # enough for a configuration of 7 MB over a link of 200 kbit/s
+ALL_BODIES_MEMORY_SHARE = 0.25  # of the node's memory, for all bodies being received
+MAX_BODY_MEMORY_SHARE = 0.1  # of the node's memory; validation takes four times the size of the body on top
 BYTES_PER_MB = 1e6
 BODY_ERROR_STATUS = {
     BodyError.TOO_LARGE: 413,
@@ -25,17 +25,17 @@
     BodyError.TIMED_OUT: 408,
     BodyError.DISCONNECTED: 408,
 }
-NO_SUCH_CALL = ApiReply(404, b'{"err":"there is no such call"}')
-DISK_FAILED = ApiReply(503, b'{"err":"the disk refuses"}')
+UNKNOWN_CALL_REPLY = ApiReply(404, b'{"err":"there is no such call"}')
+DISK_FAILURE_REPLY = ApiReply(503, b'{"err":"the disk refuses"}')
 log = logs.get_logger("api")
 
 
 class ApiEndpoint:
-    """An ASGI application on a node's API port.
+    """The ASGI application on a node's API port.
 
-    :param routes: the handlers of all resources.
-    :param send_metrics: answers a scrape.
-    :param live_settings: name the memory of the node, of which bodies get a share.
+    :param routes: the handlers of all resources, by route.
+    :param live_settings: settings that include the node's memory, from which the body limits are derived.
+    :param send_metrics: sends the response to a metrics scrape.
     """
 
     def __init__(self, routes: ApiRoutes, live_settings: LiveSettings, send_metrics: MetricsSender) -> None:
@@ -43,10 +43,10 @@
         self._live_settings = live_settings
         self._send_metrics = send_metrics
         memory_mb = live_settings.current.memory_mb
-        self._body_memory = MemoryBudget(int(memory_mb * BYTES_PER_MB * BODIES_MEMORY_SHARE))
+        self._body_memory = MemoryBudget(int(memory_mb * BYTES_PER_MB * ALL_BODIES_MEMORY_SHARE))
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Answer one call."""
+        """Respond to one request."""
         body = await read_body(receive, self._max_body_bytes(), self._body_memory, BODY_TIMEOUT_S)
         if isinstance(body, BodyError):
             return await send_response(send, BODY_ERROR_STATUS[body])
@@ -60,15 +60,15 @@
 
     def _max_body_bytes(self) -> int:
         memory_mb = self._live_settings.current.memory_mb
-        return min(MAX_CONFIG_BYTES, int(memory_mb * BYTES_PER_MB * BODY_MEMORY_SHARE))
+        return min(MAX_CONFIG_BYTES, int(memory_mb * BYTES_PER_MB * MAX_BODY_MEMORY_SHARE))
 
     async def _handle(self, method: str, path: str, body: bytes) -> ApiReply:
         action, _, resource_id = path.removeprefix(PATH_PREFIX).partition("/")
         handler = self._routes.get(ApiRoute(method, action))
         if handler is None or not path.startswith(PATH_PREFIX):
-            return NO_SUCH_CALL
+            return UNKNOWN_CALL_REPLY
         try:
             return await handler(ApiRequest(resource_id, body))
         except sqlite3.Error as error:
             log.warning("call_failed_by_disk", call=action, reason=str(error))
-            return DISK_FAILED
+            return DISK_FAILURE_REPLY
--- a/meadowworks/controlplane/async_store.py
+++ b/meadowworks/controlplane/async_store.py
@@ -1,4 +1,4 @@
-"""The node's store, used from the event loop: one thread does the writes, in the order of their calls."""
+"""Asynchronous access to the node's store: a single thread executes the writes in call order."""
 
 from __future__ import annotations
 
@@ -15,11 +15,12 @@
 
 
 class AsyncStore:
-    """Writes beside the event loop. What a call has returned from survives a loss of power.
+    """Writes to the store without blocking the event loop.
 
-    Every write raises `sqlite3.Error` if the disk refuses it; nothing of it is stored then.
+    A write is durable, also across a power loss, once its call has returned. Each write is atomic and raises
+    `sqlite3.Error` if it fails.
 
-    :param store: used by this object alone from now on, but for reads before the first write.
+    :param store: owned by this object from now on; the caller may read from it before the first write.
     """
 
     def __init__(self, store: SqliteStore) -> None:
@@ -27,19 +28,19 @@
         self._executor = ThreadPoolExecutor(1)
 
     async def save_consensus_state(self, update: StateUpdate) -> None:
-        """Store what the acceptor has promised, accepted and learnt."""
+        """Store the promised, accepted and learnt state of the acceptor."""
         await self._run(self._store.save, update)
 
     async def save_backends(self, rows: dict[str, bytes]) -> None:
-        """Replace the backends that are restored at the next start."""
+        """Replace the stored backends, which are restored at the next start."""
         await self._run(self._store.save_backend_hints, rows)
 
     async def save_drains(self, rows: Mapping[str, bytes], deleted: Collection[str]) -> None:
-        """Store records of drains and departures, and delete those of the backend ids in `deleted`."""
+        """Store records of drains and departures, and delete the records of the backend ids in `deleted`."""
         await self._run(self._store.save_drain_records, rows, deleted)
 
     def close(self) -> None:
-        """Wait for the writes under way, then close the store."""
+        """Wait for pending writes, then close the store."""
         self._executor.shutdown()
         self._store.close()
 
--- a/meadowworks/controlplane/backends_resource.py
+++ b/meadowworks/controlplane/backends_resource.py
@@ -1,4 +1,4 @@
-"""The API's `Backends` resource: backends send heartbeats, announce drains and leave."""
+"""The `Backends` resource of the API: heartbeats, drains and departures of backends."""
 
 from __future__ import annotations
 
@@ -17,26 +17,26 @@
 from meadowworks.runtime import logging as logs
 from meadowworks.runtime.clock import now_ns
 
-DRAIN_ACK_TIMEOUT_S = 0.7  # below the second after which a backend sends its next heartbeat
-MAX_ACK_BYTES = 4096  # backends take a larger acknowledgement for none
-MAX_REASON_LENGTH = 200  # characters: part of a caller's input may be in it
-NO_LEASE_RETRY_S = 0.5  # the caller tries another node first
-NOT_DURABLE_RETRY_S = 0.2  # a few pulls of another node, which carry its acknowledgement
-REGISTRY_FULL_RETRY_S = 1.0  # registrations that fall silent make room within seconds
+DRAIN_ACK_TIMEOUT_S = 0.7  # shorter than the heartbeat interval of one second
+MAX_ACK_BYTES = 4096  # backends treat a larger reply as no acknowledgement
+MAX_REASON_LENGTH = 200  # characters; the reason may include input from the caller
+NO_LEASE_RETRY_S = 0.5  # the caller tries another node before it retries
+NOT_DURABLE_RETRY_S = 0.2  # enough for several pulls, which carry the acknowledgements of other nodes
+REGISTRY_FULL_RETRY_S = 1.0  # registrations without heartbeats expire within seconds
 EMPTY_REPLY = b"{}"
 log = logs.get_logger("api")
 
 
 class BackendsResource:
-    """Handlers of the `Backends` calls.
+    """Handlers of the `Backends` requests.
 
-    :param heartbeats: takes the calls in.
-    :param drain_service: waits until a drain is durable.
-    :param is_durable: whether an update of this node is on so many disks that the loss of the tolerated
-        number of them leaves one. Only then is a drain or a departure acknowledged.
-    :param api_addresses_in_zone_of: API addresses of nodes in a backend's zone if this node is in another
-        zone: heartbeats between zones cost traffic.
-    :param holds_lease: whether this node is in touch with a majority.
+    :param heartbeats: registers heartbeats and departures.
+    :param drain_service: writes drains to disk and waits until they are durable.
+    :param is_durable: returns whether this node's update with a given version is on enough disks to survive
+        the loss of the tolerated number. A drain or a departure is acknowledged only then.
+    :param api_addresses_in_zone_of: returns API addresses of the nodes in a backend's zone, or none if this
+        node is in the same zone. Backends are redirected there to avoid traffic between zones.
+    :param holds_lease: returns whether this node holds a lease from a majority.
     """
 
     def __init__(
@@ -53,7 +53,7 @@
         self._api_addresses_in_zone_of = api_addresses_in_zone_of
         self._holds_lease = holds_lease
         self._zone_redirects = ZoneRedirects()
-        self._acknowledged_drains: set[str] = set()  # ids whose drain was logged, so that it is logged once
+        self._acknowledged_drains: set[str] = set()  # backend ids; each drain is logged once
 
     def routes(self) -> ApiRoutes:
         """Return the handlers by route."""
@@ -63,7 +63,7 @@
         }
 
     async def heartbeat(self, request: ApiRequest) -> ApiReply:
-        """Take a heartbeat; one that says `draining` is acknowledged once the drain is durable."""
+        """Register a heartbeat; one in the state `draining` is acknowledged once the drain is durable."""
         try:
             document = json.loads(request.body)
         except (ValueError, RecursionError):
@@ -78,14 +78,14 @@
         return ApiReply(200, self._redirect_body(now, backend_id))
 
     async def leave(self, request: ApiRequest) -> ApiReply:
-        """Take a departure, which is acknowledged once it is durable."""
+        """Register a departure, and acknowledge it once it is durable."""
         result = self._heartbeats.leave(now_ns(), request.resource_id)
         return await self._refusal_unless_durable(result) or ApiReply(200)
 
     async def _refusal_unless_durable(
         self, result: CallAccepted | InvalidCall | RegistryFull
     ) -> ApiReply | None:
-        """Return why a call is not acknowledged; None if it may be."""
+        """Return the error reply if a request can't be acknowledged, else None."""
         match result:
             case InvalidCall(reason):
                 return error_reply(400, reason[:MAX_REASON_LENGTH])
@@ -104,12 +104,14 @@
     def _log_first_acknowledgement(self, backend_id: str) -> None:
         if backend_id not in self._acknowledged_drains:
             registered = self._heartbeats.registrations
-            self._acknowledged_drains = {one for one in self._acknowledged_drains if one in registered}
+            self._acknowledged_drains = {
+                known_id for known_id in self._acknowledged_drains if known_id in registered
+            }
             self._acknowledged_drains.add(backend_id)
             log.info("drain_acknowledged", backend=backend_id)
 
     def _redirect_body(self, now: int, backend_id: str) -> bytes:
-        # A node without a lease may be cut off, and with it the nodes that it would send backends to.
+        # Prevents redirects to nodes that may be partitioned together with this one.
         if not self._holds_lease():
             return EMPTY_REPLY
         addresses = self._api_addresses_in_zone_of(backend_id)
--- a/meadowworks/controlplane/cluster_view.py
+++ b/meadowworks/controlplane/cluster_view.py
@@ -1,4 +1,4 @@
-"""What a process knows of the other nodes and of the backends, by gossip."""
+"""A process's view of the other nodes and the backends, maintained by gossip."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 class ClusterView:
-    """The gossip state of one process: a new incarnation with each start of the program.
+    """The gossip state of one process; each start of the program is a new incarnation.
 
-    :param settings: names the node and its address.
-    :param is_voter: whether the node may vote in the consensus; proxies don't.
+    :param settings: the node's name, address and zone.
+    :param is_voter: whether the node may vote in the consensus; false for proxies.
     """
 
     def __init__(self, settings: NodeSettings, is_voter: bool) -> None:
@@ -32,7 +32,7 @@
             settings.zone,
             is_voter,
             self.incarnation,
-            int(time.time()),  # above the heartbeats of the last incarnation, which began so too
+            int(time.time()),  # greater than the heartbeats of earlier incarnations
         )
         self.peers = PartialView(record, random.getrandbits(RANDOM_SEED_BITS))
         self.updates = UpdateStore(self.incarnation)
@@ -40,17 +40,17 @@
         self.updates.update_listeners.append(self.backends.on_update)
 
     def apply_reply(self, now_ns: int, reply: PullReply) -> None:
-        """Take in the peers and the updates of a pull's reply."""
+        """Merge the peers and the updates of a pull reply."""
         self.peers.merge(now_ns, [reply.sender, *reply.peers])
         for delta in reply.deltas:
             self.updates.apply(now_ns, delta)
 
     def tick(self, now_ns: int) -> None:
-        """Raise the own heartbeat and forget peers and sources that are silent; call it each second."""
+        """Advance the own heartbeat and expire silent peers and sources; to be called every second."""
         self.peers.advance_heartbeat()
         self.peers.expire(now_ns)
         self.updates.expire_sources(now_ns)
 
     def undiscovered_seeds(self, settings: NodeSettings) -> list[tuple[str, int]]:
-        """Return the peer addresses of the settings' seeds that no known peer stands for."""
+        """Return the peer addresses of the configured seeds that match no known peer."""
         return self.peers.undiscovered_seeds(settings.seeds, settings.peer_port)
--- a/meadowworks/controlplane/config_resource.py
+++ b/meadowworks/controlplane/config_resource.py
@@ -1,4 +1,4 @@
-"""The API's `Config` resource: the operator replaces the configuration and reads it back."""
+"""The `Config` resource of the API, which replaces and reads the configuration."""
 
 from __future__ import annotations
 
@@ -12,24 +12,26 @@
 from meadowworks.runtime.clock import NS_PER_SECOND, now_ns
 from meadowworks.runtime.cooperative import run_cooperatively
 
-COMMIT_TIMEOUT_NS = 800_000_000  # two rounds, each with a sync on a majority of disks, and some retries
-COMMIT_TIMEOUT_PER_BYTE_NS = 100  # on top: the value is compressed, sent, and written twice on a disk
+COMMIT_TIMEOUT_NS = 800_000_000  # two rounds with a disk sync on a majority each, and some retries
+COMMIT_TIMEOUT_PER_BYTE_NS = 100  # added for compressing, sending, and writing the value twice per disk
 READ_TIMEOUT_NS = 800_000_000  # as for a commit
-LARGE_CONFIG_BYTES = 1 << 18  # a larger one is validated alone: that takes four times its size in memory
+LARGE_CONFIG_BYTES = (
+    1 << 18
+)  # larger ones are validated one at a time: each takes four times its size in memory
 MAX_FIELDS_LOGGED = 20
-NO_LEASE_RETRY_S = 1.0  # a lease is renewed by pulls, several a second
+NO_LEASE_RETRY_S = 1.0  # pulls renew the lease several times a second
 log = logs.get_logger("api")
 
 
 class ConfigResource:
-    """Handlers of the `Config` calls.
+    """Handlers of the `Config` requests.
 
-    A node without a lease answers 503 at once with a time to retry, and keeps no caller waiting.
+    A node without a lease replies at once with 503 and `Retry-After`.
     """
 
     def __init__(self, config_service: ConfigService) -> None:
         self._config_service = config_service
-        self._validation_lock = asyncio.Lock()  # of large configurations
+        self._validation_lock = asyncio.Lock()  # held while a large configuration is validated
 
     def routes(self) -> ApiRoutes:
         """Return the handlers by route."""
@@ -39,34 +41,34 @@
         }
 
     async def replace(self, request: ApiRequest) -> ApiReply:
-        """Put a configuration into force; it is, on a majority of disks, once the reply is 200."""
+        """Replace the configuration; a 200 means that it is committed on a majority of disks."""
         body = request.body
         if not self._config_service.replica.holds_lease(now_ns()):
             return error_reply(503, "no majority of disks is in touch", NO_LEASE_RETRY_S)
         lock = self._validation_lock if len(body) > LARGE_CONFIG_BYTES else None
-        checked = await run_cooperatively(validation_steps(body), lock)
-        if isinstance(checked, InvalidConfiguration):
-            log.info("config_rejected", reason=checked.reason)
-            return error_reply(400, checked.reason)
-        if checked.unknown_fields:
+        validated = await run_cooperatively(validation_steps(body), lock)
+        if isinstance(validated, InvalidConfiguration):
+            log.info("config_rejected", reason=validated.reason)
+            return error_reply(400, validated.reason)
+        if validated.unknown_fields:
             log.warning(
                 "config_fields_unknown",
-                version=f"{checked.version:08x}",
-                fields=list(checked.unknown_fields[:MAX_FIELDS_LOGGED]),
+                version=f"{validated.version:08x}",
+                fields=list(validated.unknown_fields[:MAX_FIELDS_LOGGED]),
             )
         timeout_ns = COMMIT_TIMEOUT_NS + COMMIT_TIMEOUT_PER_BYTE_NS * len(body)
-        match await self._config_service.propose(checked.version, body, timeout_ns):
+        match await self._config_service.propose(validated.version, body, timeout_ns):
             case Conflict():
-                return error_reply(409, f"version {checked.version:08x} has another content")
+                return error_reply(409, f"version {validated.version:08x} has another content")
             case Undecided(retry_after_ns):
                 return error_reply(503, "too few disks answer", retry_after_ns / NS_PER_SECOND)
         return ApiReply(200)
 
     async def read(self, _request: ApiRequest) -> ApiReply:
-        """Return the newest acknowledged configuration, byte for byte as it was sent."""
-        found = await self._config_service.read(READ_TIMEOUT_NS)
-        if isinstance(found, Undecided):
-            return error_reply(503, "too few disks answer", found.retry_after_ns / NS_PER_SECOND)
-        if not found.version:
+        """Return the newest acknowledged configuration, byte for byte as it was received."""
+        outcome = await self._config_service.read(READ_TIMEOUT_NS)
+        if isinstance(outcome, Undecided):
+            return error_reply(503, "too few disks answer", outcome.retry_after_ns / NS_PER_SECOND)
+        if not outcome.version:
             return error_reply(404, "no configuration has been taken yet")
-        return ApiReply(200, found.value)
+        return ApiReply(200, outcome.value)
--- a/meadowworks/controlplane/config_service.py
+++ b/meadowworks/controlplane/config_service.py
@@ -1,6 +1,6 @@
-"""The I/O driver of the consensus replica: runs its effects in their order and feeds their results back.
+"""The I/O driver of the consensus replica, which executes its effects in order and reports their results.
 
-The replica decides everything, the order of writes and sends included. What it proposes and reads here is the
+The replica makes all decisions, including the order of writes and sends. The proposed and read value is the
 operator's configuration.
 """
 
@@ -41,30 +41,33 @@
 from meadowworks.storage.sqlite_store import StoredState
 
 REQUEST_PATH = b"/letter"
-REQUEST_TIMEOUT_S = 1.0  # longer than the replica waits before it sends a request again
-MIN_TICK_DELAY_S = 0.001  # lets the event loop run other work when a tick is overdue
+REQUEST_TIMEOUT_S = 1.0  # longer than the replica's resend interval
+MIN_TICK_DELAY_S = 0.001  # lets the event loop run other tasks when a tick is overdue
 MEMBER_ID_LOG_LENGTH = 8
 Outcome = Committed | Conflict | Undecided | CommittedValue
 log = logs.get_logger("consensus")
 
 
 class PeerCaller(Protocol):
-    """What this module needs of a `PeerClient`."""
+    """The part of `PeerClient` that this module uses."""
 
     async def call(self, path: bytes, body: bytes, timeout_s: float) -> bytes:
-        """Send one request and return the body of its reply, or raise RequestError."""
+        """Send a request and return the body of its reply.
+
+        :raises RequestError: the request failed.
+        """
 
 
-class PeerCallers(Protocol):
-    """What this module needs of a `PeerClientPool`."""
+class PeerCallerPool(Protocol):
+    """The part of `PeerClientPool` that this module uses."""
 
     def client(self, host: str, port: int) -> PeerCaller:
         """Return the client for an address."""
 
 
 def create_replica(settings: NodeSettings, stored: StoredState) -> Replica:
-    """Make the replica of a node from what its disk holds; an empty disk gets a new member id."""
-    port = settings.peer_port  # alike on all machines
+    """Return a node's replica, restored from its disk; an empty disk gets a new member id."""
+    port = settings.peer_port  # the same on all nodes
     acceptor = load_acceptor(
         stored.metadata,
         new_member_id=uuid4().hex,
@@ -82,18 +85,18 @@
 class ConfigService:
     """Reads and replaces the configuration by consensus.
 
-    :param replica: the state machine that is driven; nobody else calls its inputs without `run_effects`.
-    :param store: where the replica's state is written.
-    :param peer_clients: how the other members are reached.
-    :param tasks: run the writes and requests under way.
-    :param on_commit: called with each version that becomes known as committed.
+    :param replica: the consensus state machine; whoever calls its inputs must call `run_effects` afterwards.
+    :param store: the store for the replica's state.
+    :param peer_clients: clients for the other members.
+    :param tasks: runs the pending writes and requests.
+    :param on_commit: called with each value that this node learns to be committed.
     """
 
     def __init__(
         self,
         replica: Replica,
         store: AsyncStore,
-        peer_clients: PeerCallers,
+        peer_clients: PeerCallerPool,
         tasks: BackgroundTasks,
         on_commit: Callable[[CommittedValue], None],
     ) -> None:
@@ -106,12 +109,13 @@
         self._last_waiter_id = 0
         self._tick_timer: asyncio.TimerHandle | None = None
         self._is_closed = False
-        self._last_compressed: tuple[Request, bytes] | None = None  # one request goes to several members
+        # Caches the last compressed request, since the same request is sent to several members.
+        self._last_compressed: tuple[Request, bytes] | None = None
 
     async def start(self) -> None:
-        """Return once the number of this incarnation is on the disk.
+        """Start the replica, and return once the number of its incarnation is on disk.
 
-        :raises sqlite3.Error: the disk refuses it, and the node may not take part.
+        :raises sqlite3.Error: the write failed; the node must not participate in the consensus.
         """
         self.replica.start(now_ns())
         for effect in self.replica.take_effects():
@@ -139,7 +143,7 @@
         return outcome
 
     async def read(self, timeout_ns: int) -> CommittedValue | Undecided:
-        """Read the newest configuration that may have been acknowledged to anybody before this call."""
+        """Return a configuration at least as new as any that was acknowledged before this call."""
         waiter_id, waiter = self._new_waiter()
         now = now_ns()
         self.replica.read(now, waiter_id, now + timeout_ns)
@@ -149,7 +153,10 @@
         return outcome
 
     async def hand_over(self, timeout_ns: int) -> bool:
-        """Leave the members and hand the state over to them; whether that was done in time."""
+        """Leave the membership and transfer the state to the other members.
+
+        :returns: whether that completed within the timeout.
+        """
         waiter = self._waiters[LEAVE_WAITER_ID] = asyncio.get_running_loop().create_future()
         now = now_ns()
         self.replica.leave(now, now + timeout_ns)
@@ -157,9 +164,9 @@
         return isinstance(await waiter, Committed)
 
     async def handle_request(self, body: bytes) -> bytes:
-        """Return the reply to another member's request, once the replica lets it leave.
+        """Return the reply to another member's request, once the replica releases it.
 
-        :raises MalformedMessageError: or another of `DECODE_ERRORS`.
+        :raises MalformedMessageError: the body can't be decoded; or another of `DECODE_ERRORS`.
         """
         envelope = consensus_envelope.decode_request(body)
         ticket: asyncio.Future[tuple[str, Reply]] = asyncio.get_running_loop().create_future()
@@ -170,9 +177,9 @@
         return consensus_envelope.encode_reply(envelope.request_id, member_id, compressed)
 
     def run_effects(self) -> None:
-        """Run the replica's effects in their order, then set the timer for its next tick."""
+        """Execute the replica's effects in order, then schedule its next tick."""
         if self._is_closed:
-            return  # as if the process had ended: nothing more is written or sent
+            return  # prevents writes and sends after the shutdown
         while effects := self.replica.take_effects():
             for effect in effects:
                 self._run_effect(effect)
@@ -182,7 +189,7 @@
         self._tick_timer = asyncio.get_running_loop().call_later(delay_s, self._tick)
 
     def close(self) -> None:
-        """Run no more effects. The store and the tasks are closed by their owner."""
+        """Stop executing effects. The owner closes the store and the tasks."""
         self._is_closed = True
         if self._tick_timer is not None:
             self._tick_timer.cancel()
@@ -221,7 +228,7 @@
         self.run_effects()
 
     async def send_request(self, effect: SendRequest) -> None:
-        """Send a request to a member and give its reply, or the failure, to the replica."""
+        """Send a request to a member and pass the reply or the failure to the replica."""
         try:
             envelope = await self._call_member(effect)
         except (RequestError, *DECODE_ERRORS) as error:
@@ -242,7 +249,7 @@
         client = self.peer_clients.client(host, int(port))
         envelope = consensus_envelope.decode_reply(await client.call(REQUEST_PATH, body, REQUEST_TIMEOUT_S))
         if envelope.request_id != effect.request_id:
-            raise MalformedMessageError("the reply answers another request")
+            raise MalformedMessageError(f"reply to request {envelope.request_id}, not {effect.request_id}")
         return envelope
 
     def _new_waiter(self) -> tuple[int, asyncio.Future[Outcome]]:
--- a/meadowworks/controlplane/consensus_envelope.py
+++ b/meadowworks/controlplane/consensus_envelope.py
@@ -1,6 +1,6 @@
-"""Consensus messages on their way between nodes: an envelope around a compressed body.
+"""The wire format of consensus messages between nodes: an envelope around a compressed body.
 
-A request travels as `[request id, body]`, its reply as `[request id, member id, body]`.
+A request is encoded as `[request id, body]`, a reply as `[request id, member id, body]`.
 """
 
 from __future__ import annotations
@@ -13,19 +13,19 @@
 from meadowworks.consensus.messages import Reply, Request
 from meadowworks.gossip import messages
 
-INLINE_COMPRESSION_MAX_BYTES = 4096  # a body this small isn't worth the hand-over to a thread
+INLINE_COMPRESSION_MAX_BYTES = 4096  # larger bodies are compressed in a thread
 COMPRESSION_LEVEL = 6
 
 
 class RequestEnvelope(NamedTuple):
-    """A request, and the id under which its sender waits for the reply."""
+    """A request, and the id by which its sender matches the reply."""
 
     request_id: int
     request: Request
 
 
 class ReplyEnvelope(NamedTuple):
-    """The reply of the member `member_id` to a request."""
+    """A reply, the id of its request, and the member that sent it."""
 
     request_id: int
     member_id: str
@@ -33,7 +33,7 @@
 
 
 async def compress_message(message: Request | Reply) -> bytes:
-    """Encode and compress a message; one that is large beside the event loop."""
+    """Encode and compress a message; a large one is compressed in a thread."""
     body = messages.encode(codec.encode(message))
     if len(body) <= INLINE_COMPRESSION_MAX_BYTES:
         return zlib.compress(body, COMPRESSION_LEVEL)
@@ -41,19 +41,19 @@
 
 
 def encode_request(request_id: int, compressed: bytes) -> bytes:
-    """Encode a request whose body `compress_message` has made."""
+    """Encode a request whose body was compressed by `compress_message`."""
     return messages.encode([request_id, compressed])
 
 
 def encode_reply(request_id: int, member_id: str, compressed: bytes) -> bytes:
-    """Encode a reply whose body `compress_message` has made."""
+    """Encode a reply whose body was compressed by `compress_message`."""
     return messages.encode([request_id, member_id, compressed])
 
 
 def decode_request(body: bytes) -> RequestEnvelope:
     """Decode a request.
 
-    :raises MalformedMessageError: or another of `gossip.messages.DECODE_ERRORS`.
+    :raises MalformedMessageError: the body can't be decoded; or another of `gossip.messages.DECODE_ERRORS`.
     """
     request_id, compressed = messages.decode(body)
     return RequestEnvelope(int(request_id), _decompress_message(compressed))
@@ -62,7 +62,7 @@
 def decode_reply(body: bytes) -> ReplyEnvelope:
     """Decode a reply.
 
-    :raises MalformedMessageError: or another of `gossip.messages.DECODE_ERRORS`.
+    :raises MalformedMessageError: the body can't be decoded; or another of `gossip.messages.DECODE_ERRORS`.
     """
     request_id, member_id, compressed = messages.decode(body)
     return ReplyEnvelope(int(request_id), str(member_id), _decompress_message(compressed))
--- a/meadowworks/controlplane/drain_service.py
+++ b/meadowworks/controlplane/drain_service.py
@@ -1,4 +1,4 @@
-"""The I/O driver of the drain log: one write at a time, of everything that has come in meanwhile."""
+"""The I/O driver of the drain log, which writes all pending records in one batch at a time."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 from meadowworks.registry.drain_log import DrainLog, WriteBatch
 from meadowworks.runtime import logging as logs
 
-WRITE_RETRY_S = 0.2  # short: a backend's call waits for the write, and its time-out is a second
+WRITE_RETRY_S = 0.2  # short: a backend that waits for the write has a timeout of one second
 log = logs.get_logger("drains")
 
 
 class DrainService:
-    """Writes drains and departures, and lets calls wait until they are durable.
+    """Writes drains and departures to disk, and lets requests wait until they are durable.
 
-    :param drain_log: decides what is to be written.
-    :param store: where it is written.
-    :param start_task: runs a coroutine in the background.
+    :param drain_log: provides the batches to write.
+    :param store: the store to write to.
+    :param start_task: starts a coroutine as a background task.
     """
 
     def __init__(
@@ -38,19 +38,19 @@
         self._progress = Notifier()
 
     def start_pending_write(self) -> None:
-        """Begin to write what is not on the disk yet, unless a write is under way."""
+        """Start to write the pending records, unless a write is in progress."""
         has_pending = self._drain_log.unsynced or self._drain_log.deleted
         if has_pending and (self._write_task is None or self._write_task.done()):
             self._write_task = self._start_task(self._write_pending())
 
     def notify_waiters(self) -> None:
-        """Let waiting calls check again: a write is done, or another node has acknowledged one of its own."""
+        """Wake waiting requests, after a write or an acknowledgement from another node, to check again."""
         self._progress.notify_all()
 
     async def wait_until(self, condition: Callable[[], bool], timeout_s: float) -> bool:
         """Wait for writes and acknowledgements until a condition holds.
 
-        :returns: whether it holds; false when the time-out is over.
+        :returns: true if the condition holds, false on timeout.
         """
         loop = asyncio.get_running_loop()
         deadline = loop.time() + timeout_s
@@ -77,13 +77,13 @@
 
 
 def encode_rows(batch: WriteBatch) -> dict[str, bytes]:
-    """Encode the records of a batch as rows of the store, by backend id."""
+    """Encode the records of a batch as store rows by backend id."""
     return {backend_id: messages.encode(list(value)) for backend_id, value in batch.rows.items()}
 
 
 def decode_rows(rows: Mapping[str, bytes]) -> dict[str, list[Any]]:
-    """Decode rows of the store, by backend id.
+    """Decode store rows by backend id.
 
-    :raises MalformedMessageError: the store holds something else.
+    :raises MalformedMessageError: a row is malformed.
     """
     return {backend_id: messages.decode(value) for backend_id, value in rows.items()}
--- a/meadowworks/controlplane/maintenance.py
+++ b/meadowworks/controlplane/maintenance.py
@@ -1,4 +1,4 @@
-"""What a node does once a second: heartbeats, expiry, load reports, and keeping the backends on the disk."""
+"""The periodic work of a node: heartbeats, expiry, load reports, and storing the live backends."""
 
 from __future__ import annotations
 
@@ -7,36 +7,36 @@
 from meadowworks.runtime import logging as logs
 from meadowworks.runtime.clock import now_ns
 
-INTERVAL_S = 1.0  # peers and proxies take a source that is silent for several seconds for dead
-SUMMARY_INTERVAL_TICKS = 10  # one summary line in the log each ten seconds
-TICK_KEY = "pulse"  # published with each tick: the source is alive
+INTERVAL_S = 1.0  # peers and proxies consider a source dead after several seconds of silence
+SUMMARY_INTERVAL_TICKS = 10  # ticks between two summary lines in the log
+TICK_KEY = "pulse"  # published with each tick to show that the source is alive
 log = logs.get_logger("control-plane")
 
 
 class Maintenance:
-    """The periodic work of a node."""
+    """Runs the periodic work of a node."""
 
     def __init__(self, node: ControlPlaneNode) -> None:
         self._node = node
         self._ticks = 0
 
     async def run(self) -> None:
-        """Do one round of the periodic work.
+        """Run one round of the periodic work.
 
-        :raises sqlite3.Error: the backends couldn't be stored; the next round does it again.
+        :raises sqlite3.Error: the backends couldn't be stored; the next round tries again.
         """
         self.tick()
         await self._store_backends()
 
     def tick(self) -> None:
-        """Do what needs no disk."""
+        """Run the part of the work that doesn't wait for the disk."""
         node, now = self._node, now_ns()
         node.cluster.tick(now)
         node.heartbeats.tick(now)
         node.cluster.backends.refresh_all()
         node.drain_log.tick(now, node.cluster.backends.is_draining_or_gone, node.cluster.updates.sources)
         node.drain_service.start_pending_write()
-        node.cluster.backends.changed_ids.clear()  # only proxies read them
+        node.cluster.backends.changed_ids.clear()  # only proxies read this set; prevents unbounded growth
         self._ticks += 1
         if self._ticks % SUMMARY_INTERVAL_TICKS == 0:
             self._log_summary()
@@ -44,7 +44,7 @@
         node.zone_loads.publish(now)
 
     async def _store_backends(self) -> None:
-        """Store the live backends whenever one has come or gone, for a start after all nodes were lost."""
+        """Store the live backends if their ids have changed, to restore them after all nodes were stopped."""
         node, values = self._node, self._node.heartbeats.durable_values()
         if values.keys() != node.stored_backend_ids:
             await node.store.save_backends(
--- a/meadowworks/controlplane/metrics.py
+++ b/meadowworks/controlplane/metrics.py
@@ -1,4 +1,4 @@
-"""The metrics of a control-plane node: docs/metrics.md lists them."""
+"""The metrics of a control-plane node, as listed in docs/metrics.md."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 
 
 class ControlPlaneMetrics:
-    """Reads the figures of a node's parts."""
+    """Collects the metrics of a node's services."""
 
     def __init__(self, node: ControlPlaneNode) -> None:
         self._node = node
 
     def collect(self) -> Iterator[MetricFamily]:
-        """All metrics at this moment."""
-        yield from self._agreement()
-        yield from self._registry()
+        """Yield all metrics with their current values."""
+        yield from self._consensus_metrics()
+        yield from self._registry_metrics()
         yield from backend_metrics(self._node.cluster.backends)
 
-    def _agreement(self) -> Iterator[MetricFamily]:
+    def _consensus_metrics(self) -> Iterator[MetricFamily]:
         node, replica, acceptor, now = (
             self._node,
             self._node.config_service.replica,
@@ -58,7 +58,7 @@
             Sample(sum(bool(version) for version in acceptor.slots)),
         )
 
-    def _registry(self) -> Iterator[MetricFamily]:
+    def _registry_metrics(self) -> Iterator[MetricFamily]:
         node = self._node
         yield gauge(
             PREFIX + "registrations",
--- a/meadowworks/controlplane/node.py
+++ b/meadowworks/controlplane/node.py
@@ -1,4 +1,4 @@
-"""The state of one control-plane node: what its servers, its pulls and its maintenance share."""
+"""The state of a control-plane node, shared by its servers, its pulls and its maintenance."""
 
 from __future__ import annotations
 
@@ -25,10 +25,10 @@
 
 
 class ControlPlaneNode:
-    """The services of a node, wired together and restored from its disk.
+    """The services of a node, connected to each other and restored from its disk.
 
-    :param live_settings: the node's settings; a node without a data directory stores into a temporary one.
-    :param tasks: run what the services do in the background.
+    :param live_settings: the node's settings; a node without a data directory uses a temporary one.
+    :param tasks: runs the background tasks of the services.
     :raises sqlite3.Error: the store can't be opened or read.
     """
 
@@ -37,20 +37,20 @@
         settings = live_settings.current
         self.tasks = tasks
         self.shutting_down = False
-        self.state_changed = Notifier()  # wakes the pulls that wait for updates
+        self.state_changed = Notifier()  # wakes pulls that wait for updates
         self.peer_clients = PeerClientPool()
         self.cluster = ClusterView(settings, is_voter=settings.voting)
         self.cluster.updates.update_listeners.append(self._on_update)
         self.zone_loads = ZoneLoads(self.cluster.updates, now_ns())
 
-        disk = SqliteStore(settings.data_dir or tempfile.mkdtemp(prefix="meadowworks-"))
+        sqlite_store = SqliteStore(settings.data_dir or tempfile.mkdtemp(prefix="meadowworks-"))
         stored, stored_backends, stored_drains = (
-            disk.load(),
-            disk.load_backend_hints(),
-            decode_rows(disk.load_drain_records()),
+            sqlite_store.load(),
+            sqlite_store.load_backend_hints(),
+            decode_rows(sqlite_store.load_drain_records()),
         )
         self.stored_backend_ids = set(stored_backends)
-        self.store = AsyncStore(disk)
+        self.store = AsyncStore(sqlite_store)
         self.config_service = ConfigService(
             create_replica(settings, stored), self.store, self.peer_clients, tasks, self._on_commit
         )
@@ -59,7 +59,7 @@
         self.cluster.updates.version_listeners.append(self.drain_log.on_version)
         self.drain_service = DrainService(self.drain_log, self.store, tasks.start)
         self.heartbeats = HeartbeatRegistry(
-            self.cluster.updates.publish, settings.heartbeat_ms, self.drain_log.state, self.knows_backend
+            self.cluster.updates.publish, settings.heartbeat_ms, self.drain_log.state, self.has_seen_backend
         )
         now = now_ns()
         self.drain_log.restore(now, stored_drains)
@@ -67,27 +67,27 @@
 
     @property
     def settings(self) -> NodeSettings:
-        """The settings in force."""
+        """The current settings."""
         return self._live_settings.current
 
     @property
     def acceptor(self) -> Acceptor:
-        """What this node has promised, accepted and learnt as a member."""
+        """The node's acceptor, with its promised, accepted and learnt state."""
         return self.config_service.replica.acceptor
 
     @property
     def committed(self) -> CommittedValue:
-        """The newest configuration that this node knows as committed."""
+        """The newest configuration that this node has learnt to be committed."""
         return self.acceptor.committed
 
     def holds_lease(self) -> bool:
-        """Whether a majority has confirmed recently that this node knows everything acknowledged."""
+        """Whether a majority recently confirmed that this node has all acknowledged state."""
         return not self.shutting_down and self.config_service.replica.holds_lease(now_ns())
 
     def is_durable(self, update_version: int) -> bool:
-        """Whether an own update outlives the loss of the tolerated number of disks.
+        """Whether an update of this node survives the loss of the tolerated number of disks.
 
-        Only members of the epoch count: any other voter may be gone for good tomorrow.
+        Only members of the newest epoch count, since other voters may be removed at any time.
         """
         members = self.acceptor.newest_epoch().members
         hosts = {address.rpartition(":")[0] for _, address in members} - {self.settings.ip}
@@ -95,14 +95,14 @@
             update_version, hosts, self.settings.tolerated_failures, self.acceptor.may_vote()
         )
 
-    def knows_backend(self, backend_id: str) -> bool:
-        """Whether any node has ever reported a backend."""
+    def has_seen_backend(self, backend_id: str) -> bool:
+        """Whether any node has reported a backend, according to this node's records."""
         return self.cluster.backends.is_known(backend_id) or backend_id in self.drain_log.records
 
     def api_addresses_in_zone_of(self, backend_id: str) -> list[str]:
-        """Return API addresses of nodes in a backend's zone; none if that is this node's own zone.
+        """Return the API addresses of the nodes in a backend's zone, or none if this node is in it.
 
-        The API's port is alike on all nodes.
+        The API port is the same on all nodes.
         """
         registration = self.heartbeats.registrations.get(backend_id)
         if registration is None or registration.zone == self.settings.zone:
@@ -112,7 +112,7 @@
         return [f"{peer.host}:{port}" for peer in voters if peer.zone == registration.zone]
 
     def close(self) -> None:
-        """Close the connections to peers, and the store once the writes under way are done."""
+        """Close the connections to peers, and the store once pending writes are done."""
         self.config_service.close()
         self.peer_clients.close()
         self.store.close()
--- a/meadowworks/controlplane/node_status.py
+++ b/meadowworks/controlplane/node_status.py
@@ -1,4 +1,4 @@
-"""The status of a node, which the command line's `status`, `members`, `nodes` and `backends` read."""
+"""The status of a node, as shown by the commands `status`, `members`, `nodes` and `backends`."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def node_status(node: ControlPlaneNode) -> dict[str, Any]:
-    """Return what a node knows, as a JSON object."""
+    """Return the status of a node as a JSON object."""
     records = [entry.record for entry in node.cluster.peers.peers.values()]
     return {
         "node": node.settings.node,
--- a/meadowworks/controlplane/peer_endpoint.py
+++ b/meadowworks/controlplane/peer_endpoint.py
@@ -1,4 +1,4 @@
-"""The HTTP endpoint for calls between nodes: pulls, consensus requests, the status and the metrics."""
+"""The HTTP endpoint for peers: pulls, consensus requests, status and metrics."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
 
 
 class PeerEndpoint:
-    """An ASGI application on a node's peer port.
+    """The ASGI application on a node's peer port.
 
-    :param send_metrics: answers a scrape
+    :param send_metrics: sends the response to a metrics scrape.
     """
 
     def __init__(self, node: ControlPlaneNode, send_metrics: MetricsSender) -> None:
@@ -32,7 +32,11 @@
         self._pull_handler = PullHandler(node)
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Answer one call: 400 if it is malformed, 503 if the disk failed, 404 for an unknown path."""
+        """Respond to one request.
+
+        Errors: 400 for a malformed body, 404 for an unknown path, 413 if the body can't be read, 503 if the
+        disk fails.
+        """
         path = scope["path"]
         body = await read_body(receive, MAX_CONFIG_BYTES)
         if isinstance(body, BodyError):
--- a/meadowworks/controlplane/pull_client.py
+++ b/meadowworks/controlplane/pull_client.py
@@ -1,4 +1,4 @@
-"""Pulls gossip, the configuration and epochs from the other control-plane nodes."""
+"""The client that pulls gossip, the configuration and epochs from other control-plane nodes."""
 
 from __future__ import annotations
 
@@ -18,27 +18,22 @@
 from meadowworks.runtime.peer_client import PeerClient
 
 PULL_PATH = b"/pull"
-MAX_WAIT_MS = 500  # long poll; well below the 1.8 s of a lease, which replies renew
-ACK_PENDING_MAX_WAIT_MS = 50  # short while a drain isn't acknowledged yet: the next pull carries that
-# Half a second beyond the long poll. With the pause before the next pull, which is answered at once, a lost
-# pull takes less than a lease.
+MAX_WAIT_MS = 500  # of a long poll; well below the lease duration of 1.8 s, since replies renew the lease
+ACK_PENDING_MAX_WAIT_MS = 50  # while an acknowledgement of drains is pending, since the next pull carries it
+# 0.5 s longer than the long poll. A lost pull and an immediate reply to the next fit into one lease duration.
 REPLY_TIMEOUT_S = 1.0
-RETRY_DELAY_S, RETRY_DELAY_WITHOUT_LEASE_S = (
-    0.2,
-    0.05,
-)  # without a lease the node serves nobody, so it retries sooner
-DRAIN_WRITE_WAIT_S = (
-    0.1  # that a pull waits for the write of drains, so that it carries their acknowledgement
-)
-PULLS_PER_SHUFFLE = 5  # peer records are exchanged with one pull in so many
+RETRY_DELAY_S = 0.2
+RETRY_DELAY_WITHOUT_LEASE_S = 0.05  # shorter, since a node without a lease can't serve requests
+DRAIN_WRITE_WAIT_S = 0.1  # delays a pull until pending drains are written, so that it acknowledges them
+PULLS_PER_SHUFFLE = 5  # every fifth pull exchanges peer records
 log = logs.get_logger("gossip")
 
 
 class PulledState(NamedTuple):
-    """A pull's reply, with its configuration decompressed.
+    """The reply to a pull, with its configuration decompressed.
 
-    :param sent_ns: when the pull was sent: what the reply says is known as of then.
-    :param config: version 0 if the reply carries none.
+    :param sent_ns: when the pull was sent; the reply confirms the state as of this time.
+    :param config: the configuration; version 0 if the reply contains none.
     """
 
     sent_ns: int
@@ -47,14 +42,14 @@
 
 
 class PullClient:
-    """One long-polling loop for each other control-plane node that is known."""
+    """Runs a long-polling loop for each other known control-plane node."""
 
     def __init__(self, node: ControlPlaneNode) -> None:
         self._node = node
         self._active: set[tuple[str, int]] = set()
 
     def start_missing(self) -> None:
-        """Start to pull from each known voter, and from seeds that no known peer stands for."""
+        """Start the missing loops, for known voters and for seeds that match no known peer."""
         node = self._node
         voters = [(peer.host, peer.port) for peer in node.cluster.peers.voters()]
         for host, port in [*voters, *node.cluster.undiscovered_seeds(node.settings)]:
@@ -63,10 +58,10 @@
                 node.tasks.start(self.pull_from(host, port))
 
     async def pull_from(self, host: str, port: int) -> None:
-        """Pull from one node until it is neither a known voter nor a seed."""
+        """Pull from a node repeatedly until it is neither a known voter nor a seed."""
         client = self._node.peer_clients.client(host, port)
-        successes, source = 0, ""  # the peer's incarnation, once it has replied
-        has_failed = False  # the last pull
+        successes, source = 0, ""  # the source is the peer's incarnation, known after the first reply
+        has_failed = False  # whether the previous pull failed
         try:
             while self._is_wanted(host):
                 with_peers = successes % PULLS_PER_SHUFFLE == 0
@@ -85,7 +80,7 @@
                 source = pulled.reply.sender.incarnation
                 self._apply(pulled)
                 if self._node.holds_lease() and not had_lease:
-                    self._node.state_changed.notify_all()  # waiting proxies may get the configuration now
+                    self._node.state_changed.notify_all()  # proxies may receive the configuration now
                 await self._wait_for_drain_writes(source)
         finally:
             self._active.discard((host, port))
@@ -110,9 +105,9 @@
         )
 
     async def _send(self, client: PeerClient, pull: PullRequest) -> PulledState:
-        """Send a pull.
+        """Send a pull and return its decompressed reply.
 
-        :raises RequestError: no reply.
+        :raises RequestError: there was no reply.
         :raises ValueError: the reply is malformed.
         """
         sent_ns = now_ns()
--- a/meadowworks/controlplane/pull_handler.py
+++ b/meadowworks/controlplane/pull_handler.py
@@ -1,4 +1,4 @@
-"""Answers the pulls of proxies and of other control-plane nodes, as long polls."""
+"""The handler for pulls from proxies and other control-plane nodes, which are long polls."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 from meadowworks.registry.backend_state import BACKEND_KEY_PREFIX
 from meadowworks.runtime.clock import now_ns
 
-MAX_WAIT_MS = 1000  # upper bound of a long poll, whatever the caller asks for
-PROXY_BATCHING_DELAY_S = 0.15  # gathers changes of backends: each reply costs every proxy a round
+MAX_WAIT_MS = 1000  # upper bound of a long poll; longer waits requested by the sender are capped
+PROXY_BATCHING_DELAY_S = 0.15  # collects backend changes, to send proxies fewer replies
 MS_PER_SECOND = 1000
 
 
 class PullHandler:
-    """Records what a pull carries and replies with what its sender lacks."""
+    """Records the contents of a pull and replies with the state that its sender lacks."""
 
     def __init__(self, node: ControlPlaneNode) -> None:
         self._node = node
         self._compressor = ConfigCompressor(node.tasks)
 
     async def handle(self, pull: PullRequest) -> PullReply:
-        """Return the reply to a pull, at the latest after the time that its sender is ready to wait."""
+        """Return the reply to a pull, at the latest after the maximum wait that its sender requested."""
         self._record(pull)
         deltas = await self._wait_for_updates(pull)
         while self._lacks_config(pull) and self._compressor.latest.version != self._node.committed.version:
@@ -40,15 +40,14 @@
             node.zone_loads.add(pull.sender.zone, pull.load_report)
 
     def _record_acknowledgement(self, pull: PullRequest) -> None:
-        """Note up to where the sender's disk has this node's drains.
+        """Record up to which version the sender's disk holds this node's drains.
 
-        A record older than the one that is known of its host is of an earlier incarnation, whose
-        acknowledgements say nothing of the disk that is there now.
+        Ignores pulls from an earlier incarnation of the sender's host, whose disk may have been replaced.
         """
         if pull.drain_acknowledgement is None or not pull.sender.is_voter:
             return
-        known = self._node.cluster.peers.peers.get(pull.sender.host)
-        if known is not None and known.record.incarnation == pull.sender.incarnation:
+        peer = self._node.cluster.peers.peers.get(pull.sender.host)
+        if peer is not None and peer.record.incarnation == pull.sender.incarnation:
             self._node.drain_log.on_acknowledgement(pull.sender.host, *pull.drain_acknowledgement)
             self._node.drain_service.notify_waiters()
 
@@ -72,20 +71,20 @@
         return (
             self._node.shutting_down
             or self._lacks_config(pull)
-            or self._node.cluster.incarnation not in pull.version_vector  # the first contact
+            or self._node.cluster.incarnation not in pull.version_vector  # first contact
             or any(key.startswith(BACKEND_KEY_PREFIX) for delta in deltas for _, key, _ in delta.changes)
         )
 
     def _may_batch(self, pull: PullRequest) -> bool:
-        """Whether a reply may wait for more changes: control-plane nodes and configurations don't wait."""
+        """Whether a reply may be delayed for batching: not to control-plane nodes or with a configuration."""
         has_no_new_config = self._node.committed.version <= pull.config_version
         return not pull.sender.is_voter and has_no_new_config and not self._node.shutting_down
 
     def _lacks_config(self, pull: PullRequest) -> bool:
-        """Whether the sender is to get the configuration.
+        """Whether to send the configuration.
 
-        What is committed stays so, and control-plane nodes get it at once. A proxy gets it only under a
-        lease: without one it may be outdated.
+        Control-plane nodes always receive a newer committed one. A proxy receives it only while this node
+        holds a lease, since it may be out of date otherwise.
         """
         is_control_plane = pull.epoch_number is not None
         return self._node.committed.version > pull.config_version and (
@@ -115,8 +114,8 @@
     def _peers_for(self, pull: PullRequest) -> tuple[PeerRecord, ...]:
         known_peers = self._node.cluster.peers
         sample = tuple(known_peers.shuffle_sample()[1:]) if pull.peers else ()
-        known = known_peers.peers.get(pull.sender.host)
-        if known is not None and known.record.heartbeat > pull.sender.heartbeat:
-            # The record of an earlier incarnation: its sender will raise its own heartbeat above that.
-            return (*sample, known.record)
+        sender_entry = known_peers.peers.get(pull.sender.host)
+        if sender_entry is not None and sender_entry.record.heartbeat > pull.sender.heartbeat:
+            # The known record is of an earlier incarnation; the sender raises its heartbeat above it.
+            return (*sample, sender_entry.record)
         return sample
--- a/meadowworks/controlplane/server.py
+++ b/meadowworks/controlplane/server.py
@@ -1,4 +1,4 @@
-"""The control plane's program: starts a node's servers and background work, and shuts them down in order."""
+"""The control-plane program, which starts a node's servers and background tasks and shuts them down."""
 
 from __future__ import annotations
 
@@ -26,21 +26,22 @@
 from meadowworks.runtime.process import run_program
 from meadowworks.runtime.server_connection import RequestLimits
 
-DISCOVERY_INTERVAL_S = 0.25  # until a peer that has become known is pulled from
+DISCOVERY_INTERVAL_S = 0.25  # between checks for new peers to pull from
 MAX_HEADER_BYTES = 65536
-HEADER_TIMEOUT_S = 3.0  # headers are sent at once: a client that takes longer only holds a connection
-IDLE_TIMEOUT_S = 30.0  # longer than between heartbeats, pulls and consensus requests: these keep theirs
-HAND_OVER_SHARE = 0.5  # of the grace period; the rest is left for calls under way
-MAX_FINISH_S, FINISH_SHARE = 1.5, 0.5  # for calls under way: so long, or this share of the grace period
+HEADER_TIMEOUT_S = 3.0  # limits how long a slow client can hold a connection
+IDLE_TIMEOUT_S = 30.0  # longer than the intervals of heartbeats, pulls and consensus requests
+HAND_OVER_SHARE = 0.5  # of the grace period; the rest is for pending requests
+MAX_FINISH_S = 1.5  # upper limit for finishing pending requests
+FINISH_SHARE = 0.5  # of the grace period, for finishing pending requests
 FINISH_POLL_INTERVAL_S = 0.05
 log = logs.get_logger("control-plane")
 
 
 class ControlPlaneServer:
-    """One control-plane node as a program.
+    """A control-plane node with its servers and background tasks.
 
-    :param settings: the node's settings; SIGHUP reads them again.
-    :raises sqlite3.Error: the store of the node can't be opened.
+    :param settings: the node's settings, which are reloaded on SIGHUP.
+    :raises sqlite3.Error: the node's store can't be opened or read.
     """
 
     def __init__(self, settings: NodeSettings) -> None:
@@ -58,33 +59,33 @@
 
     @property
     def settings(self) -> NodeSettings:
-        """The settings in force."""
+        """The current settings."""
         return self._live_settings.current
 
     @property
     def cluster(self) -> ClusterView:
-        """What the node knows of peers and backends."""
+        """The node's view of peers and backends."""
         return self.node.cluster
 
     @property
     def backends(self) -> BackendDirectory:
-        """The backends that any node reports."""
+        """The backends reported by any node."""
         return self.node.cluster.backends
 
     def holds_lease(self) -> bool:
-        """Whether the node may answer for the control plane."""
+        """Whether the node holds a lease, and may serve the configuration."""
         return self.node.holds_lease()
 
     def reload_settings(self) -> None:
-        """Read the settings again, of which the seeds may have changed."""
+        """Reload the settings, for example after a change of the seeds."""
         self._live_settings.reload()
 
     async def serve(self, shutdown_requested: asyncio.Future[None]) -> None:
-        """Run the node until its shutdown is requested and done.
+        """Run the node until a requested shutdown has completed.
 
-        :raises OSError: an address can't be listened on.
-        :raises SettingsError: the store refuses the first write.
-        :raises InvariantError: the node's state can't be trusted any more.
+        :raises OSError: an address can't be bound.
+        :raises SettingsError: the first write to the store failed.
+        :raises InvariantError: an invariant of the node's state is violated.
         """
         self._live_settings.reload_on_sighup()
         try:
@@ -95,7 +96,7 @@
             self.close()
 
     def close(self) -> None:
-        """Stop at once, but for a write to the disk that is under way."""
+        """Stop immediately, except for a pending write to the disk."""
         self.peer_server.close()
         self.api_server.close()
         self.tasks.close()
@@ -119,13 +120,13 @@
         return {**backends.routes(), **ConfigResource(node.config_service).routes()}
 
     async def _start(self) -> None:
-        """Open the peer port first: the API opens once the node's incarnation is on the disk."""
+        """Open the peer port, and the API port once the node's incarnation is on disk."""
         settings = self.settings
         await self.peer_server.listen(settings.ip, settings.peer_port)
         try:
             await self.node.config_service.start()
         except sqlite3.Error as error:
-            raise unusable_disk(settings, error) from None
+            raise data_dir_error(settings, error) from None
         host, port = settings.bind["ctl"]
         await self.api_server.listen(host, port)
         log.info(
@@ -142,18 +143,18 @@
         grace_s = self.settings.bounds.grace_s
         deadline_s = asyncio.get_running_loop().time() + min(MAX_FINISH_S, grace_s * FINISH_SHARE)
         log.info("shutdown_started")
-        self._refuse_new_work()
+        self._refuse_new_requests()
         await self._hand_over(grace_s * HAND_OVER_SHARE)
-        await self._finish_calls(deadline_s)
+        await self._finish_pending_requests(deadline_s)
 
-    def _refuse_new_work(self) -> None:
-        """Give up the lease, and answer waiting pulls so that proxies turn to another node."""
+    def _refuse_new_requests(self) -> None:
+        """Give up the lease, and reply to waiting pulls so that proxies switch to another node."""
         self.node.shutting_down = True
         self.api_server.drain()
         self.node.state_changed.notify_all()
 
     async def _hand_over(self, timeout_s: float) -> None:
-        """Hand over what only this disk holds, while the others still hear of it."""
+        """Transfer the state that only this disk holds, while other nodes can still reach this one."""
         if await self.node.config_service.hand_over(int(timeout_s * NS_PER_SECOND)):
             log.info("hand_over_done")
         else:
@@ -161,7 +162,7 @@
         self.peer_server.drain()
         self.node.state_changed.notify_all()
 
-    async def _finish_calls(self, deadline_s: float) -> None:
+    async def _finish_pending_requests(self, deadline_s: float) -> None:
         loop = asyncio.get_running_loop()
         while loop.time() < deadline_s and (
             self.api_server.pending_count() or self.peer_server.pending_count()
@@ -170,29 +171,29 @@
 
 
 def request_limits() -> RequestLimits:
-    """Return the limits of a server's requests; each server has its own."""
+    """Return the request limits of a server; each server needs its own instance."""
     return RequestLimits(MAX_HEADER_BYTES, HEADER_TIMEOUT_S, IDLE_TIMEOUT_S)
 
 
 async def serve(settings: NodeSettings, shutdown_requested: asyncio.Future[None]) -> None:
-    """Run one node until its shutdown is requested.
+    """Run a node until its shutdown is requested.
 
     :raises SettingsError: the data directory cannot be used.
     """
     try:
         server = ControlPlaneServer(settings)
     except (sqlite3.Error, OSError) as error:
-        raise unusable_disk(settings, error) from None
+        raise data_dir_error(settings, error) from None
     await server.serve(shutdown_requested)
 
 
-def unusable_disk(settings: NodeSettings, error: Exception) -> SettingsError:
-    """What an operator is told of a data directory that cannot be opened, read or written."""
+def data_dir_error(settings: NodeSettings, error: Exception) -> SettingsError:
+    """Return the error for a data directory that cannot be opened, read or written."""
     return SettingsError(f"the data directory {settings.data_dir} cannot be used: {error}")
 
 
 def main() -> int:
-    """Run the program.
+    """Run the control-plane program.
 
     :returns: the exit code.
     """
--- a/meadowworks/controlplane/zone_loads.py
+++ b/meadowworks/controlplane/zone_loads.py
@@ -1,4 +1,4 @@
-"""Sums of the load reports of a zone's proxies: traffic between zones doesn't grow with their number."""
+"""Sums of the proxies' load reports by zone, so that cross-zone traffic is independent of their number."""
 
 from __future__ import annotations
 
@@ -10,28 +10,28 @@
 
 
 class ZoneLoads:
-    """Adds up load reports by zone and publishes the sums.
+    """Aggregates load reports by zone and publishes the sums.
 
-    :param updates: where the sums are published.
-    :param now_ns: when the first sum begins.
+    :param updates: the store that publishes the sums.
+    :param now_ns: the start of the first period.
     """
 
     def __init__(self, updates: UpdateStore, now_ns: int) -> None:
         self._updates = updates
-        self._since_ns = now_ns
+        self._period_start_ns = now_ns
         self._reports: dict[str, LoadReport] = {}
 
     def add(self, zone: str, report: Any) -> None:
-        """Add a proxy's report, as its pull carries it.
+        """Add the report contained in a proxy's pull.
 
-        :raises ValueError: it is malformed; or TypeError.
+        :raises ValueError: the report is malformed; or TypeError.
         """
         self._reports.setdefault(zone, LoadReport()).merge(report)
 
     def publish(self, now_ns: int) -> None:
-        """Publish each zone's sum and the milliseconds it covers, then begin anew."""
-        covered_ms = (now_ns - self._since_ns) // NS_PER_MS
-        self._since_ns = now_ns
+        """Publish each zone's sum with its period in milliseconds, then start a new period."""
+        covered_ms = (now_ns - self._period_start_ns) // NS_PER_MS
+        self._period_start_ns = now_ns
         for zone, report in self._reports.items():
             if report:
                 self._updates.publish(LOAD_REPORT_PREFIX + zone, [covered_ms, *report.pack()])
