--- a/tests/gateway/helpers.py
+++ b/tests/gateway/helpers.py
@@ -1,4 +1,4 @@
-"""What the gateway's tests share."""
+"""Shared helpers of the gateway tests."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from meadowworks.registry.backends import BackendInstance
 from meadowworks.runtime.http_connection import ClientConnection, Response, connect
 
-SECOND = 1_000_000_000
+SECOND = 1_000_000_000  # in nanoseconds
 HEARTBEAT = {
     "addr": "10.0.0.9:8080",
     "details": {"svc": "s", "ver": "v1", "zone": "north", "capacity": 2},
@@ -20,7 +20,7 @@
 
 
 def recording_publisher(published: list[Any]) -> Callable[[str, Any], int]:
-    """Return a publisher that keeps the values; a version is their number."""
+    """Return a publisher that appends to `published`; the returned version is the number of values."""
 
     def publish(_key: str, value: Any) -> int:
         published.append(value)
@@ -29,35 +29,42 @@
     return publish
 
 
-async def wait_until(holds: Callable[[], bool], what: str, wait_s: float = 10.0) -> None:
-    """Turns the loop until something holds; fails loudly instead of waiting for ever."""
+async def wait_until(condition: Callable[[], bool], description: str, timeout_s: float = 10.0) -> None:
+    """Run the event loop until a condition holds.
+
+    :raises AssertionError: the condition doesn't hold within the timeout.
+    """
     loop = asyncio.get_running_loop()
-    end = loop.time() + wait_s
-    while not holds():
-        assert loop.time() < end, f"not in time: {what}"
+    deadline_s = loop.time() + timeout_s
+    while not condition():
+        assert loop.time() < deadline_s, f"timed out after {timeout_s} s: {description}"
         await asyncio.sleep(0.005)
 
 
 async def send_request(
-    at: tuple[str, int],
+    address: tuple[str, int],
     method: bytes,
     target: bytes,
-    ident: str = "q",
+    request_id: str = "q",
     body: bytes = b"",
-    line: ClientConnection | None = None,
+    connection: ClientConnection | None = None,
 ) -> Response:
-    line = line or await connect(*at, 2.0)
-    headers = [(b"host", b"local.example"), (b"x-request-id", ident.encode()), (b"x-deadline-ms", b"1500")]
+    connection = connection or await connect(*address, 2.0)
+    headers = [
+        (b"host", b"local.example"),
+        (b"x-request-id", request_id.encode()),
+        (b"x-deadline-ms", b"1500"),
+    ]
     if body or method == b"POST":
         headers.append((b"content-length", str(len(body)).encode()))
-    return await line.request(method, target, headers, body, 1 << 24)
+    return await connection.request(method, target, headers, body, 1 << 24)
 
 
 Handler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
 class RawServer:
-    """A server that says exactly what it is told to, in bytes."""
+    """A TCP server whose handler controls every byte of its responses."""
 
     def __init__(self, handler: Handler) -> None:
         self.handler = handler
@@ -72,12 +79,14 @@
         self.server.close()
 
 
-def make_backend(ident: str, at: tuple[str, int], **rest: Any) -> BackendInstance:
-    return BackendInstance(ident, rest.get("svc", "s"), *at, rest.get("zone", "north"), 2, "up", 0, 0)
+def make_backend(instance_id: str, address: tuple[str, int], **fields: Any) -> BackendInstance:
+    return BackendInstance(
+        instance_id, fields.get("svc", "s"), *address, fields.get("zone", "north"), 2, "up", 0, 0
+    )
 
 
 def reset_connection(writer: asyncio.StreamWriter) -> None:
-    """End a connection as a process that is killed with bytes unread does: by a reset, not in order."""
+    """Close a connection by a TCP reset, as the kernel does for a killed process with unread bytes."""
     sock = writer.get_extra_info("socket")
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     writer.transport.abort()
--- a/tests/gateway/test_api_endpoint.py
+++ b/tests/gateway/test_api_endpoint.py
@@ -1,4 +1,4 @@
-"""The API's endpoint: calls find their handler, bodies are bounded, a failing disk is a reply."""
+"""The API endpoint: request routing, limits of the body size, and replies when the disk fails."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 async def no_metrics(_: Any) -> None:
-    raise AssertionError("nobody has asked")
+    raise AssertionError("no metrics were requested")
 
 
 async def echo(request: ApiRequest) -> ApiReply:
@@ -50,7 +50,7 @@
     return sent[0]["status"], sent[1]["body"], dict(sent[0]["headers"])
 
 
-def test_a_call_gets_the_resource_id_and_the_body_and_its_reply_a_time_to_retry() -> None:
+def test_a_handler_gets_the_resource_id_and_the_body_and_may_set_retry_after() -> None:
     status, body, headers = call("POST", "/api/X.Echo/an/id", b"text")
     assert (status, json.loads(body), headers[b"retry-after"]) == (503, ["an/id", "text"], b"0.5")
     assert headers[b"content-type"] == b"application/json"
@@ -68,6 +68,6 @@
     assert call("GET", "/api/X.Fail")[:2] == (503, b'{"err":"the disk refuses"}')
 
 
-def test_a_body_beyond_its_share_of_the_memory_is_answered_with_413() -> None:
-    assert call("POST", "/api/X.Echo", b"x" * 1000, memory_mb=0.01)[0] == 503  # a tenth of it: just fits
+def test_a_body_larger_than_its_share_of_the_memory_is_answered_with_413() -> None:
+    assert call("POST", "/api/X.Echo", b"x" * 1000, memory_mb=0.01)[0] == 503  # exactly the limit of a tenth
     assert call("POST", "/api/X.Echo", b"x" * 1001, memory_mb=0.01)[0] == 413
--- a/tests/gateway/test_backends_resource.py
+++ b/tests/gateway/test_backends_resource.py
@@ -1,4 +1,4 @@
-"""Heartbeats and departures as the API answers them, over a real disk."""
+"""Replies of the API to heartbeats, drains and departures, with a real disk."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class ResourceOnDisk:
-    """The resource of node `a`, incarnation `a.1`. Acknowledgements of the other disk are given by hand."""
+    """The `Backends` resource of node `a`, incarnation `a.1`. Tests acknowledge for the other node's disk."""
 
     def __init__(self, folder: Path) -> None:
         self.node = DurableNode("a")
@@ -46,13 +46,13 @@
         return self.resource.leave(ApiRequest(instance_id, b""))
 
     def acknowledge(self, version: int) -> None:
-        """The other disk has the drains up to a version."""
+        """Acknowledge for the other node that its disk holds the drains up to a version."""
         self.node.drain_log.on_acknowledgement("b", "a.1", version)
         self.drain_service.notify_waiters()
 
 
 def run(test: Callable[[], Coroutine[Any, Any, None]]) -> None:
-    """Runs a test's coroutine, within a bound of time."""
+    """Run a test's coroutine with a time limit."""
 
     async def bounded() -> None:
         async with asyncio.timeout(20):
@@ -61,7 +61,7 @@
     asyncio.run(bounded())
 
 
-def test_an_acknowledged_drain_is_on_disk_when_the_power_goes(tmp_path: Path) -> None:
+def test_an_acknowledged_drain_survives_a_power_loss(tmp_path: Path) -> None:
     async def test() -> None:
         api = ResourceOnDisk(tmp_path / "d")
         assert (await api.heartbeat("i", "up", 1)).status == 200
@@ -69,7 +69,7 @@
         await wait_until(lambda: api.node.drain_log.state("i") == "draining", "the drain is recorded")
         api.acknowledge(api.node.updates.sources["a.1"].latest_version)
         assert (await call).status == 200
-        shutil.copytree(tmp_path / "d", tmp_path / "after")  # as the power goes: nothing is closed
+        shutil.copytree(tmp_path / "d", tmp_path / "after")  # a power loss: the store is not closed
         rows = decode_rows(SqliteStore(tmp_path / "after").load_drain_records())
         restarted = DurableNode("a", 2, rows)
         restarted.heartbeats.heartbeat(0, "i", heartbeat("up", 1))
@@ -78,22 +78,23 @@
     run(test)
 
 
-def test_a_write_that_the_disk_refuses_is_retried_and_no_drain_is_acknowledged_before(tmp_path: Path) -> None:
+def test_a_failed_write_is_retried_before_the_drain_is_acknowledged(tmp_path: Path) -> None:
     async def test() -> None:
         api = ResourceOnDisk(tmp_path / "d")
-        write, refusals = api.store.save_drain_records, [True]
+        write, pending_failures = api.store.save_drain_records, [True]
 
-        def refuse_once(rows: Any, removed: Any) -> None:
-            if refusals:
-                refusals.pop()
+        def fail_once(rows: Any, removed: Any) -> None:
+            if pending_failures:
+                pending_failures.pop()
                 raise sqlite3.OperationalError("disk I/O error")
             write(rows, removed)
 
-        api.store.save_drain_records = refuse_once  # type: ignore[method-assign]
+        api.store.save_drain_records = fail_once  # type: ignore[method-assign]
         api.acknowledge(99)
         call = asyncio.ensure_future(api.heartbeat("i", "draining", 1))
         await wait_until(
-            lambda: not refusals and api.node.drain_log.write_in_flight is None, "it was refused"
+            lambda: not pending_failures and api.node.drain_log.write_in_flight is None,
+            "the disk refused the write",
         )
         assert not call.done()
         assert not api.store.load_drain_records()
@@ -103,7 +104,7 @@
     run(test)
 
 
-def test_a_node_without_a_lease_refuses_at_once_and_redirects_nobody(tmp_path: Path) -> None:
+def test_a_node_without_a_lease_rejects_at_once_and_does_not_redirect(tmp_path: Path) -> None:
     async def test() -> None:
         api = ResourceOnDisk(tmp_path / "d")
         loop = asyncio.get_running_loop()
@@ -119,13 +120,13 @@
             assert 0 < reply.retry_after_s < 1
         assert loop.time() - start_s < 0.3
         api.acknowledge(99)
-        await wait_until(lambda: api.node.drain_log.is_caught_up("a.1"), "it is on the own disk")
-        assert (await api.leave("i")).status == 200  # what is on enough disks needs no lease
+        await wait_until(lambda: api.node.drain_log.is_caught_up("a.1"), "the drain is on this node's disk")
+        assert (await api.leave("i")).status == 200  # a durable departure is acknowledged without a lease
         api.holds_lease = True
         assert json.loads((await api.heartbeat("j", "up", 1)).body) == {"beatUrl": "10.0.0.2:80"}
-        assert await api.heartbeat("j", "up", 2) == ApiReply(200)  # that address has failed it
+        assert await api.heartbeat("j", "up", 2) == ApiReply(200)  # the redirect has failed
         api.zone_addresses = ["h" * 5000]
-        assert (await api.heartbeat("k", "up", 1)).body == b"{}"  # larger than an acknowledgement may be
+        assert (await api.heartbeat("k", "up", 1)).body == b"{}"  # too large a redirect
         assert (await api.leave("unknown")).status == 200
         start_s = loop.time()
         api.node.drain_log.acknowledged_versions.clear()
@@ -136,7 +137,7 @@
 
 
 @pytest.mark.parametrize("body", [b"", b"[]", b"{}", b"{" * 99999, b'{"details":[],"status":7}'])
-def test_a_malformed_heartbeat_gets_one_short_refusal(tmp_path: Path, body: bytes) -> None:
+def test_a_malformed_heartbeat_is_rejected_with_a_short_error(tmp_path: Path, body: bytes) -> None:
     async def test() -> None:
         reply = await ResourceOnDisk(tmp_path / "d").resource.heartbeat(ApiRequest("i", body))
         assert reply.status == 400
--- a/tests/gateway/test_notifier.py
+++ b/tests/gateway/test_notifier.py
@@ -1,4 +1,4 @@
-"""A notifier wakes everyone who waits, and nobody waits longer than the time-out."""
+"""The notifier wakes all waiting tasks, and a wait ends at its timeout."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
         waiting = [asyncio.ensure_future(notifier.wait(60)) for _ in range(3)]
         await asyncio.sleep(0)
         notifier.notify_all()
-        notifier.notify_all()  # before they have run: no error
+        notifier.notify_all()  # called again before the tasks have run: no error
         await asyncio.gather(*waiting)
         late = asyncio.ensure_future(notifier.wait(60))
         await asyncio.sleep(0)
         assert not late.done()
         late.cancel()
         await asyncio.wait([late])
-        notifier.notify_all()  # a cancelled waiter is gone
+        notifier.notify_all()  # a cancelled waiter is ignored
         await notifier.wait(0.001)
 
     asyncio.run(main())
@@ -41,7 +41,7 @@
         for count in (1, 2):
             await asyncio.sleep(0)
             notifier.notify_all()
-            await wait_until(lambda count=count: wakes == count, "it is woken")  # type: ignore[misc]
+            await wait_until(lambda count=count: wakes == count, "the task is woken")  # type: ignore[misc]
         await task
 
     asyncio.run(main())
--- a/tests/gateway/test_pull_timing.py
+++ b/tests/gateway/test_pull_timing.py
@@ -1,4 +1,4 @@
-"""The durations of pulls between control planes fit together with the lease that they renew."""
+"""The timeouts of pulls between control-plane nodes are short enough to renew the lease."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 
 def test_one_lost_pull_does_not_interrupt_a_lease() -> None:
-    # A pull that left at 0 is answered after its long poll, the next is lost, the third answered at once.
+    # The pull sent at 0 is answered after its long poll, the second is lost, the third is answered at once.
     answered_s = MAX_WAIT_MS / 1000 + REPLY_TIMEOUT_S + RETRY_DELAY_S + ROUND_TRIP_S
     assert answered_s < LEASE_DURATION_NS / NS_PER_SECOND
 
 
-def test_the_pull_after_a_lost_one_asks_to_be_answered_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    outcomes = [True, False, False, True, True]  # whether each pull is answered
-    asked: list[bool] = []
+def test_the_pull_after_a_lost_one_requests_an_immediate_reply(monkeypatch: pytest.MonkeyPatch) -> None:
+    is_answered = [True, False, False, True, True]  # for each pull
+    requested_at_once: list[bool] = []
     node: Any = SimpleNamespace(
         peer_clients=SimpleNamespace(client=lambda *_: None), holds_lease=lambda: True
     )
@@ -33,24 +33,24 @@
     reply = SimpleNamespace(sender=SimpleNamespace(incarnation="i"))
 
     def make_pull(_source: str, _with_peers: bool, wants_reply_at_once: bool) -> Any:
-        asked.append(wants_reply_at_once)
+        requested_at_once.append(wants_reply_at_once)
 
     async def send(*_: Any) -> Any:
-        if not outcomes.pop(0):
+        if not is_answered.pop(0):
             raise RequestError("lost", True)
         return SimpleNamespace(reply=reply)
 
-    async def nothing(*_: Any) -> None:
+    async def do_nothing(*_: Any) -> None:
         pass
 
     monkeypatch.setattr(pull_client, "RETRY_DELAY_S", 0.0)
-    for name, stand_in in {
-        "_is_wanted": lambda _: bool(outcomes),
+    for name, replacement in {
+        "_is_wanted": lambda _: bool(is_answered),
         "_make_pull": make_pull,
         "_send": send,
         "_apply": lambda _: None,
-        "_wait_for_drain_writes": nothing,
+        "_wait_for_drain_writes": do_nothing,
     }.items():
-        monkeypatch.setattr(client, name, cast(Any, stand_in))
+        monkeypatch.setattr(client, name, cast(Any, replacement))
     asyncio.run(client.pull_from("h", 1))
-    assert asked == [False, False, True, True, False]
+    assert requested_at_once == [False, False, True, True, False]
