--- a/meadowworks/controlplane/api_endpoint.py
+++ b/meadowworks/controlplane/api_endpoint.py
@@ -17,7 +17,7 @@
 PATH_PREFIX = "/api/"
 BODY_TIMEOUT_S = 300.0  # enough for a configuration of 7 MB over a link of 200 kbit/s
 ALL_BODIES_MEMORY_SHARE = 0.25  # of the node's memory, for all bodies being received
-MAX_BODY_MEMORY_SHARE = 0.1  # of the node's memory; validation takes four times the size of the body on top
+MAX_BODY_MEMORY_SHARE = 0.1  # of the node's memory; validating a body takes another four times its size
 BYTES_PER_MB = 1e6
 BODY_ERROR_STATUS = {
     BodyError.TOO_LARGE: 413,
--- a/meadowworks/controlplane/cluster_view.py
+++ b/meadowworks/controlplane/cluster_view.py
@@ -32,7 +32,7 @@
             settings.zone,
             is_voter,
             self.incarnation,
-            int(time.time()),  # greater than the heartbeats of earlier incarnations
+            int(time.time()),  # exceeds the heartbeats of earlier incarnations
         )
         self.peers = PartialView(record, random.getrandbits(RANDOM_SEED_BITS))
         self.updates = UpdateStore(self.incarnation)
@@ -46,7 +46,7 @@
             self.updates.apply(now_ns, delta)
 
     def tick(self, now_ns: int) -> None:
-        """Advance the own heartbeat and expire silent peers and sources; to be called every second."""
+        """Advance this node's heartbeat and expire silent peers and sources; call it every second."""
         self.peers.advance_heartbeat()
         self.peers.expire(now_ns)
         self.updates.expire_sources(now_ns)
--- a/meadowworks/controlplane/config_resource.py
+++ b/meadowworks/controlplane/config_resource.py
@@ -15,9 +15,7 @@
 COMMIT_TIMEOUT_NS = 800_000_000  # two rounds with a disk sync on a majority each, and some retries
 COMMIT_TIMEOUT_PER_BYTE_NS = 100  # added for compressing, sending, and writing the value twice per disk
 READ_TIMEOUT_NS = 800_000_000  # as for a commit
-LARGE_CONFIG_BYTES = (
-    1 << 18
-)  # larger ones are validated one at a time: each takes four times its size in memory
+LARGE_CONFIG_BYTES = 1 << 18  # larger ones are validated one at a time, which takes four times their size
 MAX_FIELDS_LOGGED = 20
 NO_LEASE_RETRY_S = 1.0  # pulls renew the lease several times a second
 log = logs.get_logger("api")
--- a/meadowworks/controlplane/node.py
+++ b/meadowworks/controlplane/node.py
@@ -100,9 +100,9 @@
         return self.cluster.backends.is_known(backend_id) or backend_id in self.drain_log.records
 
     def api_addresses_in_zone_of(self, backend_id: str) -> list[str]:
-        """Return the API addresses of the nodes in a backend's zone, or none if this node is in it.
+        """Return the API addresses of the nodes in a backend's zone, which all use the same port.
 
-        The API port is the same on all nodes.
+        Empty if the backend isn't registered here, or if this node is in the same zone.
         """
         registration = self.heartbeats.registrations.get(backend_id)
         if registration is None or registration.zone == self.settings.zone:
