--- a/meadowworks/controlplane/node.py
+++ b/meadowworks/controlplane/node.py
@@ -59,7 +59,10 @@
         self.cluster.updates.version_listeners.append(self.drain_log.on_version)
         self.drain_service = DrainService(self.drain_log, self.store, tasks.start)
         self.heartbeats = HeartbeatRegistry(
-            self.cluster.updates.publish, settings.heartbeat_ms, self.drain_log.state, self.has_seen_backend
+            self.cluster.updates.publish,
+            settings.heartbeat_ms,
+            self.drain_log.state,
+            self.is_backend_reported,
         )
         now = now_ns()
         self.drain_log.restore(now, stored_drains)
@@ -95,9 +98,9 @@
             update_version, hosts, self.settings.tolerated_failures, self.acceptor.may_vote()
         )
 
-    def has_seen_backend(self, backend_id: str) -> bool:
+    def is_backend_reported(self, backend_id: str) -> bool:
         """Whether any node has reported a backend, according to this node's records."""
-        return self.cluster.backends.is_known(backend_id) or backend_id in self.drain_log.records
+        return self.cluster.backends.is_reported(backend_id) or backend_id in self.drain_log.records
 
     def api_addresses_in_zone_of(self, backend_id: str) -> list[str]:
         """Return the API addresses of the nodes in a backend's zone, which all use the same port.
--- a/tests/gateway/test_fleet.py
+++ b/tests/gateway/test_fleet.py
@@ -322,11 +322,11 @@
 def proxy_has_no_route_table(fleet: Fleet) -> None:
     node = fleet.nodes[4]
     node.view.started_ns -= STARTUP_GRACE_NS
-    node.view.mark_backends_listed(now_ns())
-    node.view.first_listed_ns -= STARTUP_GRACE_NS  # don't wait for backends of other services any longer
+    node.view.check_initial_sync(now_ns())
+    node.view.initial_sync_ns -= STARTUP_GRACE_NS  # don't wait for backends of other services any longer
     assert node.view.route_table is None
     assert not node.is_ready()
-    assert not node.view.staleness.ever_confirmed
+    assert not node.view.staleness.has_been_confirmed
     for target in (b"/read/a", b"/new/a"):
         reply = fleet.run(fleet.send_to_proxy(1, b"GET", target))
         assert reply.status == 503
