--- a/tests/gateway/golden_product.py
+++ b/tests/gateway/golden_product.py
@@ -1,7 +1,7 @@
-"""The one place where the golden tests name the product.
+"""The parts of the product that the golden tests use.
 
-A rename or a move of the product's code is followed here and nowhere else in the golden tests. The data under
-`golden/` is what running and stopped installations hold and send: it does not change with the code.
+The golden tests import the product's names from here only. The data under `golden/` are stored and sent by
+existing installations, and do not change with the code.
 """
 
 from __future__ import annotations
@@ -14,25 +14,63 @@
 from typing import Any
 from unittest.mock import patch
 
-from meadowworks.cli import main as commands
-from meadowworks.config.route_table import load_route_table as load_configuration
-from meadowworks.consensus import codec, values
-from meadowworks.consensus import messages as consensus_messages
+from meadowworks.cli.main import main
+from meadowworks.config.route_table import load_route_table
+from meadowworks.consensus import codec
 from meadowworks.consensus.effects import Persist, SendReply, SendRequest, StateUpdate
 from meadowworks.consensus.membership import decode_member_list, encode_member_list
+from meadowworks.consensus.messages import (
+    AcceptedReply,
+    AcceptRequest,
+    BallotRejectedReply,
+    InstalledReply,
+    InstallRequest,
+    LearnRequest,
+    NotAMemberReply,
+    PrepareRequest,
+    PromiseReply,
+    QueryReply,
+    QueryRequest,
+    SealedReply,
+    SealRequest,
+    SnapshotReply,
+    SnapshotRequest,
+    StaleEpochReply,
+    VersionDecidedReply,
+)
 from meadowworks.consensus.metadata import load_acceptor
 from meadowworks.consensus.replica import Replica
+from meadowworks.consensus.values import (
+    NO_BALLOT,
+    NO_EPOCH_NUMBER,
+    AcceptorSlot,
+    AcceptorState,
+    Ballot,
+    CommittedValue,
+    Epoch,
+    digest,
+)
 from meadowworks.controlplane import consensus_envelope
 from meadowworks.controlplane.drain_service import decode_rows
 from meadowworks.controlplane.server import ControlPlaneServer
-from meadowworks.fleet import messages
-from meadowworks.gossip import messages as post
+from meadowworks.fleet import messages as fleet_messages
+from meadowworks.fleet.messages import (
+    HEARTBEAT_REPLY,
+    BackendReport,
+    CollectorHello,
+    DemandReport,
+    Heartbeat,
+    ProxyHello,
+    UpdateApplied,
+    encode_rejection,
+)
+from meadowworks.gossip import messages as gossip_messages
+from meadowworks.gossip.messages import DECODE_ERRORS, decode, decode_pull_reply, decode_pull_request, encode
 from meadowworks.gossip.peer_sampling import PeerRecord
 from meadowworks.gossip.updates import KeyUpdate, SourceDelta
-from meadowworks.load_balancing.load_reports import LOAD_REPORT_PREFIX as FIGURES_PREFIX
-from meadowworks.load_balancing.load_reports import LoadReport
+from meadowworks.load_balancing.load_reports import LOAD_REPORT_PREFIX, LoadReport
 from meadowworks.proxy.server import ProxyServer
-from meadowworks.registry.backend_state import BACKEND_KEY_PREFIX as BACKENDS_PREFIX
+from meadowworks.registry.backend_state import BACKEND_KEY_PREFIX
 from meadowworks.registry.backends import BackendDirectory
 from meadowworks.registry.drain_log import DrainLog
 from meadowworks.registry.heartbeats import HeartbeatRegistry
@@ -43,51 +81,72 @@
 from meadowworks.runtime.response_writer import send_response
 from meadowworks.storage.sqlite_store import SqliteStore
 
-__all__ = ["BACKENDS_PREFIX", "FIGURES_PREFIX", "PeerRecord", "SourceDelta", "load_configuration"]
-
-# -- typed values of the agreement on versions and members
-
-Ballot = values.Ballot
-Epoch = values.Epoch
-Held = values.CommittedValue
-Slot = values.AcceptorSlot
-State = values.AcceptorState
-NO_BALLOT = values.NO_BALLOT
-NO_EPOCH = values.NO_EPOCH_NUMBER
-
-Prepare = consensus_messages.PrepareRequest
-Accept = consensus_messages.AcceptRequest
-Seal = consensus_messages.SealRequest
-Install = consensus_messages.InstallRequest
-Look = consensus_messages.QueryRequest
-Fetch = consensus_messages.SnapshotRequest
-Teach = consensus_messages.LearnRequest
-Seen = consensus_messages.QueryReply
-Promised = consensus_messages.PromiseReply
-Accepted = consensus_messages.AcceptedReply
-Refused = consensus_messages.BallotRejectedReply
-Past = consensus_messages.VersionDecidedReply
-Newer = consensus_messages.StaleEpochReply
-Sealed = consensus_messages.SealedReply
-Installed = consensus_messages.InstalledReply
-Outside = consensus_messages.NotAMemberReply
-Whole = consensus_messages.SnapshotReply
-
-# What stands where in a message, by its name in the code: a message is told and read by place.
+__all__ = [
+    "AcceptRequest",
+    "AcceptedReply",
+    "AcceptorSlot",
+    "AcceptorState",
+    "BACKEND_KEY_PREFIX",
+    "BackendReport",
+    "Ballot",
+    "BallotRejectedReply",
+    "CollectorHello",
+    "CommittedValue",
+    "DECODE_ERRORS",
+    "DemandReport",
+    "Epoch",
+    "HEARTBEAT_REPLY",
+    "Heartbeat",
+    "InstallRequest",
+    "InstalledReply",
+    "LOAD_REPORT_PREFIX",
+    "LearnRequest",
+    "NO_BALLOT",
+    "NO_EPOCH_NUMBER",
+    "NotAMemberReply",
+    "PeerRecord",
+    "PrepareRequest",
+    "PromiseReply",
+    "ProxyHello",
+    "QueryReply",
+    "QueryRequest",
+    "SealRequest",
+    "SealedReply",
+    "SnapshotReply",
+    "SnapshotRequest",
+    "SourceDelta",
+    "StaleEpochReply",
+    "UpdateApplied",
+    "VersionDecidedReply",
+    "decode",
+    "decode_member_list",
+    "decode_pull_reply",
+    "decode_pull_request",
+    "digest",
+    "encode",
+    "encode_member_list",
+    "encode_rejection",
+    "load_route_table",
+    "main",
+]
+
+# -- consensus messages
+
+# Field names by position: messages are encoded and decoded by position.
 FIELDS: dict[Any, tuple[str, ...]] = {
     Ballot: ("epoch", "number", "proposer_id"),
     Epoch: ("number", "members"),
-    Held: ("version", "value"),
-    Slot: ("promised", "accepted", "value"),
-    State: ("committed", "history", "slots"),
-    Prepare: ("epoch", "version", "ballot"),
-    Accept: ("epoch", "version", "ballot", "value"),
-    Seal: ("epoch", "next_epoch"),
-    Install: ("epoch", "next_epoch", "state"),
-    Look: ("epoch",),
-    Fetch: ("epoch",),
-    Teach: ("epoch", "committed", "history"),
-    Seen: (
+    CommittedValue: ("version", "value"),
+    AcceptorSlot: ("promised", "accepted", "value"),
+    AcceptorState: ("committed", "history", "slots"),
+    PrepareRequest: ("epoch", "version", "ballot"),
+    AcceptRequest: ("epoch", "version", "ballot", "value"),
+    SealRequest: ("epoch", "next_epoch"),
+    InstallRequest: ("epoch", "next_epoch", "state"),
+    QueryRequest: ("epoch",),
+    SnapshotRequest: ("epoch",),
+    LearnRequest: ("epoch", "committed", "history"),
+    QueryReply: (
         "epoch",
         "may_vote",
         "highest_version",
@@ -96,18 +155,18 @@
         "address",
         "is_eligible",
     ),
-    Promised: ("ballot", "accepted", "value"),
-    Accepted: ("ballot",),
-    Refused: ("ballot",),
-    Past: ("committed", "history"),
-    Newer: ("epoch",),
-    Sealed: ("next_epoch", "state"),
-    Installed: ("epoch",),
-    Outside: ("epoch",),
-    Whole: ("committed", "history"),
+    PromiseReply: ("ballot", "accepted", "value"),
+    AcceptedReply: ("ballot",),
+    BallotRejectedReply: ("ballot",),
+    VersionDecidedReply: ("committed", "history"),
+    StaleEpochReply: ("epoch",),
+    SealedReply: ("next_epoch", "state"),
+    InstalledReply: ("epoch",),
+    NotAMemberReply: ("epoch",),
+    SnapshotReply: ("committed", "history"),
     PeerRecord: ("name", "host", "port", "zone", "is_voter", "incarnation", "heartbeat"),
     SourceDelta: ("source", "is_snapshot", "latest_version", "changes"),
-    post.PullRequest: (
+    gossip_messages.PullRequest: (
         "sender",
         "peers",
         "version_vector",
@@ -117,7 +176,7 @@
         "epoch_number",
         "drain_acknowledgement",
     ),
-    post.PullReply: (
+    gossip_messages.PullReply: (
         "sender",
         "peers",
         "deltas",
@@ -128,38 +187,20 @@
         "decided_digests",
     ),
 }
-LETTER_KINDS = frozenset(codec.FIELD_DECODERS)
-content_digest = values.digest
-encode_members = encode_member_list  # the content of the version that says who votes next
-decode_members = decode_member_list
+MESSAGE_TYPES = frozenset(codec.FIELD_DECODERS)
 
-# -- messages between controllers
 
-# Plain pairs stand for an acknowledgement and for a configuration: their types are tuples with names.
-Pull: Any = post.PullRequest
-News: Any = post.PullReply
-Unreadable = post.DECODE_ERRORS  # what the readers of messages raise
+def encode_consensus_message(message: Any) -> bytes:
+    """Encode a consensus message as the uncompressed body of its envelope."""
+    return encode(codec.encode(message))
 
 
-def pack(value: Any) -> bytes:
-    return post.encode(value)
+def decode_consensus_message(body: bytes) -> Any:
+    return codec.decode(decode(body))
 
 
-def unpack(body: bytes) -> Any:
-    return post.decode(body)
-
-
-def encode_letter(letter: Any) -> bytes:
-    """A request or reply of the agreement, as it lies compressed in the body of a call."""
-    return post.encode(codec.encode(letter))
-
-
-def decode_letter(body: bytes) -> Any:
-    return codec.decode(post.decode(body))
-
-
-def compressed_letter(letter: Any) -> bytes:
-    return asyncio.run(consensus_envelope.compress_message(letter))
+def compress_consensus_message(message: Any) -> bytes:
+    return asyncio.run(consensus_envelope.compress_message(message))
 
 
 def decode_request(body: bytes) -> tuple[int, Any]:
@@ -172,176 +213,183 @@
     return envelope.request_id, envelope.member_id, envelope.reply
 
 
-def encode_pull(pull: Any) -> bytes:
-    return pull.encode()  # type: ignore[no-any-return]
+# -- gossip messages
 
+# Typed as `Any`, since the tests pass plain tuples as drain acknowledgements and compressed configurations.
+PullRequest: Any = gossip_messages.PullRequest
+PullReply: Any = gossip_messages.PullReply
 
-def encode_news(news: Any) -> bytes:
-    return news.encode()  # type: ignore[no-any-return]
+
+def encode_pull_request(pull: Any) -> bytes:
+    return pull.encode()  # type: ignore[no-any-return]
 
 
-decode_pull = post.decode_pull_request
-decode_news = post.decode_pull_reply
+def encode_pull_reply(reply: Any) -> bytes:
+    return reply.encode()  # type: ignore[no-any-return]
 
 
-def encode_card(card: Any) -> bytes:
-    return post.encode(post.encode_peer(card))
+def encode_peer_record(record: Any) -> bytes:
+    return encode(gossip_messages.encode_peer(record))
 
 
-def decode_card(body: bytes) -> Any:
-    return post.decode_peer(post.decode(body))
+def decode_peer_record(body: bytes) -> Any:
+    return gossip_messages.decode_peer(decode(body))
 
 
-def encode_piece(piece: Any) -> bytes:
-    return post.encode(post.encode_delta(piece))
+def encode_source_delta(delta: Any) -> bytes:
+    return encode(gossip_messages.encode_delta(delta))
 
 
-def decode_piece(body: bytes) -> Any:
-    return post.decode_delta(post.decode(body))
+def decode_source_delta(body: bytes) -> Any:
+    return gossip_messages.decode_delta(decode(body))
 
 
-# -- figures and lives, as values within pulls and news
+# -- load reports and backend updates, which are values within pulls and their replies
 
 
-def encode_figures(
-    tries: list[tuple[str, bool, float]], loads: list[tuple[str, int, int]], calls: list[str]
+def encode_load_report(
+    attempts: list[tuple[str, bool, float]], backend_loads: list[tuple[str, int, int]], requests: list[str]
 ) -> bytes:
-    """What a junction tells that met these answers."""
-    sums = LoadReport()
-    for ident, good, spent_ms in tries:
-        sums.record_attempt(ident, good, spent_ms)
-    for ident, running, waiting in loads:
-        sums.record_backend_load(ident, running, waiting)
-    for service in calls:
-        sums.record_request(service)
-    return post.encode(sums.pack())
+    """Encode the load report of a proxy.
 
+    :param attempts: backend id, whether the attempt succeeded, and its latency in milliseconds.
+    :param backend_loads: backend id, running and queued requests.
+    :param requests: the service of each request.
+    """
+    report = LoadReport()
+    for backend_id, succeeded, latency_ms in attempts:
+        report.record_attempt(backend_id, succeeded, latency_ms)
+    for backend_id, running, queued in backend_loads:
+        report.record_backend_load(backend_id, running, queued)
+    for service in requests:
+        report.record_request(service)
+    return encode(report.pack())
 
-def decode_figures(body: bytes) -> tuple[dict[str, list[float]], dict[str, int]]:
-    sums = LoadReport()
-    sums.merge(post.decode(body))
-    return sums.backend_counts, sums.service_requests
 
+def decode_load_report(body: bytes) -> tuple[dict[str, list[float]], dict[str, int]]:
+    report = LoadReport()
+    report.merge(decode(body))
+    return report.backend_counts, report.service_requests
 
-def said_of_backend(*steps: Mapping[str, Any] | str) -> dict[str, Any]:
-    """What a signalbox says of a backend `b` after these heartbeats; the text `leave` is its end, `silence`
-    that nothing is heard for long."""
-    said: dict[str, Any] = {}
 
-    def say(key: str, value: Any) -> int:
-        said[key] = value
-        return len(said)
+def published_backend_update(*steps: Mapping[str, Any] | str) -> dict[str, Any]:
+    """Return the gossip entries that a control-plane node publishes about a backend `b`.
 
-    beats = HeartbeatRegistry(say, 1000)
+    :param steps: heartbeats of the backend, `leave` for its departure, or `silence` for 5 s without any.
+    """
+    published: dict[str, Any] = {}
+
+    def publish(key: str, value: Any) -> int:
+        published[key] = value
+        return len(published)
+
+    registry = HeartbeatRegistry(publish, 1000)
     for now, step in enumerate(steps, 1):
         if step == "leave":
-            beats.leave(now, "b")
+            registry.leave(now, "b")
         elif step == "silence":
-            beats.tick(now + 5_000_000_000)
+            registry.tick(now + 5_000_000_000)
         else:
-            beats.record_heartbeat(now, "b", step)
-    return said
+            registry.record_heartbeat(now, "b", step)
+    return published
 
 
-def known_backend(key: str, value: Any) -> tuple[Any, ...]:
-    """A backend as a reader of the news knows it."""
-    lives = BackendDirectory(lambda source: 0, lambda: 0)
-    lives.on_update(KeyUpdate("source", key, value))
-    (found,) = lives.instances.values()
-    place = (found.host, found.port, found.zone)
-    return (found.instance_id, found.service, *place, found.capacity, found.state, found.warm_at_ns)
+def read_backend_update(key: str, value: Any) -> tuple[Any, ...]:
+    """Return the fields of a backend that a reader of the gossip entry holds."""
+    directory = BackendDirectory(lambda source: 0, lambda: 0)
+    directory.on_update(KeyUpdate("source", key, value))
+    (backend,) = directory.instances.values()
+    location = (backend.host, backend.port, backend.zone)
+    return (
+        backend.instance_id,
+        backend.service,
+        *location,
+        backend.capacity,
+        backend.state,
+        backend.warm_at_ns,
+    )
 
 
-# -- lines between the controller of routing tables and its proxies
+# -- messages between the fleet controller and its proxies and collectors
 
 
-def encode_orders(*parts: tuple[Any, ...]) -> bytes:
-    """Each part: routes, whether it is full, lines, grant, mark."""
-    return messages.encode([messages.TableUpdate(*part) for part in parts])
+def encode_table_updates(*parts: tuple[Any, ...]) -> bytes:
+    """Encode table updates, given as the fields of each `TableUpdate`."""
+    return fleet_messages.encode([fleet_messages.TableUpdate(*part) for part in parts])
 
 
-def decode_line(line: bytes) -> tuple[Any, ...]:
-    """What a proxy or collector says: its kind, and its fields."""
-    found = messages.decode(line)
-    return type(found), *(getattr(found, name) for name in LINE_FIELDS[type(found)])
+def decode_report(line: bytes) -> tuple[Any, ...]:
+    """Decode a message of a proxy or a collector; return its type and its fields."""
+    report = fleet_messages.decode(line)
+    return type(report), *(getattr(report, name) for name in REPORT_FIELDS[type(report)])
 
 
-LINE_FIELDS: dict[Any, tuple[str, ...]] = {
-    messages.Heartbeat: (),
-    messages.CollectorHello: ("zone",),
-    messages.ProxyHello: ("proxy", "zone", "usual_rate", "new"),
-    messages.UpdateApplied: ("proxy", "nonce"),
-    messages.BackendReport: ("zone", "backend", "attempts", "failures", "latency_ns", "period_ns", "load"),
-    messages.DemandReport: ("proxy", "route", "calls", "dropped", "period_ns"),
+REPORT_FIELDS: dict[Any, tuple[str, ...]] = {
+    Heartbeat: (),
+    CollectorHello: ("zone",),
+    ProxyHello: ("proxy", "zone", "usual_rate", "new"),
+    UpdateApplied: ("proxy", "nonce"),
+    BackendReport: ("zone", "backend", "attempts", "failures", "latency_ns", "period_ns", "load"),
+    DemandReport: ("proxy", "route", "calls", "dropped", "period_ns"),
 }
-LINE_KINDS = {
-    "beat": messages.Heartbeat,
-    "collector": messages.CollectorHello,
-    "attach": messages.ProxyHello,
-    "done": messages.UpdateApplied,
-    "met": messages.BackendReport,
-    "asked": messages.DemandReport,
-}
-BEAT_ANSWER = messages.HEARTBEAT_REPLY
-rejection = messages.encode_rejection
 
 # -- disks
 
 STORE_FILE = "timetable.db"
 
 
-class Store:
-    """A stopped signalbox's disk, opened by the product."""
+class NodeStore:
+    """The disk of a stopped control-plane node, opened by the product."""
 
     def __init__(self, folder: Path) -> None:
-        self.disk = SqliteStore(folder)
+        self.store = SqliteStore(folder)
 
-    def meta(self) -> Any:
-        return self.disk.load().metadata
+    def metadata(self) -> Any:
+        return self.store.load().metadata
 
-    def held(self) -> Any:
-        return self.disk.load().committed
+    def committed(self) -> Any:
+        return self.store.load().committed
 
     def history(self) -> dict[int, bytes]:
-        return dict(self.disk.load().history)
+        return dict(self.store.load().history)
 
     def slots(self) -> dict[int, Any]:
-        return dict(self.disk.load().slots)
+        return dict(self.store.load().slots)
 
-    def lives(self) -> dict[str, Any]:
-        return decode_rows(self.disk.load_backend_hints())
+    def backend_hints(self) -> dict[str, Any]:
+        return decode_rows(self.store.load_backend_hints())
 
-    def fences(self) -> dict[str, Any]:
-        return decode_rows(self.disk.load_drain_records())
+    def drain_records(self) -> dict[str, Any]:
+        return decode_rows(self.store.load_drain_records())
 
-    def write(
+    def save_consensus_state(
         self,
-        meta: Mapping[str, Any] | None,
-        held: Any,
+        metadata: Mapping[str, Any] | None,
+        committed: Any,
         history: Mapping[int, bytes],
         slots: Mapping[int, Any],
     ) -> None:
-        self.disk.save(StateUpdate(meta, held, history, 0, slots))
-
-    def keep(self, lives: Mapping[str, Any], fences: Mapping[str, Any]) -> None:
-        """Through the machines that hand rows to the disk."""
-        beats = HeartbeatRegistry(lambda key, value: 1, 1000)
-        beats.restore(0, dict(lives))
-        self.disk.save_backend_hints(
-            {ident: post.encode(value) for ident, value in beats.durable_values().items()}
+        self.store.save(StateUpdate(metadata, committed, history, 0, slots))
+
+    def save_registry(self, backend_hints: Mapping[str, Any], drain_records: Mapping[str, Any]) -> None:
+        """Write backends and drains as the registry and the drain log provide them."""
+        registry = HeartbeatRegistry(lambda key, value: 1, 1000)
+        registry.restore(0, dict(backend_hints))
+        self.store.save_backend_hints(
+            {backend_id: encode(value) for backend_id, value in registry.durable_values().items()}
         )
-        held = DrainLog("source")
-        for ident, value in fences.items():
-            held.on_update(0, KeyUpdate("other", BACKENDS_PREFIX + ident, value))
-        batch = held.next_batch()
-        assert batch is not None or not fences
+        drain_log = DrainLog("source")
+        for backend_id, value in drain_records.items():
+            drain_log.on_update(0, KeyUpdate("other", BACKEND_KEY_PREFIX + backend_id, value))
+        batch = drain_log.next_batch()
+        assert batch is not None or not drain_records
         if batch is not None:
-            rows = {ident: post.encode(list(value)) for ident, value in batch.rows.items()}
-            self.disk.save_drain_records(rows, batch.deleted)
+            rows = {backend_id: encode(list(value)) for backend_id, value in batch.rows.items()}
+            self.store.save_drain_records(rows, batch.deleted)
 
-    def start(self, address: str) -> Any:
-        """The machine of a signalbox that starts from this disk, its first write made. Its acceptor."""
-        stored = self.disk.load()
+    def start_replica(self, address: str) -> Any:
+        """Start a replica from this disk, complete its first write, and return its acceptor."""
+        stored = self.store.load()
         acceptor = load_acceptor(
             stored.metadata,
             new_member_id="unused",
@@ -355,175 +403,180 @@
         )
         self.replica = Replica(acceptor, 1, lambda: 0.5)
         self.replica.start(0)
-        self.settle()
+        self.run_effects()
         return acceptor
 
-    def request(self, letter: Any) -> Any:
-        """The reply to another's request, once its write is made."""
-        self.replica.on_request(0, "ticket", letter)
-        return self.settle()
+    def handle_request(self, message: Any) -> Any:
+        """Return the reply to a request of another member, after the writes it depends on."""
+        self.replica.on_request(0, "ticket", message)
+        return self.run_effects()
 
-    def settle(self) -> Any:
+    def run_effects(self) -> Any:
         reply = None
         while effects := self.replica.take_effects():
             for effect in effects:
                 if isinstance(effect, Persist):
-                    self.disk.save(effect.update)
+                    self.store.save(effect.update)
                     self.replica.on_persisted(0, effect.write_id)
                 elif isinstance(effect, SendReply):
                     reply = effect.reply
         return reply
 
     def close(self) -> None:
-        self.disk.close()
+        self.store.close()
 
 
-# -- programs, without their sockets: must be made within a running loop
+# -- programs without sockets; they must be created within a running event loop
 
 
-class Recorder:
-    """Stands in for the way to another controller: keeps what is sent, and answers nothing."""
+class RecordingPeerClient:
+    """A peer client that records requests and returns empty replies."""
 
     def __init__(self) -> None:
         self.sent: list[tuple[bytes, bytes]] = []
-        self.first = asyncio.Event()
+        self.has_sent = asyncio.Event()
 
-    def client(self, host: str, port: int) -> Recorder:
+    def client(self, host: str, port: int) -> RecordingPeerClient:
         return self
 
     def close(self) -> None:
         pass
 
-    async def call(self, path: bytes, body: bytes, wait_s: float) -> bytes:
+    async def call(self, path: bytes, body: bytes, timeout_s: float) -> bytes:
         self.sent.append((path, body))
-        self.first.set()
+        self.has_sent.set()
         return b""
 
 
-def make_signalbox(settings: Any) -> ControlPlaneServer:
+def make_control_plane_node(settings: Any) -> ControlPlaneServer:
     return ControlPlaneServer(node_settings.parse_settings(json.dumps(settings)))
 
 
-def make_junction(settings: Any) -> ProxyServer:
+def make_proxy(settings: Any) -> ProxyServer:
     return ProxyServer(node_settings.parse_settings(json.dumps(settings)))
 
 
-async def started_signalbox(settings: Any) -> ControlPlaneServer:
-    box = make_signalbox(settings)
-    await box.node.config_service.start()
-    return box
+async def start_control_plane_node(settings: Any) -> ControlPlaneServer:
+    server = make_control_plane_node(settings)
+    await server.node.config_service.start()
+    return server
 
 
-def identity(program: Any) -> tuple[str, str]:
-    """The names of its life, and of its disk, which are drawn anew at each start."""
+def random_ids(program: Any) -> tuple[str, str]:
+    """Return the incarnation and the member id of a program, which are random."""
     incarnation = getattr(program, "cluster", program).incarnation
     if not isinstance(program, ControlPlaneServer):
         return incarnation, "none"
     return incarnation, program.node.config_service.replica.acceptor.member_id
 
 
-def stop_signalbox(box: ControlPlaneServer) -> None:
-    for task in box.tasks.running:
+def stop_control_plane_node(server: ControlPlaneServer) -> None:
+    for task in server.tasks.running:
         task.cancel()
-    box.node.close()
+    server.node.close()
+
+
+async def sent_consensus_request(
+    server: ControlPlaneServer, request_id: int, address: str, request: Any
+) -> tuple[bytes, bytes]:
+    """Return the path and the body of a consensus request of a control-plane node."""
+    recorder = RecordingPeerClient()
+    server.node.config_service.peer_clients = recorder
+    await server.node.config_service.send_request(SendRequest(request_id, address, request))
+    (sent,) = recorder.sent
+    return sent
 
 
-async def sent_letter(
-    box: ControlPlaneServer, question: int, address: str, request: Any
+async def sent_pull_of_control_plane_node(
+    server: ControlPlaneServer, host: str, port: int
 ) -> tuple[bytes, bytes]:
-    """The path and the body under which a signalbox sends a request."""
-    recorder = Recorder()
-    box.node.config_service.peer_clients = recorder
-    await box.node.config_service.send_request(SendRequest(question, address, request))
-    (found,) = recorder.sent
-    return found
-
-
-async def sent_pull_of_signalbox(box: ControlPlaneServer, host: str, port: int) -> tuple[bytes, bytes]:
-    recorder = Recorder()
-    box.node.peer_clients = recorder  # type: ignore[assignment]
-    pulls = box.tasks.start(box.pull_client.pull_from(host, port))
-    await recorder.first.wait()
+    """Return the path and the body of a pull of a control-plane node."""
+    recorder = RecordingPeerClient()
+    server.node.peer_clients = recorder  # type: ignore[assignment]
+    pulls = server.tasks.start(server.pull_client.pull_from(host, port))
+    await recorder.has_sent.wait()
     pulls.cancel()
     return recorder.sent[0]
 
 
-async def sent_pull(junction: ProxyServer) -> tuple[bytes, bytes]:
-    """The path and the body under which a junction pulls."""
-    recorder = Recorder()
-    junction.control_plane.peer_client = lambda host, port: recorder  # type: ignore[assignment,method-assign,return-value]
-    await junction.control_plane.pull_once()
-    (found,) = recorder.sent
-    return found
+async def sent_pull_of_proxy(server: ProxyServer) -> tuple[bytes, bytes]:
+    """Return the path and the body of a pull of a proxy."""
+    recorder = RecordingPeerClient()
+    server.control_plane.peer_client = lambda host, port: recorder  # type: ignore[assignment,method-assign,return-value]
+    await server.control_plane.pull_once()
+    (sent,) = recorder.sent
+    return sent
 
 
-def turn(box: ControlPlaneServer, figures: Mapping[str, bytes]) -> dict[str, Any]:
-    """What a signalbox says in its turn of a second, given what junctions of zones have told."""
-    for zone, body in figures.items():
-        box.node.zone_loads.add(zone, post.decode(body))
-    box.maintenance.tick()
-    entries = box.cluster.updates.sources[box.cluster.incarnation].entries
+def run_maintenance(server: ControlPlaneServer, load_reports: Mapping[str, bytes]) -> dict[str, Any]:
+    """Run the maintenance of a control-plane node once, and return the entries it has published.
+
+    :param load_reports: an encoded load report of a proxy by zone.
+    """
+    for zone, body in load_reports.items():
+        server.node.zone_loads.add(zone, decode(body))
+    server.maintenance.tick()
+    entries = server.cluster.updates.sources[server.cluster.incarnation].entries
     return {key: value for key, (_, value) in entries.items()}
 
 
-def junction_learns(junction: ProxyServer, configuration: bytes, said: Mapping[str, Any]) -> None:
-    """Configuration and news, as if a signalbox had told them."""
-    junction.view.apply_route_table(load_configuration(configuration))
-    for key, value in said.items():
-        junction.view.gossip.notify_update(KeyUpdate("source", key, value))
-    junction.view.refresh_endpoints()
+def update_proxy(server: ProxyServer, configuration: bytes, updates: Mapping[str, Any]) -> None:
+    """Apply a configuration and gossip updates, as if received from a control-plane node."""
+    server.view.apply_route_table(load_route_table(configuration))
+    for key, value in updates.items():
+        server.view.gossip.notify_update(KeyUpdate("source", key, value))
+    server.view.refresh_endpoints()
 
 
-def signalbox_learns(
-    box: ControlPlaneServer, cards: list[Any], configuration: bytes, said: Mapping[str, Any]
+def update_control_plane_node(
+    server: ControlPlaneServer, peers: list[Any], configuration: bytes, updates: Mapping[str, Any]
 ) -> None:
-    box.cluster.peers.merge(0, cards)
-    box.node.config_service.replica.on_committed_value(0, Held(7, configuration))
-    for key, value in said.items():
-        box.cluster.updates.notify_update(KeyUpdate("source", key, value))
+    """Apply peer records, a configuration and gossip updates, as if received from other nodes."""
+    server.cluster.peers.merge(0, peers)
+    server.node.config_service.replica.on_committed_value(0, CommittedValue(7, configuration))
+    for key, value in updates.items():
+        server.cluster.updates.notify_update(KeyUpdate("source", key, value))
 
 
-def inner_door(program: Any) -> Any:
-    return program.peer_endpoint if isinstance(program, ControlPlaneServer) else program.internal_api.handle
+def peer_endpoint(server: Any) -> Any:
+    return server.peer_endpoint if isinstance(server, ControlPlaneServer) else server.internal_api.handle
 
 
-def control_door(box: ControlPlaneServer) -> Any:
-    return box.api_endpoint
+def api_endpoint(server: ControlPlaneServer) -> Any:
+    return server.api_endpoint
 
 
-# -- calls between programs, as bytes on a socket
+# -- calls between nodes as bytes on a socket
 
 
 async def call_peer(host: str, port: int, path: bytes, body: bytes) -> bytes:
     return await PeerClient(host, port).call(path, body, 2.0)
 
 
-async def open_echo(life: str) -> tuple[int, Callable[[], None]]:
-    """A door between controllers that answers each call with its body: its port, and what closes it."""
+async def start_echo_server(incarnation: str) -> tuple[int, Callable[[], None]]:
+    """Start a server that returns the body of each request; return its port and a function that closes it."""
 
     async def echo(scope: Any, receive: Any, send: Any) -> None:
         await send_response(send, 200, await read_body(receive, 1 << 20), [])  # type: ignore[arg-type]
 
-    door = HttpServer(echo, incarnation=life)
-    return await door.listen("127.0.0.1", 0), door.close
+    server = HttpServer(echo, incarnation=incarnation)
+    return await server.listen("127.0.0.1", 0), server.close
 
 
 # -- the command line
 
-run_command = commands.main
-
 
 @contextmanager
-def days_not_played() -> Iterator[None]:
-    """The laboratory's days are left out: its object has the same names without them."""
-    # Here, since it needs what else the laboratory needs: messages are tested without.
+def skip_simulation_runs() -> Iterator[None]:
+    """Replace the runs of the simulation by an empty outcome, whose JSON object has the same keys."""
+    # Imported here, since the tests of messages don't need the dependencies of the simulation.
     from meadowworks.simulation.control import command
     from meadowworks.simulation.control.counts import ScenarioCounts
 
-    nothing = command.RunOutcome(ScenarioCounts(), [], True)
-    with patch.object(command, "run_seeds", lambda *words: nothing):
+    outcome = command.RunOutcome(ScenarioCounts(), [], True)
+    with patch.object(command, "run_seeds", lambda *arguments: outcome):
         yield
 
 
-PROGRAMS = ("meadowworks", "meadowworks.proxy", "meadowworks.controlplane")  # modules that start one
+PROGRAMS = ("meadowworks", "meadowworks.proxy", "meadowworks.controlplane")  # modules of the programs
 SETTINGS_VARIABLE = "MEADOWWORKS_NODE_FILE"
