--- a/meadowworks/forwarding/connection_pool.py
+++ b/meadowworks/forwarding/connection_pool.py
@@ -19,7 +19,7 @@
 class PoolableConnection(Protocol):
     """What the pool needs of a connection."""
 
-    def usable(self) -> bool:
+    def is_usable(self) -> bool:
         """Whether it may carry another request."""
 
     def close(self) -> None:
@@ -63,7 +63,7 @@
         endpoint = self.endpoint(backend_id)
         while endpoint.idle:
             until_ns, connection = endpoint.idle.pop()
-            if now < until_ns and connection.usable():
+            if now < until_ns and connection.is_usable():
                 return connection
             connection.close()
         return None
@@ -77,7 +77,7 @@
         idle_ns = (
             DEFAULT_KEEP_ALIVE_NS if keep_alive_s is None else keep_alive_s * SECOND - KEEP_ALIVE_MARGIN_NS
         )
-        if endpoint is None or idle_ns <= 0 or not connection.usable():
+        if endpoint is None or idle_ns <= 0 or not connection.is_usable():
             return connection.close()
         if len(endpoint.idle) >= MAX_IDLE_CONNECTIONS:
             return connection.close()
@@ -94,7 +94,7 @@
             is_live = backend_id in live_backend_ids
             kept = []
             for until_ns, connection in endpoint.idle:
-                if is_live and now < until_ns and connection.usable():
+                if is_live and now < until_ns and connection.is_usable():
                     kept.append((until_ns, connection))
                 else:
                     connection.close()
--- a/meadowworks/modelcheck/models/forwarding_properties.py
+++ b/meadowworks/modelcheck/models/forwarding_properties.py
@@ -26,7 +26,7 @@
         connection.instance == instance
         for instance, pool in world.pool.endpoints.items()
         for _, connection in pool.idle
-        if connection.usable()
+        if connection.is_usable()
     )
 
 
--- a/meadowworks/modelcheck/models/forwarding_world.py
+++ b/meadowworks/modelcheck/models/forwarding_world.py
@@ -54,7 +54,7 @@
     is_open: bool = True
     request_count: int = 0
 
-    def usable(self) -> bool:
+    def is_usable(self) -> bool:
         """Whether it may carry another request."""
         return self.is_open
 
--- a/meadowworks/modelcheck/models/http_connections.py
+++ b/meadowworks/modelcheck/models/http_connections.py
@@ -510,7 +510,7 @@
         len(transport.unsent),
         len(transport.stream.buffer),
         transport.stream.at_eof,
-        transport.connection.reusable,
+        transport.connection.is_reusable,
         transport.connection.http11.is_idle(),
         unread_bytes(transport.connection),
     )
@@ -535,7 +535,7 @@
     idle = [
         world.transports[world.transport_number(connection)]
         for _, connection in world.idle_connections()
-        if connection.usable()
+        if connection.is_usable()
     ]
     return not any(
         w.pending_request() or w.unsent or w.stream.buffer or unread_bytes(w.connection) for w in idle
--- a/meadowworks/modelcheck/seeded_faults/upstream.py
+++ b/meadowworks/modelcheck/seeded_faults/upstream.py
@@ -21,7 +21,7 @@
         ),
         (
             "a line is used on which bytes have come while it rested",
-            CONNECTION + "usable",
+            CONNECTION + "is_usable",
             " and not self._http11.has_expired()",
             "",
             ("clean lines",),
@@ -30,7 +30,7 @@
         (
             "a kept line is taken without a look",
             "meadowworks.forwarding.connection_pool:ConnectionPool.acquire",
-            " and connection.usable()",
+            " and connection.is_usable()",
             "",
             ("clean lines",),
             IDLE,
--- a/meadowworks/proxy/forwarder.py
+++ b/meadowworks/proxy/forwarder.py
@@ -39,7 +39,7 @@
 from meadowworks.runtime.clock import now_ns
 from meadowworks.runtime.http_connection import ClientConnection, Response
 from meadowworks.runtime.live_settings import LiveSettings
-from meadowworks.runtime.server_connection import HttpConnection
+from meadowworks.runtime.server_connection import ServerConnection
 
 MS, SECOND = 1_000_000, 1_000_000_000
 # A request that was held for this part of its route's latency target, and reached no backend, is counted as a
@@ -58,7 +58,7 @@
 
     deadline_ns: int
     memory: MemoryReservation
-    connection: HttpConnection | None
+    connection: ServerConnection | None
 
     def is_disconnected(self) -> bool:
         """Whether nobody waits for the response any more."""
--- a/meadowworks/proxy/request_handler.py
+++ b/meadowworks/proxy/request_handler.py
@@ -21,7 +21,7 @@
 from meadowworks.runtime.http_connection import Headers, Response
 from meadowworks.runtime.request_body import BodyError, read_body
 from meadowworks.runtime.response_writer import send_response
-from meadowworks.runtime.server_connection import HttpConnection
+from meadowworks.runtime.server_connection import ServerConnection
 
 MS, SECOND = 1_000_000, 1_000_000_000
 # Responses of the proxy's own. In 300 ms a node with a lease is found, if there is one; in a second other
@@ -43,7 +43,7 @@
     host: str
     request_id: bytes | None  # X-Request-Id
     deadline_header: bytes | None  # X-Deadline-Ms
-    connection: HttpConnection | None  # the client's, unless it has gone already
+    connection: ServerConnection | None  # the client's, unless it has gone already
     received_ns: int  # when the headers had been read, by the steady clock
 
     @property
@@ -170,7 +170,7 @@
         await send_response(send, rejection.status, REJECTED_BODY, headers)
 
     async def _reject_body(self, send: Send, error: BodyError) -> None:
-        self._counters.increment(f"bodies {error.counter}")
+        self._counters.increment(f"bodies {error.counter_label}")
         if error is BodyError.OUT_OF_MEMORY:
             return await self._reject(send, OUT_OF_MEMORY)
         status = 413 if error is BodyError.TOO_LARGE else 408
--- a/meadowworks/runtime/asgi.py
+++ b/meadowworks/runtime/asgi.py
@@ -1,7 +1,7 @@
 """The types of ASGI, the interface between `http_server` and the programs' request handlers.
 
 Beside what ASGI defines, a scope has two fields: `target`, the request's target as it came, and `connection`,
-the `server_connection.HttpConnection` that the request came on.
+the `server_connection.ServerConnection` that the request came on.
 """
 
 from __future__ import annotations
--- a/meadowworks/runtime/buffered_stream.py
+++ b/meadowworks/runtime/buffered_stream.py
@@ -98,7 +98,7 @@
         if self._transport is not None:
             self._transport.abort()
 
-    def give_up(self, error: Exception) -> None:
+    def abort(self, error: Exception) -> None:
         """Close at once, and let the reader know why."""
         self._error = error
         self.close()
--- a/meadowworks/runtime/http_connection.py
+++ b/meadowworks/runtime/http_connection.py
@@ -32,7 +32,7 @@
 USER_TIMEOUT_MS = 2000
 # A body above it may fill the window of a peer that does not read: as much as the smallest receive buffers.
 LARGE_BODY_BYTES = 4096
-BROKEN = (httpcore.ProtocolError, httpcore.NetworkError, OSError, h11.ProtocolError)
+CONNECTION_ERRORS = (httpcore.ProtocolError, httpcore.NetworkError, OSError, h11.ProtocolError)
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,7 +71,7 @@
         self._has_surplus_data = self._has_surplus_data or bool(self._h11_state.trailing_data[0])
         await super()._response_closed()
 
-    def response_complete(self) -> bool:
+    def is_response_complete(self) -> bool:
         """Whether the response that is being read has come to its own end."""
         return self._h11_state.their_state in (h11.DONE, h11.MUST_CLOSE, h11.CLOSED)
 
@@ -86,7 +86,7 @@
         self._user_timeout_ms = user_timeout_ms
         self._origin = httpcore.Origin(b"http", host.encode(), port)
         self._http11 = MonitoredConnection(self._origin, stream)
-        self._reusable = True
+        self._is_reusable = True
 
     @property
     def http11(self) -> MonitoredConnection:
@@ -94,17 +94,17 @@
         return self._http11
 
     @property
-    def reusable(self) -> bool:
+    def is_reusable(self) -> bool:
         """False once the connection is closed, or its last response has said that it will be."""
-        return self._reusable
+        return self._is_reusable
 
-    def usable(self) -> bool:
+    def is_usable(self) -> bool:
         """Whether a further request may be sent: it is idle, and the peer has sent nothing since."""
-        return self._reusable and self._http11.is_idle() and not self._http11.has_expired()
+        return self._is_reusable and self._http11.is_idle() and not self._http11.has_expired()
 
     def close(self) -> None:
         """Close at once, also in the midst of a request."""
-        self._reusable = False
+        self._is_reusable = False
         self._stream.close()
 
     async def request(
@@ -133,9 +133,9 @@
                 httpcore.Request(method, url, headers=list(headers), content=body)
             )
             content = await _read_content(response, max_body_bytes, reserve_memory)
-            complete = self._http11.response_complete()
+            complete = self._http11.is_response_complete()
             await response.aclose()
-        except BROKEN as error:
+        except CONNECTION_ERRORS as error:
             self.close()
             raise ConnectionBrokenError(f"connection broken: {error}") from None
         except BaseException:
@@ -154,21 +154,21 @@
         if sock is None:
             return None
         lost = TimeoutError("the peer acknowledges nothing any more")
-        return PeerWatch(sock, self._user_timeout_ms, lambda: self._stream.give_up(lost))
+        return PeerWatch(sock, self._user_timeout_ms, lambda: self._stream.abort(lost))
 
-    def _after_response(self, body_taken: bool) -> None:
+    def _after_response(self, is_body_acknowledged: bool) -> None:
         """Keep the connection only if it is as it was before the request.
 
-        :param body_taken: the peer has acknowledged all of the request's body, as far as that was watched
+        :param is_body_acknowledged: whether the peer has acknowledged the whole request body, where monitored
         """
-        if not body_taken or self._stream.has_unsent_data():
+        if not is_body_acknowledged or self._stream.has_unsent_data():
             # Guards against a request that waits behind the rest of a body, which its peer may never read.
             self.close()
         if self._http11.has_surplus_data or self._stream.buffer:
             # Guards against bytes that belong to no request: the next caller would take them for its own.
             self.close()
         if not self._http11.is_idle():
-            self._reusable = False
+            self._is_reusable = False
 
 
 async def _read_content(
--- a/meadowworks/runtime/http_server.py
+++ b/meadowworks/runtime/http_server.py
@@ -11,7 +11,7 @@
 
 from meadowworks.runtime.asgi import ASGIApplication
 from meadowworks.runtime.connection_limit import ConnectionLimit
-from meadowworks.runtime.server_connection import HttpConnection, RequestLimits, SharedState
+from meadowworks.runtime.server_connection import RequestLimits, ServerConnection, SharedState
 
 # Connections that wait to be accepted: what a proxy's clients open at once after a fail-over.
 LISTEN_BACKLOG = 1024
@@ -34,7 +34,7 @@
         max_connections: int = 0,
         incarnation: str = "",
     ) -> None:
-        connection_limit: ConnectionLimit[HttpConnection] | None = None
+        connection_limit: ConnectionLimit[ServerConnection] | None = None
         if max_connections:
             connection_limit = ConnectionLimit(max_connections, CONNECTION_GRACE_NS)
         self._shared = SharedState(
@@ -96,11 +96,11 @@
         for connection in self._connections():
             connection.transport.close()
 
-    def _connections(self) -> list[HttpConnection]:
-        return [c for c in self._server_state.connections if isinstance(c, HttpConnection)]
+    def _connections(self) -> list[ServerConnection]:
+        return [c for c in self._server_state.connections if isinstance(c, ServerConnection)]
 
-    def _create_connection(self) -> HttpConnection:
-        return HttpConnection(
+    def _create_connection(self) -> ServerConnection:
+        return ServerConnection(
             self._shared, config=self._config, server_state=self._server_state, app_state={}
         )
 
--- a/meadowworks/runtime/logging.py
+++ b/meadowworks/runtime/logging.py
@@ -25,7 +25,7 @@
 if TYPE_CHECKING:
     from loguru import Logger, Record
 
-FORMAT_VARIABLE = "MEADOWWORKS_LOG_FORMAT"
+LOG_FORMAT_VARIABLE = "MEADOWWORKS_LOG_FORMAT"
 # Lines of one call site a minute: guards against a flood that peers or clients can set off from outside.
 MAX_LINES_PER_MINUTE = 20
 SECONDS_PER_MINUTE = 60
--- a/meadowworks/runtime/node_settings_schema.py
+++ b/meadowworks/runtime/node_settings_schema.py
@@ -59,7 +59,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Network:
+class NetworkSettings:
     """`network`: the addresses of this node and of others."""
 
     bind: Mapping[str, Address]
@@ -81,7 +81,7 @@
     """The whole file."""
 
     identity: Identity
-    network: Network
+    network: NetworkSettings
     heartbeat_ms: int
     terms: Terms
     log_format: LogFormat
@@ -140,8 +140,8 @@
     )
 
     @post_load
-    def _build(self, data: dict[str, Any], **_: Any) -> Network:
-        return Network(**data)
+    def _build(self, data: dict[str, Any], **_: Any) -> NetworkSettings:
+        return NetworkSettings(**data)
 
 
 class InfraSchema(LenientSchema):
--- a/meadowworks/runtime/peer_client.py
+++ b/meadowworks/runtime/peer_client.py
@@ -80,7 +80,7 @@
     def _take_idle_connection(self) -> ClientConnection | None:
         while self.idle_connections:
             connection = self.idle_connections.pop()
-            if connection.usable():
+            if connection.is_usable():
                 return connection
             connection.close()
         return None
@@ -91,7 +91,7 @@
             self.close()  # these lead to the process that had the address before
             self.incarnation = incarnation
         has_room = len(self.idle_connections) < MAX_IDLE_CONNECTIONS
-        if incarnation == self.incarnation and connection.usable() and has_room:
+        if incarnation == self.incarnation and connection.is_usable() and has_room:
             self.idle_connections.append(connection)
         else:
             connection.close()
--- a/meadowworks/runtime/peer_watch.py
+++ b/meadowworks/runtime/peer_watch.py
@@ -52,7 +52,7 @@
         info = read_tcp_info(self._socket) if self._socket.fileno() >= 0 else None
         if info is None:
             return  # the connection has ended, or only the caller's own deadline bounds it
-        if info.peer_is_lost(self._user_timeout_ms):
+        if info.is_peer_lost(self._user_timeout_ms):
             self._on_lost()
             return
         self._schedule()
--- a/meadowworks/runtime/process.py
+++ b/meadowworks/runtime/process.py
@@ -12,15 +12,15 @@
 
 from meadowworks.runtime import logging as logs
 from meadowworks.runtime.errors import SettingsError
-from meadowworks.runtime.logging import FORMAT_VARIABLE, LogFormat
+from meadowworks.runtime.logging import LOG_FORMAT_VARIABLE, LogFormat
 from meadowworks.runtime.node_settings import NodeSettings, load_settings
 
-EXIT_OK, EXIT_FAILURE, EXIT_BAD_SETTINGS = 0, 1, 2
-Serve = Callable[[NodeSettings, asyncio.Future[None]], Coroutine[Any, Any, None]]
+EXIT_OK, EXIT_FAILURE, EXIT_INVALID_SETTINGS = 0, 1, 2
+ServeFunction = Callable[[NodeSettings, asyncio.Future[None]], Coroutine[Any, Any, None]]
 log = logs.get_logger("start")
 
 
-def run_program(serve: Serve) -> int:
+def run_program(serve: ServeFunction) -> int:
     """Run a program until it receives SIGTERM or SIGINT.
 
     :param serve: gets the settings and a future, and returns once it has shut down after the future is done.
@@ -29,15 +29,15 @@
     """
     try:
         settings = load_settings()
-        logs.configure(log_format(settings), settings.node)
+        logs.configure(resolve_log_format(settings), settings.node)
     except SettingsError as error:
         print(f"meadowworks: {error}", file=sys.stderr)
-        return EXIT_BAD_SETTINGS
+        return EXIT_INVALID_SETTINGS
     try:
         asyncio.run(_serve_until_signal(serve, settings))
     except SettingsError as error:
         print(f"meadowworks: {error}", file=sys.stderr)
-        return EXIT_BAD_SETTINGS
+        return EXIT_INVALID_SETTINGS
     except OSError as error:
         print(f"meadowworks: {error.strerror or error}", file=sys.stderr)
         return EXIT_FAILURE
@@ -47,21 +47,21 @@
     return EXIT_OK
 
 
-def log_format(settings: NodeSettings, environ: Mapping[str, str] = os.environ) -> LogFormat:
+def resolve_log_format(settings: NodeSettings, environ: Mapping[str, str] = os.environ) -> LogFormat:
     """How the log is written: by the environment, else by the settings file.
 
     :raises SettingsError: if the environment names no format.
     """
-    named = environ.get(FORMAT_VARIABLE)
+    named = environ.get(LOG_FORMAT_VARIABLE)
     if not named:
         return settings.log_format
     try:
         return LogFormat(named)
     except ValueError:
-        raise SettingsError(f"{FORMAT_VARIABLE}: {named!r} is neither text nor json") from None
+        raise SettingsError(f"{LOG_FORMAT_VARIABLE}: {named!r} is neither text nor json") from None
 
 
-async def _serve_until_signal(serve: Serve, settings: NodeSettings) -> None:
+async def _serve_until_signal(serve: ServeFunction, settings: NodeSettings) -> None:
     loop = asyncio.get_running_loop()
     shutdown_requested: asyncio.Future[None] = loop.create_future()
 
--- a/meadowworks/runtime/request_body.py
+++ b/meadowworks/runtime/request_body.py
@@ -20,12 +20,12 @@
     DISCONNECTED = "its sender has gone"
 
     @property
-    def counter(self) -> str:
+    def counter_label(self) -> str:
         """The word under which a proxy's status counts it; its readers know these words."""
-        return COUNTERS[self]
+        return COUNTER_LABELS[self]
 
 
-COUNTERS = {
+COUNTER_LABELS = {
     BodyError.TOO_LARGE: "large",
     BodyError.OUT_OF_MEMORY: "full",
     BodyError.TIMED_OUT: "slow",
--- a/meadowworks/runtime/server_connection.py
+++ b/meadowworks/runtime/server_connection.py
@@ -44,7 +44,7 @@
 
     limits: RequestLimits = field(default_factory=RequestLimits)
     draining: bool = False
-    connection_limit: ConnectionLimit[HttpConnection] | None = None
+    connection_limit: ConnectionLimit[ServerConnection] | None = None
     incarnation: bytes = b""
 
 
@@ -65,7 +65,7 @@
         ).encode()
 
 
-class HttpConnection(HttpToolsProtocol):
+class ServerConnection(HttpToolsProtocol):
     """One connection of a client.
 
     Guards against headers that are too large or never end, bodies that stop coming, several hosts in one
--- a/meadowworks/runtime/tcp_info.py
+++ b/meadowworks/runtime/tcp_info.py
@@ -13,19 +13,19 @@
 NOT_SENT_OFFSET = 144
 TCP_INFO_BYTES = NOT_SENT_OFFSET + 4
 # Of a closed window, that mean that the peer is gone: the first may be counted for a while after its answer.
-UNANSWERED_PROBES = 2
+MIN_UNANSWERED_PROBES = 2
 
 
 class TcpInfo(NamedTuple):
     """The state of a connection's sending side.
 
-    :ivar probes: unanswered probes of a closed window.
+    :ivar unanswered_probes: unanswered probes of a closed window.
     :ivar unacked_segments: sent, and not acknowledged yet.
     :ivar last_ack_ms: how long ago the peer acknowledged anything.
     :ivar not_sent_bytes: in the send buffer of the system.
     """
 
-    probes: int
+    unanswered_probes: int
     unacked_segments: int
     last_ack_ms: int
     not_sent_bytes: int
@@ -35,14 +35,14 @@
         """Whether the peer has taken all that was handed to the system."""
         return not self.unacked_segments and not self.not_sent_bytes
 
-    def peer_is_lost(self, timeout_ms: int) -> bool:
+    def is_peer_lost(self, timeout_ms: int) -> bool:
         """Whether the peer answers nothing any more.
 
         A peer that does not read answers the probes of its closed window, and is not lost.
 
         :param timeout_ms: how long it may be silent.
         """
-        awaits_answer = bool(self.unacked_segments) or self.probes >= UNANSWERED_PROBES
+        awaits_answer = bool(self.unacked_segments) or self.unanswered_probes >= MIN_UNANSWERED_PROBES
         return awaits_answer and self.last_ack_ms >= timeout_ms
 
 
--- a/tests/gateway/test_http_connection.py
+++ b/tests/gateway/test_http_connection.py
@@ -50,7 +50,7 @@
     try:
         for _ in range(requests):
             response = await connection.request(method, b"/", [(b"host", b"h")], b"", MAX_BODY_BYTES)
-        return response, connection.usable()
+        return response, connection.is_usable()
     finally:
         connection.close()
         server.close()
@@ -116,7 +116,7 @@
         with pytest.raises(ConnectionBrokenError) as raised:
             await connection.request(b"GET", b"/", [(b"host", b"h")], b"", MAX_BODY_BYTES)
         assert raised.value.may_have_run
-        assert not connection.usable()
+        assert not connection.is_usable()
         server.close()
 
     asyncio.run(main())
@@ -133,7 +133,7 @@
         connection = await connect(host, port, 5.0)
         with pytest.raises(ResponseTooLargeError, match="no memory"):
             await connection.request(b"GET", b"/", [(b"host", b"h")], b"", 99, lambda size: size < 4)
-        assert not connection.usable()
+        assert not connection.is_usable()
         server.close()
 
     asyncio.run(main())
@@ -179,5 +179,5 @@
         )
         stream = BufferedStream()
         stream.connection_made(cast(Any, transport))
-        ClientConnection(stream, "h", 1)._after_response(body_taken=True)
+        ClientConnection(stream, "h", 1)._after_response(is_body_acknowledged=True)
         assert len(ends) == unsent_bytes
--- a/tests/gateway/test_http_server_drain.py
+++ b/tests/gateway/test_http_server_drain.py
@@ -9,7 +9,7 @@
 
 from meadowworks.runtime.http_server import HttpServer
 from meadowworks.runtime.response_writer import send_response
-from meadowworks.runtime.server_connection import HttpConnection, RequestLimits
+from meadowworks.runtime.server_connection import RequestLimits, ServerConnection
 from tests.gateway.helpers import wait_until
 from tests.gateway.test_fleet import ROUTES, Fleet, fleet  # noqa: F401  # the fixture
 
@@ -45,9 +45,9 @@
         self.port = await self.door.listen("127.0.0.1", 0)
         return await asyncio.open_connection("127.0.0.1", self.port, limit=1 << 24)
 
-    def caller(self) -> HttpConnection:
+    def caller(self) -> ServerConnection:
         (found,) = self.door.server_state.connections
-        assert isinstance(found, HttpConnection)
+        assert isinstance(found, ServerConnection)
         return found
 
 
--- a/tests/gateway/test_lazy_imports.py
+++ b/tests/gateway/test_lazy_imports.py
@@ -35,12 +35,12 @@
         for _ in range(2):
             response = await connection.request(b"GET", b"/complete", [(b"host", b"h")], b"", 99)
             assert response.body == b"body"
-        assert connection.usable()
+        assert connection.is_usable()
         call = asyncio.ensure_future(connection.request(b"GET", b"/silent", [(b"host", b"h")], b"", 99))
         await asyncio.sleep(0)
         call.cancel()  # the caller gives up: the connection is closed
         await asyncio.wait([call])
-        assert call.cancelled() and not connection.usable()
+        assert call.cancelled() and not connection.is_usable()
 
 asyncio.run(main())
 for name, valid in (("a@b.example", True), ("a b", False)):
--- a/tests/gateway/test_logging.py
+++ b/tests/gateway/test_logging.py
@@ -21,7 +21,7 @@
 from meadowworks.runtime.errors import SettingsError
 from meadowworks.runtime.logging import LogFormat, _RateLimit, render_value
 from meadowworks.runtime.node_settings import parse_settings
-from meadowworks.runtime.process import log_format
+from meadowworks.runtime.process import resolve_log_format
 from tests.gateway.test_node_settings import SETTINGS
 
 PROGRAM = """
@@ -104,13 +104,13 @@
 
 def test_the_format_comes_from_the_environment_or_the_settings() -> None:
     document = json.loads(json.dumps(SETTINGS))
-    assert log_format(parse_settings(json.dumps(document)), {}) is LogFormat.TEXT
+    assert resolve_log_format(parse_settings(json.dumps(document)), {}) is LogFormat.TEXT
     document["log"] = {"format": "json"}
     settings = parse_settings(json.dumps(document))
-    assert log_format(settings, {}) is LogFormat.JSON
-    assert log_format(settings, {"MEADOWWORKS_LOG_FORMAT": "text"}) is LogFormat.TEXT
+    assert resolve_log_format(settings, {}) is LogFormat.JSON
+    assert resolve_log_format(settings, {"MEADOWWORKS_LOG_FORMAT": "text"}) is LogFormat.TEXT
     with pytest.raises(SettingsError, match="neither text nor json"):
-        log_format(settings, {"MEADOWWORKS_LOG_FORMAT": "xml"})
+        resolve_log_format(settings, {"MEADOWWORKS_LOG_FORMAT": "xml"})
     document["log"] = {"format": "xml"}
     with pytest.raises(SettingsError, match="settings: log"):
         parse_settings(json.dumps(document))
--- a/tests/gateway/test_peer_watch.py
+++ b/tests/gateway/test_peer_watch.py
@@ -59,7 +59,7 @@
         except ConnectionBrokenError as broken:
             error = broken
         took_s = (now_ns() - began) / SECOND
-        usable = connection.usable()
+        usable = connection.is_usable()
         served.cancel()
         accepted.close()
         connection.close()
@@ -141,7 +141,7 @@
     ],
 )
 def test_only_what_waits_for_an_answer_shows_that_a_peer_is_lost(info: TcpInfo, lost: bool) -> None:
-    assert info.peer_is_lost(2000) == lost
+    assert info.is_peer_lost(2000) == lost
 
 
 def test_the_state_of_a_connection_is_read_from_the_system() -> None:
