--- a/meadowworks/forwarding/connection_pool.py
+++ b/meadowworks/forwarding/connection_pool.py
@@ -23,7 +23,7 @@
 class PoolableConnection(Protocol):
     """Interface that the pool requires of a connection."""
 
-    def usable(self) -> bool:
+    def is_usable(self) -> bool:
         """Return whether the connection can carry another request."""
 
     def close(self) -> None:
@@ -70,7 +70,7 @@
         endpoint = self.endpoint(backend_id)
         while endpoint.idle:
             expires_ns, connection = endpoint.idle.pop()
-            if now < expires_ns and connection.usable():
+            if now < expires_ns and connection.is_usable():
                 return connection
             connection.close()
         return None
@@ -87,7 +87,7 @@
         max_idle_ns = (
             DEFAULT_KEEP_ALIVE_NS if keep_alive_s is None else keep_alive_s * SECOND - KEEP_ALIVE_MARGIN_NS
         )
-        if endpoint is None or max_idle_ns <= 0 or not connection.usable():
+        if endpoint is None or max_idle_ns <= 0 or not connection.is_usable():
             return connection.close()
         if len(endpoint.idle) >= MAX_IDLE_CONNECTIONS:
             return connection.close()
@@ -107,7 +107,7 @@
             is_live = backend_id in live_backend_ids
             kept = []
             for expires_ns, connection in endpoint.idle:
-                if is_live and now < expires_ns and connection.usable():
+                if is_live and now < expires_ns and connection.is_usable():
                     kept.append((expires_ns, connection))
                 else:
                     connection.close()
--- a/meadowworks/proxy/forwarder.py
+++ b/meadowworks/proxy/forwarder.py
@@ -39,7 +39,7 @@
 from meadowworks.runtime.clock import now_ns
 from meadowworks.runtime.http_connection import ClientConnection, Response
 from meadowworks.runtime.live_settings import LiveSettings
-from meadowworks.runtime.server_connection import HttpConnection
+from meadowworks.runtime.server_connection import ServerConnection
 
 MS, SECOND = 1_000_000, 1_000_000_000
 # A rejected request that reached no backend counts as a route failure if it took longer than this fraction of
@@ -58,7 +58,7 @@
 
     deadline_ns: int
     memory: MemoryReservation
-    connection: HttpConnection | None
+    connection: ServerConnection | None
 
     def is_disconnected(self) -> bool:
         """Return whether the client has disconnected."""
