--- a/meadowworks/simulation/control/__init__.py
+++ b/meadowworks/simulation/control/__init__.py
@@ -1,5 +1,5 @@
-"""`lab control`: the product's control planes under losses, in simulated time.
+"""`lab control`: fault-injection simulation of the product's control planes.
 
-Each control plane is the product's `Replica` over its store on SQLite. Simulated are the disk below SQLite,
-the network, time, operators and faults. A seed gives a scenario; `invariants` says what must never be seen.
+Each control plane is the product's `Replica` with its SQLite store. The disk below SQLite, the network,
+time, the operators and the faults are simulated. A seed determines a scenario; `invariants` checks safety.
 """
--- a/meadowworks/simulation/control/acceptor_patches.py
+++ b/meadowworks/simulation/control/acceptor_patches.py
@@ -1,7 +1,4 @@
-"""The product's acceptor, proposers and stores without one of their guards each.
-
-Each function stands in for a method of the product, in scenarios with that guard taken out.
-"""
+"""Replacements for functions of the acceptor, the quorum calls and the store, each without one guard."""
 
 from __future__ import annotations
 
@@ -41,7 +38,7 @@
 )
 from meadowworks.simulation.control.simulated_disk import SimulatedStore
 
-# The product's own methods, which some of the patches go on to.
+# The original functions, which some of the replacements call.
 _handle = Acceptor.handle
 _install = Acceptor.install
 _on_epoch_announced = Acceptor.on_epoch_announced
@@ -55,7 +52,7 @@
 
 
 def handle_without(*checks: str) -> Callable[[Acceptor, Request], Reply]:
-    """Return `Acceptor.handle` for the two rounds without some of its checks: epoch, seal, past, promise."""
+    """Return `Acceptor.handle` without some of its checks: epoch, seal, past, promise."""
 
     def handle(self: Acceptor, request: Request) -> Reply:
         if not isinstance(request, PrepareRequest | AcceptRequest):
@@ -99,32 +96,32 @@
 
 
 def ignore_accepted_value(self: Proposer, member_id: str, reply: Reply) -> bool:
-    """Propose the own value whatever was accepted."""
+    """Propose the own value instead of an accepted one."""
     if isinstance(reply, PromiseReply) and self.value is not None:
         reply = PromiseReply(reply.ballot, NO_BALLOT, b"")
     return _on_proposer_reply(self, member_id, reply)
 
 
 def configure_without_sync(self: SimulatedStore, connection: sqlite3.Connection) -> None:
-    """Commit without a sync."""
+    """Configure the store to commit without a sync."""
     _configure(self, connection)
     self.connection.execute("PRAGMA synchronous=OFF")
 
 
 def reply_without_seal(self: Acceptor, epoch: int, next_epoch: Epoch) -> Reply:
-    """Say that the epoch is sealed and go on in it."""
+    """Reply that the epoch is sealed without sealing it."""
     if self.epoch.number != epoch or not self.installed:
         return NotAMemberReply(self.epoch.number)
     return SealedReply(next_epoch, self.export_state())
 
 
 def install_empty_state(self: Acceptor, next_epoch: Epoch, _state: AcceptorState) -> Reply:
-    """Begin an epoch with nothing."""
+    """Install an epoch without the transferred state."""
     return _install(self, next_epoch, AcceptorState(CommittedValue(), (), ()))
 
 
 def accept_one_install(self: Reconfiguration, member_id: str, reply: Reply) -> bool:
-    """Count a change of members as done at the first of the new set."""
+    """Complete a membership change at the first reply of a new member."""
     is_first = self.installing and isinstance(reply, InstalledReply) and self.outcome is None
     if is_first and self.next_epoch.has_member(member_id):
         self.outcome = EpochChanged(self.next_epoch, False)
@@ -133,13 +130,13 @@
 
 
 def load_acceptor_named_by_address(metadata: Mapping[str, Any] | None, **others: Any) -> Acceptor:
-    """Take a machine with an empty disk for the same member."""
+    """Derive the member id from the address, so that a machine with an empty disk keeps its id."""
     member_id = others["address"].replace(".", "")
     return _load_acceptor(metadata, **{**others, "new_member_id": member_id})
 
 
 def install_when_notified(self: Acceptor, epoch: Epoch) -> bool:
-    """Count as a member as soon as somebody says so."""
+    """Install an epoch when it is announced, without the state transfer."""
     is_news = _on_epoch_announced(self, epoch)
     if is_news and epoch.has_member(self.member_id) and not self.installed:
         self.epoch, self.installed, self.metadata_changed = epoch, True, True
@@ -149,12 +146,12 @@
 def next_members_without_minimum(
     epoch: Epoch, _tolerated_failures: int, silent: Any, candidates: Any, leaving: str = ""
 ) -> tuple[tuple[str, str], ...] | None:
-    """Take silent members out however few are left."""
+    """Remove silent members without regard to the minimum membership size."""
     return _next_members(epoch, 0, silent, candidates, leaving)
 
 
 def read_from_one(self: QuorumRead, member_id: str, reply: Reply) -> bool:
-    """Take the first reply to a read for that of a majority."""
+    """Complete a read at the first reply."""
     is_first = self.outcome is None and isinstance(reply, QueryReply) and reply.may_vote
     if is_first and isinstance(reply, QueryReply) and self.epoch.has_member(member_id):
         self.outcome = QuorumReadResult(reply.highest_version, reply.committed_version, reply.address)
@@ -163,7 +160,7 @@
 
 
 def hide_undecided(self: Acceptor) -> QueryReply:
-    """Say nothing of what was accepted and is not decided."""
+    """Reply without the accepted versions that are undecided."""
     reply = _query_reply(self)
     return QueryReply(
         reply.epoch,
@@ -177,5 +174,5 @@
 
 
 def vote_when_installed(self: Acceptor) -> bool:
-    """Vote in an epoch that is sealed or overtaken too."""
+    """Vote also in a sealed or outdated epoch."""
     return self.installed
--- a/meadowworks/simulation/control/cluster.py
+++ b/meadowworks/simulation/control/cluster.py
@@ -1,4 +1,4 @@
-"""What the machines of a scenario share: time, network, chance and those who watch."""
+"""State shared by the machines of a scenario: time, network, random numbers and the checker."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 class Cluster:
-    """The control planes of a scenario and their surroundings.
+    """The control planes of a scenario and their environment.
 
-    `tolerated_failures` and `write_failure_rate` are drawn by the scenario. `fault_active` says that a
-    machine or link is in trouble, `last_fault_ns` when the newest fault began or ended.
+    The scenario draws `tolerated_failures` and `write_failure_rate`. `fault_active` is set while a machine
+    or link is faulty; `last_fault_ns` is the time at which the latest fault began or ended.
     """
 
     def __init__(self, seed: int, trace: Trace | None) -> None:
@@ -33,7 +33,7 @@
         self.write_failure_rate = 0.0
         self.fault_active = False
         self.last_fault_ns = 0
-        self.checker: InvariantChecker  # set by the scenario, which it watches
+        self.checker: InvariantChecker  # set by the scenario
         self._trace = trace
 
     @property
@@ -42,14 +42,14 @@
         return self.scheduler.now
 
     def voters(self) -> list[SimulatedControlPlaneNode]:
-        """Return the machines that vote, or would if they were up."""
+        """Return the voting machines that are not removed, whether or not they are up."""
         return [node for node in self.nodes.values() if node.voting and not node.removed]
 
     def mark_fault(self) -> None:
-        """Note that a fault begins or ends now."""
+        """Record that a fault begins or ends now."""
         self.last_fault_ns = self.now
 
     def log(self, source: str, text: str) -> None:
-        """Tell those who follow the scenario what happens."""
+        """Write a line with the simulated time to the trace, if there is one."""
         if self._trace is not None:
             self._trace(f"{self.now / SECOND:9.4f} {source:10} {text}")
--- a/meadowworks/simulation/control/command.py
+++ b/meadowworks/simulation/control/command.py
@@ -1,4 +1,4 @@
-"""`lab control`: many scenarios over seeds, on some processes, with a guard taken out or none."""
+"""`lab control`: runs a scenario for a range of seeds, optionally with a guard disabled."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 MAX_PROCESSES = 16
 MAX_MESSAGES_PER_SEED, MAX_MESSAGES_SHOWN = 3, 20
 PROGRESS_INTERVAL = 50  # scenarios
-EXIT_INTERRUPTED = 130  # exit code, as a shell has it for Ctrl-C
+EXIT_INTERRUPTED = 130  # exit status after SIGINT, as shells report it
 
 
 @dataclass(frozen=True, slots=True)
 class SeedOutcome:
-    """What one scenario came to."""
+    """Counts and violation messages of one seed."""
 
     seed: int
     counts: ScenarioCounts
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunOutcome:
-    """What a run over seeds came to; `complete` unless it was ended before the last of them."""
+    """Summed counts and violation messages of a run; `complete` unless it was interrupted."""
 
     counts: ScenarioCounts
     messages: list[str]
@@ -43,13 +43,13 @@
 def run_control(
     scenario_number: int, seeds: str, without: str, list_guards: bool, processes: int, as_json: bool
 ) -> int:
-    """Run scenarios and print what they came to, or list the guards that can be taken out.
+    """Run a scenario for each seed and print the counts, or list the guards.
 
-    :param scenario_number: the scenario's number.
-    :param seeds: the first seed and the one after the last, with a colon between.
-    :param without: the name of a guard to take out, or empty.
-    :returns: an exit code, 1 if something was violated.
-    :raises CommandError: for options that make no sense.
+    :param scenario_number: one of `SCENARIO_NUMBERS`.
+    :param seeds: the first seed and the exclusive end, as `A:B`.
+    :param without: the name of a guard to disable, or empty.
+    :returns: the exit status: 0, 1 after a violation, or 130 if interrupted.
+    :raises CommandError: if an option is invalid.
     """
     if list_guards:
         print_guards()
@@ -62,14 +62,14 @@
     if without and without not in GUARDS_BY_NAME:
         raise CommandError(f"there is no guard {without!r}: --guards lists them")
     if not 1 <= processes <= MAX_PROCESSES:
-        raise CommandError(f"--processes is from 1 to {MAX_PROCESSES}")
+        raise CommandError(f"--processes must be from 1 to {MAX_PROCESSES}, not {processes}")
     outcome = run_seeds(scenario_number, seed_range, without, processes)
-    shown = {"point": scenario_number, "seeds": seeds, **asdict(outcome.counts)}
+    report = {"point": scenario_number, "seeds": seeds, **asdict(outcome.counts)}
     if as_json:
-        shown |= {"without": without, "complete": outcome.complete, "found": outcome.messages}
-        print(json.dumps(shown))
+        report |= {"without": without, "complete": outcome.complete, "found": outcome.messages}
+        print(json.dumps(report))
     else:
-        print("\n".join(f"{name:24} {value}" for name, value in shown.items()))
+        print("\n".join(f"{name:24} {value}" for name, value in report.items()))
         print("\n".join(outcome.messages[:MAX_MESSAGES_SHOWN]))
     if not outcome.complete:
         return EXIT_INTERRUPTED
@@ -77,16 +77,16 @@
 
 
 def print_guards() -> None:
-    """Print each guard, and the scenario in which it is missed."""
+    """Print each guard with the test that detects its absence and its description."""
     for guard in GUARDS:
-        seen = "its own check" if guard.name in UNIT_TESTED_GUARDS else f"point {guard.scenario_number}"
-        print(f"{guard.name:20} {seen:22} {guard.text}")
+        detected_by = "unit test" if guard.name in UNIT_TESTED_GUARDS else f"point {guard.scenario_number}"
+        print(f"{guard.name:20} {detected_by:22} {guard.text}")
 
 
 def parse_seeds(text: str) -> range:
-    """Read a range of seeds.
+    """Parse a range of seeds `A:B`.
 
-    :raises CommandError: for anything else, and for an empty range.
+    :raises CommandError: if the text has another form or the range is empty.
     """
     match = re.fullmatch(r"(\d{1,9}):(\d{1,9})", text)
     if match is None or int(match[1]) >= int(match[2]):
@@ -95,17 +95,17 @@
 
 
 def run_seeds(scenario_number: int, seeds: range, without: str, processes: int) -> RunOutcome:
-    """Run a scenario for each seed; at Ctrl-C return what there is."""
+    """Run a scenario for each seed; after an interrupt return the partial sums."""
     counts, messages, done = ScenarioCounts(), list[str](), 0
     try:
-        for one in _outcomes(scenario_number, seeds, without, processes):
+        for result in _outcomes(scenario_number, seeds, without, processes):
             done += 1
-            counts.merge(one.counts)
-            messages += [f"seed {one.seed}: {text}" for text in one.messages[:MAX_MESSAGES_PER_SEED]]
+            counts.merge(result.counts)
+            messages += [f"seed {result.seed}: {text}" for text in result.messages[:MAX_MESSAGES_PER_SEED]]
             if processes > 1 and done % PROGRESS_INTERVAL == 0:
-                print(f"lab control: {done} of {len(seeds)} days", file=sys.stderr, flush=True)
+                print(f"lab control: {done} of {len(seeds)} scenarios", file=sys.stderr, flush=True)
     except KeyboardInterrupt:
-        print(f"lab control: ended after {done} of {len(seeds)} days", file=sys.stderr, flush=True)
+        print(f"lab control: interrupted after {done} of {len(seeds)} scenarios", file=sys.stderr, flush=True)
         return RunOutcome(counts, sorted(messages), False)
     return RunOutcome(counts, sorted(messages), True)
 
@@ -120,12 +120,12 @@
 
 
 def ignore_interrupts() -> None:
-    """Leave a Ctrl-C to the first process."""
+    """Ignore SIGINT in worker processes; the parent process handles it."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)
 
 
 def run_seed(scenario_number: int, without: str, seed: int) -> SeedOutcome:
-    """Run one scenario, with a guard taken out if one is named."""
+    """Run the scenario of one seed, with a guard disabled if `without` names one."""
     with without_guard(without):
         result = run_scenario(scenario_number, seed)
     return SeedOutcome(seed, result.counts, result.messages)
--- a/meadowworks/simulation/control/counts.py
+++ b/meadowworks/simulation/control/counts.py
@@ -1,4 +1,4 @@
-"""What the scenarios of a run came to."""
+"""Event and violation counts of scenarios."""
 
 from __future__ import annotations
 
@@ -7,10 +7,11 @@
 
 @dataclass
 class ScenarioCounts:
-    """Sums over scenarios; the fields are those of the JSON object, and those in `VIOLATIONS` are to be 0.
+    """Counts of one scenario or summed over several; the fields are the keys of the JSON object.
 
-    `most_slots` are undecided versions at one acceptor, `most_history` digests of past versions there,
-    `disk_kb` is the size of one machine's disk. Drains, leaves, calls are counted as sent and acknowledged.
+    The counts listed in `VIOLATIONS` must be 0. `most_slots` is the maximum number of undecided versions at
+    one acceptor, `most_history` the maximum number of digests of past versions there, and `disk_kb` the
+    maximum size of one disk. Drains, leaves and calls are counted when sent and when acknowledged.
     """
 
     days: int = 0
@@ -39,13 +40,13 @@
     calls_answered: int = 0
 
     def merge(self, other: ScenarioCounts) -> None:
-        """Add another's counts; of `MAXIMA` the greater ones are kept."""
+        """Add the counts of `other`; for those in `MAXIMA` keep the greater value."""
         for field in fields(self):
             own, others = getattr(self, field.name), getattr(other, field.name)
             setattr(self, field.name, max(own, others) if field.name in MAXIMA else own + others)
 
     def violations(self) -> dict[str, int]:
-        """Return the counts that should be 0 and are not."""
+        """Return the counts of violated invariants that are not 0."""
         return {name: getattr(self, name) for name in VIOLATIONS if getattr(self, name)}
 
 
--- a/meadowworks/simulation/control/guards.py
+++ b/meadowworks/simulation/control/guards.py
@@ -1,6 +1,7 @@
-"""What keeps the invariants in the product's consensus, each as a patch that takes it out.
+"""Guards: the safety and liveness mechanisms of the product, each with patches that disable it.
 
-A patch stands in place of a method or constant of the product, in this process alone.
+A patch replaces a method or constant of the product in the current process. Running the scenarios without a
+guard shows whether the invariants detect its absence.
 """
 
 from __future__ import annotations
@@ -33,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Patch:
-    """A member of a class or module, and what stands in for it."""
+    """An attribute of a class or module and its replacement."""
 
     owner: Any
     name: str
@@ -42,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Guard:
-    """`patches` take it out; `scenario_number` is the scenario in which that is seen, or was looked for."""
+    """A mechanism of the product; `patches` disable it, and `scenario_number` is the scenario to test it."""
 
     name: str
     text: str
@@ -55,69 +56,69 @@
 
 
 GUARDS = (
-    _guard("life-in-ballot", "a ballot names the life that made it", 2,
+    _guard("life-in-ballot", "a ballot contains the incarnation of its proposer", 2,
            QuorumCallFactory, "new_proposer", replicas.proposer_without_incarnation),
-    _guard("write-before-reply", "no reply leaves before its write", 2,
+    _guard("write-before-reply", "a reply is sent after its write is durable", 2,
            WriteQueue, "defer", replicas.reply_before_write),
-    _guard("sync", "a write is synced before it counts", 2,
+    _guard("sync", "a write is synced before it counts as durable", 2,
            SimulatedStore, "configure", acceptors.configure_without_sync),
-    _guard("promise", "a lower ballot is refused", 2,
+    _guard("promise", "a ballot below the promised one is rejected", 2,
            Acceptor, "handle", acceptors.handle_without("promise")),
-    _guard("adopt-accepted", "a proposer takes up what was accepted", 2,
+    _guard("adopt-accepted", "a proposer adopts the accepted value with the highest ballot", 2,
            Proposer, "on_reply", acceptors.ignore_accepted_value),
-    _guard("past", "a version that is chosen is not voted on again", 2,
+    _guard("past", "a decided version is not voted on again", 2,
            Acceptor, "handle", acceptors.handle_without("past")),
-    _guard("one-content", "an order is acknowledged by its content", 2,
+    _guard("one-content", "an update is acknowledged only if its value was chosen", 2,
            Replica, "decided_outcome", replicas.acknowledge_by_version),
-    _guard("history", "digests of past versions", 2,
+    _guard("history", "digests of past versions identify repeated updates", 2,
            Replica, "decided_outcome", replicas.acknowledge_by_committed_value),
-    _guard("late-is-no-refusal", "not decided in time is no refusal", 2,
+    _guard("late-is-no-refusal", "a timeout is not reported as a conflict", 2,
            Replica, "complete_operation", replicas.timeout_is_conflict),
-    _guard("epoch-compare", "only requests of the own epoch count", 3,
+    _guard("epoch-compare", "requests of other epochs are rejected", 3,
            Acceptor, "handle", acceptors.handle_without("epoch", "seal")),
-    _guard("seal", "the old epoch ends before the next begins", 3,
+    _guard("seal", "the old epoch is sealed before the next one begins", 3,
            Acceptor, "seal", acceptors.reply_without_seal),
-    _guard("transfer", "a member begins with what the old epoch held", 3,
+    _guard("transfer", "a new member starts with the state of the old epoch", 3,
            Acceptor, "install", acceptors.install_empty_state),
-    _guard("install-majority", "a change is done at a majority of the new set", 3,
+    _guard("install-majority", "a membership change needs a majority of the new members", 3,
            Reconfiguration, "on_reply", acceptors.accept_one_install),
-    Guard("wiped-is-another", "an empty disk is another member", 3,
+    Guard("wiped-is-another", "a machine with an empty disk is a new member", 3,
           (Patch(node, "load_acceptor", acceptors.load_acceptor_named_by_address),
            Patch(Acceptor, "on_epoch_announced", acceptors.install_when_notified))),
-    _guard("hand-over", "a leaver is out, and its copies elsewhere, before it ends", 3,
+    _guard("hand-over", "a leaving member is removed, and its state copied, before it ends", 3,
            Replica, "leave", replicas.leave_at_once),
-    _guard("leaver-stays-out", "a candidate has spoken since the epoch began", 3,
+    _guard("leaver-stays-out", "a candidate has replied since the epoch began", 3,
            MembershipMonitor, "membership_candidates", replicas.candidates_from_before_epoch),
-    _guard("never-below-2t+1", "silence takes nobody out below it", 3,
+    _guard("never-below-2t+1", "silent members stay if fewer than 2t+1 would remain", 3,
            membership_monitor, "next_members", acceptors.next_members_without_minimum),
-    _guard("replace", "an empty disk that is there takes a lost one's place", 3,
+    _guard("replace", "a running candidate replaces a lost member", 3,
            MembershipMonitor, "desired_members", replicas.never_reconfigure),
-    _guard("bring", "who missed a change is installed later", 3,
+    _guard("bring", "a member that missed a change is installed later", 3,
            Replica, "install_lagging_members", replicas.do_nothing),
-    Guard("finish", "what is undecided is finished", 1,
+    Guard("finish", "undecided versions are completed", 1,
           (Patch(membership_monitor, "FINISH_DELAY_NS", NEVER_NS),
            Patch(membership_monitor, "FINISH_DELAY_DEGRADED_NS", NEVER_NS))),
-    _guard("resend", "a request without reply goes again", 3,
+    _guard("resend", "a request without a reply is resent", 3,
            Replica, "send_round", replicas.send_round_once),
-    _guard("lease", "sure only with a majority heard", 1,
+    _guard("lease", "a lease needs replies of a majority", 1,
            Replica, "lease_start_ns", replicas.lease_always_held),
-    _guard("lease-from-asking", "a lease counts from the question", 1,
+    _guard("lease-from-asking", "a lease starts when the query is sent", 1,
            Replica, "on_query_reply", replicas.lease_from_reply_time),
-    _guard("lease-in-epoch", "a sealed or overtaken member gives no lease", 3,
+    _guard("lease-in-epoch", "a sealed or outdated member does not count for leases", 3,
            Acceptor, "may_vote", acceptors.vote_when_installed),
-    _guard("read-majority", "a read asks a majority", 1,
+    _guard("read-majority", "a read queries a majority", 1,
            QuorumRead, "on_reply", acceptors.read_from_one),
-    _guard("needs-undecided", "what was accepted must be known before it is read", 1,
+    _guard("needs-undecided", "a read takes accepted, undecided versions into account", 1,
            Acceptor, "query_reply", acceptors.hide_undecided),
-    _guard("thaw", "a process that stood still knows nobody's silence", 3,
+    _guard("thaw", "a resumed process does not count its pause as silence", 3,
            replica, "STALL_THRESHOLD_NS", NEVER_NS),
-    _guard("drain-on-disks", "a drain is on enough disks before it is acknowledged", 7,
+    _guard("drain-on-disks", "a drain is acknowledged once it is on enough disks", 7,
            DrainLog, "is_replicated", registries.always_replicated),
-    _guard("stranger-leaves", "the leave of an unknown backend is kept on disk", 6,
+    _guard("stranger-leaves", "the leave of an unknown backend is stored", 6,
            HeartbeatRegistry, "leave", registries.acknowledge_unknown_without_storing),
 )  # fmt: skip
-# Taken out alone, 30 seeds of the guard's scenario do not miss these, because others stand behind them; a
-# check of the machine itself does (tests/simulation/test_guards_alone.py).
+# Guards whose absence is masked by other guards in 30 seeds of their scenarios; unit tests cover these
+# (tests/simulation/test_guards_alone.py).
 UNIT_TESTED_GUARDS = (
     "transfer",
     "install-majority",
@@ -131,7 +132,7 @@
 
 @contextmanager
 def without_guard(name: str) -> Iterator[None]:
-    """Run the product without a guard, or with all of them if the name is empty."""
+    """Disable a guard within the context; an empty name disables none."""
     with contextlib.ExitStack() as stack:
         for patch in GUARDS_BY_NAME[name].patches if name else ():
             stack.enter_context(mock.patch.object(patch.owner, patch.name, patch.replacement))
--- a/meadowworks/simulation/control/network.py
+++ b/meadowworks/simulation/control/network.py
@@ -1,4 +1,4 @@
-"""A simulated network between machines, which loses, doubles and delays messages."""
+"""A simulated network between machines that loses, duplicates and delays messages."""
 
 from __future__ import annotations
 
@@ -13,17 +13,18 @@
 
 @dataclass(frozen=True, slots=True)
 class DelayedMessage:
-    """A message that met a cut and arrives after it."""
+    """A message held at a cut link until the link is healed."""
 
     sent_ns: int
     arrive: Callback
 
 
 class SimulatedNetwork:
-    """Messages take a few milliseconds; each may be lost, doubled or late, by the rates that are set.
+    """Delivers messages after a few milliseconds; each may be lost, duplicated or late, by configured rates.
 
-    A cut goes one way; what meets it is lost, or held up and delivered after it. `last_contact` says by link
-    when the newest message that arrived had left; `extra_delay_ns` is what links take besides.
+    A cut affects one direction of a link: messages that reach it are dropped, or held and delivered once
+    the link is healed. `last_contact` is, by link, the send time of the newest message that arrived;
+    `extra_delay_ns` is an additional delay by link.
     """
 
     def __init__(self, scheduler: EventScheduler, rng: random.Random) -> None:
@@ -35,7 +36,7 @@
         self._delayed: dict[Link, list[DelayedMessage]] = defaultdict(list)
 
     def send(self, source: str, target: str, arrive: Callback) -> None:
-        """Send a message that calls `arrive` when, and if, it arrives."""
+        """Send a message; `arrive` is called on each delivery."""
         if self._random.random() < self.loss_rate:
             return
         self._transmit(source, target, self._scheduler.now, arrive)
@@ -59,11 +60,11 @@
         self._scheduler.call_later(delay_ns, reach_target)
 
     def cut(self, source: str, target: str) -> None:
-        """Cut a link, one way."""
+        """Cut a link in one direction."""
         self.cuts.add((source, target))
 
     def heal(self) -> None:
-        """Mend all links, and deliver what was held up."""
+        """Restore all links and transmit the held messages."""
         cuts, self.cuts = self.cuts, set()
         for source, target in sorted(cuts):
             for message in self._delayed.pop((source, target), []):
--- a/meadowworks/simulation/control/node.py
+++ b/meadowworks/simulation/control/node.py
@@ -1,4 +1,4 @@
-"""A machine with a control plane, whose process starts, ends, freezes and shuts down."""
+"""A simulated machine with a control-plane process that starts, stops, freezes and shuts down."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 from meadowworks.simulation.control.simulated_disk import SimulatedDisk, SimulatedStore
 from meadowworks.simulation.event_scheduler import MS, SECOND, Callback
 
-MAX_DEFERRED = 5000  # messages that wait for a frozen process
-HAND_OVER_MARGIN_NS = 200 * MS  # between the end of a hand-over and that of the process
+MAX_DEFERRED = 5000  # events that are queued for a frozen process
+HAND_OVER_MARGIN_NS = 200 * MS  # from the deadline of the hand-over to the end of the process
 PULLS_BEGIN_WITHIN_NS = 20 * MS
 
 
 class SimulatedControlPlaneNode:
-    """One machine; each start of its process is an incarnation.
+    """A machine with a disk and a control-plane process; each start of the process is an incarnation.
 
-    :param voting: whether its control plane may be a member.
-    :param on_unfinished_shutdown: is told if the process ends before it has handed over.
+    :param voting: whether its control plane may become a voting member.
+    :param on_unfinished_shutdown: called if a process that shuts down ends before its hand-over is committed.
     """
 
     def __init__(
@@ -43,56 +43,56 @@
         self.incarnation = 0
         self.voter_index = -1
         self.slow_disk = False
-        self.stale_reported = self.minority_reported = False  # of this incarnation, for the checker
+        self.stale_reported = self.minority_reported = False  # per incarnation; set by the checker
         self._clock_offset_ns = cluster.random.randrange(1, 10**6) * SECOND
         self._on_unfinished_shutdown = on_unfinished_shutdown
         self._handed_over = False
-        self._deferred: list[Callback] = []  # what happens to it while it is frozen
+        self._deferred: list[Callback] = []  # events that arrive while the process is frozen
 
     @property
     def has_started(self) -> bool:
-        """Whether there has been an incarnation yet."""
+        """Whether the process has been started at least once."""
         return self._driver is not None
 
     @property
     def driver(self) -> ReplicaDriver:
-        """What drives the replica of this or the last incarnation.
+        """The driver of the replica of the current or latest incarnation.
 
-        :raises AssertionError: before the first.
+        :raises AssertionError: before the first start.
         """
         assert self._driver is not None
         return self._driver
 
     @property
     def replica(self) -> Replica:
-        """The replica of this or the last incarnation."""
+        """The replica of the current or latest incarnation."""
         return self.driver.replica
 
     @property
     def registry(self) -> RegistryDriver:
-        """What drives the registry of backends of this or the last incarnation.
+        """The driver of the backend registry of the current or latest incarnation.
 
-        :raises AssertionError: before the first.
+        :raises AssertionError: before the first start.
         """
         assert self._registry is not None
         return self._registry
 
     def local_time(self) -> int:
-        """Return the time by the machine's own clock."""
+        """Return the time of the machine's clock in nanoseconds."""
         return self.cluster.now + self._clock_offset_ns
 
     def to_simulated_time(self, local_ns: int) -> int:
-        """Return the simulated time of a time by the machine's own clock."""
+        """Convert a time of the machine's clock to simulated time."""
         return local_ns - self._clock_offset_ns
 
     def log(self, text: str) -> None:
-        """Say what the machine does."""
+        """Write a line of this machine to the trace."""
         self.cluster.log(self.address, text)
 
     # -- the process
 
     def start(self, bootstrap: bool = False) -> None:
-        """Start the process from what is on the disk."""
+        """Start the process from the state on its disk, unless it is up or the machine is removed."""
         if self.up or self.removed:
             return
         self.up, self.frozen, self.shutting_down = True, False, False
@@ -115,7 +115,7 @@
         self._driver = ReplicaDriver(self, replica, store)
         self._registry = RegistryDriver(self, store)
         epoch, version = acceptor.epoch.number, acceptor.committed.version
-        self.log(f"starts: member {acceptor.member_id[:4]} epoch {epoch} at {version}")
+        self.log(f"starts: member {acceptor.member_id[:4]}, epoch {epoch}, version {version}")
         replica.start(self.local_time())
         self._driver.run_effects()
         self._registry.tick()
@@ -124,14 +124,14 @@
                 self.begin_pulls(address, PULLS_BEGIN_WITHIN_NS)
 
     def stop(self, power_lost: bool) -> None:
-        """End the process at once; if power is lost, what is not synced may be lost with it."""
+        """End the process at once; a loss of power may also lose writes that are not synced."""
         if not self.up:
             return
         self.driver.interrupt_write(power_lost)
         self.registry.interrupt_write()
         self.up = False
         if self.shutting_down:
-            self.removed = True  # nobody starts it again
+            self.removed = True  # a process that shut down is not restarted
             if not self._handed_over:
                 self._on_unfinished_shutdown(self)
         self._deferred = []
@@ -144,18 +144,18 @@
         self.log("loses power" if power_lost else "is killed")
 
     def wipe(self) -> None:
-        """Take power and disk from the machine, and give it an empty one."""
+        """Cut the machine's power and replace its disk by an empty one."""
         self.stop(power_lost=True)
         self.disk.remove()
         self.disk = SimulatedDisk(self.cluster.random)
 
     def freeze(self) -> None:
-        """Stop the process as SIGSTOP does."""
+        """Suspend the process as SIGSTOP does."""
         self.frozen = self.up
         self.log("freezes")
 
     def thaw(self) -> None:
-        """Let a frozen process go on; what has come meanwhile comes now, in any order."""
+        """Resume a frozen process and run its deferred events in random order."""
         if not self.frozen:
             return
         self.frozen = False
@@ -169,7 +169,7 @@
                 self.driver.run_effects()
 
     def deliver(self, incarnation: int, action: Callback) -> None:
-        """Let something happen to the process, if it is still the same incarnation."""
+        """Run an action in the process if it is still the given incarnation; defer it while frozen."""
         if not self.up or incarnation != self.incarnation:
             return
         if self.frozen:
@@ -180,7 +180,7 @@
         self.driver.run_effects()
 
     def shut_down(self, grace_ns: int) -> None:
-        """End the process as SIGTERM does: it hands over, then is gone."""
+        """Shut the process down as SIGTERM does: it hands over, then ends, at the latest after `grace_ns`."""
         if not self.up or self.shutting_down:
             return
         self.shutting_down = True
@@ -190,7 +190,7 @@
 
         def on_handed_over(outcome: object) -> None:
             if self.up and self.incarnation == incarnation:
-                self.log(f"has handed over: {outcome}")
+                self.log(f"hand-over ended: {outcome}")
                 self._handed_over = isinstance(outcome, Committed)
                 scheduler.call_later(0, finish)
 
@@ -202,30 +202,30 @@
         if self.up and self.incarnation == incarnation:
             self.stop(power_lost=False)
 
-    # -- what others send
+    # -- requests from other nodes and operators
 
     def on_request(self, origin: RequestOrigin, request: Request) -> None:
-        """Take a request of another node's replica."""
+        """Pass a request of another node's replica to the own replica."""
         if self.up:
             self.deliver(self.incarnation, partial(self.driver.on_request, origin, request))
 
     def submit(self, version: int, value: bytes, on_outcome: OnOutcome) -> None:
-        """Take an operator's change."""
+        """Submit an operator's update."""
         self.driver.submit(version, value, on_outcome)
 
     def read(self) -> None:
-        """Do a quorum read."""
+        """Start a quorum read."""
         self.driver.read()
 
-    # -- pulls from others
+    # -- pulls from other nodes
 
     def begin_pulls(self, address: str, within_ns: int) -> None:
-        """Pull from another node, again and again, from some time on."""
+        """Start to pull from another node repeatedly, after a random delay below `within_ns`."""
         wait_ns = self.cluster.random.randrange(within_ns)
         self.cluster.scheduler.call_later(wait_ns, partial(self.pull, self.incarnation, address))
 
     def pull(self, incarnation: int, address: str) -> None:
-        """Pull once from another node, which leads to the next pull."""
+        """Pull once from another node; the end of the pull schedules the next one."""
         if not self.up or incarnation != self.incarnation:
             return
         if self.frozen:
--- a/meadowworks/simulation/control/operator_update.py
+++ b/meadowworks/simulation/control/operator_update.py
@@ -1,4 +1,4 @@
-"""A change that an operator carries to any control plane until it is acknowledged or refused."""
+"""An operator's configuration update, which is retried until it is acknowledged or rejected."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 from meadowworks.simulation.control.node import SimulatedControlPlaneNode
 from meadowworks.simulation.event_scheduler import MS, SECOND
 
-OPERATOR_TIMEOUT_NS = 12 * SECOND  # that an operator tries for
+OPERATOR_TIMEOUT_NS = 12 * SECOND  # after which an operator stops retrying
 ATTEMPT_TIMEOUT_NS = SECOND
 INITIAL_BACKOFF_NS, MAX_BACKOFF_NS = 100 * MS, 2 * SECOND
-FAULT_FREE_BEFORE_TIMING_NS = 3 * SECOND  # without a fault, after which an update's time counts
+FAULT_FREE_BEFORE_TIMING_NS = 3 * SECOND  # fault-free time before an update whose latency counts
 
 
 class OperatorUpdate:
-    """One change of the configuration.
+    """One configuration update.
 
-    :param reply_loss: the chance that the operator does not get an answer.
-    :param send_twice: whether it goes to two nodes at once.
-    :param first_node: where it goes first; any if there is none.
+    :param reply_loss: the probability that a reply to the operator is lost.
+    :param send_twice: whether to start with two attempts at once.
+    :param first_node: the node of the first attempt; a random one if None.
     """
 
     def __init__(
@@ -46,7 +46,7 @@
             self.attempt(first_node)
 
     def attempt(self, first_node: SimulatedControlPlaneNode | None = None) -> None:
-        """Send it to a node, another one than the last if there is one."""
+        """Send the update to a node, if possible not to the node of the previous attempt."""
         cluster = self._cluster
         if self.is_finished() or cluster.now - self._submitted_ns > self._timeout_ns:
             return
@@ -57,16 +57,16 @@
         attempt.send()
 
     def is_finished(self) -> bool:
-        """Tell whether the operator knows what became of it."""
+        """Return whether the operator has received a final answer."""
         return self.acknowledged_ns is not None or self._rejected
 
     def next_backoff_ns(self) -> int:
-        """Return how long to wait for the next attempt, longer each time."""
+        """Increase the backoff and return it with jitter."""
         self._backoff_ns = min(MAX_BACKOFF_NS, self._backoff_ns * 3 // 2)
         return int(self._backoff_ns * self._cluster.random.uniform(0.5, 1))
 
     def on_outcome(self, node: SimulatedControlPlaneNode, outcome: object) -> None:
-        """Note what a node has decided, whether or not the operator hears it."""
+        """Pass a node's outcome to the checker, whether or not the reply reaches the operator."""
         checker = self._cluster.checker
         if isinstance(outcome, Committed):
             checker.on_acknowledged(self.version, self.value, node)
@@ -75,7 +75,7 @@
             checker.on_conflict(self.version, self.value, node)
 
     def on_answer(self, outcome: object) -> None:
-        """Note what the operator hears."""
+        """Record an outcome that has reached the operator."""
         if isinstance(outcome, Conflict):
             self._rejected = True
         elif isinstance(outcome, Committed) and self.acknowledged_ns is None:
@@ -86,20 +86,20 @@
         cluster, counts = self._cluster, self._cluster.checker.counts
         was_calm = cluster.last_fault_ns + FAULT_FREE_BEFORE_TIMING_NS < self._submitted_ns
         if not self._committed and not cluster.fault_active and was_calm:
-            took_ms = (cluster.now - self._submitted_ns) // MS
-            counts.slowest_ack_ms = max(counts.slowest_ack_ms, took_ms)
+            latency_ms = (cluster.now - self._submitted_ns) // MS
+            counts.slowest_ack_ms = max(counts.slowest_ack_ms, latency_ms)
         self._committed = True
 
 
 class UpdateAttempt:
-    """One sending of an update to a node, up to its answer or time-out."""
+    """One attempt to send an update to a node, up to its answer or timeout."""
 
     def __init__(self, update: OperatorUpdate, cluster: Cluster, node: SimulatedControlPlaneNode) -> None:
         self._update, self._cluster, self._node = update, cluster, node
         self._is_waiting = True
 
     def send(self) -> None:
-        """Send the update; without an answer in time there is another attempt."""
+        """Send the update; a timeout schedules another attempt."""
         update, node, scheduler = self._update, self._node, self._cluster.scheduler
         if not node.up:
             scheduler.call_later(MS, self._retry)
--- a/meadowworks/simulation/control/overlap_scenarios.py
+++ b/meadowworks/simulation/control/overlap_scenarios.py
@@ -1,4 +1,4 @@
-"""Halves, and losses that overlap beyond what is tolerated, with no more disks lost than that allows."""
+"""Scenarios: overlapping faults of more machines than tolerated, with a tolerated number of lost disks."""
 
 from __future__ import annotations
 
@@ -14,14 +14,15 @@
 FAULT_GAP_MS = (200, 4000)
 OUTAGE_DURATION_MS = (100, 5000)
 DISK_LOSS_COUNT, DISK_LOSS_GAP_NS = 4, 8 * SECOND
-# How long a strike waits: right after an acknowledgement, or some while after no matter what.
+# Delay of a disk loss: after an acknowledgement, or after the time at which it is scheduled.
 IMMEDIATE_DELAY_MS, SHORT_DELAY_MS = (0, 4), (5, 400)
 
 
 def overlapping_faults(scenario: ClusterScenario) -> None:
-    """Cut members into halves, and let stops, freezes and cuts overlap; in all a few disks are lost.
+    """Let partitions, stops and freezes overlap; at most `tolerated_failures` disks are lost in total.
 
-    Service may rest until all are back. Nothing that was acknowledged is lost or shown in an older state.
+    The cluster may be unavailable until all nodes are back, but no acknowledged update may be lost and no
+    older state may be served.
     """
     scenario.generate_load(LOAD_START_NS, LOAD_END_NS, scenario.workload.submit, UPDATE_GAP_MS)
     wipes_left = [scenario.tolerated_failures]
@@ -39,7 +40,7 @@
 
 
 def acknowledged_then_disks_lost(scenario: ClusterScenario) -> None:
-    """Right after an acknowledgement as many disks are lost as may be, while all others lose power."""
+    """After an acknowledgement, lose `tolerated_failures` disks and the power of all machines, repeatedly."""
     end_ns = 4 * SECOND + DISK_LOSS_COUNT * DISK_LOSS_GAP_NS
     scenario.generate_load(LOAD_START_NS, end_ns, scenario.workload.submit, UPDATE_GAP_MS)
     for number in range(DISK_LOSS_COUNT):
@@ -50,7 +51,7 @@
 
 
 def _schedule_disk_loss(scenario: ClusterScenario) -> None:
-    """Strike after the next acknowledgement of any kind, or a while after now."""
+    """Schedule a loss of disks after the next acknowledgement, or sometimes after a short delay."""
     rng, listeners = scenario.random, scenario.checker.acknowledgement_listeners
     if rng.random() < 0.2:
         scenario.scheduler.call_later(
@@ -67,33 +68,33 @@
 
 
 def lose_disks_and_power(scenario: ClusterScenario) -> None:
-    """Take the disks of as many voters as may be lost, and the power of all other machines, at once."""
+    """Wipe the disks of `tolerated_failures` voters and cut the power of all machines at once."""
     rng = scenario.random
     victims = rng.sample(scenario.voters(), scenario.tolerated_failures)
-    scenario.cluster.log("#", f"disks are lost: {[node.address for node in victims]}; all lose power")
+    scenario.cluster.log("#", f"disks lost: {[node.address for node in victims]}; all machines lose power")
     for node in list(scenario.nodes.values()):
         scenario.kill(node, True)
         if node in victims:
             node.wipe()
-        back_ns = rng.randrange(200, 1500) * MS
-        scenario.scheduler.call_later(back_ns, partial(scenario.restart, node))
+        restart_delay_ns = rng.randrange(200, 1500) * MS
+        scenario.scheduler.call_later(restart_delay_ns, partial(scenario.restart, node))
 
 
-# -- faults that overlap; each may take a disk, as long as one is left to be taken
+# -- overlapping faults, all with one signature; `wipes_left[0]` is the number of disks that may still be lost
 
 
-def partition_into_halves(scenario: ClusterScenario, wipes_left: list[int]) -> None:  # noqa: ARG001  (faults are called alike)
-    """Cut the voters into two halves for some seconds; all other machines reach both."""
+def partition_into_halves(scenario: ClusterScenario, wipes_left: list[int]) -> None:  # noqa: ARG001
+    """Partition the voters into two halves for a while; other machines reach both."""
     addresses = [node.address for node in scenario.voters()]
     scenario.random.shuffle(addresses)
     size = len(addresses) // 2
     scenario.cluster.mark_fault()
     scenario.cluster.fault_active = True
     scenario.cluster.log("#", f"halves: {addresses[:size]} and {addresses[size:]}")
-    for one in addresses[:size]:
-        for other in addresses[size:]:
-            scenario.network.cut(one, other)
-            scenario.network.cut(other, one)
+    for first in addresses[:size]:
+        for second in addresses[size:]:
+            scenario.network.cut(first, second)
+            scenario.network.cut(second, first)
     scenario.scheduler.call_later(
         scenario.random.randrange(*OUTAGE_DURATION_MS) * MS, partial(_heal_network, scenario)
     )
@@ -106,7 +107,7 @@
 
 
 def stop_some(scenario: ClusterScenario, wipes_left: list[int]) -> None:
-    """Take the power or the process of any number of machines; each comes back by itself."""
+    """Kill or power off a random set of machines, and restart each after its own delay."""
     rng = scenario.random
     nodes = list(scenario.nodes.values())
     for node in rng.sample(nodes, rng.randint(1, len(nodes))):
@@ -114,43 +115,43 @@
         if wipes_left[0] and node.voting and rng.random() < 0.2:
             wipes_left[0] -= 1
             node.wipe()
-        back_ns = rng.randrange(*OUTAGE_DURATION_MS) * MS
-        scenario.scheduler.call_later(back_ns, partial(restart_node, scenario, node))
+        restart_delay_ns = rng.randrange(*OUTAGE_DURATION_MS) * MS
+        scenario.scheduler.call_later(restart_delay_ns, partial(restart_node, scenario, node))
 
 
 def freeze_some(scenario: ClusterScenario, wipes_left: list[int]) -> None:  # noqa: ARG001
-    """Freeze any number of voters; each goes on by itself."""
+    """Freeze a random set of voters, and resume each after its own delay."""
     rng = scenario.random
     voters = scenario.voters()
     for node in rng.sample(voters, rng.randint(1, len(voters))):
         scenario.isolate(node, "frozen")
         scenario.scheduler.call_later(
-            rng.randrange(*OUTAGE_DURATION_MS) * MS, partial(_thaw, scenario, node, node.incarnation)
+            rng.randrange(*OUTAGE_DURATION_MS) * MS, partial(_resume, scenario, node, node.incarnation)
         )
 
 
-def _thaw(scenario: ClusterScenario, node: SimulatedControlPlaneNode, incarnation: int) -> None:
+def _resume(scenario: ClusterScenario, node: SimulatedControlPlaneNode, incarnation: int) -> None:
     scenario.cluster.mark_fault()
     if node.incarnation == incarnation:
         node.thaw()
-    still_frozen = any(one.frozen for one in scenario.nodes.values())
+    still_frozen = any(other.frozen for other in scenario.nodes.values())
     scenario.cluster.fault_active = still_frozen or bool(scenario.network.cuts)
 
 
 def stop_all_nodes(scenario: ClusterScenario, wipes_left: list[int]) -> None:  # noqa: ARG001
-    """Stop all processes at once; they come back with their disks."""
+    """Stop all processes; they restart with their disks."""
     stop_all(scenario, scenario.random.random() < 0.7)
 
 
 def lose_disk_while_minority_lags(scenario: ClusterScenario, wipes_left: list[int]) -> None:
-    """Let a minority miss changes, then lose one of the others' disks while the rest are dark."""
+    """Isolate a minority so that it misses updates, then power off the others and lose one of their disks."""
     rng, scheduler = scenario.random, scenario.scheduler
-    behind = rng.sample(scenario.voters(), scenario.tolerated_failures)
-    for node in behind:
+    lagging = rng.sample(scenario.voters(), scenario.tolerated_failures)
+    for node in lagging:
         scenario.isolate(node, "both")
 
     def stop_others() -> None:
-        others = [node for node in scenario.voters() if node not in behind]
+        others = [node for node in scenario.voters() if node not in lagging]
         for node in others:
             scenario.kill(node, True)
             scheduler.call_later(
--- a/meadowworks/simulation/control/partition_scenarios.py
+++ b/meadowworks/simulation/control/partition_scenarios.py
@@ -1,4 +1,4 @@
-"""Machines that are cut off, and updates that are left half-way."""
+"""Scenario: isolated machines and abandoned updates."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 
 LOAD_START_NS, LOAD_END_NS, END_NS = 3 * SECOND, 33 * SECOND, 34 * SECOND
 NO_UPDATES_MS = (60_000, 60_001)  # longer than the load
-KINDS = ("both", "in", "out", "frozen", "both")
+ISOLATION_MODES = ("both", "in", "out", "frozen", "both")
 
 
 def isolate_minority(scenario: ClusterScenario) -> None:
-    """Cut some machines off for twenty seconds, both ways, one way or frozen; updates and reads go on."""
+    """Isolate a minority for twenty seconds during updates and reads, or abandon updates."""
     rng, scheduler = scenario.random, scenario.scheduler
-    lost = rng.sample(scenario.voters(), rng.randint(1, scenario.tolerated_failures))
+    isolated = rng.sample(scenario.voters(), rng.randint(1, scenario.tolerated_failures))
 
     def cut() -> None:
-        for node in lost:
-            scenario.isolate(node, rng.choice(KINDS))
+        for node in isolated:
+            scenario.isolate(node, rng.choice(ISOLATION_MODES))
 
     def heal() -> None:
         scenario.heal()
@@ -33,7 +33,7 @@
         return
     scenario.generate_load(LOAD_START_NS, LOAD_END_NS, scenario.workload.submit, (150, 1200))
     scheduler.call_at(cut_ns, cut)
-    if rng.random() < 0.3:  # a cut that comes and goes
+    if rng.random() < 0.3:  # interrupt the isolation
         scheduler.call_at(cut_ns + 6 * SECOND, scenario.heal)
         scheduler.call_at(cut_ns + 6 * SECOND + rng.randrange(2 * SECOND), cut)
     scheduler.call_at(cut_ns + 20 * SECOND, heal)
@@ -41,11 +41,11 @@
 
 
 def abandon_updates(scenario: ClusterScenario) -> None:
-    """Leave updates half-way, again and again, while nobody else has any: leases go on."""
+    """Abandon two partially replicated updates without further load; nodes must keep their leases."""
     rng, scheduler, workload = scenario.random, scenario.scheduler, scenario.workload
     scenario.generate_load(LOAD_START_NS, LOAD_END_NS, lambda: None, NO_UPDATES_MS, NO_UPDATES_MS)
 
-    def abandon_one() -> None:
+    def abandon_update() -> None:
         node = rng.choice(scenario.voters())
         version = workload.highest_version + 1
         value = b"%d" % workload.highest_version
@@ -54,5 +54,5 @@
         scheduler.call_later(rng.randrange(100, 400) * MS, partial(restart_node, scenario, node))
 
     for at_s in (4, 18):
-        scheduler.call_at(at_s * SECOND, abandon_one)
+        scheduler.call_at(at_s * SECOND, abandon_update)
     scheduler.run_until(END_NS)
--- a/meadowworks/simulation/control/process_faults.py
+++ b/meadowworks/simulation/control/process_faults.py
@@ -1,4 +1,4 @@
-"""Ends of processes and losses of power, from which machines come back."""
+"""Kills and losses of power with a later restart."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def stop_all(scenario: ClusterScenario, power_lost: bool) -> None:
-    """Kill all processes, or take their power, at once or within some ms; all come back with their disks."""
+    """Kill or power off all machines within 30 milliseconds, and restart each with its disk."""
     spread_ms = scenario.random.choice([0, 0, 30])
     for node in list(scenario.nodes.values()):
         if node.up and not node.removed:
@@ -21,7 +21,7 @@
 
 
 def stop_one(scenario: ClusterScenario) -> None:
-    """Kill a process, or take its power; it comes back soon."""
+    """Kill or power off a random machine, and restart it after at most 2.5 seconds."""
     running = [node for node in scenario.voters() if node.up]
     if running:
         node = scenario.random.choice(running)
@@ -31,7 +31,7 @@
 
 
 def restart_node(scenario: ClusterScenario, node: SimulatedControlPlaneNode) -> None:
-    """Start a process again, unless its machine is gone."""
+    """Restart a process, unless it is up or its machine is removed."""
     if node.removed or node.up:
         return
     scenario.restart(node)
--- a/meadowworks/simulation/control/pull.py
+++ b/meadowworks/simulation/control/pull.py
@@ -1,4 +1,4 @@
-"""One pull between two control planes, which keeps their state and leases fresh."""
+"""Pulls between two control planes, which transfer state and renew leases."""
 
 from __future__ import annotations
 
@@ -14,32 +14,32 @@
 if TYPE_CHECKING:
     from meadowworks.simulation.control.node import SimulatedControlPlaneNode
 
-LONG_POLL_NS = SECOND // 2  # that a pull without news waits at its target
+LONG_POLL_NS = SECOND // 2  # how long a pull without new state waits at its target
 PULL_TIMEOUT_NS = SECOND
-ACK_PENDING_POLL_NS = 50 * MS  # while the asker owes an acknowledgement of drains
+ACK_PENDING_POLL_NS = 50 * MS  # while the requester has drains of the target to acknowledge
 NEXT_PULL_DELAY_NS = 10 * MS
-DRAIN_WRITE_DELAY_NS = 15 * MS  # that the next pull waits for a write of drains
-RETRY_DELAY_NS = 300 * MS  # after a pull at a machine that is down
+DRAIN_WRITE_DELAY_NS = 15 * MS  # before the next pull, while drain records are being written
+RETRY_DELAY_NS = 300 * MS  # after a pull from a machine that is down
 
 
 @dataclass(frozen=True, slots=True, eq=False)
 class WaitingPull:
-    """A pull that waits at its target for a newer version or epoch than the asker has."""
+    """A pull that waits at its target until the target has state that the requester lacks."""
 
     version: int
     epoch: int
     vector: dict[str, int]
-    source: str  # the asker's incarnation
+    source: str  # the requester's incarnation
     answer: Callback
 
     def lacks(self, version: int, epoch: int) -> bool:
-        """Tell whether the asker lacks a version or an epoch."""
+        """Return whether the requester lacks a version or an epoch."""
         return self.version < version or self.epoch < epoch
 
 
 @dataclass(frozen=True, slots=True)
 class PullAnswer:
-    """What a pull brings: the target's state, and what it has that is newer."""
+    """The answer to a pull: the target's state and the changes that the requester lacks."""
 
     state: QueryReply
     epoch: Epoch | None
@@ -50,7 +50,7 @@
 
 
 class Pull:
-    """One pull by a node at a target, from its sending until the next one is due."""
+    """One pull of a node from a target, up to the scheduling of the next one."""
 
     def __init__(self, node: SimulatedControlPlaneNode, target: SimulatedControlPlaneNode) -> None:
         acceptor = node.replica.acceptor
@@ -68,20 +68,20 @@
         self._is_open = True
 
     def send(self) -> None:
-        """Send the pull; it ends by its answer or its time-out."""
+        """Send the pull, which ends with its answer or a timeout."""
         node, target = self._node, self._target
         if not target.up:
             self._end(RETRY_DELAY_NS)
             return
-        time_out = partial(node.deliver, self._incarnation, partial(self._end, NEXT_PULL_DELAY_NS))
-        self._cluster.scheduler.call_later(PULL_TIMEOUT_NS, time_out)
+        on_timeout = partial(node.deliver, self._incarnation, partial(self._end, NEXT_PULL_DELAY_NS))
+        self._cluster.scheduler.call_later(PULL_TIMEOUT_NS, on_timeout)
         self._cluster.network.send(node.address, target.address, self._arrive)
 
     def _end(self, wait_ns: int) -> None:
         if self._is_open:
             self._is_open = False
-            again = partial(self._node.pull, self._incarnation, self._target.address)
-            self._cluster.scheduler.call_later(wait_ns, again)
+            next_pull = partial(self._node.pull, self._incarnation, self._target.address)
+            self._cluster.scheduler.call_later(wait_ns, next_pull)
 
     # -- at the target
 
@@ -93,8 +93,8 @@
         answer = partial(self._answer, target.incarnation)
         acceptor, registry = target.replica.acceptor, target.registry
         pending = WaitingPull(self._version, self._epoch, self._vector, self._source, answer)
-        is_urgent = pending.lacks(acceptor.committed.version, acceptor.epoch.number)
-        if is_urgent or registry.has_backend_changes(self._vector, self._source):
+        lacks_state = pending.lacks(acceptor.committed.version, acceptor.epoch.number)
+        if lacks_state or registry.has_backend_changes(self._vector, self._source):
             answer()
             return
         target.driver.pending_pulls.append(pending)
@@ -130,11 +130,11 @@
         arrive = partial(self._node.deliver, self._incarnation, partial(self._on_answer, answer))
         self._cluster.network.send(self._target.address, self._node.address, arrive)
 
-    # -- at the node again
+    # -- at the requester
 
     def _on_answer(self, answer: PullAnswer) -> None:
         if not self._is_open:
-            return  # the call was given up
+            return  # the pull has timed out
         replica, now = self._node.replica, self._node.local_time()
         if answer.epoch is not None:
             replica.on_epoch_announced(now, answer.epoch)
--- a/meadowworks/simulation/control/registry_driver.py
+++ b/meadowworks/simulation/control/registry_driver.py
@@ -1,4 +1,4 @@
-"""Drives the product's registry of backends for one incarnation of a simulated control plane."""
+"""Drives the product's backend registry for one incarnation of a simulated control plane."""
 
 from __future__ import annotations
 
@@ -22,29 +22,29 @@
     from meadowworks.simulation.control.node import SimulatedControlPlaneNode
 
 HEARTBEAT_MS = 1500
-ACKNOWLEDGE_WITHIN_NS = 700 * MS  # as the program's DRAIN_ACK_TIMEOUT_S
+ACKNOWLEDGE_WITHIN_NS = 700 * MS  # the product's DRAIN_ACK_TIMEOUT_S
 WRITE_RETRY_NS = 200 * MS
 TICK_NS = SECOND
 TICK_KEY = "pulse"
 WRITE_MS, SLOW_WRITE_MS = (1, 6), (20, 250)
-MAX_INTERRUPTED_WRITE_OPERATIONS = 14  # of the disk, that a write under way may still do
+MAX_INTERRUPTED_WRITE_OPERATIONS = 14  # exclusive bound
 
-OnReply = Callable[[bool], None]  # whether the call is acknowledged
+OnReply = Callable[[bool], None]  # called with whether the call is acknowledged
 
 
 @dataclass(frozen=True, slots=True, eq=False)
 class WaitingCall:
-    """A call whose acknowledgement waits until it is durable."""
+    """A backend's call that is acknowledged once it is durable."""
 
     version: int
     reply: OnReply
 
 
 class RegistryDriver:
-    """Does what a control-plane node does for its backends, as `controlplane.node` wires it.
+    """Connects the registry classes of a control-plane node as `controlplane.node` does.
 
-    `sources` are the newest incarnations of other machines, by address; `backend_updates` counts what was
-    heard of backends.
+    `sources` are the latest incarnations of other machines by address; `backend_update_count` is the number
+    of received updates of backend keys.
     """
 
     def __init__(self, node: SimulatedControlPlaneNode, store: SimulatedStore) -> None:
@@ -69,14 +69,14 @@
         self._stored_hint_ids = set(hints)
         self.heartbeats.restore(node.local_time(), stored | hints)
 
-    # -- calls of backends
+    # -- calls from backends
 
     def heartbeat(self, backend_id: str, document: Any, reply: OnReply) -> None:
-        """Take a heartbeat."""
+        """Record a heartbeat and call `reply` with whether it is acknowledged."""
         self._answer(self.heartbeats.record_heartbeat(self._node.local_time(), backend_id, document), reply)
 
     def leave(self, backend_id: str, reply: OnReply) -> None:
-        """Take the call of a backend that leaves."""
+        """Record the departure of a backend and call `reply` with whether it is acknowledged."""
         self._answer(self.heartbeats.leave(self._node.local_time(), backend_id), reply)
 
     def _answer(self, result: CallOutcome, reply: OnReply) -> None:
@@ -100,7 +100,7 @@
             waiting.reply(False)
 
     def answer_durable_calls(self) -> None:
-        """Acknowledge the calls that are durable by now."""
+        """Acknowledge the waiting calls that have become durable."""
         durable = [call for call in self._waiting_calls if self._is_durable(call.version)]
         self._waiting_calls = [call for call in self._waiting_calls if call not in durable]
         for call in durable:
@@ -121,11 +121,11 @@
     # -- gossip
 
     def deltas_for(self, vector: dict[str, int], requester: str) -> tuple[SourceDelta, ...]:
-        """What another node lacks."""
+        """Return the changes that a requester with a version vector lacks."""
         return tuple(self.updates.deltas_since(vector, requester))
 
     def has_backend_changes(self, vector: dict[str, int], requester: str) -> bool:
-        """Whether another node lacks something of a backend, for which a pull is answered at once."""
+        """Return whether a requester lacks a change of a backend; such a pull is answered at once."""
         return any(
             key.startswith(BACKEND_KEY_PREFIX)
             for delta in self.deltas_for(vector, requester)
@@ -133,7 +133,7 @@
         )
 
     def apply(self, address: str, source: str, deltas: tuple[SourceDelta, ...]) -> None:
-        """Take in what another node has answered to a pull."""
+        """Apply another node's answer to a pull."""
         self.sources[address] = source
         now = self._node.local_time()
         for delta in deltas:
@@ -141,7 +141,7 @@
         self.begin_write()
 
     def tick(self) -> None:
-        """Do the periodic work of a node."""
+        """Run the periodic work of a node and schedule the next tick."""
         now = self._node.local_time()
         self.updates.expire_sources(now)
         self.heartbeats.tick(now)
@@ -151,8 +151,8 @@
         self.updates.publish(TICK_KEY, now)
         self.begin_write()
         self._store_hints()
-        again = partial(self._node.deliver, self._incarnation, self.tick)
-        self._cluster.scheduler.call_later(TICK_NS, again)
+        next_tick = partial(self._node.deliver, self._incarnation, self.tick)
+        self._cluster.scheduler.call_later(TICK_NS, next_tick)
 
     def _silence_ns(self, source: str) -> int:
         return self.updates.silence_ns(self._node.local_time(), source)
@@ -164,7 +164,7 @@
     # -- writes
 
     def _store_hints(self) -> None:
-        """Store the live backends whenever one has come or gone, as the program does."""
+        """Store the live backends whenever their set has changed, as the product does."""
         values = self.heartbeats.durable_values()
         if values.keys() != self._stored_hint_ids:
             rows = {backend_id: encode(value) for backend_id, value in values.items()}
@@ -172,7 +172,7 @@
             self._stored_hint_ids = set(values)
 
     def begin_write(self) -> None:
-        """Write what is not on the disk yet, unless a write is under way."""
+        """Write the next batch of drain records, unless a write is pending or there is no batch."""
         if self._pending_write is not None or (batch := self.drain_log.next_batch()) is None:
             return
         self._pending_write = batch
@@ -193,7 +193,7 @@
         self.begin_write()
 
     def interrupt_write(self) -> None:
-        """Let a write that is under way do some of its operations on the disk, or all."""
+        """Run some or all disk operations of a pending write, as if the process ended during the write."""
         if self._pending_write is None:
             return
         batch, self._pending_write = self._pending_write, None
--- a/meadowworks/simulation/control/replacement_scenarios.py
+++ b/meadowworks/simulation/control/replacement_scenarios.py
@@ -1,4 +1,4 @@
-"""Machines that are replaced, planned and suddenly, wiped, cut off and killed meanwhile."""
+"""Scenario: planned and unplanned replacement of machines, with further faults meanwhile."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from meadowworks.simulation.control.scenario import NEVER_NS, ClusterScenario
 from meadowworks.simulation.event_scheduler import MS, SECOND
 
-GRACE_NS = 6 * SECOND  # that a process has to hand over
+GRACE_NS = 6 * SECOND  # for the hand-over of a process that shuts down
 Fault = Callable[[ClusterScenario, int], None]
 
 
 def replace_machines(scenario: ClusterScenario) -> None:
-    """Let one fault follow another; the next loss comes as soon as it may."""
+    """Apply a sequence of random faults, often as soon as another machine may be lost."""
     rng = scenario.random
     update = partial(scenario.workload.submit, 0.1)
     scenario.generate_load(3 * SECOND, 42 * SECOND, update, (100, 900))
@@ -24,7 +24,7 @@
     if rng.random() < 0.5 and scenario.losable_voters():
         index = rng.choice(scenario.losable_voters())
         scenario.lost_until_ns[index] = NEVER_NS
-        scenario.kill(scenario.voters_by_index[index], True)  # for good: the others go on without it
+        scenario.kill(scenario.voters_by_index[index], True)  # permanently
 
 
 def _next_fault(scenario: ClusterScenario) -> None:
@@ -37,22 +37,22 @@
         fault(scenario, -1)
     elif losable:
         fault(scenario, rng.choice(losable))
-    mood = rng.random()
+    draw = rng.random()
     ends_ns = [until_ns for until_ns in scenario.lost_until_ns if scenario.now < until_ns < NEVER_NS]
-    again = partial(_next_fault, scenario)
-    if mood < 0.4 and ends_ns:  # right after it counts as there again
-        scheduler.call_at(min(ends_ns) + rng.randrange(30 * MS), again)
-    elif mood < 0.7:
-        scheduler.call_later(rng.randrange(3 * SECOND), again)
+    next_fault = partial(_next_fault, scenario)
+    if draw < 0.4 and ends_ns:  # as soon as a machine no longer counts as lost
+        scheduler.call_at(min(ends_ns) + rng.randrange(30 * MS), next_fault)
+    elif draw < 0.7:
+        scheduler.call_later(rng.randrange(3 * SECOND), next_fault)
     else:
-        scheduler.call_later(rng.randrange(7 * SECOND), again)
+        scheduler.call_later(rng.randrange(7 * SECOND), next_fault)
 
 
-# -- losses of a machine
+# -- faults of one machine
 
 
 def lose_machine(scenario: ClusterScenario, index: int) -> None:
-    """Take a machine for good; its successor starts elsewhere."""
+    """Lose a machine permanently; a successor starts at another address."""
     scenario.lost_until_ns[index] = NEVER_NS
     node = scenario.voters_by_index[index]
     partial_update_before_loss(scenario, node)
@@ -68,14 +68,14 @@
 
 
 def start_successor(scenario: ClusterScenario, index: int) -> None:
-    """Start a new machine in a place."""
+    """Start a new machine that takes over an index."""
     scenario.voters_by_index[index] = scenario.add_node()
     scenario.restart(scenario.voters_by_index[index])
     scenario.voter_returned(index)
 
 
 def partial_update_before_loss(scenario: ClusterScenario, node: SimulatedControlPlaneNode) -> None:
-    """Have an update reach some only, ms before the node that took it is gone; a rival comes after it."""
+    """Replicate an update partially before its node is lost, then submit a rival to another node."""
     rng, scheduler = scenario.random, scenario.scheduler
     if not node.up or rng.random() < 0.2:
         return
@@ -88,7 +88,7 @@
     scenario.workload.send(version, b"%d-eve" % version, 0.1, first_node=node)
     if not others:
         return
-    for other in reached:  # who could finish it is late
+    for other in reached:  # delays the nodes that could complete the update
         scheduler.call_later(20 * MS, partial(_set_slow_disk, other, True))
         scheduler.call_later(2 * SECOND, partial(_set_slow_disk, other, False))
     rival = partial(scenario.workload.send, version, b"%d-rival" % version, 0.1, first_node=others[0])
@@ -100,7 +100,7 @@
 
 
 def wipe_machine(scenario: ClusterScenario, index: int) -> None:
-    """Bring a machine back at its address with an empty disk."""
+    """Kill a machine and restart it at its address with an empty disk."""
     scenario.lost_until_ns[index] = NEVER_NS
     node = scenario.voters_by_index[index]
     partial_update_before_loss(scenario, node)
@@ -109,18 +109,18 @@
         scenario.kill(node, scenario.random.random() < 0.5)
         scenario.network.extra_delay_ns.clear()
 
-    def come_back() -> None:
+    def return_machine() -> None:
         node.wipe()
         scenario.restart(node)
         scenario.voter_returned(index)
 
     rng, scheduler = scenario.random, scenario.scheduler
     scheduler.call_later(rng.randrange(4, 60) * MS, lose)
-    scheduler.call_later(rng.choice([70, 70, rng.randrange(70, 3000)]) * MS, come_back)
+    scheduler.call_later(rng.choice([70, 70, rng.randrange(70, 3000)]) * MS, return_machine)
 
 
 def replace_gracefully(scenario: ClusterScenario, index: int) -> None:
-    """Start a successor, and shut its predecessor down, in either order; some are killed half-way."""
+    """Start a successor and shut its predecessor down, in either order; sometimes kill it meanwhile."""
     rng, scheduler = scenario.random, scenario.scheduler
     scenario.lost_until_ns[index] = NEVER_NS
     shut_down = partial(_shut_down, scenario, index, scenario.voters_by_index[index])
@@ -136,7 +136,7 @@
 def _shut_down(scenario: ClusterScenario, index: int, node: SimulatedControlPlaneNode) -> None:
     rng, scheduler = scenario.random, scenario.scheduler
     scenario.cluster.mark_fault()
-    if not node.up:  # it is told to end once it is back
+    if not node.up:  # retry until it is up
         scheduler.call_later(SECOND // 2, partial(_shut_down, scenario, index, node))
         return
     node.shut_down(GRACE_NS)
@@ -147,43 +147,43 @@
 
 def _kill_during_shutdown(scenario: ClusterScenario, index: int, node: SimulatedControlPlaneNode) -> None:
     lost = len([until_ns for until_ns in scenario.lost_until_ns if until_ns > scenario.now])
-    # A node and its successor are two machines.
+    # Once the successor has started, the predecessor counts as another machine.
     if scenario.voters_by_index[index] is node or lost < scenario.tolerated_failures:
         scenario.kill(node, scenario.random.random() < 0.5)
 
 
 def lose_power(scenario: ClusterScenario, index: int) -> None:
-    """Take a machine's power; it comes back with its disk."""
+    """Cut a machine's power, and restart it later with its disk."""
     scenario.lost_until_ns[index] = NEVER_NS
     scenario.kill(scenario.voters_by_index[index], True)
 
-    def come_back() -> None:
+    def return_machine() -> None:
         scenario.restart(scenario.voters_by_index[index])
         scenario.voter_returned(index)
 
-    scenario.scheduler.call_later(scenario.random.randrange(50, 6000) * MS, come_back)
+    scenario.scheduler.call_later(scenario.random.randrange(50, 6000) * MS, return_machine)
 
 
 def freeze_process(scenario: ClusterScenario, index: int) -> None:
-    """Stop a process for some seconds, as SIGSTOP does."""
+    """Suspend a process for up to nine seconds, as SIGSTOP does."""
     node = scenario.voters_by_index[index]
     scenario.lost_until_ns[index] = NEVER_NS
     scenario.isolate(node, "frozen")
 
-    def go_on() -> None:
+    def resume() -> None:
         scenario.cluster.mark_fault()
         node.thaw()
-        scenario.cluster.fault_active = any(one.frozen for one in scenario.nodes.values())
+        scenario.cluster.fault_active = any(other.frozen for other in scenario.nodes.values())
         scenario.voter_returned(index)
 
-    scenario.scheduler.call_later(scenario.random.randrange(100, 9000) * MS, go_on)
+    scenario.scheduler.call_later(scenario.random.randrange(100, 9000) * MS, resume)
 
 
 # -- faults of the whole cluster
 
 
 def split_network(scenario: ClusterScenario, _index: int) -> None:
-    """Cut machines in two halves for some seconds: more than may be lost, but nothing wrong is said."""
+    """Partition the voters, sometimes in one direction; the cluster may stop but must stay consistent."""
     rng, cluster, network = scenario.random, scenario.cluster, scenario.network
     addresses = [node.address for node in scenario.voters()]
     rng.shuffle(addresses)
@@ -192,14 +192,14 @@
     cluster.mark_fault()
     cluster.fault_active = True
     cluster.log("#", f"cut: {addresses[:size]} from {addresses[size:]}{' one way' if one_way else ''}")
-    for one in addresses[:size]:
-        for other in addresses[size:]:
-            network.cut(one, other)
+    for first in addresses[:size]:
+        for second in addresses[size:]:
+            network.cut(first, second)
             if not one_way:
-                network.cut(other, one)
+                network.cut(second, first)
     wait_ns = rng.randrange(200, 6000) * MS
-    for place, until_ns in enumerate(scenario.lost_until_ns):
-        scenario.lost_until_ns[place] = max(until_ns, scenario.now + wait_ns + MS)
+    for index, until_ns in enumerate(scenario.lost_until_ns):
+        scenario.lost_until_ns[index] = max(until_ns, scenario.now + wait_ns + MS)
     scenario.scheduler.call_later(wait_ns, partial(_heal_split, scenario))
 
 
@@ -213,7 +213,7 @@
 
 
 def stop_all_and_wipe_one(scenario: ClusterScenario, _index: int) -> None:
-    """Stop all processes at once; a disk may go for good, if a machine may be lost."""
+    """Stop all processes; sometimes also lose one disk, if a machine may be lost."""
     rng = scenario.random
     running = [index for index in scenario.losable_voters() if scenario.voters_by_index[index].up]
     stop_all(scenario, rng.random() < 0.6)
@@ -223,7 +223,7 @@
     node = scenario.voters_by_index[index]
     scenario.lost_until_ns[index] = NEVER_NS
 
-    def come_back() -> None:
+    def return_machine() -> None:
         if not node.up:
             node.wipe()
             scenario.restart(node)
@@ -231,7 +231,7 @@
 
     scenario.kill(node, True)
     node.wipe()
-    scenario.scheduler.call_later(rng.randrange(100, 3000) * MS, come_back)
+    scenario.scheduler.call_later(rng.randrange(100, 3000) * MS, return_machine)
 
 
 FAULTS: tuple[Fault, ...] = (
--- a/meadowworks/simulation/control/replica_driver.py
+++ b/meadowworks/simulation/control/replica_driver.py
@@ -1,4 +1,4 @@
-"""Drives the product's `Replica` for one incarnation of a simulated control plane, as the program does."""
+"""Drives the product's `Replica` for one incarnation of a simulated control plane."""
 
 from __future__ import annotations
 
@@ -28,28 +28,28 @@
 if TYPE_CHECKING:
     from meadowworks.simulation.control.node import SimulatedControlPlaneNode
 
-CALL_TIMEOUT_NS = SECOND  # that any reply is waited for
-OPERATION_TIMEOUT_NS = 900 * MS  # that a control plane takes for a change or a read
+CALL_TIMEOUT_NS = SECOND  # for the reply to a request
+OPERATION_TIMEOUT_NS = 900 * MS  # for an update or a read
 TIMER_RESOLUTION_NS = MS // 10
 SLOW_WRITE_RATE = 0.02
 SLOW_WRITE_MS, WRITE_MS = (20, 250), (1, 6)
-MAX_INTERRUPTED_WRITE_OPERATIONS = 14  # of the disk, that a write under way may still do
+MAX_INTERRUPTED_WRITE_OPERATIONS = 14  # exclusive bound
 
 OnOutcome = Callable[[object], None]
 
 
 @dataclass(frozen=True, slots=True, eq=False)
 class RequestOrigin:
-    """Whom a reply goes to."""
+    """The driver and request that a reply is sent to."""
 
     driver: ReplicaDriver
     request_id: int
 
 
 class ReplicaDriver:
-    """Does what a replica wants done, and tells it what comes.
+    """Runs the effects of a replica and passes requests, replies and timer events to it.
 
-    `pending_pulls` are pulls by others that wait for news of this replica.
+    `pending_pulls` are pulls of other nodes that wait for changes of this node's state.
     """
 
     def __init__(self, node: SimulatedControlPlaneNode, replica: Replica, store: SimulatedStore) -> None:
@@ -66,7 +66,7 @@
     # -- effects
 
     def run_effects(self) -> None:
-        """Do what the replica wants done, answer pulls that have waited for it, and set its timer."""
+        """Run the replica's effects, answer the pulls that a change has unblocked, and set the timer."""
         while effects := self.replica.take_effects():
             for effect in effects:
                 self._run_effect(effect)
@@ -133,7 +133,7 @@
         counts.disk_kb = max(counts.disk_kb, self._node.disk.size_bytes() // 1024)
 
     def interrupt_write(self, power_lost: bool) -> None:
-        """Let a write that is under way do some of its operations on the disk, or all."""
+        """Run some or all disk operations of a pending write, as if the process ended during the write."""
         if self._pending_write is None:
             return
         effect, self._pending_write = self._pending_write, None
@@ -142,11 +142,11 @@
             self._store.save(effect.update)
         except sqlite3.Error:
             return
-        if not power_lost:  # a killed process may have ended its write
+        if not power_lost:  # without a loss of power a completed write stays on the disk
             self._cluster.checker.on_persisted(self._node, effect)
 
     def abandon_store(self) -> None:
-        """Close the store of a process that is gone."""
+        """Close the store of a process that has ended."""
         self._store.abandon()
 
     # -- the timer
@@ -172,52 +172,52 @@
     def _send_request(self, request_id: int, address: str, request: Request) -> None:
         node, scheduler = self._node, self._cluster.scheduler
         target = self._cluster.nodes.get(address)
-        time_out = partial(node.deliver, self._incarnation, partial(self._on_time_out, request_id))
+        on_timeout = partial(node.deliver, self._incarnation, partial(self._on_timeout, request_id))
         if target is None or not target.up:
-            scheduler.call_later(MS, time_out)
+            scheduler.call_later(MS, on_timeout)
             return
-        scheduler.call_later(CALL_TIMEOUT_NS, time_out)
+        scheduler.call_later(CALL_TIMEOUT_NS, on_timeout)
         arrive = partial(target.on_request, RequestOrigin(self, request_id), request)
         self._cluster.network.send(node.address, address, arrive)
 
-    def _on_time_out(self, request_id: int) -> None:
+    def _on_timeout(self, request_id: int) -> None:
         self.replica.on_request_failed(self._node.local_time(), request_id)
 
     def on_request(self, origin: RequestOrigin, request: Request) -> None:
-        """Take a request of another node, and check that a member whose epoch has ended accepts nothing."""
+        """Pass a request to the replica, and check that a member of an ended epoch accepts no value."""
         acceptor = self.replica.acceptor
         epoch_is_over = acceptor.sealed_by is not None or acceptor.newest_epoch().number > request.epoch
-        before = self._accepted_ballot(request)
+        ballot_before = self._accepted_ballot(request)
         self.replica.on_request(self._node.local_time(), origin, request)
-        if epoch_is_over and self._accepted_ballot(request) not in (before, NO_BALLOT):
+        if epoch_is_over and self._accepted_ballot(request) not in (ballot_before, NO_BALLOT):
             self._cluster.checker.on_late_acceptance(self._node, request)
 
     def _accepted_ballot(self, request: Request) -> Ballot:
-        """Return under which ballot the acceptor has accepted what a request asks for."""
+        """Return the ballot accepted for the version of an accept request, `NO_BALLOT` for other requests."""
         if not isinstance(request, AcceptRequest):
             return NO_BALLOT
         slot = self.replica.acceptor.slots.get(request.version)
         return slot.accepted if slot else NO_BALLOT
 
     def _send_reply(self, origin: RequestOrigin, member_id: str, reply: Reply) -> None:
-        asker = origin.driver
-        take = partial(asker.on_reply, origin.request_id, member_id, reply)
-        arrive = partial(asker._node.deliver, asker._incarnation, take)
-        self._cluster.network.send(self._node.address, asker._node.address, arrive)
+        requester = origin.driver
+        handle_reply = partial(requester.on_reply, origin.request_id, member_id, reply)
+        arrive = partial(requester._node.deliver, requester._incarnation, handle_reply)
+        self._cluster.network.send(self._node.address, requester._node.address, arrive)
 
     def on_reply(self, request_id: int, member_id: str, reply: Reply) -> None:
-        """Take the reply to an own request."""
+        """Pass the reply to a request of this node to the replica."""
         self.replica.on_reply(self._node.local_time(), request_id, member_id, reply)
 
     # -- operations
 
     def submit(self, version: int, value: bytes, on_outcome: OnOutcome) -> None:
-        """Take an operator's change."""
+        """Propose an operator's update."""
         waiter_id, now = self._add_waiter(on_outcome), self._node.local_time()
         self.replica.propose(now, waiter_id, version, value, now + OPERATION_TIMEOUT_NS)
 
     def read(self) -> None:
-        """Do a quorum read, and have the checker look at its result."""
+        """Start a quorum read whose result the checker verifies."""
         started_ns = self._cluster.now
 
         def on_outcome(outcome: object) -> None:
@@ -228,12 +228,12 @@
         self.replica.read(now, waiter_id, now + OPERATION_TIMEOUT_NS)
 
     def leave(self, timeout_ns: int, on_outcome: OnOutcome) -> None:
-        """Hand over before the process ends."""
+        """Start the hand-over of a process that shuts down, and answer the pending pulls."""
         self._outcome_callbacks[LEAVE_WAITER_ID] = on_outcome
         now = self._node.local_time()
         self.replica.leave(now, now + timeout_ns)
         pending, self.pending_pulls = self.pending_pulls, []
-        for pull in pending:  # as the program answers them: so the others hear that it leaves
+        for pull in pending:  # as the product does, so that other nodes learn of the departure
             pull.answer()
 
     def _add_waiter(self, on_outcome: OnOutcome) -> int:
--- a/meadowworks/simulation/control/replica_patches.py
+++ b/meadowworks/simulation/control/replica_patches.py
@@ -1,7 +1,4 @@
-"""The product's `Replica` without one of its guards each.
-
-Each function stands in for a method of the product, in scenarios with that guard taken out.
-"""
+"""Replacements for methods of the replica and its parts, each without one guard."""
 
 from __future__ import annotations
 
@@ -20,7 +17,7 @@
 
 NEVER_NS = 1 << 60
 
-# The product's own methods, which some of the patches go on to.
+# The original methods, which some of the replacements call.
 _desired_members = MembershipMonitor.desired_members
 _on_query_reply = Replica.on_query_reply
 _complete_operation = Replica.complete_operation
@@ -30,7 +27,7 @@
 def proposer_without_incarnation(
     self: QuorumCallFactory, epoch: Epoch, version: int, operation: Operation
 ) -> Proposer:
-    """Make a ballot that another incarnation may make again."""
+    """Create a proposer whose ballot another incarnation can reuse."""
     slot = self._acceptor.slots.get(version)
     promised = slot.promised.number if slot else 0
     self.last_ballot_number = max(self.last_ballot_number, operation.min_ballot_number, promised) + 1
@@ -39,20 +36,20 @@
 
 
 def reply_before_write(self: WriteQueue, item: Any) -> None:
-    """Let a reply leave before the write that it rests on."""
+    """Send a reply before the write that it depends on."""
     self.ready.append(item)
 
 
 def leave_at_once(self: Replica, _now_ns: int, _deadline_ns: int) -> None:
-    """End without handing over."""
+    """Report the hand-over as complete at once."""
     self.leaving, self.acceptor.is_eligible = True, False
     self.effects.append(CompleteOperation(LEAVE_WAITER_ID, Committed()))
 
 
 def candidates_from_before_epoch(self: MembershipMonitor, now_ns: int) -> dict[str, str]:
-    """Take for a candidate who has spoken before the epoch began, and may have left."""
+    """Return also candidates that last replied before the epoch began and may have left."""
     acceptor = self._acceptor
-    found = {
+    candidates = {
         member_id: peer.last_reply.address
         for member_id, peer in self._lease.peers.items()
         if peer.last_reply.is_eligible
@@ -60,8 +57,8 @@
         and not acceptor.epoch.has_member(member_id)
     }
     if acceptor.is_eligible and not acceptor.epoch.has_member(acceptor.member_id):
-        found[acceptor.member_id] = acceptor.address
-    return found
+        candidates[acceptor.member_id] = acceptor.address
+    return candidates
 
 
 def never_reconfigure(self: MembershipMonitor, now_ns: int, silent: list[str]) -> Any:
@@ -70,37 +67,37 @@
 
 
 def lease_from_reply_time(self: Replica, now_ns: int, _sent_ns: int, reply: QueryReply) -> None:
-    """Count a lease from the reply and not from the request."""
+    """Start a lease when the reply arrives instead of when the query was sent."""
     _on_query_reply(self, now_ns, now_ns, reply)
 
 
 def lease_always_held(self: Replica, now_ns: int) -> int | None:
-    """Hold a lease whoever was heard."""
+    """Hold a lease without replies of a majority."""
     return now_ns if self.started and self.acceptor.newest_epoch().number > 0 else None
 
 
 def acknowledge_by_version(_self: Replica, _version: int, _value: bytes) -> Committed | Conflict:
-    """Acknowledge a version whatever its value."""
+    """Acknowledge a decided version without comparing the values."""
     return Committed()
 
 
 def acknowledge_by_committed_value(self: Replica, version: int, value: bytes) -> Committed | Conflict:
-    """Know no more of past versions than the newest."""
+    """Compare with the latest committed value only."""
     committed = self.acceptor.committed
     return Committed() if (committed.version, committed.value) == (version, value) else Conflict()
 
 
 def timeout_is_conflict(self: Replica, operation_id: int, outcome: Any) -> None:
-    """Refuse what was not decided in time."""
+    """Report an undecided operation as a conflict."""
     outcome = Conflict() if isinstance(outcome, Undecided) else outcome
     _complete_operation(self, operation_id, outcome)
 
 
 def do_nothing(*_arguments: Any) -> None:
-    """Leave out what a method does."""
+    """Do nothing, whatever the arguments."""
 
 
 def send_round_once(self: Replica, now_ns: int, operation_id: int, operation: Any) -> None:
-    """Send a request once, whether or not there is a reply."""
+    """Send a request once and never resend it."""
     _send_round(self, now_ns, operation_id, operation)
     operation.due_ns = NEVER_NS
--- a/meadowworks/simulation/control/scenarios.py
+++ b/meadowworks/simulation/control/scenarios.py
@@ -1,4 +1,4 @@
-"""The scenarios of `lab control`, by their numbers on the command line."""
+"""The scenarios of `lab control` by number, which is the value of `--point`."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from meadowworks.simulation.control.replacement_scenarios import replace_machines
 from meadowworks.simulation.control.scenario import ClusterScenario
 
-REPLACEMENT_SCENARIO = 3  # in which machines may stay lost to the end
-CALLER_SCENARIO = 5  # which has connections and no control plane
+REPLACEMENT_SCENARIO = 3  # machines may stay lost until the end
+CALLER_SCENARIO = 5  # models connections, without control planes
 SCENARIOS: dict[int, Callable[[ClusterScenario], None]] = {
     1: isolate_minority,
     2: conflicting_updates,
@@ -26,22 +26,22 @@
     7: acknowledged_then_disks_lost,
 }
 SCENARIO_NUMBERS = (*sorted({*SCENARIOS, CALLER_SCENARIO}),)
-# Of these scenarios, by turns of the seed: memberships of three, five and seven.
+# By scenario; the seed selects one in turn, for memberships of three, five and seven.
 TOLERATED_FAILURES = {6: (1, 2, 3), 7: (1, 2, 3)}
 
 
 @dataclass(frozen=True, slots=True)
 class ScenarioResult:
-    """What one scenario came to."""
+    """Counts and violation messages of one scenario."""
 
     counts: ScenarioCounts
     messages: list[str]
 
 
 def run_scenario(number: int, seed: int, trace: Trace | None = None) -> ScenarioResult:
-    """Play one scenario and return what was seen in it.
+    """Run one scenario and return its counts and violation messages.
 
-    :raises Exception: what the product's state machines raise.
+    :raises Exception: any exception of the product's state machines.
     """
     if number == CALLER_SCENARIO:
         run = CallerRun(seed)
--- a/meadowworks/simulation/control/simulated_backend.py
+++ b/meadowworks/simulation/control/simulated_backend.py
@@ -1,4 +1,4 @@
-"""A backend that announces itself, drains and leaves, at whichever control plane answers."""
+"""A simulated backend that sends heartbeats, drains and leaves."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 HEARTBEAT_GAP_NS = 1500 * MS
 CALL_TIMEOUT_NS = SECOND
 RETRY_GAP_MS = (20, 200)
-ACKNOWLEDGEMENT_TIMEOUT_NS = 12 * SECOND  # after which a backend ends without an acknowledgement
+ACKNOWLEDGEMENT_TIMEOUT_NS = 12 * SECOND  # after which a backend stops without an acknowledgement
 REPLY_LOSS_RATE = 0.1
 LEAVE_WITHOUT_DRAIN_RATE = 0.3
 LATE_HEARTBEAT_RATE = 0.5
-SERVICE_AFTER_DRAIN_MS = (2000, 6000)  # after its drain is acknowledged
+SERVICE_AFTER_DRAIN_MS = (2000, 6000)  # from the acknowledgement of its drain to its departure
 
 
 class SimulatedBackend:
-    """One instance of a backend.
+    """One backend instance, which calls a random control plane for each message.
 
-    :param chance: of its own, so that it changes nothing else in a scenario.
+    :param rng: a separate generator, so that backends do not shift the random numbers of the scenario.
     """
 
     def __init__(self, cluster: Cluster, backend_id: str, rng: random.Random) -> None:
@@ -32,20 +32,20 @@
         self._cluster, self._random = cluster, rng
         self._state = UP
         self._sequence = 0
-        self._leaves = False
+        self._is_leaving = False
         self._acknowledged = False
-        self._announced_ns = 0
-        self._ended = False
+        self._first_attempt_ns = 0
+        self._has_given_up = False
 
     def start(self) -> None:
-        """Begin to send heartbeats."""
-        self._beat()
+        """Start to send heartbeats."""
+        self._send_heartbeats()
 
     def end(self) -> None:
-        """Announce the end: most say `draining` first, some leave at once."""
-        if self._leaves or self._state != UP:
+        """Start to drain, or leave at once, at random."""
+        if self._is_leaving or self._state != UP:
             return
-        self._announced_ns = self._cluster.now
+        self._first_attempt_ns = self._cluster.now
         if self._random.random() < LEAVE_WITHOUT_DRAIN_RATE:
             self._leave()
             return
@@ -54,42 +54,42 @@
         self._attempt()
 
     def _leave(self) -> None:
-        self._leaves, self._acknowledged = True, False
-        self._announced_ns = self._cluster.now
+        self._is_leaving, self._acknowledged = True, False
+        self._first_attempt_ns = self._cluster.now
         self._cluster.checker.counts.leaves += 1
         self._attempt()
 
-    def _beat(self) -> None:
-        if self._leaves or self._ended:
+    def _send_heartbeats(self) -> None:
+        if self._is_leaving or self._has_given_up:
             return
         if self._state == UP:
             self._call(lambda _: None)
-        self._cluster.scheduler.call_later(HEARTBEAT_GAP_NS, self._beat)
+        self._cluster.scheduler.call_later(HEARTBEAT_GAP_NS, self._send_heartbeats)
 
     def _attempt(self) -> None:
-        """Call a node; without an acknowledgement another one is called."""
-        if self._acknowledged or self._ended:
+        """Report the drain or departure to a random node, and retry until it is acknowledged."""
+        if self._acknowledged or self._has_given_up:
             return
-        if self._cluster.now - self._announced_ns > ACKNOWLEDGEMENT_TIMEOUT_NS:
-            self._ended = True
+        if self._cluster.now - self._first_attempt_ns > ACKNOWLEDGEMENT_TIMEOUT_NS:
+            self._has_given_up = True
             return
-        is_leave = self._leaves
-        waits = [True]  # for this attempt's answer
+        was_leaving = self._is_leaving
+        pending = [True]  # cleared when this attempt ends
 
         def next_attempt() -> None:
-            if waits and is_leave == self._leaves:
-                waits.clear()
+            if pending and was_leaving == self._is_leaving:
+                pending.clear()
                 self._cluster.scheduler.call_later(self._random.randrange(*RETRY_GAP_MS) * MS, self._attempt)
 
         def on_reply(acknowledged: bool) -> None:
             if acknowledged:
                 self._cluster.checker.on_drain_acknowledged(self.backend_id)
-            if self._random.random() < REPLY_LOSS_RATE or is_leave != self._leaves:
+            if self._random.random() < REPLY_LOSS_RATE or was_leaving != self._is_leaving:
                 return
             if not acknowledged:
                 next_attempt()
             elif not self._acknowledged:
-                waits.clear()
+                pending.clear()
                 self._on_acknowledged()
 
         self._call(on_reply)
@@ -98,15 +98,15 @@
     def _on_acknowledged(self) -> None:
         self._acknowledged = True
         counts, scheduler = self._cluster.checker.counts, self._cluster.scheduler
-        if self._leaves:
+        if self._is_leaving:
             counts.leaves_acked += 1
             return
         counts.drains_acked += 1
         scheduler.call_later(self._random.randrange(*SERVICE_AFTER_DRAIN_MS) * MS, self._leave)
         if self._random.random() < LATE_HEARTBEAT_RATE:
             document = self._document(UP, self._sequence - 1)
-            late_ns = self._random.randrange(4000) * MS
-            scheduler.call_later(late_ns, partial(self._deliver_late, document))
+            delay_ns = self._random.randrange(4000) * MS
+            scheduler.call_later(delay_ns, partial(self._deliver_late, document))
 
     def _call(self, on_reply: Any) -> None:
         self._sequence += 1
@@ -114,7 +114,7 @@
         if not running:
             return
         node = self._random.choice(running)
-        if self._leaves:
+        if self._is_leaving:
             call = partial(self._deliver_leave, node, on_reply)
         else:
             call = partial(
--- a/meadowworks/simulation/control/simulated_disk.py
+++ b/meadowworks/simulation/control/simulated_disk.py
@@ -1,9 +1,10 @@
-"""A disk that loses power: real SQLite over files in memory, each write, sync and name of its own.
+"""A simulated disk that can lose power: an SQLite VFS over in-memory files.
 
-A write is durable after the next sync of its file, a name that was made or removed after the next sync of
-the folder; SQLite's own unix files sync the folder with the first sync of a new journal, and on removal when
-asked to. At a loss of power whatever is not durable is kept, lost or torn, each by itself. Not covered:
-sectors that rot, a disk that lies about a sync, the folder's own name in the folder above.
+A write is durable after the next sync of its file. A created or deleted directory entry is durable after the
+next sync of the directory; like SQLite's unix VFS, this one syncs the directory with the first sync of a new
+journal, and on deletion when requested. A loss of power keeps, loses or tears each write that is not durable,
+independently of the others. Not simulated: bit rot, a disk that ignores syncs, and the entry of the directory
+in its parent directory.
 """
 
 from __future__ import annotations
@@ -19,19 +20,19 @@
 from meadowworks.storage.sqlite_store import SqliteStore
 
 VFS_NAME = "played"
-UNLIMITED = -1  # operations that a process may still do
-TORN_RATE = 0.15  # of writes that are not durable, at a loss of power
+UNLIMITED = -1  # value of `operations_left`
+TORN_RATE = 0.15  # share of the writes that are not durable at a loss of power
 
 
 class PowerLostError(Exception):
-    """The process that writes is gone."""
+    """Raised by operations of a process that has ended."""
 
 
 class SimulatedFile:
-    """The content of a file as processes see it, and as it is after a loss of power.
+    """A file's content as processes read it, and its durable content.
 
-    `pending` are the writes since the last sync: an offset with the bytes there, or None for a truncation.
-    The first sync of a file that `syncs_folder` makes the folder's names durable.
+    `pending` holds the writes since the last sync: an offset with the bytes written there, or with None for
+    a truncation. The first sync of a file with `syncs_folder` set also syncs the directory.
     """
 
     __slots__ = ("data", "durable", "pending", "syncs_folder")
@@ -42,29 +43,29 @@
         self.syncs_folder = False
 
     def write(self, offset: int, data: bytes | None) -> None:
-        """Write at an offset, or truncate there without data."""
+        """Write `data` at an offset, or truncate the file there if it is None."""
         apply_write(self.data, offset, data)
         self.pending.append((offset, data))
 
     def sync(self) -> None:
-        """Make all writes durable."""
+        """Make all pending writes durable."""
         for offset, data in self.pending:
             apply_write(self.durable, offset, data)
         self.pending = []
 
     def lose_power(self, rng: random.Random, kept_rate: float) -> None:
-        """Keep, lose or tear each write that is not durable."""
+        """Keep, lose or tear each pending write."""
         for offset, data in self.pending:
-            fate = rng.random()
-            if fate < TORN_RATE and data:
+            draw = rng.random()
+            if draw < TORN_RATE and data:
                 apply_write(self.durable, offset, data[: rng.randrange(len(data))])
-            elif fate < TORN_RATE + (1 - TORN_RATE) * kept_rate:
+            elif draw < TORN_RATE + (1 - TORN_RATE) * kept_rate:
                 apply_write(self.durable, offset, data)
         self.data, self.pending = bytearray(self.durable), []
 
 
 def apply_write(content: bytearray, offset: int, data: bytes | None) -> None:
-    """Write into a file's content, or truncate it without data."""
+    """Write `data` into a file's content at an offset, or truncate the content there if it is None."""
     if data is None:
         del content[offset:]
         return
@@ -74,10 +75,10 @@
 
 
 class SimulatedDisk:
-    """A machine's disk, and what is left of it when the process or the power is gone.
+    """A machine's disk with its behaviour when the process is killed or power is lost.
 
-    `operations_left` is how many operations the process may still do (`UNLIMITED`: it stays). Files that an
-    earlier generation has opened are dead.
+    `operations_left` is the number of operations that still succeed, or `UNLIMITED`. `generation`
+    increases with each end of a process; handles opened in an earlier generation raise `PowerLostError`.
     """
 
     _count = 0
@@ -93,9 +94,9 @@
         DISKS[folder_of(self.path)] = self
 
     def count_operation(self, generation: int) -> None:
-        """Count an operation of a generation's process.
+        """Count an operation of the process of a generation.
 
-        :raises PowerLostError: if that process is gone.
+        :raises PowerLostError: if that process has ended.
         """
         if generation != self.generation or self.operations_left == 0:
             raise PowerLostError
@@ -103,70 +104,73 @@
             self.operations_left -= 1
 
     def sync_folder(self) -> None:
-        """Make the names of the files durable."""
+        """Make the directory entries durable."""
         self._durable_files = dict(self.files)
 
     def kill_process(self) -> None:
-        """End the process; what it wrote stays, synced or not."""
+        """End the process and keep all of its writes, synced or not."""
         self.generation += 1
         self.operations_left = UNLIMITED
 
     def lose_power(self) -> None:
-        """End the process, and keep of what is not durable most, little, or any part."""
+        """End the process and keep most, little, or a random share of the state that is not durable."""
         self.kill_process()
-        mood = self._random.random()
-        kept_rate = 0.95 if mood < 0.25 else 0.05 if mood < 0.5 else self._random.random()
+        draw = self._random.random()
+        kept_rate = 0.95 if draw < 0.25 else 0.05 if draw < 0.5 else self._random.random()
         files = {}
         for name in sorted(self.files.keys() | self._durable_files.keys()):
-            now, before = self.files.get(name), self._durable_files.get(name)
-            found = now if now is before or self._random.random() < kept_rate else before
-            if found is not None:
-                files[name] = found
+            current, durable_file = self.files.get(name), self._durable_files.get(name)
+            kept = current if current is durable_file or self._random.random() < kept_rate else durable_file
+            if kept is not None:
+                files[name] = kept
         for file in files.values():
             file.lose_power(self._random, kept_rate)
         self.files, self._durable_files = files, dict(files)
 
     def size_bytes(self) -> int:
-        """Return the size of all files."""
+        """Return the total size of all files."""
         return sum(len(file.data) for file in self.files.values())
 
     def remove(self) -> None:
-        """Forget the disk."""
+        """Remove the disk from the registry of disks."""
         DISKS.pop(folder_of(self.path), None)
 
 
-DISKS: dict[str, SimulatedDisk] = {}  # by folder
+DISKS: dict[str, SimulatedDisk] = {}  # by directory
 
 
 def folder_of(path: str) -> str:
-    """Return the folder of a file."""
+    """Return the directory part of a path."""
     return path.rpartition("/")[0]
 
 
 class FileHandle:
-    """An open file, with the methods that apsw calls."""
+    """An open file with the methods of apsw.VFSFile."""
 
     def __init__(self, disk: SimulatedDisk, file: SimulatedFile) -> None:
         self.disk, self.file, self.generation = disk, file, disk.generation
 
-    def xRead(self, amount: int, offset: int) -> bytes:  # noqa: N802 (named by apsw, as all of these)
-        """Read; fails for a process that is gone."""
+    def xRead(self, amount: int, offset: int) -> bytes:  # noqa: N802 (names defined by apsw)
+        """Return the bytes at an offset.
+
+        :raises PowerLostError: if the process has ended.
+        """
         if self.generation != self.disk.generation:
             raise PowerLostError
         return bytes(self.file.data[offset : offset + amount])
 
     def xWrite(self, data: bytes, offset: int) -> None:  # noqa: N802
-        """Write, which is durable after a sync."""
+        """Write at an offset; durable after the next sync."""
         self.disk.count_operation(self.generation)
         self.file.write(offset, bytes(data))
 
     def xTruncate(self, size: int) -> None:  # noqa: N802
-        """Truncate, which is durable after a sync."""
+        """Truncate the file; durable after the next sync."""
         self.disk.count_operation(self.generation)
         self.file.write(size, None)
 
     def xSync(self, _flags: int) -> None:  # noqa: N802
-        """Make the file's writes durable."""
+        """Make the file's writes durable, and the directory if it is the first sync of a new journal."""
         self.disk.count_operation(self.generation)
         self.file.sync()
         if self.file.syncs_folder:
@@ -178,41 +182,44 @@
         return len(self.file.data)
 
     def xLock(self, level: int) -> None:  # noqa: N802
-        """One process has the file: there is nothing to lock."""
+        """Do nothing: only one process opens the file."""
 
     def xUnlock(self, level: int) -> None:  # noqa: N802
-        """There is nothing to unlock."""
+        """Do nothing: there are no locks."""
 
     def xClose(self) -> None:  # noqa: N802
-        """There is nothing to close."""
+        """Do nothing: there is no resource to release."""
 
     def xCheckReservedLock(self) -> bool:  # noqa: N802
-        """Nobody else has a lock."""
+        """Return False: there are no locks."""
         return False
 
     def xFileControl(self, _operation: int, _pointer: int) -> bool:  # noqa: N802
-        """No operation is known."""
+        """Return False: no file control operation is supported."""
         return False
 
     def xSectorSize(self) -> int:  # noqa: N802
-        """Return a usual size."""
+        """Return the sector size in bytes."""
         return 4096
 
     def xDeviceCharacteristics(self) -> int:  # noqa: N802
-        """A write changes no byte outside of it, as on disks that SQLite takes for granted."""
+        """Report that a write changes no byte outside its range, which is SQLite's default assumption."""
         return apsw.SQLITE_IOCAP_POWERSAFE_OVERWRITE
 
 
 class SimulatedVfs(apsw.VFS):
-    """The file system of all simulated disks, by folder."""
+    """An SQLite VFS that serves all simulated disks by directory."""
 
     def __init__(self) -> None:
         super().__init__(VFS_NAME, base="unix")
 
     def xOpen(self, name: Any, flags: list[int]) -> Any:  # noqa: N802
-        """Open a file, made if the flags say so."""
+        """Open a file, and create it if the flags allow that.
+
+        :raises apsw.CantOpenError: for a temporary file, or a missing file that must not be created.
+        """
         if name is None:
-            raise apsw.CantOpenError("no temporary files")
+            raise apsw.CantOpenError("temporary files are not supported")
         path = name if isinstance(name, str) else name.filename()
         disk = DISKS[folder_of(path)]
         file = disk.files.get(path)
@@ -226,7 +233,7 @@
         return FileHandle(disk, file)
 
     def xDelete(self, name: str, sync: bool) -> None:  # noqa: N802
-        """Remove a file, durably if the folder is to be synced."""
+        """Delete a file; sync the directory if requested."""
         disk = DISKS[folder_of(name)]
         disk.count_operation(disk.generation)
         disk.files.pop(name, None)
@@ -234,51 +241,57 @@
             disk.sync_folder()
 
     def xAccess(self, name: str, _flags: int) -> bool:  # noqa: N802
-        """Tell whether a file exists."""
+        """Return whether a file exists."""
         return name in DISKS[folder_of(name)].files
 
     def xFullPathname(self, name: str) -> str:  # noqa: N802
-        """All paths are full."""
+        """Return the path, which is always absolute."""
         return name
 
 
-VFS = SimulatedVfs()  # registered as long as it lives
+VFS = SimulatedVfs()  # apsw keeps it registered while this reference exists
 
 
 class ApswConnection:
-    """As much of `sqlite3.Connection` as `SqliteStore` uses; raises its errors."""
+    """The subset of `sqlite3.Connection` that `SqliteStore` uses, over apsw; raises sqlite3 errors."""
 
     def __init__(self, path: str) -> None:
         self._connection = apsw.Connection(path, vfs=VFS_NAME)
 
     def execute(self, sql: str, values: Any = ()) -> Any:
-        """Run a statement, or several."""
+        """Run one or more SQL statements.
+
+        :raises sqlite3.OperationalError: if SQLite fails or the process has ended.
+        """
         try:
             return self._connection.execute(sql, values)
         except (apsw.Error, PowerLostError) as error:
             raise sqlite3.OperationalError(str(error)) from error
 
     def executemany(self, sql: str, rows: Iterable[Any]) -> Any:
-        """Run a statement for each row of values."""
+        """Run a statement for each row of values.
+
+        :raises sqlite3.OperationalError: if SQLite fails or the process has ended.
+        """
         try:
             return self._connection.executemany(sql, rows)
         except (apsw.Error, PowerLostError) as error:
             raise sqlite3.OperationalError(str(error)) from error
 
     def executescript(self, sql: str) -> Any:
-        """Run several statements."""
+        """Run several SQL statements."""
         return self.execute(sql)
 
     @property
     def in_transaction(self) -> bool:
-        """Whether a transaction has begun and not ended."""
+        """Whether a transaction is open."""
         return self._connection.in_transaction
 
     def __enter__(self) -> ApswConnection:
         return self
 
-    def __exit__(self, kind: Any, *_rest: Any) -> None:
-        self.execute("ROLLBACK" if kind else "COMMIT")
+    def __exit__(self, exception_type: Any, *_exception_info: Any) -> None:
+        self.execute("ROLLBACK" if exception_type else "COMMIT")
 
     def close(self) -> None:
         """Close the connection."""
@@ -293,8 +306,8 @@
         self.configure(ApswConnection(disk.path))  # type: ignore[arg-type]
 
     def abandon(self) -> None:
-        """Close without another write: the process is gone (`kill_process` or `lose_power` came before)."""
-        self.disk.operations_left = 0  # SQLite would tidy up
+        """Close without further writes, after `kill_process` or `lose_power` has ended the process."""
+        self.disk.operations_left = 0  # prevents SQLite's cleanup writes on close
         with contextlib.suppress(apsw.Error, PowerLostError):
             self.connection.close()
         self.disk.operations_left = UNLIMITED
--- a/meadowworks/simulation/control/workload.py
+++ b/meadowworks/simulation/control/workload.py
@@ -1,4 +1,4 @@
-"""Operators who change the configuration, and readers."""
+"""The load of a scenario: configuration updates by operators, and reads."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from meadowworks.simulation.control.operator_update import OPERATOR_TIMEOUT_NS, OperatorUpdate
 from meadowworks.simulation.event_scheduler import MS, Callback
 
-RECENT_UPDATES = 6  # of which one may be sent again
+RECENT_UPDATES = 6  # from which `resend` chooses
 READ_GAP_MS = (50, 400)
-MillisecondRange = tuple[int, int]  # least, and one above the greatest
+MillisecondRange = tuple[int, int]  # inclusive minimum, exclusive maximum
 
 
 class Workload:
-    """The updates of a scenario; `highest_version` is the highest that was sent."""
+    """Sends updates and reads; `highest_version` is the highest version sent so far."""
 
     def __init__(self, cluster: Cluster) -> None:
         self.updates: list[OperatorUpdate] = []
@@ -23,7 +23,7 @@
         self._cluster = cluster
 
     def claim_next_version(self) -> int:
-        """Return the next version, which then counts as sent."""
+        """Return the next version and count it as sent."""
         self.highest_version += 1
         return self.highest_version
 
@@ -37,7 +37,7 @@
         first_node: SimulatedControlPlaneNode | None = None,
         timeout_ns: int = OPERATOR_TIMEOUT_NS,
     ) -> OperatorUpdate:
-        """Send an update that nobody sends again."""
+        """Send an update that `resend` does not repeat."""
         self.highest_version = max(self.highest_version, version)
         return OperatorUpdate(self._cluster, version, value, reply_loss, send_twice, first_node, timeout_ns)
 
@@ -48,19 +48,19 @@
         reply_loss: float,
         first_node: SimulatedControlPlaneNode | None = None,
     ) -> None:
-        """Send an update that may be sent again."""
+        """Send an update that `resend` may repeat."""
         self.updates.append(self.create(version, value, reply_loss, first_node=first_node))
 
     def submit(self, reply_loss: float = 0.05, rival_count: int = 0) -> None:
-        """Send the next version; rivals send their own under the same number, some the same."""
+        """Send an update with a new version and `rival_count` more with that version, some of equal value."""
         rng = self._cluster.random
         version = self.highest_version + rng.choice([1, 1, 1, 2, 5])
         values = [f"{version}-{number}".encode() for number in range(rival_count + 1)]
         for number in range(rival_count + 1):
             value = values[number] if number == 0 or rng.random() < 0.8 else values[0]
-            wait_ns = 0 if number == 0 else rng.randrange(50 * MS)
+            delay_ns = 0 if number == 0 else rng.randrange(50 * MS)
             self._cluster.scheduler.call_later(
-                wait_ns, partial(self._send_to_some, version, value, reply_loss)
+                delay_ns, partial(self._send_to_some, version, value, reply_loss)
             )
 
     def _send_to_some(self, version: int, value: bytes, reply_loss: float) -> None:
@@ -68,24 +68,24 @@
         self.updates.append(self.create(version, value, reply_loss, send_twice=send_twice))
 
     def resend(self) -> None:
-        """Send one of the last updates again as it was, whether or not its answer came."""
+        """Repeat one of the latest updates, whether or not it was acknowledged."""
         if self.updates:
             update = self._cluster.random.choice(self.updates[-RECENT_UPDATES:])
             self._send_to_some(update.version, update.value, 0.2)
 
     def read_at_random_node(self) -> None:
-        """Read at any node that is up."""
+        """Start a quorum read at a random node, if it is up."""
         node = self._cluster.random.choice(list(self._cluster.nodes.values()))
         if node.up:
             node.deliver(node.incarnation, node.read)
 
     def repeat(self, start_ns: int, end_ns: int, action: Callback, gap_ms: MillisecondRange) -> None:
-        """Do something again and again between two times."""
+        """Run an action repeatedly, with random gaps, between two times."""
         cluster = self._cluster
 
-        def act() -> None:
+        def run_once() -> None:
             if cluster.now < end_ns:
                 action()
-                cluster.scheduler.call_later(cluster.random.randrange(*gap_ms) * MS, act)
+                cluster.scheduler.call_later(cluster.random.randrange(*gap_ms) * MS, run_once)
 
-        cluster.scheduler.call_at(start_ns, act)
+        cluster.scheduler.call_at(start_ns, run_once)
