--- a/tests/simulation/test_control_scenarios.py
+++ b/tests/simulation/test_control_scenarios.py
@@ -1,4 +1,4 @@
-"""`lab control`: a few seeds of each scenario, and some guards that are missed when they are gone."""
+"""`lab control`: a few seeds of each scenario, and scenarios that detect disabled guards."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize("scenario_number", SCENARIO_NUMBERS)
-def test_scenarios_without_a_violation(scenario_number: int) -> None:
+def test_scenario_has_no_violation(scenario_number: int) -> None:
     outcome = run_seeds(scenario_number, range(3), "", 1)
     assert outcome.complete
     assert outcome.counts.days == 3
@@ -19,7 +19,7 @@
     assert not outcome.counts.violations(), outcome.messages
 
 
-def test_the_same_seed_gives_the_same_scenario() -> None:
+def test_same_seed_gives_same_outcome() -> None:
     assert run_seed(2, "", 5) == run_seed(2, "", 5)
 
 
@@ -34,24 +34,24 @@
         ("replace", "never_level"),
     ],
 )
-def test_a_guard_that_is_gone_is_missed(name: str, count_name: str) -> None:
+def test_disabled_guard_is_detected(name: str, count_name: str) -> None:
     outcome = run_seeds(GUARDS_BY_NAME[name].scenario_number, range(2), name, 1)
     assert outcome.counts.violations().get(count_name), outcome.counts
 
 
-def test_a_guard_is_back_after_its_scenario() -> None:
+def test_guard_is_restored_after_its_scenario() -> None:
     run_seed(2, "one-content", 0)
     assert not run_seeds(2, range(1), "", 1).counts.violations()
 
 
 @pytest.mark.parametrize("name", sorted(GUARDS_BY_NAME))
-def test_each_guard_names_members_of_the_product(name: str) -> None:
+def test_each_guard_patches_existing_attributes(name: str) -> None:
     for patch in GUARDS_BY_NAME[name].patches:
         assert hasattr(patch.owner, patch.name)
 
 
 @pytest.mark.parametrize(
-    "words",
+    "arguments",
     [
         ["--point", "9"],
         ["--seeds", "3"],
@@ -60,6 +60,8 @@
         ["--processes", "17"],
     ],
 )
-def test_bad_input_is_told_in_a_line(words: list[str], capsys: pytest.CaptureFixture[str]) -> None:
-    assert commands.main(["lab", "control", *words]) == 2
+def test_invalid_option_is_reported_in_one_line(
+    arguments: list[str], capsys: pytest.CaptureFixture[str]
+) -> None:
+    assert commands.main(["lab", "control", *arguments]) == 2
     assert capsys.readouterr().err.count("\n") == 1
--- a/tests/simulation/test_guards_alone.py
+++ b/tests/simulation/test_guards_alone.py
@@ -1,6 +1,6 @@
-"""Guards that scenarios seldom miss, because others stand behind them: each is missed here when it is gone.
+"""Guards whose absence the scenarios rarely detect, because other guards mask it.
 
-`GUARD_CHECKS` has a check for each of these, which holds with the guard and fails without it.
+`GUARD_CHECKS` has a check for each of them, which passes with the guard and fails without it.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 def replica_in_touch(now_ns: int) -> Replica:
-    """Member a, which has just heard from b and c."""
+    """Return the replica of member a, with replies of b and c at `now_ns`."""
     replica = started_replica(member("a"))
     replica.tick(now_ns)
     for member_id in ("b", "c"):
@@ -36,35 +36,35 @@
     return sorted(effect.address for effect in replica.take_effects() if isinstance(effect, SendRequest))
 
 
-def resend() -> None:
+def check_resend() -> None:
     replica = replica_in_touch(1)
     replica.propose(1, 1, 5, b"five", 10 * RESEND_INTERVAL_NS)
     assert requests_to(replica) == ["h:1", "h:2"]
     replica.tick(1 + RESEND_INTERVAL_NS - 1)
     assert requests_to(replica) == []
     replica.tick(1 + RESEND_INTERVAL_NS)
-    assert requests_to(replica) == ["h:1", "h:2"]  # no reply has come
+    assert requests_to(replica) == ["h:1", "h:2"]  # resent without a reply
 
 
-def thaw() -> None:
+def check_thaw() -> None:
     replica = replica_in_touch(1)
-    late_ns = 1 + 10 * STALL_THRESHOLD_NS  # the process stood still meanwhile
+    late_ns = 1 + 10 * STALL_THRESHOLD_NS  # the process was suspended
     replica.tick(late_ns)
     assert replica.membership_monitor.silent_members(late_ns) == []
 
 
-def install_majority() -> None:
+def check_install_majority() -> None:
     call = Reconfiguration(ABC, NEXT_EPOCH)
     for member_id in ("a", "b"):
         call.on_reply(member_id, member(member_id).handle(call.request()))
     assert isinstance(call.request(), InstallRequest)
     call.on_reply("a", InstalledReply(NEXT_EPOCH.number))
-    assert call.outcome is None  # one of three
+    assert call.outcome is None  # one of three new members
     call.on_reply("d", InstalledReply(NEXT_EPOCH.number))
     assert call.outcome is not None
 
 
-def transfer() -> None:
+def check_transfer() -> None:
     newcomer = member("d")
     state = AcceptorState(CommittedValue(4, b"four"), (), ((5, BALLOT, BALLOT, b"five"),))
     assert newcomer.install(NEXT_EPOCH, state) == InstalledReply(NEXT_EPOCH.number)
@@ -72,42 +72,42 @@
     assert newcomer.slots[5] == AcceptorSlot(BALLOT, BALLOT, b"five")
 
 
-def lease_in_epoch() -> None:
+def check_lease_in_epoch() -> None:
     acceptor = member("b")
     acceptor.seal(ABC.number, NEXT_EPOCH)
     assert not acceptor.may_vote()
     assert not acceptor.query_reply().may_vote
 
 
-def write_before_reply() -> None:
+def check_write_before_reply() -> None:
     replica = replica_in_touch(1)
     replica.propose(1, 1, 5, b"five", 10 * RESEND_INTERVAL_NS)
     (operation,) = replica.operations.values()
     assert operation.quorum_call is not None
-    # The own acceptor's promise counts once it is on the disk, and not before.
+    # The promise of the own acceptor does not count before it is written.
     assert "a" in dict(operation.quorum_call.unanswered_members())
 
 
 GUARD_CHECKS: dict[str, Callable[[], None]] = {
-    "resend": resend,
-    "thaw": thaw,
-    "install-majority": install_majority,
-    "transfer": transfer,
-    "lease-in-epoch": lease_in_epoch,
-    "write-before-reply": write_before_reply,
+    "resend": check_resend,
+    "thaw": check_thaw,
+    "install-majority": check_install_majority,
+    "transfer": check_transfer,
+    "lease-in-epoch": check_lease_in_epoch,
+    "write-before-reply": check_write_before_reply,
 }
 
 
 @pytest.mark.parametrize("name", GUARD_CHECKS)
-def test_a_guard_holds(name: str) -> None:
+def test_check_passes_with_guard(name: str) -> None:
     GUARD_CHECKS[name]()
 
 
 @pytest.mark.parametrize("name", GUARD_CHECKS)
-def test_a_guard_that_alone_is_gone_is_missed(name: str) -> None:
+def test_check_fails_without_guard(name: str) -> None:
     with without_guard(name), pytest.raises(AssertionError):
         GUARD_CHECKS[name]()
 
 
-def test_the_list_of_guards_says_which_are_found_here() -> None:
+def test_unit_tested_guards_match_checks() -> None:
     assert set(UNIT_TESTED_GUARDS) == set(GUARD_CHECKS) <= set(GUARDS_BY_NAME)
--- a/tests/simulation/test_leaving_member.py
+++ b/tests/simulation/test_leaving_member.py
@@ -1,4 +1,4 @@
-"""A member that had to stay leaves, a newcomer is added, and another member is lost before 2 s are over."""
+"""Regression test: a member is lost right after a leaving member was replaced."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def three_members(first_seed: int) -> ClusterScenario:
-    """A scenario with one tolerated failure, reliable links and disks."""
+    """Return a scenario with one tolerated failure, a reliable network and reliable disks."""
     seed = first_seed
     while (scenario := ClusterScenario(seed)).tolerated_failures != 1:
         seed += 1
@@ -23,14 +23,14 @@
 
 
 @pytest.mark.parametrize("seed", [1, 20, 40, 60, 80])
-def test_a_majority_is_left_when_a_member_is_lost_right_after_a_leaving_one_was_replaced(seed: int) -> None:
+def test_majority_remains_when_member_is_lost_right_after_replacement(seed: int) -> None:
     scenario = three_members(seed)
     scheduler, first, second = scenario.scheduler, scenario.voters_by_index[0], scenario.voters_by_index[1]
     scheduler.run_until(5 * SECOND)
-    # There are three members: the one that is told to end stays in the membership.
+    # With three members the leaving one stays in the membership until a successor replaces it.
     scheduler.call_at(5 * SECOND, partial(first.shut_down, GRACE_NS))
     scheduler.call_at(5 * SECOND + 300 * MS, partial(start_successor, scenario, 0))
-    loss_ns = 5 * SECOND + MEMBER_SILENCE_TIMEOUT_NS - 300 * MS  # before silence alone would tell
+    loss_ns = 5 * SECOND + MEMBER_SILENCE_TIMEOUT_NS - 300 * MS  # before the silence timeout
     scheduler.call_at(loss_ns, partial(scenario.kill, second, True))
     scenario.lost_until_ns[1] = NEVER_NS
     scheduler.call_at(loss_ns, lambda: setattr(second, "removed", True))
--- a/tests/simulation/test_network.py
+++ b/tests/simulation/test_network.py
@@ -1,4 +1,4 @@
-"""The simulated network: messages take time, meet cuts, are lost and doubled by the rates that are set."""
+"""The simulated network: delay, one-way cuts, loss and duplication of messages."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     return scheduler, SimulatedNetwork(scheduler, random.Random(seed)), []
 
 
-def test_each_message_arrives_once_and_is_a_contact() -> None:
+def test_each_message_arrives_once_and_updates_last_contact() -> None:
     scheduler, network, arrivals = build()
     scheduler.run_until(SECOND)
     send_all(network, arrivals)
@@ -31,7 +31,7 @@
     assert network.last_contact == {("a", "b"): SECOND}
 
 
-def test_a_cut_goes_one_way_and_what_it_held_up_arrives_after_it() -> None:
+def test_cut_is_one_way_and_held_messages_arrive_after_heal() -> None:
     scheduler, network, arrivals = build()
     answers: list[int] = []
     network.cut("a", "b")
@@ -42,14 +42,14 @@
     assert answers
     network.heal()
     scheduler.run_until(2 * SECOND)
-    assert 0 < len(arrivals) < MESSAGES  # some were lost at the cut
-    assert network.last_contact["a", "b"] == 0  # they left before it was mended
+    assert 0 < len(arrivals) < MESSAGES  # the cut dropped some
+    assert network.last_contact["a", "b"] == 0  # the time of sending, not of delivery
 
 
-@pytest.mark.parametrize(("rate", "few", "many"), [("loss_rate", 1, 39), ("duplicate_rate", 41, 79)])
-def test_messages_are_lost_and_doubled(rate: str, few: int, many: int) -> None:
+@pytest.mark.parametrize(("rate", "minimum", "maximum"), [("loss_rate", 1, 39), ("duplicate_rate", 41, 79)])
+def test_messages_are_lost_and_duplicated(rate: str, minimum: int, maximum: int) -> None:
     scheduler, network, arrivals = build()
     setattr(network, rate, 0.5)
     send_all(network, arrivals)
     scheduler.run_until(SECOND)
-    assert few <= len(arrivals) <= many
+    assert minimum <= len(arrivals) <= maximum
--- a/tests/simulation/test_simulated_disk.py
+++ b/tests/simulation/test_simulated_disk.py
@@ -1,4 +1,4 @@
-"""The simulated disk: what was saved outlives a loss of power, what was not synced may not."""
+"""The simulated disk: synced writes survive a loss of power, others may be lost."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_what_was_saved_outlives_a_loss_of_power_at_any_operation(seed: int) -> None:
+def test_saved_state_survives_power_loss_at_any_operation(seed: int) -> None:
     disk, saved = SimulatedDisk(random.Random(seed)), 0
     for incarnation in range(6):
         store = SimulatedStore(disk)
         loaded = store.load().committed.version
-        assert loaded in (saved, saved + 1)  # a save that was cut short may have been done
+        assert loaded in (saved, saved + 1)  # an interrupted save may have become durable
         saved = loaded
         for _ in range(3):
             store.save(update(saved + 1))
@@ -39,7 +39,7 @@
     disk.remove()
 
 
-def test_a_save_without_sync_is_lost() -> None:
+def test_unsynced_save_is_lost() -> None:
     lost = 0
     for seed in range(10):
         disk = SimulatedDisk(random.Random(seed))
