--- a/meadowworks/runtime/address.py
+++ b/meadowworks/runtime/address.py
@@ -1,4 +1,4 @@
-"""An address and port that a program listens on or calls."""
+"""Parsing of `ip:port` addresses."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
     @classmethod
     def parse(cls, text: str) -> Address:
-        """Read `ip:port`.
+        """Parse `ip:port`.
 
-        :raises ValueError: if the text is none.
+        :raises ValueError: if the text is not a host and a port from 1 to 65535.
         """
         host, colon, port = text.rpartition(":")
         if not colon or not host or not port.isascii() or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
--- a/meadowworks/runtime/asgi.py
+++ b/meadowworks/runtime/asgi.py
@@ -1,7 +1,8 @@
-"""The types of ASGI, the interface between `http_server` and the programs' request handlers.
+"""Type aliases for ASGI, the interface between `http_server` and the programs' request handlers.
 
-Beside what ASGI defines, a scope has two fields: `target`, the request's target as it came, and `connection`,
-the `server_connection.ServerConnection` that the request came on.
+In addition to the ASGI fields, a scope contains `target`, the unmodified request target, `connection`, the
+`server_connection.ServerConnection` that received the request, and `received_ns`, the monotonic time at which
+its headers were complete.
 """
 
 from __future__ import annotations
--- a/meadowworks/runtime/background_tasks.py
+++ b/meadowworks/runtime/background_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that nobody awaits: their failures are logged, and a broken invariant ends the program."""
+"""Background tasks: failures are logged, and a violated invariant ends the program."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 class BackgroundTasks:
     """The background tasks of one program.
 
-    A task that fails is logged and the others go on, since half a program serves better than none. An
-    `InvariantError` is the exception: state can't be trusted any more, and `wait_for_shutdown` raises it.
+    If a task fails, the error is logged and the other tasks continue. An `InvariantError` means that the
+    program's state is invalid: `wait_for_shutdown` raises it.
     """
 
     def __init__(self) -> None:
@@ -25,16 +25,16 @@
         self._fatal_error: asyncio.Future[None] | None = None
 
     def start(self, coroutine: Coroutine[Any, Any, T]) -> asyncio.Task[T]:
-        """Run a coroutine as a task, which is kept alive until it is done."""
+        """Run a coroutine as a task, and keep a reference to the task until it is done."""
         task = asyncio.get_running_loop().create_task(coroutine)
         self.running.add(task)
         task.add_done_callback(self._on_done)
         return task
 
     def cancel_after(self, task: asyncio.Task[Any], timeout_s: float, on_done: Callable[[], None]) -> None:
-        """Cancel a task unless it ends within the time-out.
+        """Cancel a task unless it ends within the timeout.
 
-        :param on_done: called once the task is over, however it ended.
+        :param on_done: called once when the task has returned, failed or been cancelled.
         """
         timer = asyncio.get_running_loop().call_later(max(0.0, timeout_s), task.cancel)
 
@@ -45,11 +45,12 @@
         task.add_done_callback(cancel_timer)
 
     async def run_periodically(self, interval_s: float, action: Callable[[], object]) -> None:
-        """Call `action`, and await what it returns if that is awaitable, `interval_s` after its last end.
+        """Call `action` repeatedly, with a pause of `interval_s` before each call, and await its result.
 
-        Any exception but an `InvariantError` is logged, and the next call follows.
+        The result is awaited only if it is awaitable. Exceptions other than `InvariantError` are logged, and
+        the next call follows.
 
-        :raises InvariantError: what `action` raised.
+        :raises InvariantError: if `action` raises it.
         """
         while True:
             await asyncio.sleep(interval_s)
@@ -64,22 +65,22 @@
                 log.exception("periodic_task_failed", task=name, retry_s=interval_s)
 
     async def wait_for_shutdown(self, shutdown_requested: asyncio.Future[None]) -> None:
-        """Return when the shutdown is requested.
+        """Return when shutdown is requested.
 
-        :raises InvariantError: a task found a broken invariant first.
+        :raises InvariantError: if a task raises it first.
         """
         await asyncio.wait([shutdown_requested, self.fatal_error], return_when=asyncio.FIRST_COMPLETED)
         if self.fatal_error.done():
             self.fatal_error.result()
 
     def close(self) -> None:
-        """Cancel all tasks."""
+        """Cancel all running tasks."""
         for task in list(self.running):
             task.cancel()
 
     @property
     def fatal_error(self) -> asyncio.Future[None]:
-        """Gets the first `InvariantError` of any task as its exception."""
+        """A future whose exception is the first `InvariantError` raised by a task."""
         if self._fatal_error is None:
             self._fatal_error = asyncio.get_running_loop().create_future()
         return self._fatal_error
@@ -89,10 +90,10 @@
         if task.cancelled() or (error := task.exception()) is None:
             return
         if not isinstance(error, InvariantError):
-            log.opt(exception=error).error("background_task_failed", task=_name_of(task))
+            log.opt(exception=error).error("background_task_failed", task=_task_name(task))
         elif not self.fatal_error.done():
             self.fatal_error.set_exception(error)
 
 
-def _name_of(task: asyncio.Task[Any]) -> str:
+def _task_name(task: asyncio.Task[Any]) -> str:
     return getattr(task.get_coro(), "__qualname__", task.get_name())
--- a/meadowworks/runtime/buffered_stream.py
+++ b/meadowworks/runtime/buffered_stream.py
@@ -1,4 +1,4 @@
-"""httpcore's network stream over an asyncio transport; received bytes are buffered until they are read."""
+"""An httpcore network stream on an asyncio transport, with a receive buffer."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class BufferedStream(asyncio.Protocol, httpcore.AsyncNetworkStream):
-    """One TCP connection. The time-outs of httpcore are not used: callers bound each call by themselves."""
+    """One TCP connection. Timeouts passed by httpcore are ignored: callers limit the time of each call."""
 
     def __init__(self) -> None:
         self._transport: Any = None
@@ -20,32 +20,32 @@
 
     @property
     def buffer(self) -> bytearray:
-        """Bytes that have come and are not read yet."""
+        """Bytes that were received but not read yet."""
         return self._buffer
 
     @property
     def at_eof(self) -> bool:
-        """Whether the peer has closed its side, or the connection is lost."""
+        """Whether the peer has closed its sending side, or the connection is lost."""
         return self._at_eof
 
     @property
     def read_waiter(self) -> asyncio.Future[None] | None:
-        """What a reader waits for, if one waits for bytes."""
+        """The future of a pending read, or None."""
         return self._read_waiter
 
     # -- asyncio.Protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport that the loop has connected."""
+        """Store the transport of the new connection."""
         self._transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """Buffer bytes for the next read."""
+        """Append bytes to the receive buffer."""
         self._buffer += data
         self._wake_reader()
 
     def eof_received(self) -> bool:
-        """Note that the peer sends no more.
+        """Record the end of the input.
 
         :returns: False, so that asyncio closes the transport.
         """
@@ -54,7 +54,7 @@
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Note the end of the connection, and whether it was an orderly one."""
+        """Record the end of the connection, and its error unless one is recorded already."""
         self._at_eof = True
         self._error = self._error or exc
         self._wake_reader()
@@ -62,10 +62,10 @@
     # -- httpcore.AsyncNetworkStream
 
     async def read(self, max_bytes: int, timeout: float | None = None) -> bytes:  # noqa: ARG002
-        """Wait for bytes.
+        """Wait until bytes are available, and return them.
 
-        :returns: at most `max_bytes`; none once the peer has ended the connection in order.
-        :raises httpcore.ReadError: if the connection was reset, or given up: more bytes may have been due.
+        :returns: at most `max_bytes`; empty once the peer has closed the connection cleanly.
+        :raises httpcore.ReadError: if the connection was reset or aborted, so that data may be missing.
         """
         while not self._buffer and not self._at_eof:
             self._read_waiter = asyncio.get_running_loop().create_future()
@@ -74,14 +74,14 @@
             finally:
                 self._read_waiter = None
         if not self._buffer and self._error is not None:
-            # Guards against a response without a length that looks complete where it was cut off.
+            # Prevents a truncated response without a length from being taken as complete after a reset.
             raise httpcore.ReadError(str(self._error))
         data = bytes(self._buffer[:max_bytes])
         del self._buffer[:max_bytes]
         return data
 
     async def write(self, buffer: bytes, timeout: float | None = None) -> None:  # noqa: ARG002
-        """Hand bytes to the transport, without waiting until they have left.
+        """Pass bytes to the transport, without waiting until they are sent.
 
         :raises httpcore.WriteError: if the connection is closed.
         """
@@ -90,30 +90,30 @@
         self._transport.write(buffer)
 
     async def aclose(self) -> None:
-        """Close at once, without waiting."""
+        """Close the connection immediately, and drop unsent data."""
         self.close()
 
     def close(self) -> None:
-        """Close at once; what is not sent yet is dropped."""
+        """Close the connection immediately, and drop unsent data."""
         if self._transport is not None:
             self._transport.abort()
 
     def abort(self, error: Exception) -> None:
-        """Close at once, and let the reader know why."""
+        """Close the connection immediately; pending and later reads fail with this error."""
         self._error = error
         self.close()
 
     def has_unsent_data(self) -> bool:
-        """Whether bytes have not been handed to the system yet, because the peer does not read."""
+        """Whether the transport still buffers bytes that the kernel has not accepted."""
         return bool(self._transport.get_write_buffer_size())
 
     def get_extra_info(self, info: str) -> Any:
-        """Return whether an idle connection has ended, which httpcore asks, or a fact of the transport."""
-        if info == "is_readable":  # while idle: an end, or bytes that belong to no request
+        """Return transport information, or for `is_readable` whether an idle connection has expired."""
+        if info == "is_readable":  # an idle connection is readable after its end or after unsolicited bytes
             return self._at_eof or bool(self._buffer) or self._transport.is_closing()
         return self._transport.get_extra_info(info)
 
-    # -- inside
+    # -- internal
 
     def _wake_reader(self) -> None:
         if self._read_waiter is not None and not self._read_waiter.done():
--- a/meadowworks/runtime/clock.py
+++ b/meadowworks/runtime/clock.py
@@ -1,4 +1,4 @@
-"""The clock that both programs and their tests read."""
+"""The monotonic clock of the programs and their tests."""
 
 from __future__ import annotations
 
--- a/meadowworks/runtime/compression.py
+++ b/meadowworks/runtime/compression.py
@@ -1,4 +1,4 @@
-"""zlib in steps: a large configuration is compressed and decompressed without holding the event loop."""
+"""zlib compression in steps, so that a large configuration does not block the event loop."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 from meadowworks.runtime.steps import Steps
 
-BLOCK_BYTES = 1 << 16  # in one call of the library: well below a millisecond of compression
-BLOCKS_PER_STEP = 4  # that are decompressed, which takes about a quarter of the time
+BLOCK_BYTES = 1 << 16  # size of one zlib call, so that a call takes less than a millisecond
+BLOCKS_PER_STEP = 4  # decompressed per step: decompression is faster than compression
 
 
 def compress_steps(data: bytes, level: int = 6) -> Steps[bytes]:
-    """Compress `data` into what `zlib.decompress` reads.
+    """Compress `data` in the zlib format.
 
-    :param level: zlib's, from 0 (none) to 9 (smallest).
+    :param level: zlib's compression level, from 0 (none) to 9 (smallest output).
     """
     if len(data) <= BLOCK_BYTES:
         return zlib.compress(data, level)
@@ -27,10 +27,10 @@
 
 
 def decompress_steps(compressed: bytes, max_bytes: int) -> Steps[bytes]:
-    """Decompress what `zlib.compress` has made.
+    """Decompress data in the zlib format.
 
-    :param max_bytes: that the data may have. Guards against a small message that fills the memory.
-    :raises ValueError: if the input is truncated, is not zlib's, or holds more than `max_bytes`.
+    :param max_bytes: the maximum decompressed size. Prevents a small message from exhausting memory.
+    :raises ValueError: if the input is truncated or not valid, or decompresses to more than `max_bytes`.
     """
     decompressor = zlib.decompressobj()
     blocks: list[bytes] = []
--- a/meadowworks/runtime/connection_limit.py
+++ b/meadowworks/runtime/connection_limit.py
@@ -1,7 +1,7 @@
-"""How many connections a server holds at once, and which one it closes so that the next can come in.
+"""A limit on the open connections of a server, and the choice of the connection to evict.
 
-Decides only; the servers act. The fleet controller imports this module at its start: it may pull in nothing
-else of the project or of a library.
+This module only decides; the servers close connections. The fleet controller imports it at startup, so it
+must not import other modules of the project or third-party libraries.
 """
 
 from __future__ import annotations
@@ -12,10 +12,10 @@
 
 
 class Eviction(NamedTuple, Generic[ConnectionT]):
-    """What makes way for the next connection.
+    """The connection to close so that another one can be accepted.
 
-    :ivar connection: the one to close; None if there is none that may be closed now.
-    :ivar wait_ns: how long until there may be one; 0 if only the end of some connection makes way.
+    :ivar connection: the connection to close; None if no connection may be closed now.
+    :ivar wait_ns: the time until a connection may be evicted; 0 if only the end of a connection makes room.
     """
 
     connection: ConnectionT | None
@@ -23,45 +23,44 @@
 
 
 class ConnectionLimit(Generic[ConnectionT]):
-    """At most `max_connections` at once; an idle or unidentified one makes way for a new one.
+    """A limit of `max_connections` open connections; idle or unidentified ones are evicted for new ones.
 
-    A connection that is protected, because its peer is known or because a request of it is served, is never
-    closed for another. A new or idle one is left alone for `grace_ns`, so that what its peer has sent has
-    time to arrive.
+    A protected connection is never evicted: its peer is identified, or one of its requests is being served. A
+    new or idle connection is not evicted for `grace_ns`, so that data in transit from its peer can arrive.
     """
 
     def __init__(self, max_connections: int, grace_ns: int) -> None:
         self.max_connections = max(1, max_connections)
         self.grace_ns = grace_ns
         self.open_count = 0
-        self.evictable: dict[ConnectionT, int] = {}  # with the time since when, oldest first
+        self.evictable: dict[ConnectionT, int] = {}  # value: time since when it is evictable; oldest first
 
     def on_open(self, now_ns: int, connection: ConnectionT) -> None:
-        """Count a new connection, which may be evicted after its grace time."""
+        """Add a new connection, which may be evicted after the grace period."""
         self.open_count += 1
         self.evictable[connection] = now_ns
 
     def protect(self, connection: ConnectionT) -> None:
-        """Exempt a connection from eviction: it is identified, in use, or already closing."""
+        """Exempt a connection from eviction because it is identified, in use, or already closing."""
         self.evictable.pop(connection, None)
 
     def on_idle(self, now_ns: int, connection: ConnectionT) -> None:
-        """Let a connection be evicted again, after its grace time."""
+        """Allow eviction of a connection again, after the grace period."""
         self.evictable[connection] = now_ns
 
     def on_close(self, connection: ConnectionT) -> None:
-        """Give back the place of a connection that has ended."""
+        """Remove a closed connection."""
         self.open_count -= 1
         self.evictable.pop(connection, None)
 
     def is_full(self) -> bool:
-        """Whether the next connection has to wait for an eviction or an end."""
+        """Whether another connection must be evicted or closed before the next one is accepted."""
         return self.open_count >= self.max_connections
 
     def next_eviction(self, now_ns: int) -> Eviction[ConnectionT]:
-        """Which connection to close so that the next can come in, or how long to wait for one."""
+        """Return the connection to close for the next one, or the time to wait for a candidate."""
         if not self.is_full() or not self.evictable:
             return Eviction(None, 0)
         oldest, since_ns = next(iter(self.evictable.items()))
-        left_ns = since_ns + self.grace_ns - now_ns
-        return Eviction(None, left_ns) if left_ns > 0 else Eviction(oldest, 0)
+        remaining_ns = since_ns + self.grace_ns - now_ns
+        return Eviction(None, remaining_ns) if remaining_ns > 0 else Eviction(oldest, 0)
--- a/meadowworks/runtime/cooperative.py
+++ b/meadowworks/runtime/cooperative.py
@@ -1,7 +1,7 @@
-"""Long work in turns with the event loop, which is never held for more than a few milliseconds.
+"""Cooperative execution of long computations, which block the event loop for at most a few milliseconds.
 
-No thread: all threads of a process share one interpreter lock and, on the users' machines, one core, and a
-call into a library may hold that lock for as long as it takes.
+Threads are not used: they share the interpreter lock and, on the target machines, one core, and a call into a
+library may hold the lock until it returns.
 """
 
 from __future__ import annotations
@@ -14,25 +14,26 @@
 
 from meadowworks.runtime.steps import Steps
 
-# Short beside the shortest deadline in use (tens of milliseconds), long beside a step (tens of microseconds).
+# Much shorter than the shortest deadline in use (tens of milliseconds), much longer than a step (tens of
+# microseconds).
 TIME_SLICE_S = 0.002
 T = TypeVar("T")
 
 
 @dataclass(frozen=True, slots=True)
 class _Outcome(Generic[T]):
-    """What all steps have come to."""
+    """The result of completed steps, which may itself be None."""
 
     value: T
 
 
 async def run_cooperatively(steps: Steps[T], lock: asyncio.Lock | None = None) -> T:
-    """Run all steps, and let the event loop turn after each time slice.
+    """Run all steps, and yield to the event loop after each time slice.
 
-    Work that ends within its first slice never waits, except for the lock.
+    A computation that ends within its first slice does not yield, except while it waits for the lock.
 
-    :param lock: held from the first step to the last, so that works which need much memory run one by one.
-    :returns: the outcome of the last step.
+    :param lock: held from first to last step, so that memory-intensive computations run one at a time.
+    :returns: the result of the computation.
     """
     async with lock or nullcontext():
         while True:
@@ -45,7 +46,7 @@
 def _run_slice(steps: Steps[T]) -> _Outcome[T] | None:
     """Run steps for one time slice.
 
-    :returns: None if there are further steps.
+    :returns: the outcome, or None if steps remain.
     """
     end = time.monotonic() + TIME_SLICE_S
     try:
--- a/meadowworks/runtime/errors.py
+++ b/meadowworks/runtime/errors.py
@@ -1,9 +1,9 @@
-"""The one tree of exceptions. What is expected in service is a value that is returned, not an exception.
+"""The exception hierarchy. Outcomes that are normal in operation are return values instead of exceptions.
 
 MeadowworksError
-    SettingsError             the operator must mend the settings file
+    SettingsError             the operator must correct the settings file
     InvariantError            a bug: the process must stop
-    RequestError              a call failed; `may_have_run` says whether it may be retried
+    RequestError              a call failed; `may_have_run` tells whether it may be retried
         ConnectError          not connected: any request may be retried
             ConnectTimeoutError
         ConnectionBrokenError
@@ -15,25 +15,25 @@
 
 
 class MeadowworksError(Exception):
-    """Every exception that the gateway raises by itself."""
+    """The base class of the gateway's own exceptions."""
 
 
 class SettingsError(MeadowworksError):
-    """The settings file is missing, unreadable or inconsistent; the message is one plain sentence.
+    """The settings file is missing, unreadable or inconsistent; the message is one line.
 
-    Retrying does not help. A program ends with exit status 2.
+    A retry cannot succeed. The program ends with exit status 2.
     """
 
 
 class InvariantError(MeadowworksError):
-    """What must always hold does not: the process stops rather than go on with a wrong state."""
+    """An invariant is violated: the process must stop because its state is invalid."""
 
 
 class RequestError(MeadowworksError):
-    """A call to a peer or a backend brought no complete, sound response.
+    """A call to a peer or a backend returned no complete and valid response.
 
-    :ivar may_have_run: False only if it is certain that the request never left this process; then every
-        request may be retried. Otherwise only an idempotent one may.
+    :ivar may_have_run: False only if the request was certainly never sent; then any request may be retried.
+        Otherwise only an idempotent request may be retried.
     """
 
     def __init__(self, message: str, may_have_run: bool) -> None:
@@ -42,32 +42,32 @@
 
 
 class ConnectError(RequestError):
-    """No connection was made: nothing has been sent, and any request may be retried."""
+    """The connection was not established: nothing was sent, so any request may be retried."""
 
     def __init__(self, message: str) -> None:
         super().__init__(message, may_have_run=False)
 
 
 class ConnectTimeoutError(ConnectError):
-    """The connection was not made in time: the machine may be down or unreachable."""
+    """The connection was not established in time: the machine may be down or unreachable."""
 
 
 class ConnectionBrokenError(RequestError):
-    """The connection ended, or violated HTTP/1.1, before the response was complete."""
+    """The connection ended, or the peer violated HTTP/1.1, before the response was complete."""
 
     def __init__(self, message: str) -> None:
         super().__init__(message, may_have_run=True)
 
 
 class IncompleteResponseError(RequestError):
-    """The response has no end that differs from a broken connection, or its end never came."""
+    """The end of the response is missing, or cannot be distinguished from a broken connection."""
 
     def __init__(self, message: str) -> None:
         super().__init__(message, may_have_run=True)
 
 
 class ResponseTooLargeError(RequestError):
-    """The response is larger than the caller takes, or than there is memory for."""
+    """The response exceeds the caller's size limit or the available memory."""
 
     def __init__(self, message: str) -> None:
         super().__init__(message, may_have_run=True)
--- a/meadowworks/runtime/http_connection.py
+++ b/meadowworks/runtime/http_connection.py
@@ -1,7 +1,7 @@
-"""The client side of HTTP/1.1: one `ClientConnection` is one TCP connection, which callers pool themselves.
+"""An HTTP/1.1 client connection. Callers do their own pooling.
 
-httpcore's pool is not used: it knows no incarnations of backends, and hands a surplus response to the next
-caller. Here a connection whose peer has sent more than its response is never used again.
+httpcore's pool is not used: it does not distinguish the incarnations of a backend, and it passes a surplus
+response to the next caller. Here, a connection that received bytes after its response is never reused.
 """
 
 from __future__ import annotations
@@ -27,24 +27,24 @@
 
 Headers = list[tuple[bytes, bytes]]
 
-# How long sent bytes may stay unacknowledged: guards against a peer that is unreachable or without power.
-# Above any retransmission on a network that works, below the time in which operators expect a fail-over.
+# TCP_USER_TIMEOUT: ends a connection to an unreachable peer. Longer than retransmissions take on a working
+# network, shorter than the failover time that operators expect.
 USER_TIMEOUT_MS = 2000
-# A body above it may fill the window of a peer that does not read: as much as the smallest receive buffers.
+# A larger body may fill the receive window of a peer that does not read. The smallest receive buffer size.
 LARGE_BODY_BYTES = 4096
 CONNECTION_ERRORS = (httpcore.ProtocolError, httpcore.NetworkError, OSError, h11.ProtocolError)
 
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """A complete response: its body came to its length, its last chunk, or its connection's orderly end."""
+    """A complete response: its body ended at its length, its last chunk, or a clean end of the connection."""
 
     status: int
     headers: Headers
     body: bytes
 
     def header(self, name: bytes) -> bytes | None:
-        """Return the value of a header, or None.
+        """Return the value of the first header of this name, or None.
 
         :param name: in lower case.
         """
@@ -55,7 +55,7 @@
 
 
 class MonitoredConnection(httpcore.AsyncHTTP11Connection):
-    """httpcore's connection, which also tells whether bytes came behind a complete response."""
+    """An httpcore connection that also detects bytes received after a complete response."""
 
     def __init__(self, origin: httpcore.Origin, stream: BufferedStream) -> None:
         super().__init__(origin, stream)
@@ -64,7 +64,7 @@
 
     @property
     def has_surplus_data(self) -> bool:
-        """Whether the peer has sent bytes that belong to no request."""
+        """Whether the peer has sent bytes that belong to no response."""
         return self._has_surplus_data
 
     async def _response_closed(self) -> None:
@@ -72,12 +72,12 @@
         await super()._response_closed()
 
     def is_response_complete(self) -> bool:
-        """Whether the response that is being read has come to its own end."""
+        """Whether the end of the current response was received, as opposed to the end of its connection."""
         return self._h11_state.their_state in (h11.DONE, h11.MUST_CLOSE, h11.CLOSED)
 
 
 class ClientConnection:
-    """A connection to one address, which carries one request at a time."""
+    """A connection to one address that carries one request at a time."""
 
     def __init__(
         self, stream: BufferedStream, host: str, port: int, user_timeout_ms: int = USER_TIMEOUT_MS
@@ -90,20 +90,20 @@
 
     @property
     def http11(self) -> MonitoredConnection:
-        """The protocol's state."""
+        """The state of the HTTP/1.1 protocol."""
         return self._http11
 
     @property
     def is_reusable(self) -> bool:
-        """False once the connection is closed, or its last response has said that it will be."""
+        """False once the connection is closed, or its last response announced that it will be closed."""
         return self._is_reusable
 
     def is_usable(self) -> bool:
-        """Whether a further request may be sent: it is idle, and the peer has sent nothing since."""
+        """Whether another request may be sent: it is reusable and idle, and received no further bytes."""
         return self._is_reusable and self._http11.is_idle() and not self._http11.has_expired()
 
     def close(self) -> None:
-        """Close at once, also in the midst of a request."""
+        """Close the connection immediately, even during a request."""
         self._is_reusable = False
         self._stream.close()
 
@@ -118,13 +118,14 @@
     ) -> Response:
         """Send a request and read its complete response; the connection is closed if that fails.
 
-        :param max_body_bytes: that the response's body may have.
-        :param reserve_memory: asked for the bytes of each part of the body; False if there is no memory left.
-        A response with neither a length nor chunks is complete if the peer ends the connection in order
-        (RFC 9112, section 6.3); one that is cut by a reset is not.
+        A response with neither a length nor chunks is complete if the peer closes the connection cleanly
+        (RFC 9112, section 6.3), and incomplete after a reset.
 
-        :raises ConnectionBrokenError: if the connection ends too early, or HTTP/1.1 is violated.
-        :raises ResponseTooLargeError: if the body is too large, or there is no memory for it.
+        :param max_body_bytes: the maximum size of the response body.
+        :param reserve_memory: called with the size of each part of the body; False if no memory is left.
+        :raises ConnectionBrokenError: if the connection ends too early, or the peer violates HTTP/1.1.
+        :raises IncompleteResponseError: if the end of the response is missing.
+        :raises ResponseTooLargeError: if the body is too large, or no memory is left for it.
         """
         url = httpcore.URL(scheme=b"http", host=self._origin.host, port=self._origin.port, target=target)
         watch = self._watch_peer() if len(body) > LARGE_BODY_BYTES else None
@@ -145,7 +146,7 @@
             sending_state = watch.stop() if watch is not None else None
         if not complete:
             self.close()
-            raise IncompleteResponseError("a response without its end")
+            raise IncompleteResponseError("the end of the response is missing")
         self._after_response(watch is None or (sending_state is not None and sending_state.all_acknowledged))
         return Response(response.status, response.headers, content)
 
@@ -153,19 +154,19 @@
         sock = self._stream.get_extra_info("socket")
         if sock is None:
             return None
-        lost = TimeoutError("the peer acknowledges nothing any more")
-        return PeerWatch(sock, self._user_timeout_ms, lambda: self._stream.abort(lost))
+        error = TimeoutError("the peer has stopped acknowledging data")
+        return PeerWatch(sock, self._user_timeout_ms, lambda: self._stream.abort(error))
 
     def _after_response(self, is_body_acknowledged: bool) -> None:
-        """Keep the connection only if it is as it was before the request.
+        """Close the connection unless it is in the same state as before the request.
 
-        :param is_body_acknowledged: whether the peer has acknowledged the whole request body, where monitored
+        :param is_body_acknowledged: False if the peer has not acknowledged the whole request body.
         """
         if not is_body_acknowledged or self._stream.has_unsent_data():
-            # Guards against a request that waits behind the rest of a body, which its peer may never read.
+            # Prevents the next request from being queued behind a body that the peer may never read.
             self.close()
         if self._http11.has_surplus_data or self._stream.buffer:
-            # Guards against bytes that belong to no request: the next caller would take them for its own.
+            # Prevents the next caller from reading surplus bytes as its response.
             self.close()
         if not self._http11.is_idle():
             self._is_reusable = False
@@ -179,9 +180,9 @@
     async for chunk in response.aiter_stream():
         size += len(chunk)
         if size > max_bytes:
-            raise ResponseTooLargeError(f"a response of more than {max_bytes} bytes")
+            raise ResponseTooLargeError(f"the response is larger than {max_bytes} bytes")
         if reserve_memory is not None and not reserve_memory(len(chunk)):
-            raise ResponseTooLargeError("no memory is left for a response")
+            raise ResponseTooLargeError(f"no memory is left for {len(chunk)} bytes of a response")
         chunks.append(chunk)
     return b"".join(chunks)
 
@@ -191,9 +192,10 @@
 ) -> ClientConnection:
     """Connect to an address.
 
-    :param timeout_s: until the connection is made.
-    :param user_timeout_ms: after which unacknowledged bytes end the connection.
-    :raises ConnectError: if it is refused or unreachable; ConnectTimeoutError after `timeout_s`.
+    :param timeout_s: the time limit for establishing the connection.
+    :param user_timeout_ms: the time after which unacknowledged data ends the connection.
+    :raises ConnectTimeoutError: if the connection is not established within `timeout_s`.
+    :raises ConnectError: if the connection is refused or the address is unreachable.
     """
     loop = asyncio.get_running_loop()
     try:
@@ -208,6 +210,6 @@
 
 
 def _set_socket_options(sock: socket.socket, user_timeout_ms: int) -> None:
-    """Send without delay, and let a silent peer end the connection."""
+    """Disable Nagle's algorithm, and end the connection if the peer stops acknowledging data."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, user_timeout_ms)
--- a/meadowworks/runtime/http_server.py
+++ b/meadowworks/runtime/http_server.py
@@ -1,4 +1,4 @@
-"""The server side of HTTP/1.1: an address that is listened on, and its connections."""
+"""An HTTP/1.1 server: a listening address and its connections."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 from meadowworks.runtime.connection_limit import ConnectionLimit
 from meadowworks.runtime.server_connection import RequestLimits, ServerConnection, SharedState
 
-# Connections that wait to be accepted: what a proxy's clients open at once after a fail-over.
+# Large enough for the connections that a proxy's clients open simultaneously after a failover.
 LISTEN_BACKLOG = 1024
-# That a connection is not evicted, so that what its client has sent has time to arrive: some round trips.
+# A new or idle connection is not evicted for this time, so that data in transit from its client can arrive.
 CONNECTION_GRACE_NS = 1_000_000_000
 
 
 class HttpServer:
-    """Serves one ASGI application at one address.
+    """A server of one ASGI application at one address.
 
-    :param max_connections: above which idle connections are evicted; 0 for no limit.
-    :param incarnation: the serving process's, for servers that other programs call: each response then names
-        the call that it answers.
+    :param max_connections: the number of connections above which idle ones are evicted; 0 for no limit.
+    :param incarnation: the incarnation of this process, for servers that other programs call. If set, each
+        response contains it and the id of the call.
     """
 
     def __init__(
@@ -46,25 +46,25 @@
 
     @property
     def limits(self) -> RequestLimits:
-        """What clients may send. They may be changed while connections are open."""
+        """The limits on requests, which may be changed while connections are open."""
         return self._shared.limits
 
     @property
     def server(self) -> asyncio.Server | None:
-        """What listens, once `listen` has been called."""
+        """The listening server; None before `listen`."""
         return self._server
 
     @property
     def server_state(self) -> ServerState:
-        """The state of uvicorn: open connections, and the tasks of requests that are being served."""
+        """The state of uvicorn: the open connections and the tasks of the requests being served."""
         return self._server_state
 
     async def listen(self, host: str, port: int) -> int:
-        """Start to accept connections.
+        """Start accepting connections.
 
-        :param port: 0 for any free one.
-        :returns: the port that is listened on.
-        :raises OSError: if the address is not free.
+        :param port: 0 for any free port.
+        :returns: the listening port.
+        :raises OSError: if the address is not available.
         """
         sock = _bound_socket(host, port)
         loop = asyncio.get_running_loop()
@@ -72,19 +72,19 @@
         return int(sock.getsockname()[1])
 
     def pending_count(self) -> int:
-        """How many requests are not answered yet, and responses not sent completely."""
+        """Return the number of unanswered requests plus connections with unsent response data."""
         unsent = sum(bool(c.transport.get_write_buffer_size()) for c in self._server_state.connections)
         return len(self._server_state.tasks) + unsent
 
     def drain(self) -> None:
-        """Make each response from now on the last of its connection; connections are still accepted."""
+        """Close each connection after its next response; new connections are still accepted."""
         self._shared.draining = True
         for connection in self._connections():
             if connection.cycle and not connection.cycle.response_complete:
                 connection.cycle.keep_alive = False
 
     def shutdown(self) -> None:
-        """Accept no more; close idle connections at once, the others after their response."""
+        """Stop accepting; close idle connections immediately, the others after their response."""
         if self._server is not None:
             self._server.close()
         for connection in self._connections():
@@ -92,7 +92,7 @@
                 connection.shutdown()
 
     def close(self) -> None:
-        """Close all connections, also those that wait for a response. What is written is still sent."""
+        """Close all connections, including those that wait for a response. Written data is still sent."""
         for connection in self._connections():
             connection.transport.close()
 
@@ -106,7 +106,7 @@
 
 
 def _uvicorn_config(app: ASGIApplication) -> Config:
-    """Configure uvicorn without what is done here, or not needed."""
+    """Return a uvicorn configuration without the features that are unused or implemented here."""
     config = Config(
         app=app,
         http="httptools",
@@ -119,12 +119,13 @@
         interface="asgi3",
     )
     config.load()
-    logging.getLogger("uvicorn.error").setLevel(logging.CRITICAL)  # clients' bad input must not flood the log
+    # Prevents invalid requests from flooding the log.
+    logging.getLogger("uvicorn.error").setLevel(logging.CRITICAL)
     return config
 
 
 def _bound_socket(host: str, port: int) -> socket.socket:
-    # With its protocol stated: else asyncio sets no TCP_NODELAY, and each response waits for 40 ms.
+    # asyncio sets TCP_NODELAY only if the protocol is explicit; without it responses are delayed by 40 ms.
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM, socket.IPPROTO_TCP)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     try:
--- a/meadowworks/runtime/lazy_imports.py
+++ b/meadowworks/runtime/lazy_imports.py
@@ -1,17 +1,17 @@
-"""A short start: what libraries import or compile for features that the gateway never uses is left out.
+"""Faster startup by skipping unused imports and eager initialization of third-party libraries.
 
-A process serves nobody while it imports, which is nearly all of its start after a loss of power. `install` is
-called before anything else is imported. Left out, and why nothing misses it:
+Imports take most of the time until a restarted process serves requests. `install` must run before all other
+imports. It skips:
 
-* trio: httpcore imports it where it is installed, which is half of a start. The programs run on asyncio.
-* uvicorn.main: uvicorn's command line, and click for it. The programs make uvicorn's protocols themselves.
-* certifi: certificate authorities. The calls between the programs go without TLS.
-* logging.config: uvicorn's own set-up of logs, which `http_server` turns off.
-* patterns of marshmallow.validate: the one of mail addresses takes longer to compile than the rest of the
-  module to import. They are compiled when they are first used.
-* loguru's first sink, and its search for the folders of libraries, which serves colours in tracebacks.
+* trio: httpcore imports it if it is installed. The programs run on asyncio.
+* uvicorn.main: uvicorn's command line, which imports click. The programs create uvicorn's protocols directly.
+* certifi: certificate authorities. Calls between the programs do not use TLS.
+* logging.config: uvicorn's logging configuration, which `http_server` disables.
+* patterns of marshmallow.validate: they are compiled on first use, because the pattern for mail addresses
+  takes longer to compile than the rest of the module to import.
+* loguru's default sink, and its search for library directories, which is only used to colour tracebacks.
 
-Whoever uses a module that is left out gets an `InvariantError`.
+Using an attribute of a skipped module raises an `InvariantError`.
 """
 
 from __future__ import annotations
@@ -24,9 +24,9 @@
 
 from meadowworks.runtime.errors import InvariantError
 
-# Python raises ImportError for these, which their importers expect.
+# Importing one of these raises ImportError, which their importers handle.
 BLOCKED_MODULES = ("trio",)
-# Importers expect these to be there. By module: the names that a library takes from it at its own import.
+# Modules that their importers require, with the names that are imported from each of them.
 STUBBED_MODULES = {
     "uvicorn.main": ("Server", "main", "run"),
     "certifi": (),
@@ -36,16 +36,18 @@
 
 
 class StubModule(ModuleType):
-    """Stands for a module that is left out."""
+    """A placeholder for a skipped module."""
 
     def __getattr__(self, name: str) -> Any:
         if name.startswith("__"):
             raise AttributeError(name)
-        raise InvariantError(f"{self.__name__}.{name} is left out of the programs (runtime/lazy_imports.py)")
+        raise InvariantError(
+            f"{self.__name__}.{name} is not available: runtime/lazy_imports.py skips the module"
+        )
 
 
 class LazyPattern:
-    """A regular expression that is compiled when it is first used."""
+    """A regular expression that is compiled on first use."""
 
     def __init__(self, pattern: str, flags: int) -> None:
         self._pattern = pattern
@@ -56,7 +58,7 @@
 
 
 def install() -> None:
-    """Leave out all of the above; to be called before the programs import anything else."""
+    """Skip everything listed above. Must be called before the programs import anything else."""
     block_modules()
     stub_modules()
     import_marshmallow_validators()
@@ -64,13 +66,13 @@
 
 
 def block_modules() -> None:
-    """Let imports of the blocked modules fail."""
+    """Make imports of the blocked modules fail."""
     for name in BLOCKED_MODULES:
         sys.modules.setdefault(name, None)  # type: ignore[arg-type]
 
 
 def stub_modules() -> None:
-    """Put a stub in the place of each module that is left out and not yet imported."""
+    """Register a stub for each module to be skipped that is not imported yet."""
     for name, imported_names in STUBBED_MODULES.items():
         if name in sys.modules:
             continue
@@ -81,7 +83,7 @@
 
 
 def import_loguru() -> None:
-    """Import loguru without its search for folders, and without a sink: `logging.configure` adds one."""
+    """Import loguru without its directory search and default sink; `logging.configure` adds a sink."""
     os.environ.setdefault("LOGURU_AUTOINIT", "False")
     from loguru._better_exceptions import ExceptionFormatter
 
@@ -89,19 +91,19 @@
 
 
 def import_marshmallow_validators() -> None:
-    """Import marshmallow with its own patterns to be compiled later."""
+    """Import marshmallow.validate with lazily compiled patterns."""
     if LAZY_PATTERN_MODULE in sys.modules:
         return
-    compile_at_once = re.compile
+    original_compile = re.compile
 
-    def compile_later(pattern: Any, flags: Any = 0) -> Any:
+    def lazy_compile(pattern: Any, flags: Any = 0) -> Any:
         caller = sys._getframe(1).f_globals.get("__name__")
         return (
-            LazyPattern(pattern, flags) if caller == LAZY_PATTERN_MODULE else compile_at_once(pattern, flags)
+            LazyPattern(pattern, flags) if caller == LAZY_PATTERN_MODULE else original_compile(pattern, flags)
         )
 
-    re.compile = compile_later
+    re.compile = lazy_compile
     try:
         __import__(LAZY_PATTERN_MODULE)
     finally:
-        re.compile = compile_at_once
+        re.compile = original_compile
--- a/meadowworks/runtime/lightweight_httpcore.py
+++ b/meadowworks/runtime/lightweight_httpcore.py
@@ -1,6 +1,6 @@
-"""httpcore without trio and anyio, whose imports are most of a program's start and of its first call.
+"""httpcore without trio and anyio, whose imports dominate the startup time and the time of the first call.
 
-Everything else imports httpcore from here.
+All other modules import httpcore from here.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 import httpcore  # noqa: E402
 from httpcore._async import http11  # noqa: E402
 
-# httpcore takes its lock and its shield from anyio. A connection carries one request at a time, and its
-# stream is closed without waiting: neither has anything to guard.
+# Replaces anyio's cancellation shield, which is not needed: `BufferedStream` closes without waiting.
+# `MonitoredConnection` replaces anyio's lock, since a connection carries one request at a time.
 http11.AsyncShieldCancellation = nullcontext  # type: ignore[attr-defined, assignment]
 
 __all__ = ["httpcore"]
--- a/meadowworks/runtime/lingering_transport.py
+++ b/meadowworks/runtime/lingering_transport.py
@@ -1,7 +1,7 @@
-"""A server's transport that does not lose responses when it closes on a client which had sent more.
+"""A lingering close for server connections, so that clients receive all responses (RFC 9112, section 9.6).
 
-The end of a TCP connection on which received bytes lie unread is a reset, and a reset takes responses with it
-that the client has not read yet.
+Closing a TCP connection with unread input sends a reset, and a reset discards the responses that the client
+has not read yet.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 import asyncio
 from typing import Any, Protocol
 
-# What a client that had sent more has to read its responses, once the last is written: several round trips.
+# The time between the last response and the end of the connection: several round trips.
 LINGER_S = 1.0
 
 
@@ -17,20 +17,20 @@
     """The protocol that reads from the transport."""
 
     def may_have_unread_input(self) -> bool:
-        """Whether the client may have sent more than was read."""
+        """Whether the client may have sent data that was not read."""
 
     def discard_input(self) -> None:
-        """Read and drop whatever comes from now on."""
+        """Read and drop all further input."""
 
 
 class LingeringTransport:
-    """An asyncio transport whose `close` reads on for a while, if its client may have sent more."""
+    """An asyncio transport whose `close` continues to read for `LINGER_S` if there may be unread input."""
 
     def __init__(self, transport: asyncio.Transport, reader: InputReader) -> None:
         self._transport = transport
         self._reader = reader
         self._closing = False
-        self.write = transport.write  # bound here: called for each part of each response
+        self.write = transport.write  # bound here to avoid __getattr__ on each write
         self.abort = transport.abort
 
     def __getattr__(self, name: str) -> Any:
@@ -41,7 +41,7 @@
         return self._closing or self._transport.is_closing()
 
     def close(self) -> None:
-        """Send what is written, and close: at once, or when the client has had time to read its responses."""
+        """Close after sending the written data; with unread input, only after `LINGER_S`."""
         if self._closing or self._transport.is_closing() or not self._reader.may_have_unread_input():
             self._transport.close()
             return
--- a/meadowworks/runtime/live_settings.py
+++ b/meadowworks/runtime/live_settings.py
@@ -1,4 +1,4 @@
-"""The node's settings, which can be read again while the program runs."""
+"""Node settings that can be reloaded while the program runs."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 
 class LiveSettings:
-    """The settings in force. Whoever must see a reload asks for `current` each time.
+    """The current settings. Callers that must follow reloads read `current` on each use.
 
-    :param settings: what the program was started with.
+    :param settings: the settings at startup.
     """
 
     def __init__(self, settings: NodeSettings) -> None:
@@ -23,16 +23,16 @@
 
     @property
     def current(self) -> NodeSettings:
-        """The settings that were last read successfully."""
+        """The settings that were last loaded successfully."""
         return self._current
 
     def reload(self) -> None:
-        """Read the settings file again; keep the settings in force if it is invalid."""
+        """Reload the settings file; keep the current settings if it is invalid."""
         try:
             self._current = load_settings()
         except SettingsError as error:
             log.warning("settings_rejected", reason=str(error))
 
     def reload_on_sighup(self) -> None:
-        """Reload whenever the process receives SIGHUP. Call it with the event loop running."""
+        """Reload on each SIGHUP. Must be called while the event loop is running."""
         asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, self.reload)
--- a/meadowworks/runtime/logging.py
+++ b/meadowworks/runtime/logging.py
@@ -1,13 +1,13 @@
-"""The structured log: one line an event on standard error, as text or as JSON.
+"""The structured log: one line per event on standard error, as text or JSON.
 
-A line of text has the time of day (UTC), the steady time of the process in seconds, level, node, component,
-the name of the event and its fields:
+A text line contains the UTC time, the monotonic time in seconds, the level, the node, the component, the
+event name and its fields:
 
     2026-12-02T10:56:09.123Z +12.345 INFO node=edge-1 component=proxy event=config_in_force version=0000000c
 
-The time of day puts lines of several machines side by side; it may step, and then the steady time tells the
-order of one process's lines. As JSON each line is the object that loguru's own sink writes: `record.extra`
-has the fields.
+UTC times relate the lines of different machines. Since the wall clock may be adjusted, the monotonic time
+gives the order of the lines of one process. In the JSON format each line is a serialized loguru record with
+the fields in `record.extra`.
 """
 
 from __future__ import annotations
@@ -26,55 +26,56 @@
     from loguru import Logger, Record
 
 LOG_FORMAT_VARIABLE = "MEADOWWORKS_LOG_FORMAT"
-# Lines of one call site a minute: guards against a flood that peers or clients can set off from outside.
+# The limit for each call site. Prevents peers or clients from flooding the log.
 MAX_LINES_PER_MINUTE = 20
 SECONDS_PER_MINUTE = 60
-# Fields of each line that stand before the event, in the order of the line.
+# The fields before the event, in output order.
 LEADING_FIELDS = ("node", "component")
-RENDERED_FIELD = "rendered"  # where the line of text is kept for the format that writes it
-STEADY_FIELD = "steady_s"
-BARE_VALUE_EXCLUDES = frozenset(' ="\n\r\t')  # a value with one of these is quoted
+RENDERED_FIELD = "rendered"  # holds the text line for the output format
+MONOTONIC_TIME_FIELD = "steady_s"
+QUOTED_CHARACTERS = frozenset(' ="\n\r\t')  # a value that contains one of these is quoted
 
 
 class LogFormat(Enum):
-    """How lines are written."""
+    """The format of log lines. The values are the names in settings and in the environment."""
 
     TEXT = "text"
     JSON = "json"
 
 
 class _RateLimit:
-    """Passes at most `MAX_LINES_PER_MINUTE` lines of each call site."""
+    """A filter that passes at most `MAX_LINES_PER_MINUTE` lines of each call site."""
 
     def __init__(self) -> None:
         self._minute = 0
-        self._lines: dict[tuple[str | None, int], int] = {}  # of this minute, by module and line number
+        # Number of lines in the current minute by call site (module and line number).
+        self._line_counts: dict[tuple[str | None, int], int] = {}
 
     def __call__(self, record: Record) -> bool:
         minute = int(time.monotonic()) // SECONDS_PER_MINUTE
         if minute != self._minute:
             self._minute = minute
-            self._lines.clear()
+            self._line_counts.clear()
         call_site = record["name"], record["line"]
-        self._lines[call_site] = self._lines.get(call_site, 0) + 1
-        return self._lines[call_site] <= MAX_LINES_PER_MINUTE
+        self._line_counts[call_site] = self._line_counts.get(call_site, 0) + 1
+        return self._line_counts[call_site] <= MAX_LINES_PER_MINUTE
 
 
 def get_logger(component: str) -> Logger:
-    """Return a logger whose lines name the component.
+    """Return a logger for a component.
 
-    Its calls take the name of an event and its fields: `log.info("config_in_force", version="0000000c")`.
+    Calls take an event name and fields: `log.info("config_in_force", version="0000000c")`.
     """
     return logger.bind(component=component)
 
 
 def configure(log_format: LogFormat = LogFormat.TEXT, node: str = "") -> None:
-    """Send the log to standard error, from level INFO up.
+    """Write log lines of level INFO and above to standard error.
 
-    :param node: which each line names; empty as long as it is not known
+    :param node: the node name in each line; empty before the settings are loaded.
     """
     logger.remove()
-    logger.configure(extra={"node": node, "component": "main"}, patcher=_add_steady_time)
+    logger.configure(extra={"node": node, "component": "main"}, patcher=_add_monotonic_time)
     is_json = log_format is LogFormat.JSON
     logger.add(
         sys.stderr,
@@ -88,35 +89,35 @@
     )
 
 
-def _add_steady_time(record: Record) -> None:
-    record["extra"][STEADY_FIELD] = round(time.monotonic(), 3)
+def _add_monotonic_time(record: Record) -> None:
+    record["extra"][MONOTONIC_TIME_FIELD] = round(time.monotonic(), 3)
 
 
 def _text_format(record: Record) -> str:
-    """Render a line into the record, and return the format that writes it."""
+    """Store the rendered line in the record, and return the format string that outputs it."""
     record["extra"][RENDERED_FIELD] = render_text(record)
     return "{extra[" + RENDERED_FIELD + "]}\n{exception}"
 
 
 def render_text(record: Record) -> str:
-    """The line of an event."""
+    """Return the text line for an event."""
     extra: Mapping[str, Any] = record["extra"]
-    moment = record["time"].astimezone(UTC)
+    timestamp = record["time"].astimezone(UTC)
     fields = {name: extra[name] for name in LEADING_FIELDS if extra.get(name)}
     fields["event"] = record["message"]
-    known = {*LEADING_FIELDS, STEADY_FIELD, RENDERED_FIELD}
-    fields |= {name: value for name, value in extra.items() if name not in known}
-    time_of_day = f"{moment:%Y-%m-%dT%H:%M:%S}.{moment.microsecond // 1000:03d}Z"
+    reserved_fields = {*LEADING_FIELDS, MONOTONIC_TIME_FIELD, RENDERED_FIELD}
+    fields |= {name: value for name, value in extra.items() if name not in reserved_fields}
+    time_of_day = f"{timestamp:%Y-%m-%dT%H:%M:%S}.{timestamp.microsecond // 1000:03d}Z"
     pairs = " ".join(f"{name}={render_value(value)}" for name, value in fields.items())
-    return f"{time_of_day} +{extra[STEADY_FIELD]:.3f} {record['level'].name} {pairs}"
+    return f"{time_of_day} +{extra[MONOTONIC_TIME_FIELD]:.3f} {record['level'].name} {pairs}"
 
 
 def render_value(value: Any) -> str:
-    """A field's value: bare where that is unambiguous, else as JSON."""
+    """Return a field's value as plain text if that is unambiguous, otherwise as JSON."""
     if isinstance(value, float):
         return f"{value:g}"
     if isinstance(value, Mapping | list | tuple):
         return json.dumps(value, default=str, separators=(",", ":"))
     text = str(value)
-    is_bare = text != "" and not BARE_VALUE_EXCLUDES & set(text)
+    is_bare = text != "" and not QUOTED_CHARACTERS & set(text)
     return text if is_bare else json.dumps(text, ensure_ascii=False)
--- a/meadowworks/runtime/metrics.py
+++ b/meadowworks/runtime/metrics.py
@@ -1,7 +1,7 @@
-"""Figures of a program in the Prometheus text format, written by `prometheus_client`.
+"""Exposition of a program's metrics in the Prometheus text format, using `prometheus_client`.
 
-The programs count in their own objects. What is told here is read from these when somebody asks, so neither a
-request nor a start costs anything for it: the programs import this module at the first scrape.
+The programs keep counters in their own objects, which are read at each scrape. Requests and startup have no
+extra cost: the programs import this module at the first scrape.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 from meadowworks.runtime.response_writer import send_response
 
 CONTENT_TYPE = b"text/plain; version=0.0.4; charset=utf-8"
-MAX_RSS_UNIT_BYTES = 1024  # of `ru_maxrss`, getrusage(2)
+MAX_RSS_UNIT_BYTES = 1024  # `ru_maxrss` is in kilobytes, see getrusage(2)
 
 
 class MetricKind(Enum):
-    """What the values of a metric do: a counter only rises within the life of a process."""
+    """The Prometheus type of a metric: a counter never decreases within the lifetime of a process."""
 
     COUNTER = "counter"
     GAUGE = "gauge"
@@ -34,7 +34,7 @@
 class Sample:
     """One value of a metric.
 
-    :ivar labels: the values of the metric's labels, in their order.
+    :ivar labels: the label values, in the order of the family's `label_names`.
     """
 
     value: float
@@ -43,10 +43,10 @@
 
 @dataclass(frozen=True, slots=True)
 class MetricFamily:
-    """A metric with all its values.
+    """A metric with all its samples.
 
-    :ivar name: by the conventions of Prometheus, with its unit; a counter's without the ending `_total`.
-    :ivar label_names: what tells its values apart.
+    :ivar name: a Prometheus metric name that includes the unit; for a counter, without the suffix `_total`.
+    :ivar label_names: the names of the labels that distinguish the samples.
     """
 
     name: str
@@ -60,17 +60,17 @@
 
 
 def counter(name: str, help_text: str, *samples: Sample, labels: tuple[str, ...] = ()) -> MetricFamily:
-    """A metric that only rises."""
+    """Return a metric that never decreases."""
     return MetricFamily(name, help_text, MetricKind.COUNTER, samples, labels)
 
 
 def gauge(name: str, help_text: str, *samples: Sample, labels: tuple[str, ...] = ()) -> MetricFamily:
-    """A metric that rises and falls."""
+    """Return a metric that may increase and decrease."""
     return MetricFamily(name, help_text, MetricKind.GAUGE, samples, labels)
 
 
 def process_metrics() -> Iterator[MetricFamily]:
-    """What the system has charged to this process."""
+    """Yield the resource usage of this process."""
     usage = resource.getrusage(resource.RUSAGE_SELF)
     processor_s = usage.ru_utime + usage.ru_stime
     yield counter("process_cpu_seconds", "Processor time, user and system.", Sample(processor_s))
@@ -83,32 +83,32 @@
 
 
 def render_metrics(families: Iterable[MetricFamily]) -> bytes:
-    """The text that a scrape is answered with."""
+    """Return the response body for a scrape."""
     registry = CollectorRegistry(auto_describe=False)
-    registry.register(_Families(families))
+    registry.register(_FamilyCollector(families))
     return generate_latest(registry)
 
 
-class _Families(Collector):
-    """Hands families to the library."""
+class _FamilyCollector(Collector):
+    """A `prometheus_client` collector of given families."""
 
     def __init__(self, families: Iterable[MetricFamily]) -> None:
         self._families = families
 
     def collect(self) -> Iterable[Metric]:
-        """The families as the library has them."""
-        return [_library_metric(family) for family in self._families]
+        """Convert the families to metrics of `prometheus_client`."""
+        return [_to_prometheus_metric(family) for family in self._families]
 
 
-def _library_metric(family: MetricFamily) -> Metric:
-    made_by = CounterMetricFamily if family.kind is MetricKind.COUNTER else GaugeMetricFamily
-    metric = made_by(family.name, family.help, labels=family.label_names)
+def _to_prometheus_metric(family: MetricFamily) -> Metric:
+    metric_class = CounterMetricFamily if family.kind is MetricKind.COUNTER else GaugeMetricFamily
+    metric = metric_class(family.name, family.help, labels=family.label_names)
     for sample in family.samples:
         metric.add_metric(sample.labels, sample.value)
     return metric
 
 
 async def send_metrics(send: Send, source: MetricSource) -> None:
-    """Answer a scrape."""
+    """Send the response to a scrape."""
     text = render_metrics([*source(), *process_metrics()])
     await send_response(send, 200, text, [(b"content-type", CONTENT_TYPE)])
--- a/meadowworks/runtime/metrics_endpoint.py
+++ b/meadowworks/runtime/metrics_endpoint.py
@@ -1,7 +1,7 @@
-"""Where a program's metrics are asked for.
+"""The HTTP path of a program's metrics.
 
-What answers is imported at the first scrape (`runtime.metrics`, the programs' own `metrics`, and the library
-behind them), so that a start does not pay for it.
+The implementation (`runtime.metrics`, the programs' own `metrics` modules and `prometheus_client`) is
+imported at the first scrape, so that it does not delay startup.
 """
 
 from __future__ import annotations
--- a/meadowworks/runtime/node_settings.py
+++ b/meadowworks/runtime/node_settings.py
@@ -1,4 +1,4 @@
-"""What the platform tells a process at its start: the settings file, read and checked."""
+"""The settings file of a node, loaded and validated at startup."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
 from meadowworks.runtime.schema_support import first_error
 
 SETTINGS_FILE_VARIABLE = "MEADOWWORKS_NODE_FILE"
-# What a role needs of `network.bind`; `edge` is a proxy, `ctl` a node of the control plane.
+# The entries of `network.bind` that a role requires: `edge` is a proxy, `ctl` a control-plane node.
 REQUIRED_ADDRESSES = {"edge": ("http", "readyz"), "ctl": ("ctl",)}
 
 
 @dataclass(frozen=True, slots=True)
 class NodeSettings:
-    """A consistent settings file.
-
-    :ivar roles: what the node serves, `edge` or `ctl`.
-    :ivar data_dir: where the node keeps its state; None if it has no disk.
-    :ivar bind: addresses to listen on, by what is served there.
-    :ivar peer_port: the port that the programs call each other at, on every node.
-    :ivar seeds: nodes of the control plane, where a new node asks first.
-    :ivar tolerated_failures: how many voting nodes may be lost at once.
+    """The validated settings of a node.
+
+    :ivar roles: the node's roles, `edge` or `ctl`.
+    :ivar data_dir: the directory of the node's state; None if the node has no disk.
+    :ivar bind: the addresses to listen on, by service.
+    :ivar peer_port: the port for calls between nodes, the same on every node.
+    :ivar seeds: the control-plane nodes that a new node contacts first.
+    :ivar tolerated_failures: the number of voting nodes that may fail at the same time.
     """
 
     node: str
@@ -54,13 +54,13 @@
 
 
 def load_settings(environ: Mapping[str, str] = os.environ) -> NodeSettings:
-    """Read the settings file that the environment names.
+    """Load the settings file named by the environment variable.
 
-    :raises SettingsError: if it is missing, unreadable or inconsistent.
+    :raises SettingsError: if the file is missing, unreadable or inconsistent.
     """
     path = environ.get(SETTINGS_FILE_VARIABLE)
     if not path:
-        raise SettingsError(f"{SETTINGS_FILE_VARIABLE} is not set: it names the settings file")
+        raise SettingsError(f"{SETTINGS_FILE_VARIABLE} is not set: it must name the settings file")
     try:
         return parse_settings(Path(path).read_bytes())
     except OSError as error:
@@ -68,43 +68,43 @@
 
 
 def parse_settings(text: str | bytes) -> NodeSettings:
-    """Read the text of a settings file.
+    """Parse the text of a settings file.
 
-    :raises SettingsError: with one sentence that names the field.
+    :raises SettingsError: if the settings are invalid; the message is one line that names the field.
     """
     try:
         document = json.loads(text)
     except ValueError as error:
-        raise SettingsError(f"the settings are no JSON: {error}") from None
+        raise SettingsError(f"the settings are not valid JSON: {error}") from None
     if not isinstance(document, dict):
-        raise SettingsError("the settings are no table")
+        raise SettingsError("the settings must be a JSON object")
     try:
-        found: SettingsFile = SettingsFileSchema().load(document)
+        settings_file: SettingsFile = SettingsFileSchema().load(document)
     except ValidationError as error:
         raise SettingsError(f"settings: {first_error(error.messages)}") from None
-    _check_consistency(found)
-    return _node_settings(found)
+    _check_consistency(settings_file)
+    return _node_settings(settings_file)
 
 
-def _check_consistency(found: SettingsFile) -> None:
-    """Check what the schema can't see.
+def _check_consistency(settings_file: SettingsFile) -> None:
+    """Check constraints between fields, which the schema does not cover.
 
-    :raises SettingsError: with one sentence that names the field.
+    :raises SettingsError: if a constraint is violated; the message is one line that names the field.
     """
-    identity, network = found.identity, found.network
+    identity, network = settings_file.identity, settings_file.network
     if identity.zone not in network.region_by_zone:
-        raise SettingsError(f"settings: self.zone: {identity.zone!r} is none of network.zones")
+        raise SettingsError(f"settings: self.zone: {identity.zone!r} is not in network.zones")
     for role, names in REQUIRED_ADDRESSES.items():
         if role not in identity.roles:
             continue
         for name in names:
             if name not in network.bind:
-                raise SettingsError(f"settings: network.bind: {name} is missing, which {role} needs")
+                raise SettingsError(f"settings: network.bind: {name} is missing, required by role {role}")
 
 
-def _node_settings(found: SettingsFile) -> NodeSettings:
-    """What the programs use of the file."""
-    identity, network, terms = found.identity, found.network, found.terms
+def _node_settings(settings_file: SettingsFile) -> NodeSettings:
+    """Convert the loaded schema to the settings that the programs use."""
+    identity, network, terms = settings_file.identity, settings_file.network, settings_file.terms
     return NodeSettings(
         node=identity.node,
         roles=tuple(identity.roles),
@@ -120,8 +120,8 @@
         seeds=tuple(network.seeds),
         zones=tuple(network.region_by_zone),
         region_by_zone=network.region_by_zone,
-        heartbeat_ms=found.heartbeat_ms,
+        heartbeat_ms=settings_file.heartbeat_ms,
         tolerated_failures=terms.tolerated_failures,
         bounds=terms.bounds,
-        log_format=found.log_format,
+        log_format=settings_file.log_format,
     )
--- a/meadowworks/runtime/node_settings_schema.py
+++ b/meadowworks/runtime/node_settings_schema.py
@@ -1,6 +1,7 @@
 """The marshmallow schema of the settings file.
 
-Source: the users' page on how the system is run. Unknown fields pass; a field of the wrong type does not.
+Source: the user documentation on operating the system. Unknown fields are ignored; fields of a wrong type are
+rejected.
 """
 
 from __future__ import annotations
@@ -15,15 +16,15 @@
 from meadowworks.runtime.logging import LogFormat
 from meadowworks.runtime.schema_support import LenientSchema
 
-DEFAULT_MEMORY_MB = 300.0  # the page's, for a machine whose settings name no limits
+DEFAULT_MEMORY_MB = 300.0  # documented default without `self.limits.memMb`
 DEFAULT_MAX_FDS = 1024
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceBounds:
-    """What the operator has been promised, as times in milliseconds or seconds as the names say.
+    """The service-level bounds that operators rely on.
 
-    :ivar retry_ratio: retries a request, at most, over `retry_window_s` and beside `retry_slack` of them.
+    :ivar retry_ratio: the maximum number of retries per request in `retry_window_s`, beyond `retry_slack`.
     """
 
     contact_ms: float
@@ -38,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Identity:
-    """`self` of the settings file: what this node is."""
+    """`self` of the settings file: the identity of this node."""
 
     node: str
     roles: list[str]
@@ -52,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """`self.limits`: what this node may use."""
+    """`self.limits`: the resource limits of this node."""
 
     memory_mb: float = DEFAULT_MEMORY_MB
     max_fds: int = DEFAULT_MAX_FDS
@@ -60,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NetworkSettings:
-    """`network`: the addresses of this node and of others."""
+    """`network`: the addresses of this node and of its seeds, and the zones."""
 
     bind: Mapping[str, Address]
     port_range: list[int]
@@ -70,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Terms:
-    """`terms`: what the system has to bear and to keep to."""
+    """`terms`: the failures to tolerate and the service-level bounds."""
 
     tolerated_failures: int
     bounds: ServiceBounds
@@ -78,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingsFile:
-    """The whole file."""
+    """The content of the settings file."""
 
     identity: Identity
     network: NetworkSettings
@@ -88,7 +89,7 @@
 
 
 class AddressField(fields.String):
-    """`ip:port`, as an `Address`."""
+    """A field of the form `ip:port`, loaded as an `Address`."""
 
     def _deserialize(self, value: Any, attr: str | None, data: Any, **kwargs: Any) -> Any:
         try:
@@ -100,7 +101,7 @@
 
 
 class LimitsSchema(LenientSchema):
-    """`self.limits`."""
+    """Schema of `self.limits`."""
 
     memory_mb = fields.Float(data_key="memMb", load_default=DEFAULT_MEMORY_MB)
     max_fds = fields.Integer(data_key="maxFds", load_default=DEFAULT_MAX_FDS)
@@ -111,7 +112,7 @@
 
 
 class IdentitySchema(LenientSchema):
-    """`self`."""
+    """Schema of `self`."""
 
     node = fields.String(required=True, validate=validate.Length(min=1))
     roles = fields.List(fields.String(), data_key="serves", required=True)
@@ -128,7 +129,7 @@
 
 
 class NetworkSchema(LenientSchema):
-    """`network`."""
+    """Schema of `network`."""
 
     bind = fields.Dict(keys=fields.String(), values=AddressField(), required=True)
     port_range = fields.List(
@@ -145,19 +146,19 @@
 
 
 class InfraSchema(LenientSchema):
-    """`infra`."""
+    """Schema of `infra`."""
 
     heartbeat_ms = fields.Integer(data_key="heartbeatMs", required=True, validate=validate.Range(min=1))
 
 
 class TolerateSchema(LenientSchema):
-    """`terms.tolerate`."""
+    """Schema of `terms.tolerate`."""
 
     nodes = fields.Integer(load_default=0, validate=validate.Range(min=0))
 
 
 class BoundsSchema(LenientSchema):
-    """`terms.bounds`."""
+    """Schema of `terms.bounds`."""
 
     contact_ms = fields.Float(data_key="contactMs", load_default=3000.0)
     ack_ms = fields.Float(data_key="ackMs", load_default=4000.0)
@@ -174,7 +175,7 @@
 
 
 class TermsSchema(LenientSchema):
-    """`terms`."""
+    """Schema of `terms`."""
 
     tolerate = fields.Nested(TolerateSchema, load_default=lambda: TolerateSchema().load({}))
     bounds = fields.Nested(BoundsSchema, load_default=lambda: BoundsSchema().load({}))
@@ -185,13 +186,13 @@
 
 
 class LogSchema(LenientSchema):
-    """`log`, a table of this project's own."""
+    """Schema of `log`, an extension by this project."""
 
     format = fields.Enum(LogFormat, by_value=True, load_default=LogFormat.TEXT)
 
 
 class SettingsFileSchema(LenientSchema):
-    """The whole file."""
+    """Schema of the whole settings file."""
 
     identity = fields.Nested(IdentitySchema, data_key="self", required=True)
     network = fields.Nested(NetworkSchema, required=True)
--- a/meadowworks/runtime/peer_client.py
+++ b/meadowworks/runtime/peer_client.py
@@ -1,8 +1,8 @@
-"""Calls to another node of the system: pooled connections, and replies matched to their call.
+"""A client for calls to other nodes, with pooled connections and replies matched to calls.
 
-Each call carries an id which the reply must repeat, and each reply names the incarnation of the process that
-answers. So neither a late reply to an earlier call, nor one of a process that has taken over the address, is
-ever taken for the reply to this call.
+Each call contains an id that the reply must repeat, and each reply contains the incarnation of the process
+that sent it. This prevents a late reply to an earlier call, or the reply of another process that has taken
+over the address, from being accepted as the reply to the current call.
 """
 
 from __future__ import annotations
@@ -14,18 +14,18 @@
 from meadowworks.runtime.http_connection import ClientConnection, Response, connect
 from meadowworks.runtime.server_connection import CALL_ID_HEADER, INCARNATION_HEADER
 
-CONNECT_TIMEOUT_S = 0.25  # a machine without power answers nothing: fail early, so that another is tried
-MAX_REPLY_BYTES = 64 << 20  # as large as the largest configuration
-MAX_IDLE_CONNECTIONS = 2  # one for long polls, one for requests beside them
-CALL_ID_BYTES = 8  # random: no two calls of a connection's life share one
+CONNECT_TIMEOUT_S = 0.25  # short, so that another node is tried soon if this one is down
+MAX_REPLY_BYTES = 64 << 20  # the size of the largest configuration
+MAX_IDLE_CONNECTIONS = 2  # one for long polls, one for concurrent requests
+CALL_ID_BYTES = 8  # random, so that ids do not repeat on a connection
 HTTP_OK = 200
 
 
 class PeerClient:
-    """Calls to one address.
+    """A client for one address.
 
-    :param host: address of the peer.
-    :param port: its peer port.
+    :param host: the IP address of the peer.
+    :param port: the peer port.
     """
 
     def __init__(self, host: str, port: int) -> None:
@@ -36,8 +36,8 @@
     async def call(self, path: bytes, body: bytes, timeout_s: float) -> bytes:
         """Send one request and return the body of its reply.
 
-        :raises RequestError: no reply in time, a reply to another call, or a status other than 200. The call
-            may have been handled; whether it may be retried is for the caller to know.
+        :raises RequestError: if there is no reply in time, the reply belongs to another call, or its status
+            is not 200. The call may have been handled, so the caller decides whether it may be retried.
         """
         connection, call_id = self._take_idle_connection(), token_hex(CALL_ID_BYTES).encode()
         is_new = connection is None
@@ -47,7 +47,7 @@
                     connection = await connect(self.host, self.port, CONNECT_TIMEOUT_S)
                 reply = await self._send(connection, path, body, call_id)
         except BaseException as error:
-            # A reply that arrives after its caller has gone must not meet the next call.
+            # Prevents a late reply from being read by the next call.
             if connection is not None:
                 connection.close()
             if isinstance(error, TimeoutError):
@@ -64,7 +64,7 @@
         return reply.body
 
     def close(self) -> None:
-        """Close the idle connections; the client may be used again."""
+        """Close the idle connections. The client remains usable."""
         for connection in self.idle_connections:
             connection.close()
         self.idle_connections.clear()
@@ -86,9 +86,9 @@
         return None
 
     def _release(self, connection: ClientConnection, incarnation: bytes | None, is_new: bool) -> None:
-        """Keep the connection for the next call if it leads to the process that is there now."""
+        """Keep the connection for the next call if it leads to the current process at the address."""
         if is_new and incarnation != self.incarnation:
-            self.close()  # these lead to the process that had the address before
+            self.close()  # the idle connections lead to the previous process at the address
             self.incarnation = incarnation
         has_room = len(self.idle_connections) < MAX_IDLE_CONNECTIONS
         if incarnation == self.incarnation and connection.is_usable() and has_room:
@@ -98,13 +98,13 @@
 
 
 class PeerClientPool:
-    """One `PeerClient` an address."""
+    """A pool with one `PeerClient` per address."""
 
     def __init__(self) -> None:
         self._clients: dict[tuple[str, int], PeerClient] = {}
 
     def client(self, host: str, port: int) -> PeerClient:
-        """Return the client for an address, made at its first use."""
+        """Return the client for an address, creating it at first use."""
         return self._clients.setdefault((host, port), PeerClient(host, port))
 
     def close(self) -> None:
--- a/meadowworks/runtime/peer_watch.py
+++ b/meadowworks/runtime/peer_watch.py
@@ -1,8 +1,8 @@
-"""Tells a peer that is lost from one that does not read, while much is on its way to it.
+"""Detection of an unreachable peer while a large body is sent.
 
-`TCP_USER_TIMEOUT` ends a connection whose peer is unreachable, but also one whose peer has closed its window,
-for instance while it works and reads on later (tcp(7)). While a large body is sent it is switched off, and
-the connection's state is looked at instead.
+`TCP_USER_TIMEOUT` (tcp(7)) ends a connection to an unreachable peer, but also to a reachable peer with a
+closed receive window, such as one that reads the body later. It is therefore disabled while a large body is
+sent, and the state of the connection is polled instead.
 """
 
 from __future__ import annotations
@@ -19,10 +19,11 @@
 
 
 class PeerWatch:
-    """Watches the peer of one connection from its creation until `stop`.
+    """A monitor of the peer of one connection, active from its creation until `stop`.
 
-    :param user_timeout_ms: how long the peer may be silent; in force again after `stop`
-    :param on_lost: called once if the peer is lost
+    :param user_timeout_ms: the time without an acknowledgement after which the peer counts as unreachable;
+        `stop` sets it as `TCP_USER_TIMEOUT`.
+    :param on_lost: called once if the peer is unreachable.
     """
 
     def __init__(self, sock: socket.socket, user_timeout_ms: int, on_lost: Callable[[], None]) -> None:
@@ -34,9 +35,9 @@
         self._schedule()
 
     def stop(self) -> TcpInfo | None:
-        """End the watch.
+        """Stop monitoring.
 
-        :returns: the state of the connection; None where the system does not tell it, or it has ended.
+        :returns: the state of the connection; None if it is not available or the connection has ended.
         """
         if self._timer is not None:
             self._timer.cancel()
@@ -51,12 +52,12 @@
     def _check(self) -> None:
         info = read_tcp_info(self._socket) if self._socket.fileno() >= 0 else None
         if info is None:
-            return  # the connection has ended, or only the caller's own deadline bounds it
+            return  # connection ended, or its state is unavailable: then only the caller's deadline applies
         if info.is_peer_lost(self._user_timeout_ms):
             self._on_lost()
             return
         self._schedule()
 
     def _set_user_timeout(self, timeout_ms: int) -> None:
-        with contextlib.suppress(OSError):  # of a connection that has just ended: its reader is told
+        with contextlib.suppress(OSError):  # the connection has just ended, which the reader detects
             self._socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, timeout_ms)
--- a/meadowworks/runtime/process.py
+++ b/meadowworks/runtime/process.py
@@ -1,4 +1,4 @@
-"""How both programs start, run until they are asked to end, and exit."""
+"""Startup, signal handling and exit status of the programs."""
 
 from __future__ import annotations
 
@@ -23,9 +23,9 @@
 def run_program(serve: ServeFunction) -> int:
     """Run a program until it receives SIGTERM or SIGINT.
 
-    :param serve: gets the settings and a future, and returns once it has shut down after the future is done.
-    :returns: the exit code: 0 after a shutdown, 1 after a failure, 2 for settings that are invalid, or that
-        name a disk that cannot be used.
+    :param serve: called with the settings and a future; must shut down and return once the future is done.
+    :returns: the exit status: 0 after a shutdown, 1 after a failure, 2 if the settings are invalid or their
+        data directory cannot be used.
     """
     try:
         settings = load_settings()
@@ -48,17 +48,17 @@
 
 
 def resolve_log_format(settings: NodeSettings, environ: Mapping[str, str] = os.environ) -> LogFormat:
-    """How the log is written: by the environment, else by the settings file.
+    """Return the log format from the environment if set, otherwise from the settings file.
 
-    :raises SettingsError: if the environment names no format.
+    :raises SettingsError: if the environment variable is not a valid format.
     """
-    named = environ.get(LOG_FORMAT_VARIABLE)
-    if not named:
+    format_name = environ.get(LOG_FORMAT_VARIABLE)
+    if not format_name:
         return settings.log_format
     try:
-        return LogFormat(named)
+        return LogFormat(format_name)
     except ValueError:
-        raise SettingsError(f"{LOG_FORMAT_VARIABLE}: {named!r} is neither text nor json") from None
+        raise SettingsError(f"{LOG_FORMAT_VARIABLE}: {format_name!r} is neither text nor json") from None
 
 
 async def _serve_until_signal(serve: ServeFunction, settings: NodeSettings) -> None:
@@ -69,8 +69,8 @@
         if not shutdown_requested.done():
             shutdown_requested.set_result(None)
 
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, request_shutdown)
-    gc.freeze()  # what the start has made stays as long as the process: the collector need not visit it again
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, request_shutdown)
+    gc.freeze()  # excludes objects created at startup, which live as long as the process, from collections
     gc.enable()
     await serve(settings, shutdown_requested)
--- a/meadowworks/runtime/request_body.py
+++ b/meadowworks/runtime/request_body.py
@@ -1,4 +1,4 @@
-"""Reading the body of a request, within bounds of size, memory and time."""
+"""Reading of request bodies with limits on size, memory and time."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 from meadowworks.runtime.asgi import Message, Receive
 
-BODY_TIMEOUT_S = 30.0  # unless the server names one: as long as an operator's slow upload may take
+BODY_TIMEOUT_S = 30.0  # the default time limit for a whole body
 
 
 class BodyError(Enum):
-    """Why there is no complete body. The values are sentences for the client."""
+    """The reason why a body is incomplete. The values are sent to the client."""
 
     TOO_LARGE = "larger than may be"
     OUT_OF_MEMORY = "no room for it beside the others"
@@ -21,7 +21,7 @@
 
     @property
     def counter_label(self) -> str:
-        """The word under which a proxy's status counts it; its readers know these words."""
+        """The part of the counter's name in a proxy's status, which operators' tools read."""
         return COUNTER_LABELS[self]
 
 
@@ -34,24 +34,24 @@
 
 
 class ReservableMemory(Protocol):
-    """Bytes that the bodies of all requests share."""
+    """A memory budget shared by the bodies of all requests."""
 
     def reserve(self, size: int) -> bool:
-        """Reserve bytes; False if there are not so many left."""
+        """Reserve bytes; return False if too few are left."""
 
     def release(self, size: int) -> None:
         """Release reserved bytes."""
 
 
 class _Reservation:
-    """The memory that one body has reserved, where there is a budget."""
+    """The memory reserved for one body; unlimited without a budget."""
 
     def __init__(self, memory: ReservableMemory | None) -> None:
         self._memory = memory
         self._size = 0
 
     def extend(self, size: int) -> bool:
-        """Reserve bytes; False if there are not so many left."""
+        """Reserve more bytes; return False if too few are left."""
         if self._memory is None:
             return True
         if not self._memory.reserve(size):
@@ -60,7 +60,7 @@
         return True
 
     def release(self) -> None:
-        """Release all of it."""
+        """Release all reserved bytes."""
         if self._memory is not None:
             self._memory.release(self._size)
 
@@ -73,11 +73,12 @@
 ) -> bytes | BodyError:
     """Read the body of a request.
 
-    A body that comes in parts reserves memory until it is complete.
+    A body that arrives in several parts reserves memory while it is read.
 
-    :param max_bytes: that the body may have.
-    :param memory: what the parts are reserved from; released when this returns.
-    :param timeout_s: for all of the body.
+    :param max_bytes: the maximum size of the body.
+    :param memory: the budget for the parts after the first; released before this function returns.
+    :param timeout_s: the time limit for the whole body.
+    :returns: the body, or the reason why it is incomplete.
     """
     reservation = _Reservation(memory)
     try:
@@ -96,12 +97,12 @@
 
 
 async def _read_parts(
-    receive: Receive, first: bytes, max_bytes: int, reservation: _Reservation
+    receive: Receive, first_part: bytes, max_bytes: int, reservation: _Reservation
 ) -> bytes | BodyError:
-    """Read what comes after the first part."""
-    parts, size = [first], len(first)
-    more_to_come = True
-    while more_to_come:
+    """Read the parts after the first one, and return the whole body."""
+    parts, size = [first_part], len(first_part)
+    has_more = True
+    while has_more:
         message = await receive()
         part: bytes = message.get("body", b"")
         parts.append(part)
@@ -112,10 +113,10 @@
             return BodyError.OUT_OF_MEMORY
         if not _is_request(message):
             return BodyError.DISCONNECTED
-        more_to_come = message.get("more_body", False)
+        has_more = message.get("more_body", False)
     return b"".join(parts)
 
 
 def _is_request(message: Message) -> bool:
-    """Whether the message is a part of the request; otherwise the client has disconnected."""
+    """Whether the message is a part of the request, as opposed to a disconnect."""
     return bool(message["type"] == "http.request")
--- a/meadowworks/runtime/response_writer.py
+++ b/meadowworks/runtime/response_writer.py
@@ -1,4 +1,4 @@
-"""Writing a complete response."""
+"""Sending of complete responses."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from meadowworks.runtime.asgi import Send
 
-# Of a large response, that are handed to the transport at a time: what waits in memory for a slow client.
+# The size of a chunk of a large response, which limits the data buffered for a slow client.
 RESPONSE_CHUNK_BYTES = 128 << 10
 JSON_HEADERS = [(b"content-type", b"application/json")]
 
@@ -20,10 +20,9 @@
 ) -> None:
     """Send a complete response.
 
-    :param headers: beside its length; that it is JSON, if there are none.
-    :param chunk_timeout_s: if given, a large response goes in chunks, and each waits for so long at most
-        until the client has taken those before it.
-    :raises TimeoutError: if the client does not take a chunk in time.
+    :param headers: the headers in addition to `content-length`; None for a JSON content type.
+    :param chunk_timeout_s: if given, a large response is sent in chunks, with this time limit for each chunk.
+    :raises TimeoutError: if the client does not read fast enough for a chunk to be sent in time.
     """
     headers = JSON_HEADERS if headers is None else headers
     length = (b"content-length", str(len(body)).encode())
--- a/meadowworks/runtime/schema_support.py
+++ b/meadowworks/runtime/schema_support.py
@@ -1,4 +1,4 @@
-"""What the marshmallow schemas of the settings file and of the operator's configuration share."""
+"""Shared base of the marshmallow schemas for the settings file and the operator's configuration."""
 
 from __future__ import annotations
 
@@ -8,18 +8,19 @@
 
 
 class LenientSchema(Schema):
-    """A schema that passes over unknown fields: newer versions of a document may have more."""
+    """A schema that ignores unknown fields, because newer versions of a document may have more."""
 
     class Meta:
-        """How marshmallow treats unknown fields."""
+        """Options of marshmallow."""
 
         unknown = EXCLUDE
 
 
 def first_error(messages: Any, path: str = "") -> str:
-    """Return the first of marshmallow's messages as one sentence, after the path of its field.
+    """Return the first validation message, prefixed by the path of its field.
 
-    :param messages: of a `ValidationError`: nested dicts by field, and lists of messages.
+    :param messages: the messages of a `ValidationError`: nested dicts by field, with lists of messages.
+    :param path: the path of the field that contains the messages.
     """
     if isinstance(messages, dict) and messages:
         key, inner = next(iter(messages.items()))
--- a/meadowworks/runtime/steps.py
+++ b/meadowworks/runtime/steps.py
@@ -1,7 +1,7 @@
-"""Work cut into steps, so that whoever drives it may do something else between two of them.
+"""Computations divided into steps, so that the caller can do other work between them.
 
-A generator yields after each step and returns its outcome. It does no I/O and reads no clock: tools run it at
-once by `run_to_completion`, the programs in turns with their event loop by `runtime.cooperative`.
+A generator yields after each step and returns the result. It does no I/O and reads no clock. Tools run all
+steps at once with `run_to_completion`; the programs use `runtime.cooperative` to interleave other tasks.
 """
 
 from __future__ import annotations
@@ -14,9 +14,9 @@
 
 
 def run_to_completion(steps: Steps[T]) -> T:
-    """Run all steps one after the other.
+    """Run all steps without interruption.
 
-    :returns: the outcome of the last step.
+    :returns: the result of the computation.
     """
     while True:
         try:
