--- a/tests/gateway/test_background_tasks.py
+++ b/tests/gateway/test_background_tasks.py
@@ -1,4 +1,4 @@
-"""Background tasks: a failure is logged and survived, a broken invariant ends the program."""
+"""Tests of `runtime.background_tasks`: failures are logged, a violated invariant ends the program."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     raise error
 
 
-def test_a_failed_task_is_logged_with_its_name_and_the_others_go_on() -> None:
+def test_a_failed_task_is_logged_by_name_and_other_tasks_continue() -> None:
     lines: list[str] = []
     sink = logger.add(lines.append, format="{level.name} {message} {extra[task]}")
 
@@ -24,11 +24,11 @@
         tasks = BackgroundTasks()
         other = tasks.start(asyncio.sleep(60))
         failed = tasks.start(fail(RuntimeError("a bug")))
-        await wait_until(lambda: tasks.running == {other}, "the failed task is over")
+        await wait_until(lambda: tasks.running == {other}, "the failed task is done")
         assert failed.done()
         assert not other.done()
         tasks.close()
-        await wait_until(lambda: not tasks.running, "the other is cancelled")
+        await wait_until(lambda: not tasks.running, "the other task is cancelled")
 
     asyncio.run(main())
     logger.remove(sink)
@@ -37,7 +37,7 @@
     assert "RuntimeError: a bug" in lines[0]
 
 
-def test_a_broken_invariant_ends_the_wait_for_a_shutdown() -> None:
+def test_an_invariant_error_ends_the_wait_for_shutdown() -> None:
     async def main() -> None:
         tasks = BackgroundTasks()
         tasks.start(fail(InvariantError("two values for one version")))
@@ -47,7 +47,7 @@
     asyncio.run(main())
 
 
-def test_a_requested_shutdown_ends_the_wait() -> None:
+def test_a_shutdown_request_ends_the_wait() -> None:
     async def main() -> None:
         tasks, requested = BackgroundTasks(), asyncio.get_running_loop().create_future()
         tasks.start(fail(RuntimeError("no invariant")))
@@ -60,8 +60,10 @@
     asyncio.run(main())
 
 
-@pytest.mark.parametrize(("error", "survives"), [(ValueError("once"), True), (InvariantError("no"), False)])
-def test_a_periodic_task_survives_any_error_but_a_broken_invariant(error: Exception, survives: bool) -> None:
+@pytest.mark.parametrize(("error", "continues"), [(ValueError("once"), True), (InvariantError("no"), False)])
+def test_a_periodic_task_continues_after_errors_except_invariant_errors(
+    error: Exception, continues: bool
+) -> None:
     async def main() -> None:
         tasks, calls = BackgroundTasks(), 0
 
@@ -72,8 +74,8 @@
                 raise error
 
         task = tasks.start(tasks.run_periodically(0.0, action))
-        await wait_until(lambda: calls > 1 or task.done(), "it runs again, or ends")
-        assert (calls > 1) == survives == (not task.done())
+        await wait_until(lambda: calls > 1 or task.done(), "the action runs again or the task ends")
+        assert (calls > 1) == continues == (not task.done())
         tasks.close()
 
     asyncio.run(main())
--- a/tests/gateway/test_connection_limit.py
+++ b/tests/gateway/test_connection_limit.py
@@ -1,4 +1,4 @@
-"""`runtime.connection_limit`: who makes way when there are too many connections, and when."""
+"""Tests of `runtime.connection_limit`: which connection is evicted, and when."""
 
 from __future__ import annotations
 
@@ -8,28 +8,28 @@
 
 
 def full_limit() -> ConnectionLimit[str]:
-    """Two connections of two, opened at 0 and 1."""
+    """Return a limit of two connections that is reached; the connections were opened at 0 and 1."""
     limit: ConnectionLimit[str] = ConnectionLimit(2, GRACE_NS)
     limit.on_open(0, "first")
     limit.on_open(1, "second")
     return limit
 
 
-def test_nobody_makes_way_while_there_is_a_place_left() -> None:
+def test_no_connection_is_evicted_below_the_limit() -> None:
     limit: ConnectionLimit[str] = ConnectionLimit(2, GRACE_NS)
     limit.on_open(0, "first")
     assert not limit.is_full()
     assert limit.next_eviction(100) == Eviction(None, 0)
 
 
-def test_the_oldest_makes_way_once_its_grace_time_is_over() -> None:
+def test_the_oldest_connection_is_evicted_after_its_grace_period() -> None:
     limit = full_limit()
     assert limit.is_full()
     assert limit.next_eviction(4) == Eviction(None, 6)
     assert limit.next_eviction(10) == Eviction("first", 0)
 
 
-def test_a_protected_connection_never_makes_way_and_an_idle_one_does_after_a_new_grace_time() -> None:
+def test_a_protected_connection_is_not_evicted_and_an_idle_one_is_after_a_new_grace_period() -> None:
     limit = full_limit()
     limit.protect("first")
     assert limit.next_eviction(100) == Eviction("second", 0)
@@ -40,7 +40,7 @@
     assert limit.next_eviction(110) == Eviction("first", 0)
 
 
-def test_a_closed_connection_gives_its_place_back() -> None:
+def test_a_closed_connection_makes_room() -> None:
     limit = full_limit()
     limit.on_close("first")
     assert not limit.is_full()
@@ -48,6 +48,6 @@
     assert limit.next_eviction(11) == Eviction("second", 0)
 
 
-def test_one_connection_may_always_be_open() -> None:
+def test_a_limit_of_zero_allows_one_connection() -> None:
     limit: ConnectionLimit[str] = ConnectionLimit(0, GRACE_NS)
     assert not limit.is_full()
--- a/tests/gateway/test_http_connection.py
+++ b/tests/gateway/test_http_connection.py
@@ -1,4 +1,4 @@
-"""`runtime.http_connection`: a complete response, or an error that says whether a retry is safe."""
+"""Tests of `runtime.http_connection`: a complete response, or an error that tells whether a retry is safe."""
 
 from __future__ import annotations
 
@@ -28,18 +28,18 @@
 NO_CONTENT = b"HTTP/1.1 204 No Content\r\n\r\n"
 
 
-async def request(sent: bytes, method: bytes = b"GET", requests: int = 1) -> tuple[Response, bool]:
-    """Send requests to a server that answers each by the same bytes, and then closes.
+async def request(response_bytes: bytes, method: bytes = b"GET", requests: int = 1) -> tuple[Response, bool]:
+    """Send requests to a server that answers each with the same bytes and then closes the connection.
 
-    :returns: the last response, and whether the connection was usable after it.
+    :returns: the last response, and whether the connection is usable after it.
     """
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
             for _ in range(requests):
                 await reader.readuntil(b"\r\n\r\n")
-                writer.write(sent)
-            if b"Content-Length: 4" not in sent:
+                writer.write(response_bytes)
+            if b"Content-Length: 4" not in response_bytes:
                 writer.close()
             await reader.read()
         writer.close()
@@ -56,12 +56,12 @@
         server.close()
 
 
-@pytest.mark.parametrize("sent", [OK, CHUNKED])
-def test_a_complete_response_is_returned(sent: bytes) -> None:
-    response, _ = asyncio.run(request(sent))
+@pytest.mark.parametrize("response_bytes", [OK, CHUNKED])
+def test_a_complete_response_is_returned(response_bytes: bytes) -> None:
+    response, _ = asyncio.run(request(response_bytes))
     assert response.status == 200
     assert response.body == b"body"
-    assert response.header(b"x-one") == (b"1" if sent is OK else None)
+    assert response.header(b"x-one") == (b"1" if response_bytes is OK else None)
 
 
 def test_a_response_without_content_needs_no_length() -> None:
@@ -70,19 +70,19 @@
 
 
 def test_a_connection_carries_one_request_after_another() -> None:
-    response, usable = asyncio.run(request(OK, requests=3))
+    response, is_usable = asyncio.run(request(OK, requests=3))
     assert response.body == b"body"
-    assert usable
+    assert is_usable
 
 
-def test_a_connection_with_bytes_behind_the_response_is_not_used_again() -> None:
-    response, usable = asyncio.run(request(OK + b"HTTP/1.1 200"))
+def test_a_connection_with_bytes_after_the_response_is_not_reused() -> None:
+    response, is_usable = asyncio.run(request(OK + b"HTTP/1.1 200"))
     assert response.body == b"body"
-    assert not usable
+    assert not is_usable
 
 
 @pytest.mark.parametrize(
-    ("sent", "error"),
+    ("response_bytes", "error"),
     [
         (b"", ConnectionBrokenError),
         (OK[:30], ConnectionBrokenError),
@@ -90,24 +90,26 @@
         (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n" + b"z" * 9, ResponseTooLargeError),
     ],
 )
-def test_whatever_is_no_complete_response_may_have_run(sent: bytes, error: type[RequestError]) -> None:
+def test_a_request_with_an_incomplete_response_may_have_run(
+    response_bytes: bytes, error: type[RequestError]
+) -> None:
     with pytest.raises(error) as raised:
-        asyncio.run(request(sent))
+        asyncio.run(request(response_bytes))
     assert raised.value.may_have_run
 
 
-def test_a_response_without_a_length_is_complete_at_the_orderly_end_of_its_connection() -> None:
-    response, usable = asyncio.run(request(b"HTTP/1.1 200 OK\r\n\r\nbody"))
+def test_a_response_without_a_length_is_complete_after_a_clean_close() -> None:
+    response, is_usable = asyncio.run(request(b"HTTP/1.1 200 OK\r\n\r\nbody"))
     assert (response.status, response.body) == (200, b"body")
-    assert not usable
+    assert not is_usable
 
 
-@pytest.mark.parametrize("sent", [b"", b"bo", b"body"])
-def test_a_response_without_a_length_that_a_reset_ends_may_have_run(sent: bytes) -> None:
+@pytest.mark.parametrize("response_bytes", [b"", b"bo", b"body"])
+def test_a_request_may_have_run_if_a_reset_ends_a_response_without_a_length(response_bytes: bytes) -> None:
     async def main() -> None:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
-            writer.write(b"HTTP/1.1 200 OK\r\n\r\n" + sent)
+            writer.write(b"HTTP/1.1 200 OK\r\n\r\n" + response_bytes)
             reset_connection(writer)
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
@@ -122,7 +124,7 @@
     asyncio.run(main())
 
 
-def test_a_response_for_which_there_is_no_memory_is_an_error() -> None:
+def test_a_response_without_available_memory_is_an_error() -> None:
     async def main() -> None:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
@@ -139,7 +141,7 @@
     asyncio.run(main())
 
 
-def test_a_refused_connection_has_not_run() -> None:
+def test_a_request_has_not_run_if_its_connection_is_refused() -> None:
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))  # not listened on
         host, port = sock.getsockname()
@@ -151,7 +153,7 @@
 
 @pytest.fixture
 def full_backlog() -> Iterator[tuple[str, int]]:
-    """An address that takes no more connections, as of a machine that does not answer."""
+    """Yield an address that accepts no more connections, like that of an unreachable machine."""
     with contextlib.ExitStack() as opened:
         server = opened.enter_context(socket.socket())
         server.bind(("127.0.0.1", 0))
@@ -163,21 +165,21 @@
         yield server.getsockname()
 
 
-def test_a_connection_that_is_not_made_in_time_has_not_run(full_backlog: tuple[str, int]) -> None:
+def test_a_request_has_not_run_if_its_connection_times_out(full_backlog: tuple[str, int]) -> None:
     host, port = full_backlog
     with pytest.raises(ConnectTimeoutError, match=r"within 0\.1 s") as raised:
         asyncio.run(connect(host, port, 0.1))
     assert not raised.value.may_have_run
 
 
-def test_a_connection_with_unsent_bytes_is_not_kept() -> None:
+def test_a_connection_with_unsent_bytes_is_closed() -> None:
     for unsent_bytes in (0, 1):
-        ends: list[int] = []
+        aborts: list[int] = []
         transport = SimpleNamespace(
             get_write_buffer_size=lambda unsent_bytes=unsent_bytes: unsent_bytes,
-            abort=lambda ends=ends: ends.append(1),
+            abort=lambda aborts=aborts: aborts.append(1),
         )
         stream = BufferedStream()
         stream.connection_made(cast(Any, transport))
         ClientConnection(stream, "h", 1)._after_response(is_body_acknowledged=True)
-        assert len(ends) == unsent_bytes
+        assert len(aborts) == unsent_bytes
--- a/tests/gateway/test_http_server.py
+++ b/tests/gateway/test_http_server.py
@@ -1,4 +1,4 @@
-"""`http_server`: what a client sends is served as one request, or rejected, and never holds a connection."""
+"""Tests of `runtime.http_server`: input is served or rejected, and connections end in time."""
 
 from __future__ import annotations
 
@@ -21,20 +21,20 @@
 LIMITS = RequestLimits(max_header_bytes=4000, header_timeout_s=0.2, idle_timeout_s=0.3)
 OK = b"GET /a HTTP/1.1\r\nHost: h\r\n\r\n"
 CASES = {
-    "one as it should be": (OK, [200], [b"/a"]),
-    "two, one after the other": (OK + OK.replace(b"/a", b"/b"), [200, 200], [b"/a", b"/b"]),
-    "both lengths, another request behind": (
+    "one valid request": (OK, [200], [b"/a"]),
+    "two pipelined requests": (OK + OK.replace(b"/a", b"/b"), [200, 200], [b"/a", b"/b"]),
+    "both lengths, followed by another request": (
         b"POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
         + OK,
         [400],
         [],
     ),
-    "two unlike lengths": (
+    "two different lengths": (
         b"POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nxy",
         [400],
         [],
     ),
-    "a bare line end": (b"GET /a HTTP/1.1\nHost: h\n\n", [400], []),
+    "line ends without carriage return": (b"GET /a HTTP/1.1\nHost: h\n\n", [400], []),
     "a folded header": (b"GET /a HTTP/1.1\r\nHost: h\r\nX: a\r\n b\r\n\r\n", [400], []),
     "two hosts": (b"GET /a HTTP/1.1\r\nHost: h\r\nHost: i\r\n\r\n", [400], []),
     "no host": (b"GET /a HTTP/1.1\r\n\r\n", [400], []),
@@ -49,25 +49,25 @@
     "an absolute target of no host": (b"GET http:///a HTTP/1.1\r\nHost: h\r\n\r\n", [400], []),
     "an absolute target of two hosts": (b"GET http://h/a HTTP/1.1\r\nHost: h\r\nHost: x\r\n\r\n", [400], []),
     "headers too large": (b"GET /a HTTP/1.1\r\nHost: h\r\nX: " + b"y" * 5000 + b"\r\n\r\n", [431], []),
-    "headers without end": (b"GET /a HTTP/1.1\r\nHost: h\r\nX: " + b"y" * 5000, [431], []),
-    "garbage behind a whole request": (OK + b"Content-Length: 3\r\n", [200], [b"/a"]),
-    "a broken body behind a whole request": (
+    "unterminated headers too large": (b"GET /a HTTP/1.1\r\nHost: h\r\nX: " + b"y" * 5000, [431], []),
+    "garbage after a complete request": (OK + b"Content-Length: 3\r\n", [200], [b"/a"]),
+    "a malformed body after a complete request": (
         OK + b"POST /b HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
         [200],
         [b"/a"],
     ),
-    "two hosts behind a whole request": (
+    "two hosts after complete requests": (
         OK + OK.replace(b"/a", b"/b") + OK.replace(b"Host", b"Host: i\r\nHost") + OK,
         [200, 200],
         [b"/a", b"/b"],
     ),
-    "more ahead of their answers than may be": (OK * 40, [200] * 17, [b"/a"] * 17),
+    "more pipelined requests than allowed": (OK * 40, [200] * 17, [b"/a"] * 17),
     "a body too large": (
         b"POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 900\r\n\r\n" + b"z" * 900,
         [413],
         [],
     ),
-    "a request behind a body too large": (
+    "a request after a body too large": (
         b"POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 900\r\n\r\n" + b"z" * 900 + OK,
         [413, 200],
         [b"/a"],
@@ -77,27 +77,27 @@
 
 @dataclass(frozen=True)
 class Exchange:
-    """What a client got back, and what the application saw of its requests."""
+    """The responses that a client received, and the requests that reached the application."""
 
     statuses: list[int]
     targets: list[bytes]
     took_s: float
 
 
-async def received_from(app: Any, data: bytes) -> bytes:
-    """Send bytes to an application over a connection of its own, and read until the server closes it."""
+async def exchange_bytes(app: Any, data: bytes) -> bytes:
+    """Send bytes to an application over a new connection, and read until the server closes it."""
     server = HttpServer(app, LIMITS)
     reader, writer = await asyncio.open_connection("127.0.0.1", await server.listen("127.0.0.1", 0))
     writer.write(data)
     async with asyncio.timeout(5):
-        received = await reader.read(-1)  # the server ends it: at once after an error, else when idle
+        received = await reader.read(-1)  # the server closes after an error, or after the idle timeout
     writer.close()
     server.shutdown()
     return received
 
 
 async def exchange(data: bytes) -> Exchange:
-    """What comes of bytes at an application that reads bodies."""
+    """Send bytes to an application that reads request bodies, and return the exchange."""
     targets: list[bytes] = []
 
     async def app(scope: Any, receive: Any, send: Any) -> None:
@@ -108,43 +108,43 @@
         await send_response(send, 200, b"x")
 
     begin = asyncio.get_running_loop().time()
-    received = await received_from(app, data)
+    received = await exchange_bytes(app, data)
     statuses = [int(part[:3]) for part in received.split(b"HTTP/1.1 ")[1:]]
     return Exchange(statuses, targets, asyncio.get_running_loop().time() - begin)
 
 
 @pytest.mark.parametrize("case", CASES)
-def test_what_a_client_sends_is_one_request_or_none(case: str) -> None:
+def test_input_is_served_as_the_expected_requests(case: str) -> None:
     data, statuses, targets = CASES[case]
-    found = asyncio.run(exchange(data))
-    assert found.statuses == statuses
-    assert found.targets == targets
+    result = asyncio.run(exchange(data))
+    assert result.statuses == statuses
+    assert result.targets == targets
 
 
 @pytest.mark.parametrize("data", [b"", b"GET /a HT", b"GET /a HTTP/1.1\r\nHost: h\r\n"])
 def test_a_connection_without_complete_headers_is_closed_in_time(data: bytes) -> None:
-    found = asyncio.run(exchange(data))
-    assert not found.statuses
-    assert not found.targets
-    assert found.took_s < 2
+    result = asyncio.run(exchange(data))
+    assert not result.statuses
+    assert not result.targets
+    assert result.took_s < 2
 
 
-def test_a_connection_whose_body_stops_coming_is_closed_in_time() -> None:
+def test_a_connection_with_a_stalled_body_is_closed_in_time() -> None:
     half = b"POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\nxyz"
-    found = asyncio.run(exchange(half))
-    assert not found.statuses
-    assert not found.targets
-    assert found.took_s < 2
+    result = asyncio.run(exchange(half))
+    assert not result.statuses
+    assert not result.targets
+    assert result.took_s < 2
 
 
-async def disconnect_during_first(read_ahead: bytes) -> bool:
-    """Whether the server sees that a client has gone while its first request is served, and more was sent."""
-    at_work, done, connections = asyncio.Event(), asyncio.Event(), []
+async def disconnect_during_first(pipelined: bytes) -> bool:
+    """Return whether the server detects a disconnect while a request is served and others are pipelined."""
+    started, done, connections = asyncio.Event(), asyncio.Event(), []
 
     async def app(scope: Any, receive: Any, send: Any) -> None:
         await read_body(receive, 500)
         connections.append(scope["connection"])
-        at_work.set()
+        started.set()
         await done.wait()
         await send_response(send, 200, b"x")
 
@@ -152,27 +152,29 @@
     port = await server.listen("127.0.0.1", 0)
     _, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(OK)
-    await at_work.wait()
-    writer.write(read_ahead)
-    ahead = read_ahead.count(OK)
-    await wait_until(lambda: len(connections[0].pipeline) >= ahead, "it has arrived")
+    await started.wait()
+    writer.write(pipelined)
+    pipelined_count = pipelined.count(OK)
+    await wait_until(
+        lambda: len(connections[0].pipeline) >= pipelined_count, "the pipelined requests are read"
+    )
     writer.close()
     with contextlib.suppress(AssertionError):
-        await wait_until(lambda: connections[0].disconnected, "it is seen", 0.5)
-    seen = connections[0].disconnected
+        await wait_until(lambda: connections[0].disconnected, "the disconnect is detected", 0.5)
+    detected = connections[0].disconnected
     done.set()
-    await wait_until(lambda: not server.pending_count(), "it is over")
+    await wait_until(lambda: not server.pending_count(), "the first request is done")
     server.shutdown()
-    assert len(connections) == 1  # nothing of what was read ahead is served
-    return bool(seen)
+    assert len(connections) == 1  # no pipelined request is served
+    return bool(detected)
 
 
-@pytest.mark.parametrize("ahead", [0, 1, 3, 7])
-def test_a_client_that_goes_is_seen_with_requests_read_ahead(ahead: int) -> None:
-    assert asyncio.run(disconnect_during_first(OK * ahead))
+@pytest.mark.parametrize("pipelined_count", [0, 1, 3, 7])
+def test_a_disconnect_is_detected_with_pipelined_requests(pipelined_count: int) -> None:
+    assert asyncio.run(disconnect_during_first(OK * pipelined_count))
 
 
-def test_the_time_of_a_request_begins_with_its_headers_also_behind_another() -> None:
+def test_the_receive_time_is_that_of_the_headers_even_for_a_pipelined_request() -> None:
     waited_s: list[float] = []
 
     async def app(scope: Any, receive: Any, send: Any) -> None:
@@ -181,22 +183,22 @@
         await asyncio.sleep(0.1)
         await send_response(send, 200)
 
-    asyncio.run(received_from(app, OK + OK))
+    asyncio.run(exchange_bytes(app, OK + OK))
     assert waited_s[0] < 0.1 <= waited_s[1]
 
 
-def test_what_comes_too_late_behind_a_request_does_not_cost_its_response() -> None:
+def test_a_late_pipelined_request_does_not_discard_the_previous_response() -> None:
     async def app(scope: Any, receive: Any, send: Any) -> None:
         await read_body(receive, 500)
         await asyncio.sleep(2 * LIMITS.header_timeout_s)
         await send_response(send, 200, scope["target"])
 
-    received = asyncio.run(received_from(app, OK + b"GET /late HTTP/1.1\r\nHost:"))
+    received = asyncio.run(exchange_bytes(app, OK + b"GET /late HTTP/1.1\r\nHost:"))
     assert received.count(b"HTTP/1.1 200") == 1
     assert received.endswith(b"/a")
 
 
-PIECES = st.sampled_from(
+FRAGMENTS = st.sampled_from(
     [
         OK,
         b"GET /a HTTP/1.1\r\nHost: h\r\n",
@@ -217,14 +219,14 @@
 
 
 @settings(max_examples=60, deadline=None, database=None, derandomize=True)
-@given(st.lists(st.one_of(PIECES, st.binary(max_size=12)), max_size=7))
-def test_whatever_bytes_come_each_response_is_to_one_request_and_the_connection_ends(
+@given(st.lists(st.one_of(FRAGMENTS, st.binary(max_size=12)), max_size=7))
+def test_arbitrary_input_gets_one_response_per_request_and_the_connection_ends(
     data: list[bytes],
 ) -> None:
-    found = asyncio.run(exchange(b"".join(data)))
-    assert found.statuses.count(200) == len(found.targets)
-    assert found.took_s < 3
-    assert set(found.statuses) <= {200, 400, 413, 431}
+    result = asyncio.run(exchange(b"".join(data)))
+    assert result.statuses.count(200) == len(result.targets)
+    assert result.took_s < 3
+    assert set(result.statuses) <= {200, 400, 413, 431}
 
 
 def test_an_idle_connection_is_evicted_when_there_are_too_many_and_a_served_one_is_not(
@@ -247,7 +249,7 @@
             await asyncio.sleep(0)
         idle = [await asyncio.open_connection("127.0.0.1", port) for _ in range(3)]
         async with asyncio.timeout(5):
-            for reader, _ in idle[:2]:  # each made way for the one that came after it
+            for reader, _ in idle[:2]:  # each was evicted for the next one
                 assert await reader.read() == b""
         gate.set()
         async with asyncio.timeout(5):
--- a/tests/gateway/test_lazy_imports.py
+++ b/tests/gateway/test_lazy_imports.py
@@ -1,4 +1,4 @@
-"""`runtime.lazy_imports`: what is left out of a start, and that nothing of it is missed."""
+"""Tests of `runtime.lazy_imports`: the programs start and work without the skipped modules."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
         assert connection.is_usable()
         call = asyncio.ensure_future(connection.request(b"GET", b"/silent", [(b"host", b"h")], b"", 99))
         await asyncio.sleep(0)
-        call.cancel()  # the caller gives up: the connection is closed
+        call.cancel()  # must close the connection
         await asyncio.wait([call])
         assert call.cancelled() and not connection.is_usable()
 
@@ -49,29 +49,29 @@
 """
 
 
-def test_a_program_without_what_is_left_out_serves_and_calls() -> None:
-    found = subprocess.run(
+def test_a_program_without_the_skipped_modules_serves_and_calls() -> None:
+    result = subprocess.run(
         [sys.executable, "-c", PROGRAM], capture_output=True, text=True, timeout=60, check=False
     )
-    assert found.returncode == 0, found.stderr
-    loaded = set(found.stdout.split())
+    assert result.returncode == 0, result.stderr
+    loaded = set(result.stdout.split())
     assert not loaded & {"click", "anyio._core", "anyio._backends._asyncio", "importlib.metadata"}
     assert {"uvicorn", "httpcore", "marshmallow"} <= loaded
 
 
-def test_using_what_is_left_out_raises_an_invariant_error() -> None:
+def test_using_a_skipped_module_raises_an_invariant_error() -> None:
     with pytest.raises(InvariantError):
         _ = lazy_imports.StubModule("certifi").where
 
 
-def test_a_lazy_pattern_matches_as_the_compiled_one() -> None:
+def test_a_lazy_pattern_matches_like_a_compiled_one() -> None:
     pattern = lazy_imports.LazyPattern(r"a+", re.IGNORECASE)
     assert pattern.match("AAA")
     assert not pattern.match("b")
 
 
-def test_re_compile_is_as_before_once_marshmallow_is_imported() -> None:
-    compile_before = re.compile
+def test_re_compile_is_restored_after_marshmallow_is_imported() -> None:
+    original_compile = re.compile
     lazy_imports.import_marshmallow_validators()
-    assert re.compile is compile_before
+    assert re.compile is original_compile
     assert lazy_imports.LAZY_PATTERN_MODULE in sys.modules
--- a/tests/gateway/test_live_settings.py
+++ b/tests/gateway/test_live_settings.py
@@ -1,4 +1,4 @@
-"""Settings that are read again: valid ones replace those in force, invalid ones change nothing."""
+"""Tests of `runtime.live_settings`: valid settings replace the current ones, invalid ones are ignored."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from meadowworks.runtime.live_settings import LiveSettings
 
 
-def test_a_reload_takes_valid_settings_and_keeps_the_old_ones_otherwise(
+def test_a_reload_applies_valid_settings_and_ignores_invalid_ones(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     document = SystemLayout(9, Ports(1, 2, 3, 4)).node_settings(0, tmp_path)
--- a/tests/gateway/test_logging.py
+++ b/tests/gateway/test_logging.py
@@ -1,4 +1,4 @@
-"""`runtime.logging`: lines that machines and people read, and a flood that hides no other line."""
+"""Tests of `runtime.logging`: the text and JSON formats, and the rate limit of each call site."""
 
 from __future__ import annotations
 
@@ -51,19 +51,19 @@
 
 def run(log_format: str) -> list[str]:
     program = PROGRAM.format(log_format)
-    found = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-c", program], capture_output=True, text=True, timeout=60, check=True
     )
-    return found.stderr.splitlines()
+    return result.stderr.splitlines()
 
 
-def test_text_has_a_line_an_event_with_its_fields() -> None:
+def test_text_has_one_line_per_event_with_its_fields() -> None:
     lines = run("text")
     assert all(LINE.match(line) for line in lines[:22])
-    steady = [float(line.split()[1]) for line in lines[:22]]
-    assert steady == sorted(steady)
-    assert steady[-1] <= time.monotonic()
-    assert sum("event=flood" in line for line in lines) == 20  # of one call site in a minute
+    monotonic_times = [float(line.split()[1]) for line in lines[:22]]
+    assert monotonic_times == sorted(monotonic_times)
+    assert monotonic_times[-1] <= time.monotonic()
+    assert sum("event=flood" in line for line in lines) == 20  # the limit for one call site
     assert lines[20].split("event=")[1] == (
         'another reason="no \\"luck\\" {}" counts={"own 503":2} wait_s=0.5 empty=""'
     )
@@ -73,7 +73,7 @@
     assert lines[-1] == "ZeroDivisionError: division by zero"
 
 
-def test_as_json_each_line_is_one_object() -> None:
+def test_json_has_one_object_per_line() -> None:
     objects = [json.loads(line) for line in run("json")]
     assert len(objects) == 22
     record = objects[20]["record"]
@@ -116,7 +116,7 @@
         parse_settings(json.dumps(document))
 
 
-def test_the_page_for_on_call_has_each_event() -> None:
+def test_the_on_call_page_lists_each_event() -> None:
     packages = ("consensus", "controlplane", "proxy", "runtime")
     text = "".join(file.read_text("utf-8") for name in packages for file in (PACKAGE / name).glob("*.py"))
     events = {event for call in (EVENT_CALL, REPLICA_EVENT_CALL) for event in call.findall(text)}
@@ -125,8 +125,8 @@
     assert not [event for event in sorted(events) if f"`{event}`" not in page]
 
 
-def test_the_limit_of_lines_goes_by_the_steady_clock(monkeypatch: pytest.MonkeyPatch) -> None:
-    limit, record = _RateLimit(), cast(Any, {"name": "module", "line": 7})  # no time of day is looked at
+def test_the_rate_limit_uses_the_monotonic_clock(monkeypatch: pytest.MonkeyPatch) -> None:
+    limit, record = _RateLimit(), cast(Any, {"name": "module", "line": 7})  # without a wall clock time
     passed = []
     for now_s in (5.0, 59.0, 61.0):
         monkeypatch.setattr("time.monotonic", lambda now_s=now_s: now_s)
--- a/tests/gateway/test_node_settings.py
+++ b/tests/gateway/test_node_settings.py
@@ -1,4 +1,4 @@
-"""Settings files: invalid ones are one plain line, for the programs and the command line alike."""
+"""Tests of `runtime.node_settings`: programs and commands report invalid settings as a one-line error."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 SETTINGS = json.loads(json.dumps(SystemLayout(9, Ports(1, 2, 3, 4)).node_settings(0, Path("/d"))))
 
 
-def test_mutated_settings_are_one_plain_line_or_valid(
+def test_mutated_settings_are_valid_or_give_a_one_line_error(
     tmp_path: Path,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
--- a/tests/gateway/test_peer_client.py
+++ b/tests/gateway/test_peer_client.py
@@ -1,4 +1,4 @@
-"""A call between nodes: its own reply, or none."""
+"""Tests of `runtime.peer_client`: a call returns its own reply or fails."""
 
 from __future__ import annotations
 
@@ -14,92 +14,100 @@
 from meadowworks.runtime.response_writer import send_response
 from tests.gateway.helpers import RawServer, wait_until
 
-# What a controller that is called says to the first question, piece by piece; None ends the connection.
 REPLY = b"HTTP/1.1 200 OK\r\nx-question: %s\r\nx-life: one\r\ncontent-length: 5\r\n\r\nfirst"
 
 
-CHANGED: dict[str, list[bytes | None]] = {
-    "as it should": [REPLY],
-    "to another question": [REPLY.replace(b"%s", b"0123456789abcdef")],
-    "to no question": [REPLY.replace(b"x-question: %s\r\n", b"")],
-    "a refusal to another question": [REPLY.replace(b"200 OK", b"404 No").replace(b"%s", b"0123456789")],
-    "a refusal": [REPLY.replace(b"200 OK", b"503 No")],
+# Chunks of the reply to the first call, by case; None aborts the connection.
+FIRST_REPLIES: dict[str, list[bytes | None]] = {
+    "a valid reply": [REPLY],
+    "a reply to another call": [REPLY.replace(b"%s", b"0123456789abcdef")],
+    "a reply without a call id": [REPLY.replace(b"x-question: %s\r\n", b"")],
+    "an error reply to another call": [REPLY.replace(b"200 OK", b"404 No").replace(b"%s", b"0123456789")],
+    "an error reply": [REPLY.replace(b"200 OK", b"503 No")],
     "silence": [],
-    "a reset before the head": [None],
-    "a reset in the head": [REPLY[:30], None],
-    "a reset at the end of the head": [REPLY[:-5], None],
-    "a reset in the body": [REPLY[:-2], None],
-    "a reset after it": [REPLY, None],
-    "silence in the head": [REPLY[:30]],
-    "silence in the body": [REPLY[:-2]],
-    "twice": [REPLY + REPLY],
-    "an end said, and then more": [REPLY.replace(b"x-life", b"connection: close\r\nx-life") + REPLY],
+    "a reset before the headers": [None],
+    "a reset within the headers": [REPLY[:30], None],
+    "a reset after the headers": [REPLY[:-5], None],
+    "a reset within the body": [REPLY[:-2], None],
+    "a reset after the reply": [REPLY, None],
+    "silence within the headers": [REPLY[:30]],
+    "silence within the body": [REPLY[:-2]],
+    "two replies": [REPLY + REPLY],
+    "surplus data after connection close": [REPLY.replace(b"x-life", b"connection: close\r\nx-life") + REPLY],
 }
 
 
-TAKEN = ("as it should", "a reset after it", "twice", "an end said, and then more")
+ACCEPTED = (
+    "a valid reply",
+    "a reset after the reply",
+    "two replies",
+    "surplus data after connection close",
+)
 
 
-class Node:
-    """Answers its first question as told, and all others as it should: which it names in the body. A silent
-    one answers late, if it is asked to and its caller has left the line open."""
+class FaultyNode:
+    """A node that sends the given chunks as its first reply, and valid replies with another body afterwards.
 
-    def __init__(self, how: str) -> None:
-        self.pieces = CHANGED[how]
-        self.late: list[tuple[asyncio.StreamWriter, bytes]] = []
-        self.ended = self.asked = self.lines = 0
+    `late_replies` holds a valid reply to the first call, which a test can send after the call has failed.
+    """
+
+    def __init__(self, case: str) -> None:
+        self.chunks = FIRST_REPLIES[case]
+        self.late_replies: list[tuple[asyncio.StreamWriter, bytes]] = []
+        self.disconnect_count = self.call_count = self.connection_count = 0
         self.server = RawServer(self.serve)
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.lines += 1
+        self.connection_count += 1
         try:
             while True:
-                head = await reader.readuntil(b"\r\n\r\n")
-                question = head.split(b"x-question: ")[1].split(b"\r\n")[0]
-                self.asked += 1
-                if self.asked > 1:
-                    writer.write(REPLY.replace(b"first", b"later") % question)
+                headers = await reader.readuntil(b"\r\n\r\n")
+                call_id = headers.split(b"x-question: ")[1].split(b"\r\n")[0]
+                self.call_count += 1
+                if self.call_count > 1:
+                    writer.write(REPLY.replace(b"first", b"later") % call_id)
                     continue
-                self.late.append((writer, REPLY % question))
-                for piece in self.pieces:
-                    if piece is None:
+                self.late_replies.append((writer, REPLY % call_id))
+                for chunk in self.chunks:
+                    if chunk is None:
                         writer.transport.abort()
                         return
-                    writer.write(piece.replace(b"%s", question))
+                    writer.write(chunk.replace(b"%s", call_id))
                     await writer.drain()
         except (asyncio.IncompleteReadError, ConnectionError):
-            self.ended += 1
+            self.disconnect_count += 1
 
 
-async def call_node(peer: PeerClient, wait_s: float) -> bytes | str:
+async def call_node(client: PeerClient, timeout_s: float) -> bytes | str:
     try:
-        return await peer.call(b"/pull", b"", wait_s)
+        return await client.call(b"/pull", b"", timeout_s)
     except RequestError as error:
         return str(error)
 
 
-@pytest.mark.parametrize("how", CHANGED)
-def test_a_node_takes_the_reply_to_its_own_request_alone(how: str) -> None:
+@pytest.mark.parametrize("case", FIRST_REPLIES)
+def test_only_the_reply_to_the_current_call_is_accepted(case: str) -> None:
     async def main() -> None:
-        node = Node(how)
+        node = FaultyNode(case)
         host, port = await node.server.open()
-        peer = PeerClient(host, port)
-        first = await call_node(peer, 0.1 if "silence" in how else 5.0)
-        assert (first == b"first") == (how in TAKEN)
-        assert isinstance(first, bytes) == (how in TAKEN)
-        assert len(peer.idle_connections) <= 1
-        if how not in ("as it should", "a refusal", "a reset after it"):
-            assert not peer.idle_connections  # whatever else it was, its line is ended
+        client = PeerClient(host, port)
+        first_result = await call_node(client, 0.1 if "silence" in case else 5.0)
+        assert (first_result == b"first") == (case in ACCEPTED)
+        assert isinstance(first_result, bytes) == (case in ACCEPTED)
+        assert len(client.idle_connections) <= 1
+        if case not in ("a valid reply", "an error reply", "a reset after the reply"):
+            assert not client.idle_connections
             await wait_until(
-                lambda: node.ended + (None in node.pieces) > 0, "the line is ended at both sides"
+                lambda: node.disconnect_count + (None in node.chunks) > 0,
+                "the connection is closed at both ends",
             )
-            for writer, reply in node.late:
-                writer.write(reply)  # it comes too late for anybody
-        # A kept line may be found to be reset by now; then a call has no answer, and the one after it has.
-        found = [await call_node(peer, 5.0) for _ in range(2)]
-        assert found[1] == b"later"
-        assert found[0] == b"later" or how == "a reset after it"
-        peer.close()
+            for writer, reply in node.late_replies:
+                writer.write(reply)
+        # An idle connection may have been reset; then the first of these calls fails and the second succeeds.
+        results = [await call_node(client, 5.0) for _ in range(2)]
+        assert results[1] == b"later"
+        assert results[0] == b"later" or case == "a reset after the reply"
+        client.close()
         node.server.close()
 
     asyncio.run(main())
@@ -107,23 +115,23 @@
 
 def test_a_cancelled_call_leaves_no_connection_behind() -> None:
     async def main() -> None:
-        node = Node("silence")
-        peer = PeerClient(*await node.server.open())
-        call = asyncio.create_task(peer.call(b"/pull", b"", 5.0))
-        await wait_until(lambda: node.asked == 1, "it is asked")
+        node = FaultyNode("silence")
+        client = PeerClient(*await node.server.open())
+        call = asyncio.create_task(client.call(b"/pull", b"", 5.0))
+        await wait_until(lambda: node.call_count == 1, "the call is received")
         call.cancel()
         with pytest.raises(asyncio.CancelledError):
             await call
-        await wait_until(lambda: node.ended == 1, "the line is ended")
-        assert not peer.idle_connections
-        assert await peer.call(b"/pull", b"", 5.0) == b"later"
-        peer.close()
+        await wait_until(lambda: node.disconnect_count == 1, "the connection is closed")
+        assert not client.idle_connections
+        assert await client.call(b"/pull", b"", 5.0) == b"later"
+        client.close()
         node.server.close()
 
     asyncio.run(main())
 
 
-def test_no_connection_to_a_process_that_was_at_the_address_before_is_kept() -> None:
+def test_no_connection_to_a_previous_process_at_the_address_is_kept() -> None:
     async def main() -> None:
         gate = asyncio.Event()
 
@@ -135,23 +143,23 @@
 
         before, after = HttpServer(app, incarnation="before"), HttpServer(app, incarnation="after")
         port = await before.listen("127.0.0.1", 0)
-        peer = PeerClient("127.0.0.1", port)
-        assert await peer.call(b"/pull", b"x", 5.0) == b"x"
-        assert peer.incarnation == b"before"
-        held = asyncio.create_task(peer.call(b"/pull", b"held", 5.0))  # on the line that was kept
-        await wait_until(lambda: before.pending_count() == 1, "it is at work")
+        client = PeerClient("127.0.0.1", port)
+        assert await client.call(b"/pull", b"x", 5.0) == b"x"
+        assert client.incarnation == b"before"
+        held = asyncio.create_task(client.call(b"/pull", b"held", 5.0))  # on the idle connection
+        await wait_until(lambda: before.pending_count() == 1, "the call is being handled")
         assert before.server is not None
         before.server.close()
         await after.listen("127.0.0.1", port)
-        assert await peer.call(b"/pull", b"y", 5.0) == b"y"
-        assert peer.incarnation == b"after"
+        assert await client.call(b"/pull", b"y", 5.0) == b"y"
+        assert client.incarnation == b"after"
         gate.set()
-        assert await held == b"held"  # it is that call's, whoever says it
-        assert peer.incarnation == b"after"
-        assert len(peer.idle_connections) == 1
-        assert await peer.call(b"/pull", b"z", 5.0) == b"z"
-        assert peer.incarnation == b"after"
-        peer.close()
+        assert await held == b"held"  # the previous process still replies to its own call
+        assert client.incarnation == b"after"
+        assert len(client.idle_connections) == 1
+        assert await client.call(b"/pull", b"z", 5.0) == b"z"
+        assert client.incarnation == b"after"
+        client.close()
         after.shutdown()
 
     asyncio.run(main())
--- a/tests/gateway/test_request_body.py
+++ b/tests/gateway/test_request_body.py
@@ -1,4 +1,4 @@
-"""`request_body`: bodies within bounds of size, memory and time."""
+"""Tests of `runtime.request_body`: the limits on size, memory and time."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def parts(*sizes: int, complete: bool = True) -> Any:
-    """Return the `receive` of a body in parts; if it is not complete its sender disconnects."""
+    """Return the `receive` function of a body in parts; if it is incomplete, the client disconnects."""
     messages = [{"type": "http.request", "body": b"z" * size, "more_body": True} for size in sizes]
     end = "http.request" if complete else "http.disconnect"
     messages.append({"type": end, "body": b"", "more_body": False})
@@ -40,7 +40,7 @@
     assert memory.reserved_bytes == 0
 
 
-def test_a_body_of_which_nothing_comes_times_out() -> None:
+def test_a_body_that_never_arrives_times_out() -> None:
     async def main() -> None:
         async def receive_nothing() -> Any:
             return await asyncio.get_running_loop().create_future()
@@ -51,7 +51,7 @@
     asyncio.run(main())
 
 
-def test_a_body_that_stops_coming_times_out_and_releases_its_memory() -> None:
+def test_a_stalled_body_times_out_and_releases_its_memory() -> None:
     async def main() -> None:
         memory = MemoryBudget(100)
         first = parts(20)
@@ -63,8 +63,8 @@
             return await asyncio.get_running_loop().create_future()
 
         async with asyncio.timeout(1):
-            found = await read_body(receive_and_stop, 500, memory, timeout_s=0.01)
-        assert found is BodyError.TIMED_OUT
+            result = await read_body(receive_and_stop, 500, memory, timeout_s=0.01)
+        assert result is BodyError.TIMED_OUT
         assert memory.reserved_bytes == 0
 
     asyncio.run(main())
--- a/tests/gateway/test_settings_terms.py
+++ b/tests/gateway/test_settings_terms.py
@@ -1,4 +1,4 @@
-"""Terms of the settings that are not known pass."""
+"""Tests that unknown terms in the settings are ignored."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
     "known bounds as fractions": {"bounds": {"graceS": 2.5, "retryRatio": 1, "contactMs": 2500.5}},
     "zones": {"tolerate": {"zones": 1}},
     "regions": {"tolerate": {"nodes": 0, "regions": 1}},
-    "what nobody knows": {"tolerate": {"nodes": 1, "continents": 1}, "more": [1]},
+    "other unknown terms": {"tolerate": {"nodes": 1, "continents": 1}, "more": [1]},
 }
 
 
-@pytest.mark.parametrize("how", TERMS)
-def test_terms_that_are_not_known_pass(how: str, tmp_path: Path) -> None:
+@pytest.mark.parametrize("case", TERMS)
+def test_unknown_terms_are_ignored(case: str, tmp_path: Path) -> None:
     settings = SystemLayout(90, free_ports()).node_settings(3, tmp_path, True)
-    settings["terms"] = {**settings.get("terms", {}), **TERMS[how]}
-    found = node_settings.parse_settings(json.dumps(settings))
-    assert found.tolerated_failures == TERMS[how].get("tolerate", settings["terms"].get("tolerate", {})).get(
-        "nodes", 0
-    )
+    settings["terms"] = {**settings.get("terms", {}), **TERMS[case]}
+    loaded = node_settings.parse_settings(json.dumps(settings))
+    assert loaded.tolerated_failures == TERMS[case].get(
+        "tolerate", settings["terms"].get("tolerate", {})
+    ).get("nodes", 0)
--- a/tests/test_start_imports.py
+++ b/tests/test_start_imports.py
@@ -1,4 +1,4 @@
-"""What a start of the fleet controller imports."""
+"""Test of the modules that the fleet controller imports at startup."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 TOOLS = ("cappa", "hypothesis", "numpy", "rich", "scipy", "type_lens", "xxhash")
 
 
-def test_a_controllers_start_imports_nothing_that_only_the_words_need() -> None:
+def test_the_controller_imports_no_modules_that_only_commands_need() -> None:
     code = "import sys, meadowworks.__main__; print(*sorted(sys.modules))"
     out = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True).stdout
-    names = set(out.split())
-    assert not names & set(TOOLS) and {"aiohttp", "loguru"} <= names
-    own = {name.split(".")[1] for name in names if name.startswith("meadowworks.")}
-    assert own == {"__main__", "fleet", "policy", "runtime"}
-    shared = {name for name in names if name.startswith("meadowworks.runtime.")}
-    assert shared == {"meadowworks.runtime.connection_limit"}
+    imported_modules = set(out.split())
+    assert not imported_modules & set(TOOLS) and {"aiohttp", "loguru"} <= imported_modules
+    imported_packages = {name.split(".")[1] for name in imported_modules if name.startswith("meadowworks.")}
+    assert imported_packages == {"__main__", "fleet", "policy", "runtime"}
+    runtime_modules = {name for name in imported_modules if name.startswith("meadowworks.runtime.")}
+    assert runtime_modules == {"meadowworks.runtime.connection_limit"}
