--- a/meadowworks/runtime/node_settings.py
+++ b/meadowworks/runtime/node_settings.py
@@ -60,7 +60,7 @@
     """
     path = environ.get(SETTINGS_FILE_VARIABLE)
     if not path:
-        raise SettingsError(f"{SETTINGS_FILE_VARIABLE} is not set: it must name the settings file")
+        raise SettingsError(f"{SETTINGS_FILE_VARIABLE} is not set: it names the settings file")
     try:
         return parse_settings(Path(path).read_bytes())
     except OSError as error:
--- a/meadowworks/runtime/server_connection.py
+++ b/meadowworks/runtime/server_connection.py
@@ -100,7 +100,7 @@
     # -- asyncio.Protocol
 
     def connection_made(self, transport: asyncio.Transport) -> None:  # type: ignore[override]
-        """Start reading, and evict an idle connection if there are too many connections."""
+        """Start reading; above the connection limit, close an idle connection, or else this one."""
         super().connection_made(LingeringTransport(transport, self))  # type: ignore[arg-type]
         self._refresh_idle_timeout()
         self._set_deadline(self._shared.limits.idle_timeout_s)
