--- a/meadowworks/modelcheck/baseline_explorer.py
+++ b/meadowworks/modelcheck/baseline_explorer.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from meadowworks.modelcheck.catalog import model_of
+from meadowworks.modelcheck.catalog import build_model
 from meadowworks.modelcheck.explorer import explore
 from meadowworks.modelcheck.model import Model, Result
 
@@ -70,5 +70,5 @@
 
     :raises UnknownNameError: if there is no such model.
     """
-    model = model_of(name, large=False)
+    model = build_model(name, large=False)
     return BaselineComparison(explore_baseline(model), explore(model), explore(model, workers))
--- a/meadowworks/modelcheck/catalog.py
+++ b/meadowworks/modelcheck/catalog.py
@@ -62,7 +62,7 @@
     """The name of no model, or of no seeded fault."""
 
 
-def model_of(name: str, large: bool, max_depth: int = 0) -> Model:
+def build_model(name: str, large: bool, max_depth: int = 0) -> Model:
     """Build a model.
 
     :param max_depth: replaces the model's own bound on steps, unless it is 0.
@@ -74,7 +74,7 @@
     return replace(model, max_depth=max_depth) if max_depth else model
 
 
-def fault_of(name: str) -> SeededFault:
+def get_seeded_fault(name: str) -> SeededFault:
     """Find a seeded fault.
 
     :raises UnknownNameError: if there is no such fault.
--- a/meadowworks/modelcheck/commands.py
+++ b/meadowworks/modelcheck/commands.py
@@ -18,7 +18,7 @@
 from meadowworks.cli.errors import CommandError
 from meadowworks.modelcheck import report
 from meadowworks.modelcheck.baseline_explorer import compare_with_baseline
-from meadowworks.modelcheck.catalog import MODELS, SEEDED_FAULTS, model_of
+from meadowworks.modelcheck.catalog import MODELS, SEEDED_FAULTS, build_model
 from meadowworks.modelcheck.counterexample_file import read_counterexample, replay_counterexample, to_json
 from meadowworks.modelcheck.explorer import explore
 from meadowworks.modelcheck.fault_search import FaultSearch, find_faults
@@ -52,7 +52,7 @@
         return replay_file(play, as_json)
     names = [model] if model else list(MODELS)
     for name in names:
-        model_of(name, large)  # an unknown name is refused before anything is done
+        build_model(name, large)  # an unknown name is refused before anything is done
     if baseline:
         return compare_explorers(names, workers, as_json)
     with_faults = seeded and not large  # the larger worlds would take hours for all faults
@@ -98,7 +98,7 @@
     searches = search_faults(faults, workers)
     report.print_faults(console, searches)
     if keep:
-        write_paths(keep, results, searches, large)
+        write_counterexamples(keep, results, searches, large)
     if as_json:
         models = [report.result_to_json(model, result, large) for model, result in results]
         print(json.dumps({"models": models, "faults": [report.fault_to_json(one) for one in searches]}))
@@ -108,7 +108,7 @@
 
 def run_model(name: str, large: bool, workers: int, bounds: Bounds) -> tuple[Model, Result]:
     """Explore one model, with progress on the terminal."""
-    model = model_of(name, large, bounds.max_depth)
+    model = build_model(name, large, bounds.max_depth)
     with progress_bar(name) as progress:
         task = progress.add_task("")
 
@@ -140,7 +140,7 @@
     )
 
 
-def write_paths(
+def write_counterexamples(
     folder: Path, results: Sequence[tuple[Model, Result]], searches: Sequence[FaultSearch], large: bool
 ) -> None:
     """Write a file for each counterexample, under the property's or the fault's name.
@@ -151,18 +151,18 @@
         folder.mkdir(parents=True, exist_ok=True)
         for model, result in results:
             for found in result.counterexamples:
-                write_path(folder, f"{model.name} {found.name}", to_json(model, found, large))
+                write_counterexample(folder, f"{model.name} {found.name}", to_json(model, found, large))
         for search in searches:
             if search.counterexample:
                 fault = search.fault
-                model = model_of(fault.model, fault.large)
+                model = build_model(fault.model, fault.large)
                 stored = to_json(model, search.counterexample, fault.large, fault.name)
-                write_path(folder, f"{model.name} {fault.name}", stored)
+                write_counterexample(folder, f"{model.name} {fault.name}", stored)
     except OSError as error:
         raise CommandError(f"{folder} cannot be written: {error.strerror}") from error
 
 
-def write_path(folder: Path, name: str, stored: dict[str, Any]) -> None:
+def write_counterexample(folder: Path, name: str, stored: dict[str, Any]) -> None:
     """Write one file, named by the letters and digits of `name`."""
     plain_name = re.sub(r"[^a-z0-9]+", "-", name.lower()).strip("-")
     (folder / f"{plain_name}.json").write_text(json.dumps(stored, indent=1) + "\n", encoding="utf-8")
--- a/meadowworks/modelcheck/counterexample_file.py
+++ b/meadowworks/modelcheck/counterexample_file.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Any
 
-from meadowworks.modelcheck.catalog import fault_of, model_of
+from meadowworks.modelcheck.catalog import build_model, get_seeded_fault
 from meadowworks.modelcheck.model import Counterexample, Model, Step
 from meadowworks.modelcheck.replay import replay
 from meadowworks.modelcheck.seeded_fault import injected_fault
@@ -48,12 +48,12 @@
         "start": counterexample.start_index,
         "steps": [list(step) for step in counterexample.steps],
         "cycle": [list(step) for step in counterexample.cycle],
-        "words": described_steps(model, counterexample),
+        "words": describe_steps(model, counterexample),
         "why": counterexample.reason,
     }
 
 
-def described_steps(model: Model, counterexample: Counterexample) -> list[str]:
+def describe_steps(model: Model, counterexample: Counterexample) -> list[str]:
     """Put each step into plain words, those of the cycle marked as such."""
     path = [model.describe_step(step) for step in counterexample.steps]
     return path + ["for ever: " + model.describe_step(step) for step in counterexample.cycle]
@@ -109,6 +109,6 @@
     """
     with ExitStack() as stack:
         if stored.fault:
-            stack.enter_context(injected_fault(fault_of(stored.fault)))
-        model = model_of(stored.model, stored.large)
+            stack.enter_context(injected_fault(get_seeded_fault(stored.fault)))
+        model = build_model(stored.model, stored.large)
         return model, replay(model, stored.start_index, stored.steps, stored.cycle)
--- a/meadowworks/modelcheck/counterexamples.py
+++ b/meadowworks/modelcheck/counterexamples.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable, Sequence
 
-from meadowworks.modelcheck.liveness import find_unanswered_run
+from meadowworks.modelcheck.liveness import find_liveness_violation
 from meadowworks.modelcheck.model import Counterexample, Model, Step, reported_properties
 from meadowworks.modelcheck.shard import NO_PARENT, Shard, Violation
 
@@ -53,13 +53,13 @@
 def liveness_counterexamples(model: Model, shard: Shard) -> list[Counterexample]:
     """Return a path and a cycle for each liveness property that a run can leave unanswered for ever."""
     steps = list(shard.step_numbers)
-    depth_of = depths_in(shard)
+    depth_of = depth_lookup(shard)
     found = []
     for index, live in enumerate(model.liveness):
         fair_sets = [
             frozenset(n for n, step in enumerate(steps) if is_fair(step)) for is_fair in live.fair_steps
         ]
-        run = find_unanswered_run(shard.pending_graph, index, fair_sets, depth_of)
+        run = find_liveness_violation(shard.pending_graph, index, fair_sets, depth_of)
         if run is None:
             continue
         start_index, path = path_to(shard, run.fingerprint, steps)
@@ -69,7 +69,7 @@
     return found
 
 
-def depths_in(shard: Shard) -> Callable[[int], int]:
+def depth_lookup(shard: Shard) -> Callable[[int], int]:
     """Return a function that gives a state's distance from its start, by the state's fingerprint."""
     depths: dict[int, int] = {NO_PARENT: -1}
 
--- a/meadowworks/modelcheck/explorer.py
+++ b/meadowworks/modelcheck/explorer.py
@@ -17,7 +17,7 @@
 from meadowworks.modelcheck.shard import Shard
 from meadowworks.modelcheck.worker_processes import MultiProcessExplorer
 
-OnLevel = Callable[[int, int], None]
+LevelCallback = Callable[[int, int], None]
 
 
 class LevelExplorer(Protocol):
@@ -27,11 +27,11 @@
         """Visit the next level and return how many states were new."""
         ...
 
-    def violated(self) -> set[str]:
+    def violated_properties(self) -> set[str]:
         """Return the names of the properties that are broken so far."""
         ...
 
-    def merged(self) -> Shard:
+    def merged_shard(self) -> Shard:
         """Return all that is known; no level can be explored after it."""
         ...
 
@@ -56,11 +56,11 @@
         self._discovered = self._shard.expand() if new_states else []
         return new_states
 
-    def violated(self) -> set[str]:
+    def violated_properties(self) -> set[str]:
         """Return the names of the properties that are broken so far."""
         return {violation.property_name for violation in self._shard.violations}
 
-    def merged(self) -> Shard:
+    def merged_shard(self) -> Shard:
         """Return the one shard."""
         return self._shard
 
@@ -86,7 +86,7 @@
     workers: int = 1,
     max_states: int = 0,
     stop_on: frozenset[str] = frozenset(),
-    on_level: OnLevel | None = None,
+    on_level: LevelCallback | None = None,
     start_indices: tuple[int, ...] = (),
 ) -> Result:
     """Visit every state of a model, or say what was left out.
@@ -103,7 +103,7 @@
     began = time.monotonic()
     with _start_explorer(model, workers, start_indices) as explorer:
         visited = _explore_levels(explorer, max_states, stop_on, on_level)
-        shard = explorer.merged()
+        shard = explorer.merged_shard()
     left_out = visited.left_out
     if model.max_depth and visited.levels > model.max_depth:
         left_out = left_out or f"what takes more than {model.max_depth} steps"
@@ -116,7 +116,7 @@
         counterexamples=tuple(shortest_counterexamples(model, shard)),
         metrics=shard.metrics or None,
     )
-    if result.complete:  # a run that goes on for ever is only known once all states are
+    if result.is_complete:  # a run that goes on for ever is only known once all states are
         result.counterexamples += tuple(liveness_counterexamples(model, shard))
     result.seconds = time.monotonic() - began
     return result
@@ -129,7 +129,7 @@
 
 
 def _explore_levels(
-    explorer: LevelExplorer, max_states: int, stop_on: frozenset[str], on_level: OnLevel | None
+    explorer: LevelExplorer, max_states: int, stop_on: frozenset[str], on_level: LevelCallback | None
 ) -> LevelsVisited:
     levels = states = 0
     while new_states := explorer.explore_level():
@@ -140,6 +140,6 @@
         if max_states and states >= max_states:
             bound = f"all beyond {states} states, at {levels} steps: the bound was {max_states}"
             return LevelsVisited(levels, bound)
-        if stop_on & explorer.violated():
+        if stop_on & explorer.violated_properties():
             return LevelsVisited(levels, f"all beyond {levels} steps: a property broke")
     return LevelsVisited(levels, "")
--- a/meadowworks/modelcheck/fault_search.py
+++ b/meadowworks/modelcheck/fault_search.py
@@ -8,7 +8,7 @@
 from concurrent.futures import ProcessPoolExecutor
 from dataclasses import dataclass
 
-from meadowworks.modelcheck.catalog import fault_of, model_of
+from meadowworks.modelcheck.catalog import build_model, get_seeded_fault
 from meadowworks.modelcheck.explorer import explore
 from meadowworks.modelcheck.model import Counterexample, Result
 from meadowworks.modelcheck.replay import replay
@@ -48,10 +48,10 @@
 
     :raises UnknownNameError: if there is no such fault.
     """
-    fault = fault_of(name)
+    fault = get_seeded_fault(name)
     began = time.monotonic()
     with injected_fault(fault):
-        model = model_of(fault.model, fault.large, fault.max_depth)
+        model = build_model(fault.model, fault.large, fault.max_depth)
         result = explore(
             model,
             max_states=MAX_STATES,
--- a/meadowworks/modelcheck/liveness.py
+++ b/meadowworks/modelcheck/liveness.py
@@ -59,7 +59,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class UnansweredRun:
+class LivenessViolation:
     """A state that a run can reach, and the numbers of the steps of a cycle that it may repeat from there.
 
     Without steps the run may rest in the state, as no fair step can be taken there.
@@ -92,12 +92,12 @@
         return enabled
 
 
-def find_unanswered_run(
+def find_liveness_violation(
     graph: PendingGraph,
     property_index: int,
     fair_sets: Sequence[frozenset[int]],
     depth_of: Callable[[int], int],
-) -> UnansweredRun | None:
+) -> LivenessViolation | None:
     """Find a run on which a property stays pending for ever, the one that begins nearest to a start.
 
     :param fair_sets: the numbers of the steps of each fair set.
@@ -117,7 +117,7 @@
     enabled = own.enabled_fair_sets()
     resting = np.flatnonzero(~enabled.any(axis=0))
     if resting.size:
-        return UnansweredRun(int(own.states[nearest(resting)]), ())
+        return LivenessViolation(int(own.states[nearest(resting)]), ())
     component = _strongly_connected_components(own)
     broken = _broken_components(own, component, enabled)
     if not broken.any():
@@ -129,7 +129,7 @@
         & (component[own.targets] == component[start])
     )
     columns = (own.sources[inside].tolist(), own.targets[inside].tolist(), own.steps[inside].tolist())
-    return UnansweredRun(
+    return LivenessViolation(
         int(own.states[start]), tuple(shortest_cycle(list(zip(*columns, strict=True)), start))
     )
 
--- a/meadowworks/modelcheck/model.py
+++ b/meadowworks/modelcheck/model.py
@@ -137,6 +137,6 @@
     metrics: dict[str, float] | None = None
 
     @property
-    def complete(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether every state was visited."""
         return not self.left_out
--- a/meadowworks/modelcheck/replay.py
+++ b/meadowworks/modelcheck/replay.py
@@ -28,7 +28,7 @@
         broken = [prop.name for prop in model.properties_on("step") if not prop.holds(world)]
     broken += _broken_in(model, world)
     if cycle:
-        broken += unanswered_on_cycle(model, world, cycle)
+        broken += violated_on_cycle(model, world, cycle)
     return broken
 
 
@@ -47,7 +47,7 @@
     return broken
 
 
-def unanswered_on_cycle(model: Model, start: World, cycle: Sequence[Step]) -> list[str]:
+def violated_on_cycle(model: Model, start: World, cycle: Sequence[Step]) -> list[str]:
     """Name what is pending all the way round a cycle that comes back to where it began.
 
     Worlds with one key are one state, so a step may go by another name in the world at hand: one with the
--- a/meadowworks/modelcheck/report.py
+++ b/meadowworks/modelcheck/report.py
@@ -9,15 +9,15 @@
 from rich.table import Table
 
 from meadowworks.modelcheck.baseline_explorer import BaselineComparison
-from meadowworks.modelcheck.catalog import model_of
-from meadowworks.modelcheck.counterexample_file import described_steps, to_json
+from meadowworks.modelcheck.catalog import build_model
+from meadowworks.modelcheck.counterexample_file import describe_steps, to_json
 from meadowworks.modelcheck.fault_search import FaultSearch
 from meadowworks.modelcheck.model import Counterexample, Model, Result, reported_properties
 
 
 def print_result(console: Console, model: Model, result: Result) -> None:
     """Print the size of an exploration and each property, with the path to each that broke."""
-    extent = "complete" if result.complete else f"left out: {result.left_out}"
+    extent = "complete" if result.is_complete else f"left out: {result.left_out}"
     console.print(f"[bold]{model.name}[/bold]: {model.description}")
     console.print(
         f"  {result.states} states, {result.transitions} transitions, {result.depth} steps deep, "
@@ -30,14 +30,14 @@
         verdict = "[red]BROKEN[/red]" if name in found else "holds"
         console.print(f"  {verdict}  {name}: {description}")
         if name in found:
-            print_path(console, model, found[name])
+            print_counterexample(console, model, found[name])
 
 
-def print_path(console: Console, model: Model, found: Counterexample) -> None:
+def print_counterexample(console: Console, model: Model, found: Counterexample) -> None:
     """Print the start of a counterexample and its numbered steps."""
     reason = f" ({found.reason})" if found.reason else ""
     console.print(f"          from start {found.start_index}{reason}")
-    for number, step in enumerate(described_steps(model, found), 1):
+    for number, step in enumerate(describe_steps(model, found), 1):
         console.print(f"          {number:3}. {step}", markup=False)
 
 
@@ -62,7 +62,7 @@
         "states": result.states,
         "transitions": result.transitions,
         "depth": result.depth,
-        "complete": result.complete,
+        "complete": result.is_complete,
         "left_out": result.left_out,
         "seconds": round(result.seconds, 2),
         "figures": result.metrics or {},
@@ -81,7 +81,7 @@
 def fault_to_json(search: FaultSearch) -> dict[str, Any]:
     """Return the JSON object of a seeded fault that was looked for."""
     fault, found = search.fault, search.counterexample
-    model = model_of(fault.model, fault.large)
+    model = build_model(fault.model, fault.large)
     return {
         "name": fault.name,
         "model": fault.model,
--- a/meadowworks/modelcheck/seeded_fault.py
+++ b/meadowworks/modelcheck/seeded_fault.py
@@ -52,7 +52,7 @@
     return found
 
 
-def faulty_code(fault: SeededFault) -> CodeType:
+def compile_faulty_code(fault: SeededFault) -> CodeType:
     """Compile the target's code with the fault in it.
 
     :raises ValueError: where the fault does not fit the code.
@@ -76,7 +76,7 @@
 def injected_fault(fault: SeededFault) -> Iterator[None]:
     """Run the product with the fault in it, in this process and those it forks meanwhile."""
     function = target_function(fault.target)
-    code, function.__code__ = function.__code__, faulty_code(fault)
+    code, function.__code__ = function.__code__, compile_faulty_code(fault)
     try:
         yield
     finally:
--- a/meadowworks/modelcheck/seeded_faults/policy.py
+++ b/meadowworks/modelcheck/seeded_faults/policy.py
@@ -5,12 +5,12 @@
 from meadowworks.modelcheck.model import NO_EXCEPTION
 from meadowworks.modelcheck.seeded_fault import SeededFault
 
-RULES = "meadowworks.policy:Controller."
+CONTROLLER = "meadowworks.policy:Controller."
 POLICY_FAULTS = (
     SeededFault(
         "what drains goes with the rest, at the usual pace",
         "module",
-        RULES + "weight_changes",
+        CONTROLLER + "weight_changes",
         "1 if not b.ready or at_risk",
         "1 if at_risk",
         ("drains first",),
@@ -19,7 +19,7 @@
     SeededFault(
         "a cold server that is to leave waits with a warm one's weight",
         "module",
-        RULES + "weight_changes",
+        CONTROLLER + "weight_changes",
         "(excluded or w > b.weight * self.weight_factor(now, b))",
         "excluded",
         ("cold ones spared",),
@@ -28,7 +28,7 @@
     SeededFault(
         "a restarted server's line goes with the rest",
         "module",
-        RULES + "weight_changes",
+        CONTROLLER + "weight_changes",
         "min(rank, 1) if lowered else rank",
         "rank",
         ("cold ones spared",),
@@ -37,7 +37,7 @@
     SeededFault(
         "a net abroad of cold servers",
         "module",
-        RULES + "target_weights",
+        CONTROLLER + "target_weights",
         "pool.warm.items()",
         "pool.ready.items()",
         ("cold ones spared",),
@@ -46,7 +46,7 @@
     SeededFault(
         "a drained backend stays in the tables",
         "module",
-        RULES + "on_endpoints",
+        CONTROLLER + "on_endpoints",
         'backend.ready, backend.retained, backend.missing_since_ns = entry.state == "ready", False, 0',
         "backend.ready, backend.retained, backend.missing_since_ns = True, False, 0",
         ("drains kept",),
@@ -54,7 +54,7 @@
     SeededFault(
         "what a whole list lacks stays",
         "module",
-        RULES + "on_endpoints",
+        CONTROLLER + "on_endpoints",
         "if index not in listed]",
         "if False]",
         ("drains kept",),
@@ -63,7 +63,7 @@
     SeededFault(
         "a start under an old name is not seen",
         "module",
-        RULES + "on_endpoints",
+        CONTROLLER + "on_endpoints",
         "if entry.started_ns > backend.started_ns:",
         "if False:",
         ("cold ones spared",),
@@ -71,7 +71,7 @@
     SeededFault(
         "a cold backend enters whole",
         "module",
-        RULES + "weight_factor",
+        CONTROLLER + "weight_factor",
         "RAMP_MARGIN * min_capacity if step else ENTRY_SHARE",
         "1.0",
         ("cold ones spared",),
@@ -79,7 +79,7 @@
     SeededFault(
         "the ramp runs ahead of its age",
         "module",
-        RULES + "weight_factor",
+        CONTROLLER + "weight_factor",
         "if age >= start",
         "if age >= start / 2",
         ("cold ones spared",),
@@ -87,7 +87,7 @@
     SeededFault(
         "who was not bound at once never is",
         "module",
-        RULES + "tick",
+        CONTROLLER + "tick",
         "self.assign_tables(now, number)",
         "pass",
         ("never without a backend",),
@@ -96,7 +96,7 @@
     SeededFault(
         "the channel's queue is not looked at",
         "module",
-        RULES + "reserve",
+        CONTROLLER + "reserve",
         "if lines + extra < min_lines or lines > room and not partial:",
         "if False:",
         ("queue short",),
@@ -106,7 +106,7 @@
     SeededFault(
         "messages to a proxy are not counted",
         "module",
-        RULES + "reserve",
+        CONTROLLER + "reserve",
         "len(times) + 1 > settings.message_limit * (1 - reserve)",
         "False",
         ("few messages",),
@@ -115,7 +115,7 @@
     SeededFault(
         "any failure is tried again",
         "module",
-        RULES + "update_admission",
+        CONTROLLER + "update_admission",
         "round(ratio / ADMISSION_STEP) * ADMISSION_STEP, 1",
         "round(ratio / ADMISSION_STEP) * ADMISSION_STEP, 2",
         ("no effect twice",),
@@ -124,7 +124,7 @@
     SeededFault(
         "the least important goes last to nothing",
         "module",
-        RULES + "update_admission",
+        CONTROLLER + "update_admission",
         "reverse=True",
         "reverse=False",
         ("important first", "budget in order"),
@@ -132,7 +132,7 @@
     SeededFault(
         "the least important is let in first",
         "module",
-        RULES + "update_admission",
+        CONTROLLER + "update_admission",
         "sorted({r.importance for r in routes}, reverse=True)",
         "sorted({r.importance for r in routes})",
         ("important first",),
@@ -140,7 +140,7 @@
     SeededFault(
         "lines that were taken out are not noted",
         "module",
-        RULES + "update_group",
+        CONTROLLER + "update_group",
         "del self.tables[table][index]",
         "pass",
         ("tables held", NO_EXCEPTION),
@@ -148,7 +148,7 @@
     SeededFault(
         "levels fall to nothing",
         "module",
-        RULES + "update_admission",
+        CONTROLLER + "update_admission",
         "max(MIN_ADMISSION, min(1.0, remaining / rate))",
         "min(1.0, remaining / rate)",
         ("levels sane",),
--- a/meadowworks/modelcheck/shard.py
+++ b/meadowworks/modelcheck/shard.py
@@ -22,7 +22,7 @@
 NO_PARENT = 0  # stands for the parent's fingerprint of a start
 
 
-def fingerprint_of(key: Any) -> int:
+def compute_fingerprint(key: Any) -> int:
     """Hash the key of a state to 64 bits, never `NO_PARENT`."""
     return xxh3_64_intdigest(marshal.dumps(key, MARSHAL_VERSION)) or 1
 
@@ -78,7 +78,9 @@
         found = []
         for index, world in enumerate(self.model.initial_worlds()):
             if not self.start_indices or index in self.start_indices:
-                found.append(DiscoveredState(fingerprint_of(world.key()), NO_PARENT, index, world.freeze()))
+                found.append(
+                    DiscoveredState(compute_fingerprint(world.key()), NO_PARENT, index, world.freeze())
+                )
         return found
 
     def add_states(self, states: Sequence[DiscoveredState]) -> None:
@@ -129,7 +131,7 @@
         for prop in step_properties:
             if not prop.holds(world):
                 self.violations.append(Violation(prop.name, parent, number))
-        fingerprint = fingerprint_of(key)
+        fingerprint = compute_fingerprint(key)
         if self.model.liveness:
             self.pending_graph.add(parent, fingerprint, number)
         if fingerprint not in found and fingerprint not in self.visited:
@@ -141,7 +143,7 @@
             if not prop.holds(world):
                 self.violations.append(Violation(prop.name, parent, step_number))
         if self.model.metrics:
-            keep_greatest(self.metrics, self.model.metrics(world))
+            update_maxima(self.metrics, self.model.metrics(world))
         pending = [index for index, live in enumerate(self.model.liveness) if live.is_pending(world)]
         if pending:
             self.pending_graph.mark_pending(fingerprint, pending)
@@ -155,7 +157,7 @@
                 self.violations.append(Violation(prop.name, parent, step_number))
 
 
-def keep_greatest(metrics: dict[str, float], measured: Mapping[str, float]) -> None:
+def update_maxima(metrics: dict[str, float], measured: Mapping[str, float]) -> None:
     """Raise each metric to the value that was measured, if that is greater."""
     for name, value in measured.items():
         metrics[name] = max(value, metrics.get(name, value))
--- a/meadowworks/modelcheck/worker_processes.py
+++ b/meadowworks/modelcheck/worker_processes.py
@@ -15,7 +15,7 @@
 
 from meadowworks.modelcheck.liveness import PendingGraph
 from meadowworks.modelcheck.model import Model, Step
-from meadowworks.modelcheck.shard import NO_PARENT, DiscoveredState, Shard, Violation, keep_greatest
+from meadowworks.modelcheck.shard import NO_PARENT, DiscoveredState, Shard, Violation, update_maxima
 
 JOIN_TIMEOUT_S = 1  # a worker whose pipe was closed ends by itself; one that does not is terminated
 END_OF_EXPLORATION = b""
@@ -26,7 +26,7 @@
     """What a worker found in one level: new states of its own, names of properties broken so far."""
 
     new_states: int
-    violated: set[str]
+    violated_properties: set[str]
 
 
 @dataclass(frozen=True, slots=True)
@@ -67,14 +67,14 @@
             for bundles in bundles_by_sender:
                 pipe.send_bytes(bundles[owner])
         reports: list[LevelReport] = [pipe.recv() for pipe in self._pipes]
-        self._violated.update(*(report.violated for report in reports))
+        self._violated.update(*(report.violated_properties for report in reports))
         return sum(report.new_states for report in reports)
 
-    def violated(self) -> set[str]:
+    def violated_properties(self) -> set[str]:
         """Return the names of the properties that are broken so far."""
         return self._violated
 
-    def merged(self) -> Shard:
+    def merged_shard(self) -> Shard:
         """End the exploration and return what all workers know in one shard."""
         for pipe in self._pipes:
             self._discard_bundles(pipe)
@@ -109,9 +109,10 @@
 
     A state's step is numbered by the shard that owns its parent; a start's is the index of the start.
     """
-    merged = Shard(model)
+    merged_shard = Shard(model)
     numbers: list[dict[int, int]] = [
-        {number: merged.step_number(step) for step, number in part.step_numbers.items()} for part in contents
+        {number: merged_shard.step_number(step) for step, number in part.step_numbers.items()}
+        for part in contents
     ]
 
     def renumbered(parent: int, step_number: int) -> int:
@@ -119,14 +120,14 @@
 
     for part, own_numbers in zip(contents, numbers, strict=True):
         for fingerprint, (parent, step_number) in part.visited.items():
-            merged.visited[fingerprint] = parent, renumbered(parent, step_number)
+            merged_shard.visited[fingerprint] = parent, renumbered(parent, step_number)
         for violation in part.violations:
             violation.step_number = renumbered(violation.parent, violation.step_number)
-        merged.violations += part.violations
-        merged.transitions += part.transitions
-        merged.pending_graph.merge(part.pending_graph, own_numbers)
-        keep_greatest(merged.metrics, part.metrics)
-    return merged
+        merged_shard.violations += part.violations
+        merged_shard.transitions += part.transitions
+        merged_shard.pending_graph.merge(part.pending_graph, own_numbers)
+        update_maxima(merged_shard.metrics, part.metrics)
+    return merged_shard
 
 
 def run_worker(
--- a/tests/modelcheck/test_counterexample_file.py
+++ b/tests/modelcheck/test_counterexample_file.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from meadowworks.modelcheck.catalog import UnknownNameError, model_of
+from meadowworks.modelcheck.catalog import UnknownNameError, build_model
 from meadowworks.modelcheck.counterexample_file import (
     CounterexampleFileError,
     read_counterexample,
@@ -24,7 +24,7 @@
     """The counterexample of a seeded fault, as it goes into a file."""
     search = find_fault(FAULT)
     assert search.counterexample
-    return to_json(model_of("attempt", large=False), search.counterexample, large=False, fault_name=FAULT)
+    return to_json(build_model("attempt", large=False), search.counterexample, large=False, fault_name=FAULT)
 
 
 def write(folder: Path, stored: dict[str, object]) -> Path:
--- a/tests/modelcheck/test_explorer.py
+++ b/tests/modelcheck/test_explorer.py
@@ -9,7 +9,7 @@
 import pytest
 
 from meadowworks.modelcheck.baseline_explorer import explore_baseline
-from meadowworks.modelcheck.catalog import model_of
+from meadowworks.modelcheck.catalog import build_model
 from meadowworks.modelcheck.explorer import explore
 from meadowworks.modelcheck.model import (
     NO_DEADLOCK,
@@ -80,7 +80,7 @@
         NO_EXCEPTION: (1, (up,), ()),
         "dark at last": (0, (up, up), (stay,)),
     }
-    assert (result.states, result.transitions, result.complete) == (5, 5, True)
+    assert (result.states, result.transitions, result.is_complete) == (5, 5, True)
     for one in result.counterexamples:
         assert one.name in replay(model, one.start_index, one.steps, one.cycle)
 
@@ -106,10 +106,10 @@
 
 @pytest.mark.parametrize("name", ["connection", "attempt"])
 def test_the_plain_explorer_sees_the_same_states(name: str) -> None:
-    model = model_of(name, False)
+    model = build_model(name, False)
     first = replace(model, initial_worlds=lambda: model.initial_worlds()[:1])
     one, several, baseline = explore(first), explore(first, 3), explore_baseline(first)
-    assert one.complete
+    assert one.is_complete
     assert (one.states, one.transitions, one.depth) == (
         baseline.states,
         baseline.transitions,
--- a/tests/modelcheck/test_policy_model.py
+++ b/tests/modelcheck/test_policy_model.py
@@ -10,7 +10,7 @@
 from meadowworks.modelcheck.models.policy.initial_worlds import INITIAL_WORLDS, quiet, take_steps
 from meadowworks.modelcheck.models.policy.properties import cold_spared, drains_first
 from meadowworks.modelcheck.seeded_fault import SeededFault, injected_fault
-from meadowworks.modelcheck.seeded_faults.policy import RULES
+from meadowworks.modelcheck.seeded_faults.policy import CONTROLLER
 
 # Two paths that only four steps reach, each with the guard that keeps it.
 NEAR = (
@@ -46,7 +46,7 @@
 
     at, was, now = guard
     assert held()
-    with injected_fault(SeededFault("", "module", RULES + at, was, now, ())):
+    with injected_fault(SeededFault("", "module", CONTROLLER + at, was, now, ())):
         assert not held()
 
 
--- a/tests/modelcheck/test_seeded_faults.py
+++ b/tests/modelcheck/test_seeded_faults.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from meadowworks.modelcheck.catalog import MODELS, SEEDED_FAULTS, model_of
+from meadowworks.modelcheck.catalog import MODELS, SEEDED_FAULTS, build_model
 from meadowworks.modelcheck.fault_search import find_faults
 from meadowworks.modelcheck.model import reported_properties
 from meadowworks.modelcheck.seeded_fault import injected_fault, target_function
@@ -27,7 +27,7 @@
             assert function.__code__ is not code
             assert text_of(function.__code__) != text_of(code)
         assert function.__code__ is code
-        reported = reported_properties(model_of(fault.model, fault.large))
+        reported = reported_properties(build_model(fault.model, fault.large))
         assert set(fault.violates) <= {name for name, _ in reported}
 
 
@@ -50,5 +50,5 @@
             missed.append(one.fault.name)
     assert not missed
     for name in MODELS:  # a property that no fault is found by cannot fail, as far as anybody has seen
-        model = model_of(name, False)
+        model = build_model(name, False)
         assert {p.name for p in model.properties} | {live.name for live in model.liveness} <= reported[name]
