--- a/meadowworks/modelcheck/seeded_faults/__init__.py
+++ b/meadowworks/modelcheck/seeded_faults/__init__.py
@@ -1,1 +1,1 @@
-"""Seeded faults, a table a model; `meadowworks.modelcheck.faults` joins them."""
+"""Seeded faults, one module per area of the product; `meadowworks.modelcheck.catalog` combines them."""
--- a/meadowworks/modelcheck/seeded_faults/attempt.py
+++ b/meadowworks/modelcheck/seeded_faults/attempt.py
@@ -1,15 +1,18 @@
-"""Seeded faults of the model of an attempt at a proxy."""
+"""Seeded faults of the model `attempt`: retries and replies of calls at a proxy."""
 
 from __future__ import annotations
 
 from meadowworks.modelcheck.seeded_fault import SeededFault
 
-AGAIN, MACHINE = "meadowworks.attempts.retry_policy:", "meadowworks.attempts.machine:AttemptMachine."
+RETRY_POLICY, ATTEMPT_MACHINE = (
+    "meadowworks.attempts.retry_policy:",
+    "meadowworks.attempts.machine:AttemptMachine.",
+)
 ATTEMPT_FAULTS = (
     SeededFault(
         "a mutating call is tried again after any failure",
         "attempt",
-        AGAIN + "retry_obstacle",
+        RETRY_POLICY + "retry_obstacle",
         "if not none_ran(attempts) and not (route_policy.idempotent and retry_policy >= RETRY_ANY_FAILURE):",
         "if not none_ran(attempts) and retry_policy < RETRY_ANY_FAILURE:",
         ("mutating once",),
@@ -17,7 +20,7 @@
     SeededFault(
         "way 1 needs no proof",
         "attempt",
-        AGAIN + "retry_obstacle",
+        RETRY_POLICY + "retry_obstacle",
         "route_policy.idempotent and retry_policy >= RETRY_ANY_FAILURE",
         "route_policy.idempotent",
         ("as ordered",),
@@ -25,7 +28,7 @@
     SeededFault(
         "one further try too many",
         "attempt",
-        AGAIN + "retry_obstacle",
+        RETRY_POLICY + "retry_obstacle",
         "len(attempts) > MAX_RETRIES[retry_policy]",
         "len(attempts) > MAX_RETRIES[retry_policy] + 1",
         ("two further tries", "as ordered"),
@@ -33,7 +36,7 @@
     SeededFault(
         "further tries without end",
         "attempt",
-        AGAIN + "retry_obstacle",
+        RETRY_POLICY + "retry_obstacle",
         "len(attempts) > MAX_RETRIES[retry_policy]",
         "False",
         ("two further tries",),
@@ -41,7 +44,7 @@
     SeededFault(
         "a further try with no time left",
         "attempt",
-        AGAIN + "decide_retry",
+        RETRY_POLICY + "decide_retry",
         "max(1, route_policy.min_remaining_ns)",
         "0",
         ("in time",),
@@ -49,16 +52,18 @@
     SeededFault(
         "a further try at the same backend",
         "attempt",
-        AGAIN + "decide_retry",
+        RETRY_POLICY + "decide_retry",
         "{attempt.backend for attempt in attempts}",
         "()",
         ("another backend",),
     ),
-    SeededFault("any proof is proof of all", "attempt", AGAIN + "none_ran", "all(", "any(", ("truthful",)),
+    SeededFault(
+        "any proof is proof of all", "attempt", RETRY_POLICY + "none_ran", "all(", "any(", ("truthful",)
+    ),
     SeededFault(
         "a drained backend's line is kept",
         "attempt",
-        MACHINE + "on_table",
+        ATTEMPT_MACHINE + "on_table",
         "RouteTable(weights, ratio, retry_policy)",
         "RouteTable(self.tables[route].weights | weights, ratio, retry_policy)",
         ("none to the drained",),
@@ -66,7 +71,7 @@
     SeededFault(
         "the way stays when the order changes",
         "attempt",
-        MACHINE + "on_table",
+        ATTEMPT_MACHINE + "on_table",
         "RouteTable(weights, ratio, retry_policy)",
         "RouteTable(weights, ratio, max(retry_policy, self.tables[route].retry_policy))",
         ("as ordered",),
@@ -74,7 +79,7 @@
     SeededFault(
         "a client's repeat runs beside its first",
         "attempt",
-        MACHINE + "on_request",
+        ATTEMPT_MACHINE + "on_request",
         "if call is not None and call.outcome is None:",
         "if call is not None and call.outcome is None and not is_repeat:",
         ("truthful",),
@@ -82,7 +87,7 @@
     SeededFault(
         "a repeat that is not known here runs",
         "attempt",
-        MACHINE + "on_request",
+        ATTEMPT_MACHINE + "on_request",
         "is_repeat and not route_policy.idempotent",
         "False",
         ("mutating once",),
@@ -90,7 +95,7 @@
     SeededFault(
         "what may have run is forgotten when it is asked again",
         "attempt",
-        MACHINE + "on_request",
+        ATTEMPT_MACHINE + "on_request",
         'call.outcome.kind == "answered" or call.outcome.may_have_run and not route_policy.idempotent',
         'call.outcome.kind == "answered"',
         ("mutating once",),
@@ -98,7 +103,7 @@
     SeededFault(
         "everybody is let in and some are told no",
         "attempt",
-        MACHINE + "admit",
+        ATTEMPT_MACHINE + "admit",
         'FinalReply("throttled", False, delay_ns))\n        return',
         'FinalReply("throttled", False, delay_ns))',
         ("told while waiting", "one final answer"),
@@ -106,7 +111,7 @@
     SeededFault(
         "throttled ones are not told",
         "attempt",
-        MACHINE + "admit",
+        ATTEMPT_MACHINE + "admit",
         'self.host.reply(key, waiter, FinalReply("throttled", False, delay_ns))',
         "pass",
         ("throttled at once", "answered at last"),
@@ -114,7 +119,7 @@
     SeededFault(
         "throttled ones are told to come back at once",
         "attempt",
-        AGAIN + "retry_after_ns",
+        RETRY_POLICY + "retry_after_ns",
         "admission_interval_ns *",
         "0 *",
         ("come back",),
@@ -122,7 +127,7 @@
     SeededFault(
         "a call that may have run may be asked again",
         "attempt",
-        MACHINE + "give_up",
+        ATTEMPT_MACHINE + "give_up",
         "may_have_run and not self.route_policies[call.route].idempotent",
         "False",
         ("come back", "mutating once"),
@@ -130,7 +135,7 @@
     SeededFault(
         "what may have run is told as never run",
         "attempt",
-        MACHINE + "give_up",
+        ATTEMPT_MACHINE + "give_up",
         "may_have_run = not none_ran(",
         "may_have_run = False and not none_ran(",
         ("truthful",),
@@ -138,7 +143,7 @@
     SeededFault(
         "a try that ended ends again",
         "attempt",
-        MACHINE + "on_attempt_ended",
+        ATTEMPT_MACHINE + "on_attempt_ended",
         "if attempt.state not in (SENT, OVERDUE, CANCELLED):",
         "if False:",
         ("precise",),
@@ -146,7 +151,7 @@
     SeededFault(
         "proof that comes late is not kept",
         "attempt",
-        MACHINE + "on_late_result",
+        ATTEMPT_MACHINE + "on_late_result",
         "elif none_ran([*call.attempts.values()]):",
         "elif False:",
         ("precise",),
@@ -154,7 +159,7 @@
     SeededFault(
         "a late answer is not kept",
         "attempt",
-        MACHINE + "on_late_result",
+        ATTEMPT_MACHINE + "on_late_result",
         'call.outcome = FinalReply("answered", True, NO_RETRY_NS)',
         "pass",
         ("answers kept",),
@@ -162,7 +167,7 @@
     SeededFault(
         "a try that was given up is followed again",
         "attempt",
-        MACHINE + "on_attempt_ended",
+        ATTEMPT_MACHINE + "on_attempt_ended",
         "if was_awaited:",
         "if True:",
         ("not given up early",),
@@ -170,7 +175,7 @@
     SeededFault(
         "a late try is waited for without end",
         "attempt",
-        MACHINE + "tick",
+        ATTEMPT_MACHINE + "tick",
         "attempt.state = OVERDUE",
         "pass",
         ("one at a time",),
@@ -178,7 +183,7 @@
     SeededFault(
         "what is given up is held until its limit",
         "attempt",
-        MACHINE + "retry_or_give_up",
+        ATTEMPT_MACHINE + "retry_or_give_up",
         "self.give_up(now, key, call)",
         "heapq.heappush(self.timers, (call.deadline_ns, key))",
         ("nothing held",),
@@ -186,7 +191,7 @@
     SeededFault(
         "who went away is still told",
         "attempt",
-        MACHINE + "on_client_gone",
+        ATTEMPT_MACHINE + "on_client_gone",
         "call.waiters.remove(waiter)",
         "pass",
         ("told while waiting",),
@@ -194,7 +199,7 @@
     SeededFault(
         "a call is tried again for nobody",
         "attempt",
-        MACHINE + "retry_or_give_up",
+        ATTEMPT_MACHINE + "retry_or_give_up",
         "table.retry_policy if call.waiters else 0",
         "table.retry_policy",
         ("for somebody",),
@@ -202,7 +207,7 @@
     SeededFault(
         "answers are kept without bound",
         "attempt",
-        MACHINE + "finish",
+        ATTEMPT_MACHINE + "finish",
         "len(self.finished_calls) > self.max_kept_replies",
         "False",
         ("bounded",),
@@ -210,7 +215,7 @@
     SeededFault(
         "a call is over and its askers wait",
         "attempt",
-        MACHINE + "finish",
+        ATTEMPT_MACHINE + "finish",
         "for waiter in waiters:",
         "for waiter in waiters[1:]:",
         ("answered at last", "nothing held"),
@@ -218,7 +223,7 @@
     SeededFault(
         "a kept answer stays for ever as under way",
         "attempt",
-        MACHINE + "finish",
+        ATTEMPT_MACHINE + "finish",
         "call.outcome = reply",
         "pass",
         ("nothing held", "within the limit", "answered at last", "one final answer"),
@@ -226,7 +231,7 @@
     SeededFault(
         "a client's repeat is noted twice",
         "attempt",
-        MACHINE + "on_request",
+        ATTEMPT_MACHINE + "on_request",
         "call.waiters.append(waiter)",
         "call.waiters.extend((waiter, waiter))",
         ("one final answer",),
@@ -234,7 +239,7 @@
     SeededFault(
         "what has come due waits for the next turn",
         "attempt",
-        MACHINE + "tick",
+        ATTEMPT_MACHINE + "tick",
         "while self.timers and self.timers[0][0] <= now:",
         "while self.timers and self.timers[0][0] < now:",
         ("within the limit",),
--- a/meadowworks/modelcheck/seeded_faults/connection.py
+++ b/meadowworks/modelcheck/seeded_faults/connection.py
@@ -1,25 +1,25 @@
-"""Seeded faults of the model of a connection of the fleet controller."""
+"""Seeded faults of the model `connection`: the connections of the fleet controller."""
 
 from __future__ import annotations
 
 from meadowworks.modelcheck.model import NO_EXCEPTION
 from meadowworks.modelcheck.seeded_fault import SeededFault
 
-LIFE, STREAMS = (
+CONNECTION_STATE, PROXY_STREAMS = (
     "meadowworks.fleet.connection_state:ConnectionState.",
     "meadowworks.fleet.streams:ProxyStreams.",
 )
-CROWD, ORDERS, BOX = (
+CONNECTION_LIMIT, TABLE_UPDATES, MAILBOX = (
     "meadowworks.runtime.connection_limit:ConnectionLimit.",
     "meadowworks.fleet.table_updates:TableUpdates.",
     "meadowworks.fleet.mailbox:",
 )
-STRANGER = "not self.close_reason and not self.peer"
+IS_UNIDENTIFIED = "not self.close_reason and not self.peer"
 CONNECTION_FAULTS = (
     SeededFault(
         "an old stream is not ended when a newer one comes",
         "connection",
-        STREAMS + "on_joined",
+        PROXY_STREAMS + "on_joined",
         'old.put(ConnectionEnd("replaced by a new one"))',
         "pass",
         ("replaced ones end",),
@@ -28,7 +28,7 @@
     SeededFault(
         "the end of a replaced stream takes the proxy's table",
         "connection",
-        STREAMS + "on_left",
+        PROXY_STREAMS + "on_left",
         "self.by_proxy.get(proxy) is not stream",
         "proxy not in self.by_proxy",
         ("stays", "newest"),
@@ -37,7 +37,7 @@
     SeededFault(
         "marks of the stream before count",
         "connection",
-        STREAMS + "on_joined",
+        PROXY_STREAMS + "on_joined",
         "self.outstanding_nonces[proxy] = deque(maxlen=MAX_OUTSTANDING_NONCES)",
         "self.outstanding_nonces.setdefault(proxy, deque(maxlen=MAX_OUTSTANDING_NONCES))",
         ("marks count",),
@@ -46,7 +46,7 @@
     SeededFault(
         "any mark counts",
         "connection",
-        STREAMS + "on_applied",
+        PROXY_STREAMS + "on_applied",
         "if nonce not in outstanding:\n        return False",
         "if nonce not in outstanding:\n        return True",
         ("marks count",),
@@ -55,7 +55,7 @@
     SeededFault(
         "a stranger's reports are passed on",
         "connection",
-        LIFE + "on_message",
+        CONNECTION_STATE + "on_message",
         'self.reject("has not joined")',
         "self.host.publish(message, True)",
         ("nothing from strangers",),
@@ -64,8 +64,8 @@
     SeededFault(
         "a spoilt line ends a peer",
         "connection",
-        LIFE + "on_malformed_message",
-        STRANGER,
+        CONNECTION_STATE + "on_malformed_message",
+        IS_UNIDENTIFIED,
         "not self.close_reason",
         ("spoilt alone",),
         start_indices=(2,),
@@ -73,7 +73,7 @@
     SeededFault(
         "a stranger's spoilt line is passed over",
         "connection",
-        LIFE + "on_malformed_message",
+        CONNECTION_STATE + "on_malformed_message",
         'self.reject("cannot be read")',
         "pass",
         ("spoilt alone",),
@@ -82,7 +82,7 @@
     SeededFault(
         "rubbish never ends a peer",
         "connection",
-        LIFE + "on_unreadable_line",
+        CONNECTION_STATE + "on_unreadable_line",
         "self.unreadable_lines >= self.limits.unreadable_lines",
         "False",
         ("rubbish ends",),
@@ -91,7 +91,7 @@
     SeededFault(
         "one line of rubbish ends a peer",
         "connection",
-        LIFE + "on_unreadable_line",
+        CONNECTION_STATE + "on_unreadable_line",
         "self.unreadable_lines >= self.limits.unreadable_lines",
         "True",
         ("rubbish ends",),
@@ -100,7 +100,7 @@
     SeededFault(
         "a line without an end is waited for",
         "connection",
-        LIFE + "on_partial_line",
+        CONNECTION_STATE + "on_partial_line",
         'self.terminate("a line too long")',
         "pass",
         ("rubbish ends",),
@@ -109,16 +109,16 @@
     SeededFault(
         "who asks for a sign of life may stay",
         "connection",
-        LIFE + "on_handshake_timeout",
-        STRANGER,
-        STRANGER + " and not self.host.unsent_bytes()",
+        CONNECTION_STATE + "on_handshake_timeout",
+        IS_UNIDENTIFIED,
+        IS_UNIDENTIFIED + " and not self.host.unsent_bytes()",
         ("strangers end",),
         start_indices=(0,),
     ),
     SeededFault(
         "strangers are waited for without end",
         "connection",
-        LIFE + "on_handshake_timeout",
+        CONNECTION_STATE + "on_handshake_timeout",
         'self.reject("no name in time")',
         "pass",
         ("strangers end",),
@@ -127,7 +127,7 @@
     SeededFault(
         "peers give way for others",
         "connection",
-        LIFE + "on_message",
+        CONNECTION_STATE + "on_message",
         "self.host.mark_identified()",
         "pass",
         ("peers stay",),
@@ -136,7 +136,7 @@
     SeededFault(
         "one too many is taken in",
         "connection",
-        CROWD + "is_full",
+        CONNECTION_LIMIT + "is_full",
         "self.open_count >= self.max_connections",
         "self.open_count > self.max_connections",
         ("descriptors",),
@@ -145,7 +145,7 @@
     SeededFault(
         "descriptors are not given back",
         "connection",
-        CROWD + "on_close",
+        CONNECTION_LIMIT + "on_close",
         "self.open_count -= 1",
         "pass",
         ("descriptors",),
@@ -154,7 +154,7 @@
     SeededFault(
         "who reads nothing is written to without end",
         "connection",
-        LIFE + "write",
+        CONNECTION_STATE + "write",
         "self.host.unsent_bytes() > self.limits.unsent_bytes",
         "False",
         ("unread bounded",),
@@ -163,7 +163,7 @@
     SeededFault(
         "writes go on after the end",
         "connection",
-        LIFE + "write",
+        CONNECTION_STATE + "write",
         "if self.close_reason:",
         "if self.finish_reason:",
         ("nothing after the end",),
@@ -172,7 +172,7 @@
     SeededFault(
         "a leaving is told twice",
         "connection",
-        LIFE + "finish",
+        CONNECTION_STATE + "finish",
         "if self.finish_reason:",
         "if False:",
         ("in order",),
@@ -181,7 +181,7 @@
     SeededFault(
         "an actor that ends says nothing",
         "connection",
-        LIFE + "finish",
+        CONNECTION_STATE + "finish",
         "self.host.publish(self.host.left_event(self.peer), False)",
         "pass",
         ("leaves at last",),
@@ -190,7 +190,7 @@
     SeededFault(
         "an end is not told to the actor",
         "connection",
-        LIFE + "on_connection_lost",
+        CONNECTION_STATE + "on_connection_lost",
         "self.host.enqueue(ConnectionEnd(self.close_reason), False)",
         "pass",
         ("leaves at last",),
@@ -199,7 +199,7 @@
     SeededFault(
         "signs of life are not answered by a peer",
         "connection",
-        LIFE + "on_mailbox_item",
+        CONNECTION_STATE + "on_mailbox_item",
         "case Heartbeat():\n            self.write(HEARTBEAT_REPLY)",
         "case Heartbeat():\n            pass",
         ("signs of life",),
@@ -208,7 +208,7 @@
     SeededFault(
         "a change goes out before the table",
         "connection",
-        ORDERS + "assign_table",
+        TABLE_UPDATES + "assign_table",
         "self.new_tables.setdefault(proxy, set()).add(number)",
         "pass",
         ("changes fit", "bound at last", "tables agree"),
@@ -217,7 +217,7 @@
     SeededFault(
         "a new stream's table goes out as a change",
         "connection",
-        ORDERS + "build_updates",
+        TABLE_UPDATES + "build_updates",
         "self.tables[number], number in new",
         "self.tables[number], False",
         ("changes fit",),
@@ -226,7 +226,7 @@
     SeededFault(
         "a joining is not told to the module",
         "connection",
-        LIFE + "on_actor_started",
+        CONNECTION_STATE + "on_actor_started",
         "self.host.publish(self.host.joined_event(self.peer), False)",
         "pass",
         ("bound at last",),
@@ -235,7 +235,7 @@
     SeededFault(
         "orders go on to the stream before",
         "connection",
-        STREAMS + "on_joined",
+        PROXY_STREAMS + "on_joined",
         "self.by_proxy[proxy] = stream",
         "self.by_proxy.setdefault(proxy, stream)",
         ("newest",),
@@ -244,7 +244,7 @@
     SeededFault(
         "a mailbox does not count its reports",
         "connection",
-        BOX + "Mailbox.put",
+        MAILBOX + "Mailbox.put",
         "self.report_count += report",
         "pass",
         ("mailboxes",),
@@ -253,7 +253,7 @@
     SeededFault(
         "reports push a mailbox over its bound",
         "connection",
-        BOX + "Mailbox.put",
+        MAILBOX + "Mailbox.put",
         "self.report_count >= self.max_reports",
         "False",
         (NO_EXCEPTION, "mailboxes"),
--- a/meadowworks/modelcheck/seeded_faults/consensus.py
+++ b/meadowworks/modelcheck/seeded_faults/consensus.py
@@ -1,4 +1,4 @@
-"""Seeded faults of the model of agreement on a version and on the members."""
+"""Seeded faults of the model `timetable`: consensus on versions and on the membership."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 RECONFIGURATION = PACKAGE + "reconfiguration:Reconfiguration."
 QUORUM_READ, STATE_TRANSFER = PACKAGE + "quorum_read:QuorumRead.", PACKAGE + "state_transfer:StateTransfer."
 METADATA, REPLICA = PACKAGE + "metadata:", PACKAGE + "replica:Replica."
-CALLS = PACKAGE + "call_factory:QuorumCallFactory."
-CONTENT = ("one content", "lasts")
+CALL_FACTORY = PACKAGE + "call_factory:QuorumCallFactory."
+AGREEMENT = ("one content", "lasts")
 CONSENSUS_FAULTS = (
     *(
-        SeededFault(name, "timetable", at, was, now, breaks, start_indices=starts)
-        for name, at, was, now, breaks, starts in (
+        SeededFault(name, "timetable", target, original, replacement, violates, start_indices=start_indices)
+        for name, target, original, replacement, violates, start_indices in (
             (
                 "a ballot below the promised one is accepted",
                 ACCEPTOR + "vote",
                 "if request.ballot < slot.promised:",
                 "if False:",
-                (*CONTENT, "never back"),
+                (*AGREEMENT, "never back"),
                 (0,),
             ),
             (
@@ -29,7 +29,7 @@
                 ACCEPTOR + "vote",
                 "slot.promised = request.ballot",
                 "slot.promised = request.ballot if isinstance(request, PrepareRequest) else slot.promised",
-                ("never back", *CONTENT),
+                ("never back", *AGREEMENT),
                 (0, 5),
             ),
             (
@@ -37,7 +37,7 @@
                 PROPOSER + "_on_promise",
                 "if highest_promise.accepted > NO_BALLOT:",
                 "if False:",
-                CONTENT,
+                AGREEMENT,
                 (0,),
             ),
             (
@@ -45,7 +45,7 @@
                 PROPOSER + "_on_promise",
                 "max(self.promises.values(), key=lambda p: p.accepted)",
                 "min(self.promises.values(), key=lambda p: p.accepted)",
-                CONTENT,
+                AGREEMENT,
                 (0, 25),
             ),
             (
@@ -53,7 +53,7 @@
                 PROPOSER + "_on_promise",
                 "key=lambda p: p.accepted)",
                 "key=lambda p: p.accepted[1:])",
-                CONTENT,
+                AGREEMENT,
                 (25,),
             ),
             (
@@ -61,7 +61,7 @@
                 ACCEPTOR + "merge_state",
                 "if accepted > slot.accepted:",
                 "if accepted[1:] > slot.accepted[1:]:",
-                CONTENT,
+                AGREEMENT,
                 (26,),
             ),
             (
@@ -69,7 +69,7 @@
                 PROPOSER + "_on_promise",
                 "if len(self.promises) < self.epoch.majority:",
                 "if len(self.promises) < self.epoch.majority - 1:",
-                CONTENT,
+                AGREEMENT,
                 (0,),
             ),
             (
@@ -85,7 +85,7 @@
                 ACCEPTOR + "vote",
                 "if MEMBERSHIP_VERSION < request.version <= self.committed.version:",
                 "if False:",
-                (*CONTENT, "tidy"),
+                (*AGREEMENT, "tidy"),
                 (1,),
             ),
             (
@@ -101,7 +101,7 @@
                 ACCEPTOR + "vote",
                 "request.epoch != self.epoch.number or not",
                 "not",
-                ("voters alone", *CONTENT),
+                ("voters alone", *AGREEMENT),
                 (22,),
             ),
             (
@@ -117,7 +117,7 @@
                 ACCEPTOR + "vote",
                 "if self.sealed_by is not None:",
                 "if False:",
-                ("voters alone", *CONTENT),
+                ("voters alone", *AGREEMENT),
                 (13,),
             ),
             (
@@ -229,7 +229,7 @@
                 RECONFIGURATION + "_on_sealed",
                 "if len(self.sealed_states) < self.epoch.majority:",
                 "if len(self.sealed_states) < self.epoch.majority - 1:",
-                CONTENT,
+                AGREEMENT,
                 (13, 15),
             ),
             (
@@ -330,7 +330,7 @@
             ),
             (
                 "a ballot does not have the life in its name",
-                CALLS + "new_proposer",
+                CALL_FACTORY + "new_proposer",
                 "{self._acceptor.member_id}.{self._acceptor.incarnation}",
                 "{self._acceptor.member_id}",
                 ("one ballot", "one content"),
@@ -338,7 +338,7 @@
             ),
             (
                 "a ballot does not have the disk in its name",
-                CALLS + "new_proposer",
+                CALL_FACTORY + "new_proposer",
                 "{self._acceptor.member_id}.{self._acceptor.incarnation}",
                 "{self._acceptor.incarnation}",
                 ("one ballot", "one content"),
@@ -346,7 +346,7 @@
             ),
             (
                 "a number is used again in one life",
-                CALLS + "new_proposer",
+                CALL_FACTORY + "new_proposer",
                 "promised_number) + 1",
                 "promised_number) or 1",
                 ("one ballot", "one content"),
--- a/meadowworks/modelcheck/seeded_faults/forwarding.py
+++ b/meadowworks/modelcheck/seeded_faults/forwarding.py
@@ -1,17 +1,17 @@
-"""Seeded faults of the model of one request through the proxy."""
+"""Seeded faults of the model `carriage`: one request through the proxy."""
 
 from __future__ import annotations
 
 from meadowworks.modelcheck.seeded_fault import SeededFault
 
 RETRY_POLICY = "meadowworks.attempts.retry_policy:"
-REQUEST_WORLDS = tuple(range(9))  # the first worlds of the model: those of forwarding_world
+REQUEST_WORLDS = tuple(range(9))  # those of forwarding_world, which come first
 ATTEMPTS = "meadowworks.forwarding.request_attempts:RequestAttempts."
 RESPONSE_CHECK = "meadowworks.forwarding.response_check:"
 FORWARDING_FAULTS = (
     *(
-        SeededFault(name, "carriage", at, was, now, breaks, start_indices=REQUEST_WORLDS)
-        for name, at, was, now, breaks in (
+        SeededFault(name, "carriage", target, original, replacement, violates, start_indices=REQUEST_WORLDS)
+        for name, target, original, replacement, violates in (
             (
                 "any failure of a backend is proof",
                 RESPONSE_CHECK + "outcome_of_status",
--- a/meadowworks/modelcheck/seeded_faults/gossip.py
+++ b/meadowworks/modelcheck/seeded_faults/gossip.py
@@ -1,4 +1,4 @@
-"""Seeded faults of the model ``telegraph``: updates between processes, and heartbeats."""
+"""Seeded faults of the model `telegraph`: gossiped updates and heartbeats."""
 
 from __future__ import annotations
 
--- a/meadowworks/modelcheck/seeded_faults/policy.py
+++ b/meadowworks/modelcheck/seeded_faults/policy.py
@@ -1,4 +1,4 @@
-"""Seeded faults of the model of the decision module."""
+"""Seeded faults of the model `module`: the load-balancing decisions of the controller."""
 
 from __future__ import annotations
 
--- a/meadowworks/modelcheck/seeded_faults/priority_admission.py
+++ b/meadowworks/modelcheck/seeded_faults/priority_admission.py
@@ -1,4 +1,4 @@
-"""Seeded faults of the model `priorities`: an admission ratio by priority."""
+"""Seeded faults of the model `priorities`: admission ratios per priority."""
 
 from __future__ import annotations
 
--- a/meadowworks/modelcheck/seeded_faults/quota.py
+++ b/meadowworks/modelcheck/seeded_faults/quota.py
@@ -1,15 +1,18 @@
-"""Seeded faults of the model of a budget in leased shares."""
+"""Seeded faults of the model `grants`: a quota budget granted in leased shares."""
 
 from __future__ import annotations
 
 from meadowworks.modelcheck.seeded_fault import SeededFault
 
-BUDGET, HOLDER = "meadowworks.quota.machine:QuotaBudget.", "meadowworks.quota.machine:QuotaHolder."
+QUOTA_BUDGET, QUOTA_HOLDER = (
+    "meadowworks.quota.machine:QuotaBudget.",
+    "meadowworks.quota.machine:QuotaHolder.",
+)
 QUOTA_FAULTS = (
     SeededFault(
         "a grant counts as given back when a smaller one was sent",
         "grants",
-        BUDGET + "reserved",
+        QUOTA_BUDGET + "reserved",
         "max(shares) if self.acknowledged_handoff else shares[-1]",
         "shares[-1]",
         ("under the estimate",),
@@ -18,7 +21,7 @@
     SeededFault(
         "what is under way is not reserved",
         "grants",
-        BUDGET + "reserved",
+        QUOTA_BUDGET + "reserved",
         "account.in_flight, max(shares)",
         "0, max(shares)",
         ("under the estimate",),
@@ -27,7 +30,7 @@
     SeededFault(
         "views are summed",
         "grants",
-        BUDGET + "estimate",
+        QUOTA_BUDGET + "estimate",
         "median(a.estimate",
         "sum(a.estimate",
         ("granted under it", "under the estimate"),
@@ -36,7 +39,7 @@
     SeededFault(
         "shares are dealt without the budget",
         "grants",
-        BUDGET + "on_report",
+        QUOTA_BUDGET + "on_report",
         "estimate - others",
         "estimate",
         ("granted under it", "under the estimate"),
@@ -45,7 +48,7 @@
     SeededFault(
         "an older report counts again",
         "grants",
-        BUDGET + "on_report",
+        QUOTA_BUDGET + "on_report",
         "if report.sent_ns + self.lease_ns <= max(now, account.expires_ns - 1):",
         "if False:",
         ("under the estimate", "newer only", "fenced"),
@@ -55,7 +58,7 @@
     SeededFault(
         "grants are forgotten before they are confirmed",
         "grants",
-        BUDGET + "on_report",
+        QUOTA_BUDGET + "on_report",
         "if n >= report.grant_number",
         "if n > report.grant_number",
         ("under the estimate", "granted under it"),
@@ -64,7 +67,7 @@
     SeededFault(
         "one share is never dealt",
         "grants",
-        BUDGET + "on_report",
+        QUOTA_BUDGET + "on_report",
         "estimate - others))",
         "estimate - others - 1))",
         ("a share at last",),
@@ -73,7 +76,7 @@
     SeededFault(
         "an overtaken grant is gone by",
         "grants",
-        HOLDER + "on_grant",
+        QUOTA_HOLDER + "on_grant",
         "if grant.grant_number <= self.grant_number:",
         "if False:",
         ("newer only",),
@@ -82,7 +85,7 @@
     SeededFault(
         "a holder goes over its share by one",
         "grants",
-        HOLDER + "try_start",
+        QUOTA_HOLDER + "try_start",
         "self.in_flight >= self.share",
         "self.in_flight > self.share",
         ("within the share",),
@@ -91,7 +94,7 @@
     SeededFault(
         "a holder that is cut off goes on",
         "grants",
-        HOLDER + "fence",
+        QUOTA_HOLDER + "fence",
         "if now < self.lease_until_ns or not self.in_flight:",
         "if True:",
         ("fenced",),
@@ -100,7 +103,7 @@
     SeededFault(
         "a lease runs from when its grant came",
         "grants",
-        HOLDER + "on_grant",
+        QUOTA_HOLDER + "on_grant",
         "grant.sent_ns + self.usable_lease_ns",
         "max(self.lease_until_ns, grant.sent_ns) + self.usable_lease_ns",
         ("fenced",),
--- a/meadowworks/modelcheck/seeded_faults/registry.py
+++ b/meadowworks/modelcheck/seeded_faults/registry.py
@@ -1,4 +1,4 @@
-"""Seeded faults of the model ``roster``: drains on disks."""
+"""Seeded faults of the model `roster`: durable drain records."""
 
 from __future__ import annotations
 
--- a/meadowworks/modelcheck/seeded_faults/replica.py
+++ b/meadowworks/modelcheck/seeded_faults/replica.py
@@ -1,4 +1,4 @@
-"""Seeded faults of the model of the order of writes and sends."""
+"""Seeded faults of the model `replica`: writes to disk before replies are sent."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 PACKAGE = "meadowworks.consensus."
 ACCEPTOR, PROPOSER = PACKAGE + "acceptor:Acceptor.", PACKAGE + "proposer:Proposer."
-CALLS = PACKAGE + "call_factory:QuorumCallFactory."
+CALL_FACTORY = PACKAGE + "call_factory:QuorumCallFactory."
 METADATA, WRITE_QUEUE = PACKAGE + "metadata:", PACKAGE + "write_queue:WriteQueue."
 REPLICA, RUNNER = PACKAGE + "replica:Replica.", PACKAGE + "operation_runner:OperationRunner."
 REPLICA_FAULTS = (
     *(
-        SeededFault(name, "replica", at, was, now, breaks, start_indices=starts)
-        for name, at, was, now, breaks, starts in (
+        SeededFault(name, "replica", target, original, replacement, violates, start_indices=start_indices)
+        for name, target, original, replacement, violates, start_indices in (
             (
                 "a reply leaves before its write",
                 REPLICA + "on_request",
@@ -87,7 +87,7 @@
             ),
             (
                 "a ballot has the life alone in its name",
-                CALLS + "new_proposer",
+                CALL_FACTORY + "new_proposer",
                 "{self._acceptor.member_id}.{self._acceptor.incarnation}",
                 "{self._acceptor.incarnation}",
                 ("one ballot",),
--- a/meadowworks/modelcheck/seeded_faults/upstream.py
+++ b/meadowworks/modelcheck/seeded_faults/upstream.py
@@ -1,23 +1,23 @@
-"""Seeded faults of the model of a connection to a backend and a call between programs."""
+"""Seeded faults of the model `carriage`: connections to backends and calls between nodes."""
 
 from __future__ import annotations
 
 from meadowworks.modelcheck.seeded_fault import SeededFault
 
-# Worlds of the model, those of http_connection_scenarios: faults, idle connections, no ids, between nodes.
-FAULTS, IDLE, WITHOUT_IDS, BETWEEN_NODES = (9,), (10,), (12,), (14,)
+# Indices of initial worlds of the model: http_connection_scenarios follow the nine of forwarding_world.
+FAULT_WORLDS, IDLE_WORLDS, NO_ID_WORLDS, PEER_CALL_WORLDS = (9,), (10,), (12,), (14,)
 CONNECTION = "meadowworks.runtime.http_connection:ClientConnection."
 RESPONSE_CHECK = "meadowworks.forwarding.response_check:"
 UPSTREAM_FAULTS = tuple(
-    SeededFault(name, "carriage", at, was, now, breaks, start_indices=starts)
-    for name, at, was, now, breaks, starts in (
+    SeededFault(name, "carriage", target, original, replacement, violates, start_indices=start_indices)
+    for name, target, original, replacement, violates, start_indices in (
         (
             "bytes behind an answer stay on its line",
             CONNECTION + "_after_response",
             "if self._http11.has_surplus_data or self._stream.buffer:",
             "if False:",
             ("clean lines",),
-            IDLE,
+            IDLE_WORLDS,
         ),
         (
             "a line is used on which bytes have come while it rested",
@@ -25,7 +25,7 @@
             " and not self._http11.has_expired()",
             "",
             ("clean lines",),
-            IDLE,
+            IDLE_WORLDS,
         ),
         (
             "a kept line is taken without a look",
@@ -33,7 +33,7 @@
             " and connection.is_usable()",
             "",
             ("clean lines",),
-            IDLE,
+            IDLE_WORLDS,
         ),
         (
             "a reset is taken for the end of an answer without a length",
@@ -41,7 +41,7 @@
             "if not self._buffer and self._error is not None:",
             "if False:",
             ("wrong caller",),
-            FAULTS,
+            FAULT_WORLDS,
         ),
         (
             "a line that breaks is proof",
@@ -49,7 +49,7 @@
             'raise ConnectionBrokenError(f"connection broken: {error}")',
             'raise ConnectError(f"connection broken: {error}")',
             ("ran twice",),
-            FAULTS,
+            FAULT_WORLDS,
         ),
         (
             "a call without an id goes on a kept line",
@@ -57,7 +57,7 @@
             " if request.request_id is not None else None",
             "",
             ("wrong caller",),
-            WITHOUT_IDS,
+            NO_ID_WORLDS,
         ),
         (
             "a late answer is taken for the next call's",
@@ -65,7 +65,7 @@
             "if rejection_reason(request_id, status, header, first_on_connection):",
             "if False:",
             ("wrong caller",),
-            IDLE,
+            IDLE_WORLDS,
         ),
         (
             "a promise without a name is taken on a kept line",
@@ -73,7 +73,7 @@
             " or not first_on_connection",
             "",
             ("ran twice", "clean lines"),
-            IDLE,
+            IDLE_WORLDS,
         ),
         (
             "a line is kept whose answer was another's",
@@ -81,7 +81,7 @@
             "if verdict.connection_reusable:",
             "if True:",
             ("clean lines",),
-            IDLE,
+            IDLE_WORLDS,
         ),
         (
             "a line whose answer was another's is let go as it is",
@@ -89,7 +89,7 @@
             "connection.close()\n    if not verdict.is_valid:",
             "pass\n    if not verdict.is_valid:",
             ("no line left",),
-            IDLE,
+            IDLE_WORLDS,
         ),
         (
             "a reply to another question is taken",
@@ -97,7 +97,7 @@
             "if reply.header(CALL_ID_HEADER) != call_id:",
             "if False:",
             ("wrong caller",),
-            BETWEEN_NODES,
+            PEER_CALL_WORLDS,
         ),
     )
 )
