--- a/meadowworks/modelcheck/__init__.py
+++ b/meadowworks/modelcheck/__init__.py
@@ -1,5 +1,6 @@
-"""Exhaustive model checking of the product's own state machines in small worlds.
+"""Exhaustive model checking of the product's state machines in small worlds.
 
-It decides nothing about the product: `models` put the machines into worlds, `explorer` visits every state,
-`liveness` looks for what is never answered, and `seeded_faults` take guards out to see that properties break.
+The product does not depend on this package. `models` builds worlds around the state machines, `explorer`
+visits every state, `liveness` finds obligations that stay pending forever, and `seeded_faults` removes guards
+of the product to check that the properties detect it.
 """
--- a/meadowworks/modelcheck/baseline_explorer.py
+++ b/meadowworks/modelcheck/baseline_explorer.py
@@ -1,4 +1,4 @@
-"""The plainest explorer there is, as a baseline: a queue, and the key of every state."""
+"""A minimal explorer as a baseline for speed and state counts: one queue and a set of state keys."""
 
 from __future__ import annotations
 
@@ -14,12 +14,13 @@
 
 
 def explore_baseline(model: Model, max_states: int = 0) -> Result:
-    """Visit every state in one process and count; it finds no paths and checks no liveness.
+    """Visit and count every state in one process, without paths or liveness checking.
 
-    :param max_states: a bound on the states, 0: none.
-    :raises Exception: what a step raises; AssertionError for a property that breaks, unless under `-O`.
+    :param max_states: bound on the number of states (0: none).
+    :raises AssertionError: if a property is violated, unless Python runs with `-O`.
+    :raises Exception: whatever a step raises.
     """
-    began = time.monotonic()
+    started_at = time.monotonic()
     visited: set[Hashable] = set()
     queue: deque[tuple[int, Any]] = deque()
     result = Result(model.name)
@@ -44,16 +45,16 @@
             result.left_out = f"all beyond {max_states} states"
             break
         if model.max_depth and depth >= model.max_depth:
-            result.left_out = f"what takes more than {model.max_depth} steps"
+            result.left_out = f"states more than {model.max_depth} steps from the start"
             break
     result.states = len(visited)
-    result.seconds = time.monotonic() - began
+    result.seconds = time.monotonic() - started_at
     return result
 
 
 @dataclass(frozen=True, slots=True)
 class BaselineComparison:
-    """One model explored by the baseline and by `explore`, in one process and in several."""
+    """The results of the baseline explorer and of `explore`, in one process and in several, on one model."""
 
     baseline: Result
     one_process: Result
@@ -61,12 +62,12 @@
 
     @property
     def same_states(self) -> bool:
-        """Whether all three visited the same number of states."""
+        """Whether all three explorations visited the same number of states."""
         return self.baseline.states == self.one_process.states == self.several_processes.states
 
 
 def compare_with_baseline(name: str, workers: int) -> BaselineComparison:
-    """Explore a model three times, one after another on this machine.
+    """Explore a model three times in sequence: with the baseline, one process and several processes.
 
     :raises UnknownNameError: if there is no such model.
     """
--- a/meadowworks/modelcheck/catalog.py
+++ b/meadowworks/modelcheck/catalog.py
@@ -1,4 +1,4 @@
-"""The models and seeded faults that `check` knows, by the names that its users give."""
+"""All models and seeded faults, looked up by the names used on the command line."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 from meadowworks.modelcheck.seeded_faults.replica import REPLICA_FAULTS
 from meadowworks.modelcheck.seeded_faults.upstream import UPSTREAM_FAULTS
 
-MODELS: dict[str, Callable[[bool], Model]] = {  # each builds its model with small or with larger worlds
+MODELS: dict[str, Callable[[bool], Model]] = {  # builders; the argument selects the larger worlds
     "attempt": attempt.model,
     "connection": connection.model,
     "module": policy.model,
@@ -59,27 +59,27 @@
 
 
 class UnknownNameError(ValueError):
-    """The name of no model, or of no seeded fault."""
+    """There is no model or seeded fault of the given name."""
 
 
 def build_model(name: str, large: bool, max_depth: int = 0) -> Model:
-    """Build a model.
+    """Build the model of the given name.
 
-    :param max_depth: replaces the model's own bound on steps, unless it is 0.
+    :param max_depth: replaces the model's bound on steps unless it is 0.
     :raises UnknownNameError: if there is no such model.
     """
     if name not in MODELS:
-        raise UnknownNameError(f"there is no model {name!r}: there are {', '.join(MODELS)}")
+        raise UnknownNameError(f"there is no model {name!r}; choose from {', '.join(MODELS)}")
     model = MODELS[name](large)
     return replace(model, max_depth=max_depth) if max_depth else model
 
 
 def get_seeded_fault(name: str) -> SeededFault:
-    """Find a seeded fault.
+    """Return the seeded fault of the given name.
 
     :raises UnknownNameError: if there is no such fault.
     """
     for fault in SEEDED_FAULTS:
         if fault.name == name:
             return fault
-    raise UnknownNameError(f"there is no fault {name!r}")
+    raise UnknownNameError(f"there is no seeded fault {name!r}")
--- a/meadowworks/modelcheck/commands.py
+++ b/meadowworks/modelcheck/commands.py
@@ -1,4 +1,4 @@
-"""`meadowworks check`: explores the models, looks for the seeded faults, replays counterexamples."""
+"""`meadowworks check`: explores the models, searches for the seeded faults and replays counterexamples."""
 
 from __future__ import annotations
 
@@ -26,52 +26,56 @@
 
 
 def check(
-    model: Annotated[str, Arg(help=f"{', '.join(MODELS)}; all without one")] = "",
-    large: Annotated[bool, Arg(long=True, help="larger worlds: minutes on several cores")] = False,
-    seeded: Annotated[bool, Arg(long="--faults/--no-faults", help="look for the seeded faults too")] = True,
-    workers: Annotated[int, Arg(long=True, help="processes; 0: one a core")] = 0,
+    model: Annotated[str, Arg(help=f"{', '.join(MODELS)}; default: all models")] = "",
+    large: Annotated[
+        bool, Arg(long=True, help="explore larger worlds: takes minutes on several cores")
+    ] = False,
+    seeded: Annotated[bool, Arg(long="--faults/--no-faults", help="search for the seeded faults too")] = True,
+    workers: Annotated[int, Arg(long=True, help="number of processes; 0: one per core")] = 0,
     most: Annotated[
-        str, Arg(long=True, help="a bound on the states of a model; what it leaves out is said")
+        str, Arg(long=True, help="bound on the states per model; the report states what was not visited")
     ] = "",
-    depth: Annotated[str, Arg(long=True, help="a bound on the steps of a path")] = "",
-    play: Annotated[Path | None, Arg(long=True, help="replay the path in this file")] = None,
-    keep: Annotated[Path | None, Arg(long=True, help="a folder for the paths found, a file each")] = None,
-    baseline: Annotated[bool, Arg(long=True, help="time the plain explorer beside this one")] = False,
-    as_json: Annotated[bool, Arg(long="--json", help="one JSON object on standard output")] = False,
+    depth: Annotated[str, Arg(long=True, help="bound on the steps of a path")] = "",
+    play: Annotated[Path | None, Arg(long=True, help="replay the counterexample in this file")] = None,
+    keep: Annotated[
+        Path | None, Arg(long=True, help="directory for the counterexamples, one file each")
+    ] = None,
+    baseline: Annotated[bool, Arg(long=True, help="compare with the speed of the baseline explorer")] = False,
+    as_json: Annotated[bool, Arg(long="--json", help="print one JSON object on standard output")] = False,
 ) -> int:
-    """Explore the product's state machines exhaustively and say which property breaks, by the shortest path.
+    """Explore the product's state machines exhaustively and report violated properties with a shortest path.
 
-    Status 0 if all properties hold and all seeded faults are found, 1 if not.
+    Exit code 0 if all properties hold and all seeded faults are found, 1 if not.
     """
     # The docstring is the text of --help.
     bounds = Bounds(parse_bound(most, "--most"), parse_bound(depth, "--depth"))
     if workers < 0:
-        raise CommandError("--workers is 0 or more")
+        raise CommandError(f"--workers must be 0 or more, not {workers}")
     workers = workers or os.cpu_count() or 1
     if play:
         return replay_file(play, as_json)
     names = [model] if model else list(MODELS)
     for name in names:
-        build_model(name, large)  # an unknown name is refused before anything is done
+        build_model(name, large)  # rejects an unknown name before any exploration
     if baseline:
         return compare_explorers(names, workers, as_json)
-    with_faults = seeded and not large  # the larger worlds would take hours for all faults
+    with_faults = seeded and not large  # searching for all faults in the larger worlds takes hours
     faults = [fault.name for fault in SEEDED_FAULTS if fault.model in names] if with_faults else []
     return check_models(names, faults, workers, bounds, large=large, keep=keep, as_json=as_json)
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """Bounds on an exploration; 0 stands for none, or for the model's own."""
+    """Bounds on an exploration: `max_states` 0 is unbounded, `max_depth` 0 keeps the bound of the model."""
 
     max_states: int
     max_depth: int
 
 
 def parse_bound(text: str, option: str) -> int:
-    """Read a bound, 0 if none is given.
+    """Parse a bound; an empty text gives 0.
 
-    :raises CommandError: for anything but a whole number above 0.
+    :raises CommandError: if the text is not a whole number above 0.
     """
     if not text:
         return 0
@@ -90,7 +94,7 @@
     keep: Path | None,
     as_json: bool,
 ) -> int:
-    """Explore models, look for faults, and report both; the exit code is 1 if anything is amiss."""
+    """Explore models, search for faults and report both; return the exit code, 1 if anything failed."""
     console = Console(stderr=as_json, highlight=False)
     results = [run_model(name, large, workers, bounds) for name in names]
     for model, result in results:
@@ -101,13 +105,15 @@
         write_counterexamples(keep, results, searches, large)
     if as_json:
         models = [report.result_to_json(model, result, large) for model, result in results]
-        print(json.dumps({"models": models, "faults": [report.fault_to_json(one) for one in searches]}))
-    sound = all(not result.counterexamples for _, result in results) and all(one.found for one in searches)
-    return 0 if sound else 1
+        print(json.dumps({"models": models, "faults": [report.fault_to_json(search) for search in searches]}))
+    passed = all(not result.counterexamples for _, result in results) and all(
+        search.found for search in searches
+    )
+    return 0 if passed else 1
 
 
 def run_model(name: str, large: bool, workers: int, bounds: Bounds) -> tuple[Model, Result]:
-    """Explore one model, with progress on the terminal."""
+    """Explore one model and show progress on the terminal."""
     model = build_model(name, large, bounds.max_depth)
     with progress_bar(name) as progress:
         task = progress.add_task("")
@@ -119,18 +125,18 @@
 
 
 def search_faults(names: Sequence[str], workers: int) -> list[FaultSearch]:
-    """Look for seeded faults, with progress on the terminal."""
+    """Search for seeded faults and show progress on the terminal."""
     searches = []
     with progress_bar("seeded faults") as progress:
         task = progress.add_task("")
-        for one in find_faults(names, workers):
-            searches.append(one)
+        for search in find_faults(names, workers):
+            searches.append(search)
             progress.update(task, description=f"{len(searches)} of {len(names)}")
     return searches
 
 
 def progress_bar(label: str) -> Progress:
-    """Return a progress line that is shown on a terminal and nowhere else."""
+    """Return a progress line that is hidden unless standard error is a terminal."""
     return Progress(
         SpinnerColumn(),
         TextColumn(label + " {task.description}"),
@@ -141,37 +147,39 @@
 
 
 def write_counterexamples(
-    folder: Path, results: Sequence[tuple[Model, Result]], searches: Sequence[FaultSearch], large: bool
+    directory: Path, results: Sequence[tuple[Model, Result]], searches: Sequence[FaultSearch], large: bool
 ) -> None:
-    """Write a file for each counterexample, under the property's or the fault's name.
+    """Write one file per counterexample, named after the model and the property or fault.
 
-    :raises CommandError: if the folder can't be written.
+    :raises CommandError: if the directory cannot be written.
     """
     try:
-        folder.mkdir(parents=True, exist_ok=True)
+        directory.mkdir(parents=True, exist_ok=True)
         for model, result in results:
-            for found in result.counterexamples:
-                write_counterexample(folder, f"{model.name} {found.name}", to_json(model, found, large))
+            for counterexample in result.counterexamples:
+                write_counterexample(
+                    directory, f"{model.name} {counterexample.name}", to_json(model, counterexample, large)
+                )
         for search in searches:
             if search.counterexample:
                 fault = search.fault
                 model = build_model(fault.model, fault.large)
                 stored = to_json(model, search.counterexample, fault.large, fault.name)
-                write_counterexample(folder, f"{model.name} {fault.name}", stored)
+                write_counterexample(directory, f"{model.name} {fault.name}", stored)
     except OSError as error:
-        raise CommandError(f"{folder} cannot be written: {error.strerror}") from error
+        raise CommandError(f"{directory} cannot be written: {error.strerror}") from error
 
 
-def write_counterexample(folder: Path, name: str, stored: dict[str, Any]) -> None:
-    """Write one file, named by the letters and digits of `name`."""
-    plain_name = re.sub(r"[^a-z0-9]+", "-", name.lower()).strip("-")
-    (folder / f"{plain_name}.json").write_text(json.dumps(stored, indent=1) + "\n", encoding="utf-8")
+def write_counterexample(directory: Path, name: str, stored: dict[str, Any]) -> None:
+    """Write one file; its name keeps the letters and digits of `name`."""
+    file_stem = re.sub(r"[^a-z0-9]+", "-", name.lower()).strip("-")
+    (directory / f"{file_stem}.json").write_text(json.dumps(stored, indent=1) + "\n", encoding="utf-8")
 
 
 def replay_file(file: Path, as_json: bool) -> int:
-    """Replay a counterexample; the exit code is 1 where it breaks its property again, as for a check.
+    """Replay a counterexample; return 1 if it violates its property again, else 0.
 
-    :raises CommandError: for a path that does not fit its model.
+    :raises CommandError: if the path does not fit its model.
     """
     stored = read_counterexample(file)
     try:
@@ -191,11 +199,11 @@
 
 
 def compare_explorers(names: Sequence[str], workers: int, as_json: bool) -> int:
-    """Time the baseline explorer and this one, in one process and in several, one after another."""
+    """Compare the baseline explorer with `explore`, in one process and in several."""
     comparisons = {name: compare_with_baseline(name, workers) for name in names}
-    rows = [report.comparison_to_json(name, one, workers) for name, one in comparisons.items()]
+    rows = [report.comparison_to_json(name, comparison, workers) for name, comparison in comparisons.items()]
     if as_json:
         print(json.dumps({"baseline": rows}))
     else:
         report.print_comparisons(Console(highlight=False), rows, workers)
-    return 0 if all(one.same_states for one in comparisons.values()) else 1
+    return 0 if all(comparison.same_states for comparison in comparisons.values()) else 1
--- a/meadowworks/modelcheck/counterexample_file.py
+++ b/meadowworks/modelcheck/counterexample_file.py
@@ -1,4 +1,4 @@
-"""Counterexamples as JSON files: written by a check, replayed by anybody."""
+"""Counterexample files: JSON files written by `meadowworks check --keep` and replayed with `--play`."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 
 class CounterexampleFileError(ValueError):
-    """A file that holds no counterexample; the text is one plain sentence."""
+    """A file does not hold a valid counterexample; the message is one line for the user."""
 
 
 @dataclass(frozen=True, slots=True)
 class StoredCounterexample:
-    """A path as a file has it; `fault` is the seeded fault under which it breaks `violates`, or empty."""
+    """The contents of a file; `fault` names the seeded fault to inject for the replay, or is empty."""
 
     model: str
     large: bool
@@ -38,7 +38,7 @@
 def to_json(
     model: Model, counterexample: Counterexample, large: bool, fault_name: str = ""
 ) -> dict[str, Any]:
-    """Return the JSON object of a file, in which each step stands in plain words too."""
+    """Return the JSON object of a file; `words` describes each step for readers."""
     return {
         "form": FORMAT_VERSION,
         "model": model.name,
@@ -54,27 +54,27 @@
 
 
 def describe_steps(model: Model, counterexample: Counterexample) -> list[str]:
-    """Put each step into plain words, those of the cycle marked as such."""
+    """Return a description of each step; those of the cycle are marked."""
     path = [model.describe_step(step) for step in counterexample.steps]
-    return path + ["for ever: " + model.describe_step(step) for step in counterexample.cycle]
+    return path + ["forever: " + model.describe_step(step) for step in counterexample.cycle]
 
 
 def read_counterexample(path: Path) -> StoredCounterexample:
-    """Read a file.
+    """Read and validate a counterexample file.
 
-    :raises CounterexampleFileError: with what is wrong with it.
+    :raises CounterexampleFileError: if the file cannot be read or does not hold a counterexample.
     """
     try:
         stored = json.loads(path.read_text(encoding="utf-8"))
     except OSError as error:
         raise CounterexampleFileError(f"{path} cannot be read: {error.strerror}") from error
     except ValueError as error:
-        raise CounterexampleFileError(f"{path} is no whole JSON: {error}") from error
+        raise CounterexampleFileError(f"{path} is not valid JSON: {error}") from error
     if not isinstance(stored, dict) or stored.get("form") != FORMAT_VERSION:
         raise CounterexampleFileError(f"{path} holds no path of form {FORMAT_VERSION}")
     for name, kind in FIELD_TYPES.items():
         if type(stored.get(name)) is not kind:
-            raise CounterexampleFileError(f"{path}: {name} is missing or no {kind.__name__}")
+            raise CounterexampleFileError(f"{path}: {name} is missing or not of type {kind.__name__}")
     return StoredCounterexample(
         stored["model"],
         stored["large"],
@@ -87,25 +87,27 @@
 
 
 def parse_steps(stored: Any, field: str) -> tuple[Step, ...]:
-    """Check a list of steps that comes out of JSON.
+    """Validate a decoded list of steps and convert it to tuples.
 
-    :param field: names the list in errors.
-    :raises CounterexampleFileError: if it is no such list.
+    :param field: name of the list in error messages.
+    :raises CounterexampleFileError: if it is not a list of steps.
     """
     if not isinstance(stored, list):
-        raise CounterexampleFileError(f"{field} is no list of steps")
+        raise CounterexampleFileError(f"{field} is not a list of steps")
     for number, step in enumerate(stored, 1):
         if not isinstance(step, list) or not step or not isinstance(step[0], str):
-            raise CounterexampleFileError(f"step {number} of {field} makes no sense: {step!r:.60}")
+            raise CounterexampleFileError(
+                f"step {number} of {field} must be a list that begins with a name, not {step!r:.60}"
+            )
     return tuple(tuple(step) for step in stored)
 
 
 def replay_counterexample(stored: StoredCounterexample) -> tuple[Model, list[str]]:
-    """Take the path again, with its fault injected if it names one.
+    """Replay a path, with its seeded fault injected if it names one.
 
-    :returns: the model, and the names of the properties that the last step breaks.
-    :raises UnknownNameError: for a model or fault that there is not.
-    :raises ValueError: where the path does not fit the model.
+    :returns: the model and the names of the properties violated by the last step.
+    :raises UnknownNameError: if the model or the fault does not exist.
+    :raises ValueError: if the path does not fit the model.
     """
     with ExitStack() as stack:
         if stored.fault:
--- a/meadowworks/modelcheck/counterexamples.py
+++ b/meadowworks/modelcheck/counterexamples.py
@@ -1,4 +1,4 @@
-"""Paths to broken properties, read out of an explored shard."""
+"""Extraction of counterexamples from an explored shard."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def path_to(shard: Shard, fingerprint: int, steps: Sequence[Step]) -> tuple[int, tuple[Step, ...]]:
-    """Return the index of the start, and the steps that lead from it to a state."""
+    """Return the index of the initial world and the steps that lead from it to a state."""
     path: list[Step] = []
     while True:
         parent, step_number = shard.visited[fingerprint]
@@ -21,9 +21,9 @@
 
 
 def shortest_counterexamples(model: Model, shard: Shard) -> list[Counterexample]:
-    """Return the shortest path to each broken property, by the properties' names.
+    """Return a shortest counterexample for each violated property, sorted by property name.
 
-    Of equally short paths it is the first by start, then by the text of the steps.
+    Ties are broken by the index of the initial world, then by the text of the steps.
     """
     steps = list(shard.step_numbers)
     descriptions = dict(reported_properties(model))
@@ -31,9 +31,9 @@
     for violation in shard.violations:
         start_index, path = _path_of_violation(shard, violation, steps)
         name = violation.property_name
-        found = Counterexample(name, descriptions[name], start_index, path, (), violation.reason)
-        if name not in shortest or _order(found) < _order(shortest[name]):
-            shortest[name] = found
+        counterexample = Counterexample(name, descriptions[name], start_index, path, (), violation.reason)
+        if name not in shortest or _sort_key(counterexample) < _sort_key(shortest[name]):
+            shortest[name] = counterexample
     return [shortest[name] for name in sorted(shortest)]
 
 
@@ -46,40 +46,40 @@
     return start_index, (*path, steps[violation.step_number])
 
 
-def _order(found: Counterexample) -> tuple[int, int, str]:
-    return len(found.steps), found.start_index, repr(found.steps)
+def _sort_key(counterexample: Counterexample) -> tuple[int, int, str]:
+    return len(counterexample.steps), counterexample.start_index, repr(counterexample.steps)
 
 
 def liveness_counterexamples(model: Model, shard: Shard) -> list[Counterexample]:
-    """Return a path and a cycle for each liveness property that a run can leave unanswered for ever."""
+    """Return a path and a cycle for each liveness property that can stay pending forever."""
     steps = list(shard.step_numbers)
     depth_of = depth_lookup(shard)
-    found = []
-    for index, live in enumerate(model.liveness):
+    counterexamples = []
+    for index, prop in enumerate(model.liveness):
         fair_sets = [
-            frozenset(n for n, step in enumerate(steps) if is_fair(step)) for is_fair in live.fair_steps
+            frozenset(n for n, step in enumerate(steps) if is_fair(step)) for is_fair in prop.fair_steps
         ]
-        run = find_liveness_violation(shard.pending_graph, index, fair_sets, depth_of)
-        if run is None:
+        violation = find_liveness_violation(shard.pending_graph, index, fair_sets, depth_of)
+        if violation is None:
             continue
-        start_index, path = path_to(shard, run.fingerprint, steps)
-        cycle = tuple(steps[number] for number in run.cycle)
-        reason = "then for ever" if cycle else "then nothing more need happen"
-        found.append(Counterexample(live.name, live.description, start_index, path, cycle, reason))
-    return found
+        start_index, path = path_to(shard, violation.fingerprint, steps)
+        cycle = tuple(steps[number] for number in violation.cycle)
+        reason = "then forever" if cycle else "then no fair step is enabled"
+        counterexamples.append(Counterexample(prop.name, prop.description, start_index, path, cycle, reason))
+    return counterexamples
 
 
 def depth_lookup(shard: Shard) -> Callable[[int], int]:
-    """Return a function that gives a state's distance from its start, by the state's fingerprint."""
+    """Return a function that gives the distance of a state from its initial state, by fingerprint."""
     depths: dict[int, int] = {NO_PARENT: -1}
 
     def depth_of(fingerprint: int) -> int:
         ancestors = []
-        known = fingerprint
-        while known not in depths:
-            ancestors.append(known)
-            known = shard.visited[known][0]
-        for depth, ancestor in enumerate(reversed(ancestors), depths[known] + 1):
+        ancestor_fingerprint = fingerprint
+        while ancestor_fingerprint not in depths:
+            ancestors.append(ancestor_fingerprint)
+            ancestor_fingerprint = shard.visited[ancestor_fingerprint][0]
+        for depth, ancestor in enumerate(reversed(ancestors), depths[ancestor_fingerprint] + 1):
             depths[ancestor] = depth
         return depths[fingerprint]
 
--- a/meadowworks/modelcheck/explorer.py
+++ b/meadowworks/modelcheck/explorer.py
@@ -1,7 +1,7 @@
 """Breadth-first exploration of all states of a model, in one process or several.
 
-Processes own states by fingerprint and go level by level, so the first path found to a state is a shortest
-one, and the same one in every run.
+Each process owns the states whose fingerprints are assigned to it. All processes finish a level before the
+next one starts, so the first path found to a state is a shortest one, and the same one in every run.
 """
 
 from __future__ import annotations
@@ -21,18 +21,18 @@
 
 
 class LevelExplorer(Protocol):
-    """Visits the states of a model level by level; processes are ended when the context is left."""
+    """Visits the states of a model level by level; leaving the context stops its processes."""
 
     def explore_level(self) -> int:
-        """Visit the next level and return how many states were new."""
+        """Visit the next level and return the number of new states."""
         ...
 
     def violated_properties(self) -> set[str]:
-        """Return the names of the properties that are broken so far."""
+        """Return the names of the properties violated so far."""
         ...
 
     def merged_shard(self) -> Shard:
-        """Return all that is known; no level can be explored after it."""
+        """Return one shard with all explored states; no level can be explored afterwards."""
         ...
 
     def __enter__(self) -> LevelExplorer: ...
@@ -43,25 +43,25 @@
 
 
 class SingleProcessExplorer:
-    """Explores in this process, with one shard for all states."""
+    """An explorer that runs in this process, with one shard for all states."""
 
     def __init__(self, model: Model, start_indices: tuple[int, ...]) -> None:
         self._shard = Shard(model, start_indices=start_indices)
         self._discovered = self._shard.initial_states()
 
     def explore_level(self) -> int:
-        """Visit the next level and return how many states were new."""
+        """Visit the next level and return the number of new states."""
         self._shard.add_states(self._discovered)
         new_states = len(self._shard.frontier)
         self._discovered = self._shard.expand() if new_states else []
         return new_states
 
     def violated_properties(self) -> set[str]:
-        """Return the names of the properties that are broken so far."""
+        """Return the names of the properties violated so far."""
         return {violation.property_name for violation in self._shard.violations}
 
     def merged_shard(self) -> Shard:
-        """Return the one shard."""
+        """Return the shard with all explored states."""
         return self._shard
 
     def __enter__(self) -> SingleProcessExplorer:
@@ -70,12 +70,12 @@
     def __exit__(
         self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
-        """There is nothing to end."""
+        """Do nothing: no processes were started."""
 
 
 @dataclass(frozen=True, slots=True)
 class LevelsVisited:
-    """How far an exploration went, and why it stopped before the end, if it did."""
+    """The number of levels an exploration visited, and why it stopped early (empty: it did not)."""
 
     levels: int
     left_out: str
@@ -89,24 +89,24 @@
     on_level: LevelCallback | None = None,
     start_indices: tuple[int, ...] = (),
 ) -> Result:
-    """Visit every state of a model, or say what was left out.
-
-    :param workers: processes; 1 explores in this one.
-    :param max_states: a bound on the states (0: none), looked at after each level.
-    :param stop_on: names of properties; the level in which one breaks is the last.
-    :param on_level: is told depth and states after each level.
-    :param start_indices: the starts that matter (empty: all).
-    :raises ValueError: for a bound under 0 or fewer workers than one.
+    """Visit every state of a model and check its properties; the result states what was not visited.
+
+    :param workers: number of processes; 1 explores in this process.
+    :param max_states: bound on the number of states (0: none), checked after each level.
+    :param stop_on: names of properties; exploration stops after the level in which one is violated.
+    :param on_level: called after each level with the number of levels and of states visited so far.
+    :param start_indices: indices of the initial worlds to explore from (empty: all).
+    :raises ValueError: if `max_states` is negative or `workers` is less than 1.
     """
     if workers < 1 or max_states < 0:
-        raise ValueError("workers are at least 1, and a bound is at least 0")
-    began = time.monotonic()
+        raise ValueError(f"workers must be at least 1 and max_states at least 0: {workers}, {max_states}")
+    started_at = time.monotonic()
     with _start_explorer(model, workers, start_indices) as explorer:
         visited = _explore_levels(explorer, max_states, stop_on, on_level)
         shard = explorer.merged_shard()
     left_out = visited.left_out
     if model.max_depth and visited.levels > model.max_depth:
-        left_out = left_out or f"what takes more than {model.max_depth} steps"
+        left_out = left_out or f"states more than {model.max_depth} steps from the start"
     result = Result(
         model.name,
         len(shard.visited),
@@ -116,9 +116,9 @@
         counterexamples=tuple(shortest_counterexamples(model, shard)),
         metrics=shard.metrics or None,
     )
-    if result.is_complete:  # a run that goes on for ever is only known once all states are
+    if result.is_complete:  # an infinite run can only be recognized once all states are known
         result.counterexamples += tuple(liveness_counterexamples(model, shard))
-    result.seconds = time.monotonic() - began
+    result.seconds = time.monotonic() - started_at
     return result
 
 
@@ -138,8 +138,8 @@
         if on_level:
             on_level(levels, states)
         if max_states and states >= max_states:
-            bound = f"all beyond {states} states, at {levels} steps: the bound was {max_states}"
-            return LevelsVisited(levels, bound)
+            left_out = f"all beyond {states} states, at {levels} steps: the bound is {max_states}"
+            return LevelsVisited(levels, left_out)
         if stop_on & explorer.violated_properties():
-            return LevelsVisited(levels, f"all beyond {levels} steps: a property broke")
+            return LevelsVisited(levels, f"all beyond {levels} steps: a property was violated")
     return LevelsVisited(levels, "")
--- a/meadowworks/modelcheck/fault_search.py
+++ b/meadowworks/modelcheck/fault_search.py
@@ -1,4 +1,4 @@
-"""Looks for the seeded faults: each must be found by a property that it is said to break."""
+"""Search for seeded faults: each must violate one of the properties declared for it."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 from meadowworks.modelcheck.replay import replay
 from meadowworks.modelcheck.seeded_fault import SeededFault, injected_fault
 
-MAX_STATES = 1 << 19  # visited in search of a fault; none needs as many
+MAX_STATES = 1 << 19  # per fault; every seeded fault is found within this bound
 
 
 @dataclass(frozen=True, slots=True)
 class FaultSearch:
-    """What became of a seeded fault.
+    """The result of the search for a seeded fault.
 
-    `counterexample` is the shortest path to a property that broke, `replayed` whether taking that path again,
-    with the fault still injected, breaks it again.
+    `counterexample` is the shortest one for a declared property; `replayed` is whether its replay, with the
+    fault injected, violates the property again.
     """
 
     fault: SeededFault
@@ -33,23 +33,23 @@
 
     @property
     def found(self) -> bool:
-        """Whether a property broke, and breaks again by the same path."""
+        """Whether a declared property was violated and its counterexample could be replayed."""
         return self.counterexample is not None and self.replayed
 
     @property
     def path_length(self) -> int:
-        """The number of steps of the counterexample, 0 without one."""
-        found = self.counterexample
-        return len(found.steps) + len(found.cycle) if found else 0
+        """The number of steps of the counterexample, or 0 if there is none."""
+        counterexample = self.counterexample
+        return len(counterexample.steps) + len(counterexample.cycle) if counterexample else 0
 
 
 def find_fault(name: str) -> FaultSearch:
-    """Inject a fault and explore until a property that it is said to break has broken.
+    """Inject a fault and explore until one of its declared properties is violated.
 
     :raises UnknownNameError: if there is no such fault.
     """
     fault = get_seeded_fault(name)
-    began = time.monotonic()
+    started_at = time.monotonic()
     with injected_fault(fault):
         model = build_model(fault.model, fault.large, fault.max_depth)
         result = explore(
@@ -58,20 +58,20 @@
             stop_on=frozenset(fault.violates),
             start_indices=fault.start_indices,
         )
-        found = _shortest_expected(fault, result)
-        replayed = found is not None and found.name in replay(
-            model, found.start_index, found.steps, found.cycle
+        counterexample = _shortest_expected(fault, result)
+        replayed = counterexample is not None and counterexample.name in replay(
+            model, counterexample.start_index, counterexample.steps, counterexample.cycle
         )
-    return FaultSearch(fault, found, replayed, result.states, time.monotonic() - began)
+    return FaultSearch(fault, counterexample, replayed, result.states, time.monotonic() - started_at)
 
 
 def _shortest_expected(fault: SeededFault, result: Result) -> Counterexample | None:
-    expected = [one for one in result.counterexamples if one.name in fault.violates]
-    expected.sort(key=lambda one: (len(one.steps), one.name))
+    expected = [example for example in result.counterexamples if example.name in fault.violates]
+    expected.sort(key=lambda example: (len(example.steps), example.name))
     return expected[0] if expected else None
 
 
 def find_faults(names: Sequence[str], workers: int) -> Iterator[FaultSearch]:
-    """Look for faults, each in a worker process, and yield the results in the order of the names."""
+    """Search for faults in worker processes and yield the results in the order of the names."""
     with ProcessPoolExecutor(workers, mp_context=mp.get_context("fork")) as pool:
         yield from pool.map(find_fault, names)
--- a/meadowworks/modelcheck/liveness.py
+++ b/meadowworks/modelcheck/liveness.py
@@ -1,9 +1,11 @@
-"""Liveness: runs on which an obligation stays pending for ever, under weak fairness.
-
-Weak fairness: a set of steps that could be taken from some time on without a break is taken at last. A run
-that breaks a liveness property rests in a pending state where no fair step can be taken, or ends in a
-strongly connected component of the pending states that allows, for each fair set, either a step of it inside,
-or a state in which none of it can be taken; and any such component holds such a run, which goes all over it.
+"""Liveness checking: finds runs on which an obligation stays pending forever, under weak fairness.
+
+Weak fairness: if from some time on some step of a fair set is enabled in every state, a step of the set is
+eventually taken. A run violates a liveness property in one of two ways. It stops in a pending state in which
+no fair step is enabled, or it eventually stays in a strongly connected component of the pending states in
+which, for each fair set, a step of the set stays inside the component or the set is disabled in some state.
+Every such component contains a violating run: one that visits all its states and takes all its steps
+infinitely often.
 """
 
 from __future__ import annotations
@@ -25,10 +27,10 @@
 
 @dataclass(slots=True)
 class PendingGraph:
-    """The steps that leave pending states, by fingerprints, and which properties are pending in each state.
+    """The transitions out of pending states, with states given by fingerprint.
 
-    Row by row, `sources`, `targets` and `steps` hold a step's two states and its number; `pending` maps a
-    state to the indices of the liveness properties that are pending in it.
+    `sources`, `targets` and `steps` are parallel arrays: the two states of a transition and the number of its
+    step. `pending` maps a state to the indices of the liveness properties that are pending in it.
     """
 
     sources: array[int] = field(default_factory=lambda: array("Q"))
@@ -37,18 +39,18 @@
     pending: dict[int, list[int]] = field(default_factory=dict)
 
     def mark_pending(self, fingerprint: int, properties: list[int]) -> None:
-        """Note which properties are pending in a state, before its steps are added."""
+        """Record the properties that are pending in a state; call this before adding its transitions."""
         self.pending[fingerprint] = properties
 
     def add(self, source: int, target: int, step: int) -> None:
-        """Add a step if it leaves a pending state."""
+        """Add a transition if its source is a pending state."""
         if source in self.pending:
             self.sources.append(source)
             self.targets.append(target)
             self.steps.append(step)
 
     def merge(self, other: PendingGraph, step_numbers: Mapping[int, int]) -> None:
-        """Add another shard's graph; `step_numbers` maps its numbers of steps to the own ones."""
+        """Add another shard's graph; `step_numbers` maps its step numbers to those of this graph."""
         self.sources.extend(other.sources)
         self.targets.extend(other.targets)
         if other.steps:
@@ -60,9 +62,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LivenessViolation:
-    """A state that a run can reach, and the numbers of the steps of a cycle that it may repeat from there.
+    """A reachable state from which a property may stay pending forever.
 
-    Without steps the run may rest in the state, as no fair step can be taken there.
+    `cycle` holds the numbers of the steps that can repeat from the state. It is empty if the run can stop in
+    the state, because no fair step is enabled there.
     """
 
     fingerprint: int
@@ -71,24 +74,25 @@
 
 @dataclass(slots=True)
 class _PropertyGraph:
-    """The states in which one property is pending, sorted by fingerprint, and the steps that leave them.
+    """The states in which one property is pending, sorted by fingerprint, and the transitions out of them.
 
-    States go by index here. `stays` tells of each step whether it leads to another such state
-    (else its target means nothing), `in_fair_set` per fair set whether the step belongs to it.
+    `sources` and `targets` are indices into `states`. `stays_pending` marks the transitions that lead to
+    one of these states; the target of any other transition is meaningless. `in_fair_set` holds one mask
+    over the transitions for each fair set.
     """
 
     states: Indices
     sources: Indices
     targets: Indices
     steps: Indices
-    stays: Mask
+    stays_pending: Mask
     in_fair_set: list[Mask]
 
     def enabled_fair_sets(self) -> Mask:
-        """Tell for each fair set (row) and state (column) whether a step of the set can be taken."""
+        """Return, for each fair set (row) and state (column), whether a step of the set is enabled."""
         enabled = np.zeros((len(self.in_fair_set), len(self.states)), dtype=bool)
-        for row, of_set in enumerate(self.in_fair_set):
-            enabled[row, self.sources[of_set]] = True
+        for row, fair_mask in enumerate(self.in_fair_set):
+            enabled[row, self.sources[fair_mask]] = True
         return enabled
 
 
@@ -98,107 +102,123 @@
     fair_sets: Sequence[frozenset[int]],
     depth_of: Callable[[int], int],
 ) -> LivenessViolation | None:
-    """Find a run on which a property stays pending for ever, the one that begins nearest to a start.
+    """Find a run on which a property stays pending forever; prefer one nearest to an initial state.
 
-    :param fair_sets: the numbers of the steps of each fair set.
-    :param depth_of: gives a state's distance from the start, by its fingerprint.
-    :returns: None if each run answers at last.
+    :param fair_sets: the step numbers of each fair set.
+    :param depth_of: returns the distance of a state from its initial state, by fingerprint.
+    :returns: None if the property holds on every run.
     """
-    own = _graph_of_property(graph, property_index, fair_sets)
-    if not len(own.states):
+    property_graph = _build_property_graph(graph, property_index, fair_sets)
+    if not len(property_graph.states):
         return None
 
-    def nearest(candidates: Indices) -> int:
+    def nearest_to_start(candidates: Indices) -> int:
         return min(
             (int(index) for index in candidates),
-            key=lambda index: (depth_of(int(own.states[index])), int(own.states[index])),
+            key=lambda index: (
+                depth_of(int(property_graph.states[index])),
+                int(property_graph.states[index]),
+            ),
         )
 
-    enabled = own.enabled_fair_sets()
-    resting = np.flatnonzero(~enabled.any(axis=0))
-    if resting.size:
-        return LivenessViolation(int(own.states[nearest(resting)]), ())
-    component = _strongly_connected_components(own)
-    broken = _broken_components(own, component, enabled)
-    if not broken.any():
+    enabled = property_graph.enabled_fair_sets()
+    stopped = np.flatnonzero(~enabled.any(axis=0))
+    if stopped.size:
+        return LivenessViolation(int(property_graph.states[nearest_to_start(stopped)]), ())
+    component = _strongly_connected_components(property_graph)
+    violating = _violating_components(property_graph, component, enabled)
+    if not violating.any():
         return None
-    start = nearest(np.flatnonzero(broken[component]))
+    start = nearest_to_start(np.flatnonzero(violating[component]))
     inside = (
-        own.stays
-        & (component[own.sources] == component[start])
-        & (component[own.targets] == component[start])
+        property_graph.stays_pending
+        & (component[property_graph.sources] == component[start])
+        & (component[property_graph.targets] == component[start])
+    )
+    edge_columns = (
+        property_graph.sources[inside].tolist(),
+        property_graph.targets[inside].tolist(),
+        property_graph.steps[inside].tolist(),
     )
-    columns = (own.sources[inside].tolist(), own.targets[inside].tolist(), own.steps[inside].tolist())
     return LivenessViolation(
-        int(own.states[start]), tuple(shortest_cycle(list(zip(*columns, strict=True)), start))
+        int(property_graph.states[start]), tuple(shortest_cycle(list(zip(*edge_columns, strict=True)), start))
     )
 
 
-def _graph_of_property(
+def _build_property_graph(
     graph: PendingGraph, property_index: int, fair_sets: Sequence[frozenset[int]]
 ) -> _PropertyGraph:
     pending = sorted(state for state, properties in graph.pending.items() if property_index in properties)
     states = np.array(pending, dtype=np.uint64)
     if not len(states):
-        nothing = np.zeros(0, dtype=np.int64)
-        return _PropertyGraph(states, nothing, nothing, nothing, np.zeros(0, dtype=bool), [])
-    sources, leaves = locate(states, graph.sources)
-    targets, stays = locate(states, graph.targets)
-    steps = np.frombuffer(graph.steps, dtype=np.uint64)[leaves]
+        no_transitions = np.zeros(0, dtype=np.int64)
+        return _PropertyGraph(
+            states, no_transitions, no_transitions, no_transitions, np.zeros(0, dtype=bool), []
+        )
+    sources, leaves_pending = locate(states, graph.sources)
+    targets, stays_pending = locate(states, graph.targets)
+    steps = np.frombuffer(graph.steps, dtype=np.uint64)[leaves_pending]
     in_fair_set = [np.isin(steps, np.array(sorted(numbers), dtype=np.uint64)) for numbers in fair_sets]
-    return _PropertyGraph(states, sources[leaves], targets[leaves], steps, stays[leaves], in_fair_set)
+    return _PropertyGraph(
+        states,
+        sources[leaves_pending],
+        targets[leaves_pending],
+        steps,
+        stays_pending[leaves_pending],
+        in_fair_set,
+    )
 
 
 def locate(fingerprints: Indices, wanted: array[int]) -> tuple[Indices, Mask]:
-    """Return the index of each wanted one among sorted fingerprints, and whether it is there at all."""
-    found = np.frombuffer(wanted, dtype=np.uint64) if wanted else np.zeros(0, dtype=np.uint64)
-    indices = np.minimum(np.searchsorted(fingerprints, found), len(fingerprints) - 1)
-    return indices, fingerprints[indices] == found
+    """Return the index of each wanted fingerprint among sorted fingerprints, and a mask of those present."""
+    wanted_array = np.frombuffer(wanted, dtype=np.uint64) if wanted else np.zeros(0, dtype=np.uint64)
+    indices = np.minimum(np.searchsorted(fingerprints, wanted_array), len(fingerprints) - 1)
+    return indices, fingerprints[indices] == wanted_array
 
 
-def _strongly_connected_components(own: _PropertyGraph) -> Indices:
-    """Return the number of the component of each state."""
-    sources, targets = own.sources[own.stays], own.targets[own.stays]
-    size = len(own.states)
+def _strongly_connected_components(graph: _PropertyGraph) -> Indices:
+    """Return the component number of each state."""
+    sources, targets = graph.sources[graph.stays_pending], graph.targets[graph.stays_pending]
+    size = len(graph.states)
     matrix = coo_matrix((np.ones(len(sources), dtype=np.int8), (sources, targets)), shape=(size, size))
     _, component = connected_components(matrix, directed=True, connection="strong")
     labels: Indices = component
     return labels
 
 
-def _broken_components(own: _PropertyGraph, component: Indices, enabled: Mask) -> Mask:
-    """Tell of each component whether a run can stay in it for ever without being unfair."""
+def _violating_components(graph: _PropertyGraph, component: Indices, enabled: Mask) -> Mask:
+    """Return, for each component, whether a fair run can stay in it forever."""
     count = int(component.max()) + 1
-    inside = own.stays & (component[own.sources] == component[own.targets])
-    broken = np.zeros(count, dtype=bool)
-    broken[component[own.sources[inside]]] = True
-    for row, of_set in enumerate(own.in_fair_set):
+    inside = graph.stays_pending & (component[graph.sources] == component[graph.targets])
+    violating = np.zeros(count, dtype=bool)
+    violating[component[graph.sources[inside]]] = True
+    for row, fair_mask in enumerate(graph.in_fair_set):
         is_taken, is_disabled = np.zeros(count, dtype=bool), np.zeros(count, dtype=bool)
-        is_taken[component[own.sources[inside & of_set]]] = True
+        is_taken[component[graph.sources[inside & fair_mask]]] = True
         is_disabled[component[~enabled[row]]] = True
-        broken &= is_taken | is_disabled
-    return broken
+        violating &= is_taken | is_disabled
+    return violating
 
 
 def shortest_cycle(edges: Sequence[tuple[int, int, int]], start: int) -> list[int]:
-    """Return the steps of a shortest way from a state back to it; edges are source, target and step."""
+    """Return the steps of a shortest cycle through `start`; edges are (source, target, step number)."""
     outgoing: dict[int, list[tuple[int, int]]] = {}
     for source, target, step in edges:
         outgoing.setdefault(source, []).append((target, step))
     queue = deque([start])
-    reached_by: dict[int, tuple[int, int]] = {}  # the state before, and the step from it
+    reached_by: dict[int, tuple[int, int]] = {}  # predecessor and the step from it
     while queue:
         state = queue.popleft()
         for target, step in outgoing.get(state, ()):
             if target == start:
-                return _steps_back(reached_by, state, start, [step])
+                return _trace_back(reached_by, state, start, [step])
             if target not in reached_by:
                 reached_by[target] = state, step
                 queue.append(target)
     return []
 
 
-def _steps_back(
+def _trace_back(
     reached_by: Mapping[int, tuple[int, int]], state: int, start: int, steps: list[int]
 ) -> list[int]:
     while state != start:
--- a/meadowworks/modelcheck/model.py
+++ b/meadowworks/modelcheck/model.py
@@ -1,4 +1,4 @@
-"""What a model consists of: worlds that take steps, and the properties that must hold of them."""
+"""Transition systems and their properties: the types that models, explorers and reports share."""
 
 from __future__ import annotations
 
@@ -6,40 +6,43 @@
 from dataclasses import dataclass
 from typing import Any, Literal, Protocol
 
-NO_EXCEPTION = "no fault"  # name of the property that no step raises
+NO_EXCEPTION = "no fault"  # name of the property that no step raises an exception
 NO_DEADLOCK = "no deadlock"
-Step = tuple[Any, ...]  # a name, then small numbers or words: goes into JSON and back
+Step = tuple[Any, ...]  # a name followed by JSON-serializable arguments
 Scope = Literal["state", "step", "end"]
 
 
 class World(Protocol):
-    """A small world around a state machine of the product, in one of its states.
+    """A small environment around state machines of the product, in one of its states.
 
-    `outcomes` is what came of the last step, for the properties that are checked on steps.
+    `outcomes` holds the results of the last step, for the properties that are checked on steps.
     """
 
     outcomes: list[tuple[Any, ...]]
 
     def enabled(self) -> Iterable[Step]:
-        """Name the steps that can be taken in this state."""
+        """Return the steps that can be taken in this state."""
         ...
 
     def take_step(self, step: Step) -> None:
-        """Take one of the steps that `enabled` named."""
+        """Take one of the steps that `enabled` returned."""
         ...
 
     def freeze(self) -> Any:
-        """Return a compact copy, from which the model's `thaw` makes the same world again."""
+        """Return a compact snapshot, from which the model's `thaw` restores an equal world."""
         ...
 
     def key(self) -> Hashable:
-        """Return numbers, strings and tuples alone, equal for worlds that count as one state."""
+        """Return the identity of the state: equal for worlds that count as the same state.
+
+        It is built from numbers, strings and tuples only, so that it can be hashed in every process alike.
+        """
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class Property:
-    """A condition that must hold of each state, of each step's outcomes, or of states without a step."""
+    """A safety condition on each state, on each step, or on states without enabled steps."""
 
     name: str
     description: str
@@ -49,10 +52,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LivenessProperty:
-    """An obligation that may be pending in a state, and must not stay so for ever.
+    """An obligation that may be pending in a state but must not stay pending forever.
 
-    Each of `fair_steps` selects a set of steps under weak fairness: one of them is taken at last if, from
-    some time on, one could be taken at any moment.
+    Each predicate of `fair_steps` selects a set of steps under weak fairness: if from some time on
+    some step of the set is enabled in every state, a step of the set is eventually taken.
     """
 
     name: str
@@ -62,7 +65,7 @@
 
 
 def steps_starting_with(*prefix: Any) -> Callable[[Step], bool]:
-    """Select the steps that begin with these items, for `LivenessProperty.fair_steps`."""
+    """Return a predicate for the steps that begin with these items, for `LivenessProperty.fair_steps`."""
     return lambda step: step[: len(prefix)] == prefix
 
 
@@ -70,9 +73,10 @@
 class Model:
     """A transition system and its properties.
 
-    `thaw` restores a frozen world, `describe_step` puts a step into plain words, `max_depth` bounds the steps
-    where the states have no end (0: none), and `metrics` are measured in each state, of which the greatest
-    values are reported. A world without a step is a deadlock unless it `may_terminate`.
+    `thaw` restores a frozen world and `describe_step` renders a step for reports. `max_depth` bounds the
+    number of steps of a model with an infinite state space (0: no bound). `metrics` are computed in each
+    state, and their maxima are reported. A world without enabled steps is a deadlock unless it
+    `may_terminate`.
     """
 
     name: str
@@ -82,37 +86,37 @@
     describe_step: Callable[[Step], str]
     properties: tuple[Property, ...]
     liveness: tuple[LivenessProperty, ...] = ()
-    may_terminate: Callable[[Any], bool] = lambda world: True  # noqa: ARG005 (the default of a predicate)
+    may_terminate: Callable[[Any], bool] = lambda world: True  # noqa: ARG005 (default of a predicate)
     max_depth: int = 0
     metrics: Callable[[Any], dict[str, float]] | None = None
 
     def properties_on(self, scope: Scope) -> list[Property]:
-        """Return the properties that are checked on states, steps or ends."""
+        """Return the properties that are checked in the given scope."""
         return [prop for prop in self.properties if prop.checked_on == scope]
 
 
 IMPLICIT_PROPERTIES = (
-    Property(NO_EXCEPTION, "no step ends in an exception or a broken assertion", lambda _: True),
-    Property(NO_DEADLOCK, "where nothing can happen any more, nothing is owed", lambda _: True),
+    Property(NO_EXCEPTION, "no step raises an exception or fails an assertion", lambda _: True),
+    Property(NO_DEADLOCK, "a state without enabled steps is a valid final state", lambda _: True),
 )
 
 
 def reported_properties(model: Model) -> list[tuple[str, str]]:
-    """Return name and description of all that is checked of a model, in the order of reports."""
-    stated: tuple[Property | LivenessProperty, ...] = (
+    """Return the name and description of every property of a model, in the order of reports."""
+    properties: tuple[Property | LivenessProperty, ...] = (
         *model.properties,
         *model.liveness,
         *IMPLICIT_PROPERTIES,
     )
-    return [(prop.name, prop.description) for prop in stated]
+    return [(prop.name, prop.description) for prop in properties]
 
 
 @dataclass(frozen=True, slots=True)
 class Counterexample:
-    """A broken property with the shortest path to it.
+    """A violated property with a shortest path to the violation.
 
-    The path is the index of the start and the steps from there; for a liveness property also the steps of the
-    cycle that can go on for ever.
+    The path is the index of the initial world and the steps from there. For a liveness property, `cycle`
+    holds the steps that can repeat forever after the path.
     """
 
     name: str
@@ -125,7 +129,7 @@
 
 @dataclass(slots=True)
 class Result:
-    """What an exploration found. `left_out` says in words what it did not visit; empty where complete."""
+    """The result of an exploration; `left_out` describes the unvisited states, if any."""
 
     model_name: str
     states: int = 0
--- a/meadowworks/modelcheck/report.py
+++ b/meadowworks/modelcheck/report.py
@@ -1,4 +1,4 @@
-"""What `meadowworks check` prints: tables and paths for a terminal, objects for JSON."""
+"""Output of `meadowworks check`: tables and paths for a terminal, objects for JSON."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def print_result(console: Console, model: Model, result: Result) -> None:
-    """Print the size of an exploration and each property, with the path to each that broke."""
+    """Print the size of an exploration and the verdict on each property, with the path to each violation."""
     extent = "complete" if result.is_complete else f"left out: {result.left_out}"
     console.print(f"[bold]{model.name}[/bold]: {model.description}")
     console.print(
@@ -25,37 +25,41 @@
     )
     for name, value in (result.metrics or {}).items():
         console.print(f"  {name}: {value:g}")
-    found = {one.name: one for one in result.counterexamples}
+    counterexamples = {counterexample.name: counterexample for counterexample in result.counterexamples}
     for name, description in reported_properties(model):
-        verdict = "[red]BROKEN[/red]" if name in found else "holds"
+        verdict = "[red]BROKEN[/red]" if name in counterexamples else "holds"
         console.print(f"  {verdict}  {name}: {description}")
-        if name in found:
-            print_counterexample(console, model, found[name])
+        if name in counterexamples:
+            print_counterexample(console, model, counterexamples[name])
 
 
-def print_counterexample(console: Console, model: Model, found: Counterexample) -> None:
-    """Print the start of a counterexample and its numbered steps."""
-    reason = f" ({found.reason})" if found.reason else ""
-    console.print(f"          from start {found.start_index}{reason}")
-    for number, step in enumerate(describe_steps(model, found), 1):
+def print_counterexample(console: Console, model: Model, counterexample: Counterexample) -> None:
+    """Print the index of the initial world of a counterexample and its numbered steps."""
+    reason = f" ({counterexample.reason})" if counterexample.reason else ""
+    console.print(f"          from start {counterexample.start_index}{reason}")
+    for number, step in enumerate(describe_steps(model, counterexample), 1):
         console.print(f"          {number:3}. {step}", markup=False)
 
 
 def print_faults(console: Console, searches: Sequence[FaultSearch]) -> None:
-    """Print a table of the seeded faults and of the properties that found them."""
+    """Print a table of the seeded faults and the properties that detected them."""
     if not searches:
         return
-    table = Table("model", "a guard taken out", "found by", "steps", box=None)
-    for one in searches:
-        found_by = one.counterexample.name if one.found and one.counterexample else "[red]NOT FOUND[/red]"
-        table.add_row(one.fault.model, one.fault.name, found_by, str(one.path_length) if one.found else "")
+    table = Table("model", "seeded fault", "found by", "steps", box=None)
+    for search in searches:
+        found_by = (
+            search.counterexample.name if search.found and search.counterexample else "[red]NOT FOUND[/red]"
+        )
+        table.add_row(
+            search.fault.model, search.fault.name, found_by, str(search.path_length) if search.found else ""
+        )
     console.print(table)
-    console.print(f"{sum(one.found for one in searches)} of {len(searches)} seeded faults found")
+    console.print(f"{sum(search.found for search in searches)} of {len(searches)} seeded faults found")
 
 
 def result_to_json(model: Model, result: Result, large: bool) -> dict[str, Any]:
-    """Return the JSON object of a model that was explored."""
-    found = {one.name: one for one in result.counterexamples}
+    """Return the JSON object of an explored model."""
+    counterexamples = {counterexample.name: counterexample for counterexample in result.counterexamples}
     return {
         "name": model.name,
         "words": model.description,
@@ -70,8 +74,8 @@
             {
                 "name": name,
                 "words": description,
-                "holds": name not in found,
-                "path": to_json(model, found[name], large) if name in found else None,
+                "holds": name not in counterexamples,
+                "path": to_json(model, counterexamples[name], large) if name in counterexamples else None,
             }
             for name, description in reported_properties(model)
         ],
@@ -79,40 +83,40 @@
 
 
 def fault_to_json(search: FaultSearch) -> dict[str, Any]:
-    """Return the JSON object of a seeded fault that was looked for."""
-    fault, found = search.fault, search.counterexample
+    """Return the JSON object of the search for a seeded fault."""
+    fault, counterexample = search.fault, search.counterexample
     model = build_model(fault.model, fault.large)
     return {
         "name": fault.name,
         "model": fault.model,
         "found": search.found,
-        "by": found.name if found else "",
+        "by": counterexample.name if counterexample else "",
         "length": search.path_length,
         "seconds": round(search.seconds, 2),
-        "path": to_json(model, found, fault.large, fault.name) if found else None,
+        "path": to_json(model, counterexample, fault.large, fault.name) if counterexample else None,
     }
 
 
-def comparison_to_json(name: str, compared: BaselineComparison, workers: int) -> dict[str, Any]:
-    """Return the JSON object of a model that was explored by the baseline too."""
-    baseline, one, several = compared.baseline, compared.one_process, compared.several_processes
+def comparison_to_json(name: str, comparison: BaselineComparison, workers: int) -> dict[str, Any]:
+    """Return the JSON object of a comparison with the baseline explorer."""
+    baseline, single, multiple = comparison.baseline, comparison.one_process, comparison.several_processes
     return {
         "name": name,
-        "states": one.states,
-        "same": compared.same_states,
+        "states": single.states,
+        "same": comparison.same_states,
         "plain_per_s": round(baseline.states / baseline.seconds),
-        "one_per_s": round(one.states / one.seconds),
-        "several_per_s": round(several.states / several.seconds),
+        "one_per_s": round(single.states / single.seconds),
+        "several_per_s": round(multiple.states / multiple.seconds),
         "workers": workers,
-        "one_to_plain": round(baseline.seconds / one.seconds, 2),
-        "several_to_plain": round(baseline.seconds / several.seconds, 2),
+        "one_to_plain": round(baseline.seconds / single.seconds, 2),
+        "several_to_plain": round(baseline.seconds / multiple.seconds, 2),
     }
 
 
 def print_comparisons(console: Console, rows: Sequence[dict[str, Any]], workers: int) -> None:
     """Print the objects of `comparison_to_json` as a table."""
     table = Table(
-        "model", "states", "plain, states/s", "one process", f"{workers} processes", "ratio", box=None
+        "model", "states", "baseline, states/s", "one process", f"{workers} processes", "ratio", box=None
     )
     for row in rows:
         columns = ("name", "states", "plain_per_s", "one_per_s", "several_per_s")
--- a/meadowworks/modelcheck/seeded_fault.py
+++ b/meadowworks/modelcheck/seeded_fault.py
@@ -1,8 +1,8 @@
-"""Seeded faults: one guard of the product taken out each, to see that a property breaks.
+"""Seeded faults: mutations of the product that check whether the properties detect a missing guard.
 
-A fault names a function of the product and a piece of its text; while it is injected, that function's code is
-compiled from the changed text, so everybody who calls it, wherever they got it from, runs the fault. A piece
-that is not there exactly once is an error: the table must follow the code.
+A fault names a function of the product and a piece of its source text. Injecting the fault replaces the code
+object of that function, so that every reference to the function runs the faulty code. The piece must occur
+exactly once in the function; otherwise the fault no longer fits the code, which is an error.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 
 @dataclass(frozen=True, slots=True)
 class SeededFault:
-    """A change of one function by which at least one of the properties in `violates` must break.
+    """A mutation of one function that must violate at least one of the properties in `violates`.
 
-    `target` is module:function or module:Class.method, in whose text `original` becomes `replacement`. The
-    fault is looked for in `model`: in its larger worlds if `large`, to `max_depth` steps (0: the model's own
-    bound), from the starts in `start_indices` (empty: all).
+    `target` is module:function or module:Class.method; `original` in its source text becomes `replacement`.
+    The fault is searched for in `model`: with the larger worlds if `large`, up to `max_depth` steps (0: the
+    bound of the model), from the initial worlds in `start_indices` (empty: all).
     """
 
     name: str
@@ -41,26 +41,28 @@
 def target_function(target: str) -> FunctionType:
     """Return the function that a target names.
 
-    :raises ValueError: if it names something else.
+    :raises ValueError: if the target does not name a plain function.
     """
     module, _, name = target.partition(":")
-    found: Any = importlib.import_module(module)
+    target_object: Any = importlib.import_module(module)
     for part in name.split("."):
-        found = inspect.getattr_static(found, part)
-    if not isinstance(found, FunctionType):
-        raise ValueError(f"{target} is no function")
-    return found
+        target_object = inspect.getattr_static(target_object, part)
+    if not isinstance(target_object, FunctionType):
+        raise ValueError(f"{target} is not a function")
+    return target_object
 
 
 def compile_faulty_code(fault: SeededFault) -> CodeType:
-    """Compile the target's code with the fault in it.
+    """Compile the target function with the fault applied.
 
-    :raises ValueError: where the fault does not fit the code.
+    :raises ValueError: if the fault does not fit the code.
     """
     function = target_function(fault.target)
     text = textwrap.dedent(inspect.getsource(function))
-    if (times := text.count(fault.original)) != 1:
-        raise ValueError(f"fault {fault.name!r}: {fault.original!r} stands {times} times in {fault.target}")
+    if (occurrences := text.count(fault.original)) != 1:
+        raise ValueError(
+            f"fault {fault.name!r}: {fault.original!r} occurs {occurrences} times in {fault.target}, not once"
+        )
     names: dict[str, Any] = dict(function.__globals__)
     faulty_text = text.replace(fault.original, fault.replacement)
     flags = __future__.annotations.compiler_flag
@@ -68,13 +70,13 @@
     faulty: Callable[..., Any] = names[function.__name__]
     code = faulty.__code__
     if code.co_freevars != function.__code__.co_freevars:
-        raise ValueError(f"fault {fault.name!r}: {fault.target} closes over names")
+        raise ValueError(f"fault {fault.name!r}: {fault.target} has other free variables with the fault")
     return code
 
 
 @contextmanager
 def injected_fault(fault: SeededFault) -> Iterator[None]:
-    """Run the product with the fault in it, in this process and those it forks meanwhile."""
+    """Inject a fault into this process, and into processes forked meanwhile, while the context is active."""
     function = target_function(fault.target)
     code, function.__code__ = function.__code__, compile_faulty_code(fault)
     try:
--- a/meadowworks/modelcheck/shard.py
+++ b/meadowworks/modelcheck/shard.py
@@ -1,8 +1,8 @@
-"""The states that one process owns during an exploration, and what was found in them.
+"""The states that one process owns during an exploration, and the violations found in them.
 
-A state is kept as a 64-bit fingerprint of its key, with the fingerprint and step that led to it; whole worlds
-are kept only while they wait to be expanded. Two keys with one fingerprint would hide a state: with n states
-the chance is about n * n / 2**65, 3e-8 for a million.
+A visited state is stored as the 64-bit fingerprint of its key, with the fingerprint of its parent and the
+step from there. Frozen worlds are stored only for the frontier. Two keys with the same fingerprint would hide
+a state: for n states the probability is about n * n / 2**65, or 3e-8 for a million states.
 """
 
 from __future__ import annotations
@@ -18,20 +18,20 @@
 from meadowworks.modelcheck.liveness import PendingGraph
 from meadowworks.modelcheck.model import NO_DEADLOCK, NO_EXCEPTION, Model, Property, Step, World
 
-MARSHAL_VERSION = 2  # the last format without back references, which depend on more than the value
-NO_PARENT = 0  # stands for the parent's fingerprint of a start
+MARSHAL_VERSION = 2  # later versions write back references, which differ between equal values
+NO_PARENT = 0  # parent fingerprint of initial states
 
 
 def compute_fingerprint(key: Any) -> int:
-    """Hash the key of a state to 64 bits, never `NO_PARENT`."""
+    """Return a 64-bit hash of a state's key that is never `NO_PARENT`."""
     return xxh3_64_intdigest(marshal.dumps(key, MARSHAL_VERSION)) or 1
 
 
 @dataclass(slots=True)
 class DiscoveredState:
-    """A state that was reached: from which state, by which step, and the frozen world.
+    """A reached state with its parent, the step from the parent and the frozen world.
 
-    For a start, `parent` is `NO_PARENT` and `step_number` the index of the start.
+    For an initial state, `parent` is `NO_PARENT` and `step_number` the index of the initial world.
     """
 
     fingerprint: int
@@ -42,7 +42,7 @@
 
 @dataclass(slots=True)
 class Violation:
-    """A property broken by the step from a parent, or at a start, numbered as in `DiscoveredState`."""
+    """A violated property; `parent` and `step_number` are those of `DiscoveredState`."""
 
     property_name: str
     parent: int
@@ -52,10 +52,11 @@
 
 @dataclass(slots=True)
 class Shard:
-    """The states whose fingerprints fall to one process.
+    """The states whose fingerprints are assigned to one process.
 
-    `visited` maps a fingerprint to those of the parent and the step's number; `start_indices` limits the
-    starts (empty: all); `depth` counts the steps from the starts to the frontier.
+    `visited` maps the fingerprint of a state to that of its parent and the number of the step from there;
+    `start_indices` selects initial worlds (empty: all); `depth` is the number of steps from the initial
+    states to the frontier.
     """
 
     model: Model
@@ -70,31 +71,31 @@
     depth: int = 0
 
     def step_number(self, step: Step) -> int:
-        """Return the number of a step, a new one if it has none yet."""
+        """Return the number of a step; assign the next one to a new step."""
         return self.step_numbers.setdefault(step, len(self.step_numbers))
 
     def initial_states(self) -> list[DiscoveredState]:
-        """Return the model's starts, or those of `start_indices`."""
-        found = []
+        """Return the model's initial states, limited to `start_indices` if given."""
+        initial_states = []
         for index, world in enumerate(self.model.initial_worlds()):
             if not self.start_indices or index in self.start_indices:
-                found.append(
+                initial_states.append(
                     DiscoveredState(compute_fingerprint(world.key()), NO_PARENT, index, world.freeze())
                 )
-        return found
+        return initial_states
 
     def add_states(self, states: Sequence[DiscoveredState]) -> None:
-        """Put states that fall to this shard on the frontier, those that are visited already aside."""
+        """Add states of this shard to the frontier unless they are visited already."""
         for state in states:
             if state.fingerprint not in self.visited:
                 self.visited[state.fingerprint] = state.parent, state.step_number
                 self.frontier.append((state.fingerprint, state.frozen_world))
 
     def expand(self) -> list[DiscoveredState]:
-        """Take every step from the frontier and return the states that they lead to, each once."""
+        """Take every enabled step of the frontier's states and return the new states, each once."""
         frontier, self.frontier = self.frontier, []
-        found: dict[int, DiscoveredState] = {}
-        is_last_level = 0 < self.model.max_depth <= self.depth  # checked, and not gone on from
+        discovered: dict[int, DiscoveredState] = {}
+        is_last_level = 0 < self.model.max_depth <= self.depth  # its states are checked but not expanded
         self.depth += 1
         state_properties = self.model.properties_on("state")
         step_properties = self.model.properties_on("step")
@@ -107,10 +108,10 @@
             if not steps:
                 self._check_end(world, fingerprint)
             for index, step in enumerate(steps):
-                if index:  # the world that was asked for its steps takes the first of them
+                if index:  # the first step reuses the world that returned the steps
                     world = self.model.thaw(frozen_world)
-                self._take_step(world, step, fingerprint, step_properties, found)
-        return list(found.values())
+                self._take_step(world, step, fingerprint, step_properties, discovered)
+        return list(discovered.values())
 
     def _take_step(
         self,
@@ -118,14 +119,14 @@
         step: Step,
         parent: int,
         step_properties: Sequence[Property],
-        found: dict[int, DiscoveredState],
+        discovered: dict[int, DiscoveredState],
     ) -> None:
         number = self.step_number(step)
         self.transitions += 1
         try:
             world.take_step(step)
             key = world.key()
-        except Exception as error:  # whatever a step raises is a violation to report
+        except Exception as error:  # any exception of a step is a violation
             self.violations.append(Violation(NO_EXCEPTION, parent, number, describe_error(error)))
             return
         for prop in step_properties:
@@ -134,8 +135,8 @@
         fingerprint = compute_fingerprint(key)
         if self.model.liveness:
             self.pending_graph.add(parent, fingerprint, number)
-        if fingerprint not in found and fingerprint not in self.visited:
-            found[fingerprint] = DiscoveredState(fingerprint, parent, number, world.freeze())
+        if fingerprint not in discovered and fingerprint not in self.visited:
+            discovered[fingerprint] = DiscoveredState(fingerprint, parent, number, world.freeze())
 
     def _check_state(self, world: World, fingerprint: int, properties: Sequence[Property]) -> None:
         parent, step_number = self.visited[fingerprint]
@@ -144,7 +145,7 @@
                 self.violations.append(Violation(prop.name, parent, step_number))
         if self.model.metrics:
             update_maxima(self.metrics, self.model.metrics(world))
-        pending = [index for index, live in enumerate(self.model.liveness) if live.is_pending(world)]
+        pending = [index for index, prop in enumerate(self.model.liveness) if prop.is_pending(world)]
         if pending:
             self.pending_graph.mark_pending(fingerprint, pending)
 
@@ -158,12 +159,12 @@
 
 
 def update_maxima(metrics: dict[str, float], measured: Mapping[str, float]) -> None:
-    """Raise each metric to the value that was measured, if that is greater."""
+    """Update each metric to the maximum of its value and the measured one."""
     for name, value in measured.items():
         metrics[name] = max(value, metrics.get(name, value))
 
 
 def describe_error(error: Exception) -> str:
-    """Say what was raised, in which function and line."""
+    """Return the type and text of an exception with the function and line that raised it."""
     raised_at = traceback.extract_tb(error.__traceback__)[-1]
     return f"{type(error).__name__}: {error} ({raised_at.name}, line {raised_at.lineno})"
--- a/meadowworks/modelcheck/worker_processes.py
+++ b/meadowworks/modelcheck/worker_processes.py
@@ -1,7 +1,7 @@
-"""Exploration by several processes, each of which owns the states that fall to it by fingerprint.
+"""Exploration by several processes, each of which owns the states whose fingerprints are assigned to it.
 
-After each level, every process sends each other one, by way of the parent, the states that it found and the
-other owns. The parent relays these bundles as bytes and ends the exploration by sending empty ones.
+In each level, every worker sends one bundle per worker, through the parent: the states that it discovered and
+that the other worker owns. The parent relays the bundles as bytes; empty bytes end the exploration.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 from meadowworks.modelcheck.model import Model, Step
 from meadowworks.modelcheck.shard import NO_PARENT, DiscoveredState, Shard, Violation, update_maxima
 
-JOIN_TIMEOUT_S = 1  # a worker whose pipe was closed ends by itself; one that does not is terminated
+JOIN_TIMEOUT_S = 1  # workers exit when their pipe closes; after the timeout they are terminated
 END_OF_EXPLORATION = b""
 
 
 @dataclass(frozen=True, slots=True)
 class LevelReport:
-    """What a worker found in one level: new states of its own, names of properties broken so far."""
+    """The result of one level in a worker: the number of new states, and the properties violated so far."""
 
     new_states: int
     violated_properties: set[str]
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ShardContents:
-    """What a worker's shard knows at the end, without its model, whose functions can't be pickled."""
+    """The contents of a worker's shard without its model, whose functions cannot be pickled."""
 
     visited: dict[int, tuple[int, int]]
     step_numbers: dict[Step, int]
@@ -42,14 +42,14 @@
 
 
 class MultiProcessExplorer:
-    """Explores in worker processes, which are started here and ended when the context is left."""
+    """An explorer with worker processes; leaving the context stops them."""
 
     def __init__(self, model: Model, workers: int, start_indices: tuple[int, ...]) -> None:
-        context = mp.get_context("fork")  # models hold functions, which no other way would carry
+        context = mp.get_context("fork")  # models hold functions that cannot be pickled
         self._model = model
         self._pipes: list[Connection] = []
         self._processes = []
-        self._violated: set[str] = set()
+        self._violated_properties: set[str] = set()
         for shard_index in range(workers):
             parent_end, worker_end = context.Pipe()
             process = context.Process(
@@ -61,21 +61,21 @@
             self._processes.append(process)
 
     def explore_level(self) -> int:
-        """Visit the next level and return how many states were new."""
+        """Visit the next level and return the number of new states."""
         bundles_by_sender = self._receive_bundles()
         for owner, pipe in enumerate(self._pipes):
             for bundles in bundles_by_sender:
                 pipe.send_bytes(bundles[owner])
         reports: list[LevelReport] = [pipe.recv() for pipe in self._pipes]
-        self._violated.update(*(report.violated_properties for report in reports))
+        self._violated_properties.update(*(report.violated_properties for report in reports))
         return sum(report.new_states for report in reports)
 
     def violated_properties(self) -> set[str]:
-        """Return the names of the properties that are broken so far."""
-        return self._violated
+        """Return the names of the properties violated so far."""
+        return self._violated_properties
 
     def merged_shard(self) -> Shard:
-        """End the exploration and return what all workers know in one shard."""
+        """End the exploration and merge the contents of all workers into one shard."""
         for pipe in self._pipes:
             self._discard_bundles(pipe)
             for _ in self._pipes:
@@ -105,27 +105,28 @@
 
 
 def merge_shards(model: Model, contents: list[ShardContents]) -> Shard:
-    """Join the contents of all shards, with one numbering of the steps.
+    """Merge the contents of all shards and renumber their steps.
 
-    A state's step is numbered by the shard that owns its parent; a start's is the index of the start.
+    The step number of a state comes from the shard that owns its parent; that of an initial state is the
+    index of its world and stays.
     """
     merged_shard = Shard(model)
-    numbers: list[dict[int, int]] = [
+    merged_numbers: list[dict[int, int]] = [
         {number: merged_shard.step_number(step) for step, number in part.step_numbers.items()}
         for part in contents
     ]
 
-    def renumbered(parent: int, step_number: int) -> int:
-        return step_number if parent == NO_PARENT else numbers[parent % len(contents)][step_number]
+    def renumber(parent: int, step_number: int) -> int:
+        return step_number if parent == NO_PARENT else merged_numbers[parent % len(contents)][step_number]
 
-    for part, own_numbers in zip(contents, numbers, strict=True):
+    for part, step_numbers in zip(contents, merged_numbers, strict=True):
         for fingerprint, (parent, step_number) in part.visited.items():
-            merged_shard.visited[fingerprint] = parent, renumbered(parent, step_number)
+            merged_shard.visited[fingerprint] = parent, renumber(parent, step_number)
         for violation in part.violations:
-            violation.step_number = renumbered(violation.parent, violation.step_number)
+            violation.step_number = renumber(violation.parent, violation.step_number)
         merged_shard.violations += part.violations
         merged_shard.transitions += part.transitions
-        merged_shard.pending_graph.merge(part.pending_graph, own_numbers)
+        merged_shard.pending_graph.merge(part.pending_graph, step_numbers)
         update_maxima(merged_shard.metrics, part.metrics)
     return merged_shard
 
@@ -136,25 +137,25 @@
     """Explore the states of one shard until the parent ends the exploration or closes the pipe."""
     shard = Shard(model, start_indices=start_indices)
     discovered = shard.initial_states() if shard_index == 0 else []
-    sent: set[int] = set()  # fingerprints of others' states: to be sent once is enough
+    sent: set[int] = set()  # fingerprints of other shards' states, each sent only once
     try:
         while True:
             bundles = _bundles_by_owner(discovered, workers, sent)
             for owner, bundle in enumerate(bundles):
                 if owner != shard_index:
                     sent.update(state.fingerprint for state in bundle)
-                pipe.send_bytes(_packed(bundle))
+                pipe.send_bytes(_pickle_bundle(bundle))
             received = [pipe.recv_bytes() for _ in range(workers)]
             if received[0] == END_OF_EXPLORATION:
-                pipe.send_bytes(pickle.dumps(_contents_of(shard), pickle.HIGHEST_PROTOCOL))
+                pipe.send_bytes(pickle.dumps(_shard_contents(shard), pickle.HIGHEST_PROTOCOL))
                 return
-            for packed in received:
-                shard.add_states([DiscoveredState(*fields) for fields in pickle.loads(packed)])
+            for pickled_bundle in received:
+                shard.add_states([DiscoveredState(*fields) for fields in pickle.loads(pickled_bundle)])
             new_states = len(shard.frontier)
             discovered = shard.expand()
-            pipe.send(LevelReport(new_states, {one.property_name for one in shard.violations}))
+            pipe.send(LevelReport(new_states, {violation.property_name for violation in shard.violations}))
     except (EOFError, BrokenPipeError):
-        return  # the parent has ended early
+        return  # the parent stopped early
 
 
 def _bundles_by_owner(
@@ -167,13 +168,13 @@
     return bundles
 
 
-def _packed(bundle: Iterable[DiscoveredState]) -> bytes:
-    """Pickle plain tuples: states in their own class take several times as long."""
-    rows = [(one.fingerprint, one.parent, one.step_number, one.frozen_world) for one in bundle]
+def _pickle_bundle(bundle: Iterable[DiscoveredState]) -> bytes:
+    """Pickle states as tuples, which is several times faster than pickling instances."""
+    rows = [(state.fingerprint, state.parent, state.step_number, state.frozen_world) for state in bundle]
     return pickle.dumps(rows, pickle.HIGHEST_PROTOCOL)
 
 
-def _contents_of(shard: Shard) -> ShardContents:
+def _shard_contents(shard: Shard) -> ShardContents:
     return ShardContents(
         shard.visited,
         shard.step_numbers,
--- a/tests/modelcheck/test_check_command.py
+++ b/tests/modelcheck/test_check_command.py
@@ -1,4 +1,4 @@
-"""The command line of `meadowworks check`."""
+"""Tests of the command `meadowworks check`: output, exit codes and errors."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from meadowworks.modelcheck.seeded_fault import injected_fault
 
 
-def run(capsys: pytest.CaptureFixture[str], *words: str) -> tuple[int, str, str]:
-    status = main(words)
+def run(capsys: pytest.CaptureFixture[str], *arguments: str) -> tuple[int, str, str]:
+    status = main(arguments)
     out, err = capsys.readouterr()
     return status, out, err
 
 
-def test_the_command_prints_one_object_and_a_path_file_plays_again(
+def test_check_prints_one_json_object_and_its_counterexample_file_can_be_replayed(
     capsys: pytest.CaptureFixture[str], tmp_path: Path
 ) -> None:
     fault = SEEDED_FAULTS[0]
@@ -29,16 +29,16 @@
         )
     printed = json.loads(out)
     (model,) = printed["models"]
-    broken = [p for p in model["properties"] if not p["holds"]]
+    violated = [p for p in model["properties"] if not p["holds"]]
     assert status == 1
     assert not model["complete"]
     assert model["left_out"]
-    assert broken
+    assert violated
     assert not printed["faults"]
     assert {"name", "states", "transitions", "depth", "complete", "seconds", "properties"} <= set(model)
     file = sorted(tmp_path.iterdir())[0]
     stored = read_counterexample(file)
-    assert run(capsys, "check", "--play", str(file))[0] == 0  # without the fault it holds
+    assert run(capsys, "check", "--play", str(file))[0] == 0  # without the fault, the property holds
     file.write_text(json.dumps({**json.loads(file.read_text()), "fault": fault.name}))
     status, out, _ = run(capsys, "check", "--play", str(file))
     assert status == 1
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize(
-    ("words", "said"),
+    ("arguments", "message"),
     [
         (["chek"], "there is no command 'chek'"),
         (["check", "atempt"], "there is no model 'atempt'"),
@@ -55,19 +55,19 @@
         (["check", "--depth", "x"], "--depth is"),
         (["check", "--workers", "-1"], "--workers"),
         (["check", "--workers", "x"], "workers"),
-        (["check", "--play", "CUT"], "no whole JSON"),
+        (["check", "--play", "CUT"], "is not valid JSON"),
         (["check", "--play", "nowhere"], "cannot be read"),
-        (["check", "--play", "OTHER"], "step 1"),
+        (["check", "--play", "OTHER"], "step 1, "),
         (["check", "--play", "NOSTART"], "no start 99"),
         (["check", "--play", "FORM"], "no path of form 1"),
         (["check", "--frob"], "frob"),
-        (["check", "--play", "ODD"], "steps makes no sense"),
+        (["check", "--play", "ODD"], "step 1 of steps must be a list that begins with a name, not 7"),
     ],
 )
-def test_bad_input_is_one_plain_line_and_status_2(
-    capsys: pytest.CaptureFixture[str], tmp_path: Path, words: list[str], said: str
+def test_bad_input_prints_one_line_and_exits_with_status_2(
+    capsys: pytest.CaptureFixture[str], tmp_path: Path, arguments: list[str], message: str
 ) -> None:
-    whole = {
+    valid = {
         "form": 1,
         "model": "attempt",
         "large": False,
@@ -78,20 +78,20 @@
         "cycle": [],
     }
     for name, text in {
-        "CUT": json.dumps(whole)[:40],
-        "OTHER": json.dumps(whole),
+        "CUT": json.dumps(valid)[:40],
+        "OTHER": json.dumps(valid),
         "FORM": "[]",
-        "NOSTART": json.dumps({**whole, "start": 99}),
-        "ODD": json.dumps({**whole, "steps": [7]}),
+        "NOSTART": json.dumps({**valid, "start": 99}),
+        "ODD": json.dumps({**valid, "steps": [7]}),
     }.items():
         (tmp_path / name).write_text(text)
-    status, out, err = run(capsys, *[str(tmp_path / w) if w.isupper() else w for w in words])
+    status, out, err = run(capsys, *[str(tmp_path / word) if word.isupper() else word for word in arguments])
     assert (status, out) == (2, "")
     assert err.count("\n") == 1
-    assert said in err
+    assert message in err
 
 
-def test_help_and_no_word_are_no_errors(capsys: pytest.CaptureFixture[str]) -> None:
+def test_help_and_missing_command_exit_with_status_0(capsys: pytest.CaptureFixture[str]) -> None:
     assert run(capsys)[0] == 0
     assert run(capsys, "--help")[0] == 0
     status, out, _ = run(capsys, "check", "--help")
--- a/tests/modelcheck/test_counterexample_file.py
+++ b/tests/modelcheck/test_counterexample_file.py
@@ -1,4 +1,4 @@
-"""Counterexamples as files: what is written is read back and replayed, what is no path is refused."""
+"""Tests of counterexample files: written files can be read and replayed, invalid ones are rejected."""
 
 from __future__ import annotations
 
@@ -21,53 +21,59 @@
 
 @pytest.fixture(scope="module")
 def stored() -> dict[str, object]:
-    """The counterexample of a seeded fault, as it goes into a file."""
+    """The JSON object of the counterexample of a seeded fault."""
     search = find_fault(FAULT)
     assert search.counterexample
     return to_json(build_model("attempt", large=False), search.counterexample, large=False, fault_name=FAULT)
 
 
-def write(folder: Path, stored: dict[str, object]) -> Path:
-    file = folder / "path.json"
+def write(directory: Path, stored: dict[str, object]) -> Path:
+    file = directory / "path.json"
     file.write_text(json.dumps(stored), encoding="utf-8")
     return file
 
 
-def test_a_file_is_read_as_it_was_written_and_breaks_its_property_again(
+def test_written_file_is_read_back_and_violates_its_property_again(
     tmp_path: Path, stored: dict[str, object]
 ) -> None:
-    found = read_counterexample(write(tmp_path, stored))
-    assert (found.fault, found.violates, found.start_index) == (FAULT, stored["breaks"], stored["start"])
-    assert [list(step) for step in found.steps] == stored["steps"]
-    _, broken = replay_counterexample(found)
-    assert found.violates in broken
-
-
-def test_the_path_of_a_fault_holds_without_it(tmp_path: Path, stored: dict[str, object]) -> None:
-    found = read_counterexample(write(tmp_path, {**stored, "fault": ""}))
-    _, broken = replay_counterexample(found)
-    assert not broken
+    counterexample = read_counterexample(write(tmp_path, stored))
+    assert (counterexample.fault, counterexample.violates, counterexample.start_index) == (
+        FAULT,
+        stored["breaks"],
+        stored["start"],
+    )
+    assert [list(step) for step in counterexample.steps] == stored["steps"]
+    _, violated = replay_counterexample(counterexample)
+    assert counterexample.violates in violated
+
+
+def test_path_of_a_fault_violates_nothing_without_the_fault(
+    tmp_path: Path, stored: dict[str, object]
+) -> None:
+    counterexample = read_counterexample(write(tmp_path, {**stored, "fault": ""}))
+    _, violated = replay_counterexample(counterexample)
+    assert not violated
 
 
 @pytest.mark.parametrize(
-    ("changes", "said"),
+    ("changes", "message"),
     [
         ({"form": 2}, "no path of form 1"),
-        ({"start": True}, "start is missing or no int"),
-        ({"large": 0}, "large is missing or no bool"),
-        ({"steps": None}, "steps is no list of steps"),
-        ({"cycle": [[]]}, "step 1 of cycle makes no sense"),
+        ({"start": True}, "start is missing or not of type int"),
+        ({"large": 0}, "large is missing or not of type bool"),
+        ({"steps": None}, "steps is not a list of steps"),
+        ({"cycle": [[]]}, "step 1 of cycle must be a list"),
     ],
 )
-def test_what_is_no_path_is_refused_with_the_reason(
-    tmp_path: Path, stored: dict[str, object], changes: dict[str, object], said: str
+def test_invalid_file_is_rejected_with_the_reason(
+    tmp_path: Path, stored: dict[str, object], changes: dict[str, object], message: str
 ) -> None:
-    with pytest.raises(CounterexampleFileError, match=said):
+    with pytest.raises(CounterexampleFileError, match=message):
         read_counterexample(write(tmp_path, {**stored, **changes}))
 
 
-def test_an_unknown_model_or_fault_is_refused(tmp_path: Path, stored: dict[str, object]) -> None:
+def test_unknown_model_or_fault_is_rejected(tmp_path: Path, stored: dict[str, object]) -> None:
     for changes in ({"model": "none"}, {"fault": "none"}):
-        found = read_counterexample(write(tmp_path, {**stored, **changes}))
+        counterexample = read_counterexample(write(tmp_path, {**stored, **changes}))
         with pytest.raises(UnknownNameError):
-            replay_counterexample(found)
+            replay_counterexample(counterexample)
