--- a/meadowworks/__main__.py
+++ b/meadowworks/__main__.py
@@ -10,7 +10,7 @@
 
 from meadowworks.fleet.config import load_config
 from meadowworks.fleet.server import serve
-from meadowworks.fleet.settings import SettingsError
+from meadowworks.fleet.settings import FleetSettingsError
 
 
 def main() -> int:
@@ -26,7 +26,7 @@
     logger.add(sys.stderr, format="{time:HH:mm:ss.SSS} {level} {message}", backtrace=False, diagnose=False)
     try:
         config = load_config(os.environ)
-    except SettingsError as error:
+    except FleetSettingsError as error:
         print(f"meadowworks: {error}", file=sys.stderr)
         return 2
     try:
--- a/meadowworks/fleet/config.py
+++ b/meadowworks/fleet/config.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from meadowworks.fleet.messages import EndpointList, parse_decimal, parse_endpoint_list
-from meadowworks.fleet.settings import NS_PER_US, SettingsError, flatten, read_settings
+from meadowworks.fleet.settings import NS_PER_US, FleetSettingsError, flatten, read_settings
 from meadowworks.policy.interface import Settings
 
 DEFAULT_DESCRIPTOR_LIMIT = 1024  # where none is given: what a process may hold on a common system
@@ -40,27 +40,27 @@
 def load_config(environ: Mapping[str, str]) -> FleetConfig:
     """Reads the configuration.
 
-    :raises SettingsError: with one plain sentence that names what is absent or makes no sense.
+    :raises FleetSettingsError: with one plain sentence that names what is absent or makes no sense.
     """
     given = _read_file(environ)
     host, port = _address(given, environ, "listen")
     _address(given, environ, "discovery")
     nested = given.get("settings")
     if not isinstance(nested, dict):
-        raise SettingsError("settings are missing from NODE_CONFIG")
+        raise FleetSettingsError("settings are missing from NODE_CONFIG")
     flat = flatten(nested)
     settings, zone_indices, route_indices = read_settings(flat)
     if settings.health_checks:
-        raise SettingsError("limits.probes is set, but the protocol has no form for a probe")
+        raise FleetSettingsError("limits.probes is set, but the protocol has no form for a probe")
     if settings.slice_count:
-        raise SettingsError("extra.slices is set, but the protocol has no form for slices")
+        raise FleetSettingsError("extra.slices is set, but the protocol has no form for slices")
     known = _known_endpoints(given)
     limits = flatten({"limits": given.get("limits")})
     try:
         batch_us = round(parse_decimal(flat.get("tick_us", "0")))
         descriptors = round(parse_decimal(limits.get("limits.sockets", str(DEFAULT_DESCRIPTOR_LIMIT))))
     except ValueError as error:
-        raise SettingsError(f"tick_us or limits.sockets: missing or bad: {error}") from error
+        raise FleetSettingsError(f"tick_us or limits.sockets: missing or bad: {error}") from error
     return FleetConfig(
         name=_text(given, environ, "name"),
         host=host,
@@ -83,16 +83,16 @@
         with open(environ["NODE_CONFIG"], encoding="utf-8") as source:
             given = json.load(source)
     except (OSError, ValueError) as error:
-        raise SettingsError(f"NODE_CONFIG cannot be read: {error}") from error
+        raise FleetSettingsError(f"NODE_CONFIG cannot be read: {error}") from error
     if not isinstance(given, dict):
-        raise SettingsError("NODE_CONFIG holds no JSON object")
+        raise FleetSettingsError("NODE_CONFIG holds no JSON object")
     return given
 
 
 def _text(given: Mapping[str, Any], environ: Mapping[str, str], key: str) -> str:
     value = given.get(key) or environ.get("NODE_" + key.upper())
     if not isinstance(value, str) or not value:
-        raise SettingsError(f"{key} is missing from NODE_CONFIG, and NODE_{key.upper()} is not set")
+        raise FleetSettingsError(f"{key} is missing from NODE_CONFIG, and NODE_{key.upper()} is not set")
     return value
 
 
@@ -100,7 +100,7 @@
     text = _text(given, environ, key)
     host, _, port = text.rpartition(":")
     if not host or not port.isdecimal() or not 0 < int(port) <= MAX_PORT:
-        raise SettingsError(f"{key} is no address with a port: {text!r}")
+        raise FleetSettingsError(f"{key} is no address with a port: {text!r}")
     return host, int(port)
 
 
@@ -108,4 +108,4 @@
     try:
         return parse_endpoint_list(given["known"]) if given.get("known") else None
     except ValueError as error:
-        raise SettingsError(f"known cannot be read: {error}") from error
+        raise FleetSettingsError(f"known cannot be read: {error}") from error
--- a/meadowworks/fleet/connection_state.py
+++ b/meadowworks/fleet/connection_state.py
@@ -43,9 +43,9 @@
     only many in a row are another protocol.
     """
 
-    unsent_bytes: int = 1 << 18  # written, and not read by the other side
-    unreadable_lines: int = 8  # in a row, that are no message
-    unknown_bytes: int = 1 << 12  # without a line's end, as long as nothing tells what it is
+    max_unsent_bytes: int = 1 << 18  # written, and not read by the other side
+    max_unreadable_lines: int = 8  # in a row, that are no message
+    max_unrecognized_bytes: int = 1 << 12  # without a line's end, as long as nothing tells what it is
 
 
 class ConnectionHost(Protocol):
@@ -66,22 +66,22 @@
     def mark_identified(self) -> None:
         """Keeps the connection from being evicted: its peer is known, or it is closing."""
 
-    def start_peer(self, first: ProxyHello | CollectorHello) -> None:
+    def start_peer(self, hello: ProxyHello | CollectorHello) -> None:
         """Starts the peer's actor."""
 
-    def enqueue(self, item: ConnectionItem, report: bool) -> None:
+    def enqueue(self, item: ConnectionItem, is_report: bool) -> None:
         """Puts an item into the mailbox of the peer's actor."""
 
-    def joined_event(self, first: ProxyHello) -> ProxyJoined:
+    def joined_event(self, hello: ProxyHello) -> ProxyJoined:
         """The event that this proxy has joined by this connection."""
 
-    def left_event(self, first: ProxyHello) -> ProxyLeft:
+    def left_event(self, hello: ProxyHello) -> ProxyLeft:
         """The event that this proxy has left by this connection."""
 
-    def publish(self, item: ControllerEvent, report: bool) -> None:
+    def publish(self, item: ControllerEvent, is_report: bool) -> None:
         """Puts an event into the controller's mailbox."""
 
-    def count(self, what: str) -> None:
+    def count(self, event: str) -> None:
         """Counts an event for the log."""
 
 
@@ -137,12 +137,12 @@
         self.unreadable_lines += 1
         if not self.peer:
             self.reject("cannot be read")
-        elif self.unreadable_lines >= self.limits.unreadable_lines:
+        elif self.unreadable_lines >= self.limits.max_unreadable_lines:
             self.terminate("goes on with what cannot be read")
 
     def on_partial_line(self, size: int, is_unknown: bool) -> None:
         """So many bytes have come without a line's end; with `is_unknown` no message begins so."""
-        if self.close_reason or size <= self.limits.unknown_bytes:
+        if self.close_reason or size <= self.limits.max_unrecognized_bytes:
             return
         if not self.peer:
             self.reject("a line too long")
@@ -221,7 +221,7 @@
         if self.close_reason:
             return
         self.host.write(data)
-        if self.host.unsent_bytes() > self.limits.unsent_bytes:
+        if self.host.unsent_bytes() > self.limits.max_unsent_bytes:
             self.terminate("does not read")
 
     def reject(self, reason: str) -> None:
--- a/meadowworks/fleet/controller.py
+++ b/meadowworks/fleet/controller.py
@@ -49,11 +49,11 @@
     """Unix time at the start, moved on by the monotonic clock: comparable with starts, never going back."""
 
     def __init__(self) -> None:
-        self.offset = time.time_ns() - time.monotonic_ns()
+        self.offset_ns = time.time_ns() - time.monotonic_ns()
 
-    def now(self) -> int:
+    def now_ns(self) -> int:
         """Nanoseconds since the epoch."""
-        return time.monotonic_ns() + self.offset
+        return time.monotonic_ns() + self.offset_ns
 
 
 class FleetController:
@@ -79,9 +79,9 @@
         self.released_backends: list[int] = []  # freed after this batch's messages
         self.table_updates = TableUpdates(list(config.route_indices), self.backends.name_by_index)
         self.streams = ProxyStreams(self.table_updates)
-        self.now = self.timer_due_ns = self.clock.now()
-        self.last_summary_ns = self.now
-        self.policy = Controller(self, config.settings, config.seed, self.now)
+        self.now_ns = self.timer_due_ns = self.clock.now_ns()
+        self.last_summary_ns = self.now_ns
+        self.policy = Controller(self, config.settings, config.seed, self.now_ns)
         if config.known_endpoints:
             self.on_endpoints("disk", config.known_endpoints)
 
@@ -109,9 +109,9 @@
 
     def set_timer(self, wait_ns: int) -> None:
         """Counts from when the timer was due, so that it does not drift; after a stall, from now."""
-        on_time = self.now - self.timer_due_ns < wait_ns
-        self.timer_due_ns = (self.timer_due_ns if on_time else self.now) + wait_ns
-        self.call_at((self.timer_due_ns - self.clock.offset) / SECOND_NS, self.events.put, TimerDue())
+        on_time = self.now_ns - self.timer_due_ns < wait_ns
+        self.timer_due_ns = (self.timer_due_ns if on_time else self.now_ns) + wait_ns
+        self.call_at((self.timer_due_ns - self.clock.offset_ns) / SECOND_NS, self.events.put, TimerDue())
 
     def set_weight(self, table: int, backend: int, weight: float) -> None:
         """Sets a backend's weight in a table; 0 takes it out."""
@@ -131,22 +131,24 @@
         """Handles batch after batch, without end."""
         while True:
             await self.events.wait()
-            await asyncio.sleep(max(0, self.now + self.batch_interval_ns - self.clock.now()) / SECOND_NS)
+            await asyncio.sleep(
+                max(0, self.now_ns + self.batch_interval_ns - self.clock.now_ns()) / SECOND_NS
+            )
             for _ in range(EVENT_LOOP_TURNS):
                 await asyncio.sleep(0)
             self.process_batch()
 
     def process_batch(self) -> None:
         """Handles all events that have come, and sends what they lead to."""
-        now = self.clock.now()
-        check_invariant(now >= self.now, "the clock does not go back")
-        self.now = max(now, self.now + 1)  # the policy tells batches apart by it
+        now_ns = self.clock.now_ns()
+        check_invariant(now_ns >= self.now_ns, "the clock does not go back")
+        self.now_ns = max(now_ns, self.now_ns + 1)  # the policy tells batches apart by it
         for event in self.events.drain():
             self.run_guarded(self.handle_event, event)
         self.run_guarded(self.send_updates)
         while self.released_backends:
             self.backends.release(self.released_backends.pop())
-        if self.now - self.last_summary_ns >= SUMMARY_INTERVAL_NS:
+        if self.now_ns - self.last_summary_ns >= SUMMARY_INTERVAL_NS:
             self.log_summary()
 
     def run_guarded(self, action: Callable[..., None], *event: ControllerEvent) -> None:
@@ -166,25 +168,27 @@
                 self.on_backend_report(event)
             case DemandReport(proxy, route, calls, _, period_ns):
                 if route in self.route_indices and proxy in self.streams.by_proxy:
-                    self.policy.on_demand_report(self.now, proxy, self.route_indices[route], calls, period_ns)
+                    self.policy.on_demand_report(
+                        self.now_ns, proxy, self.route_indices[route], calls, period_ns
+                    )
                 else:
                     count("reports passed over: unknown route or proxy")
             case UpdateApplied(proxy, nonce):
                 if self.streams.on_applied(proxy, nonce):
-                    self.policy.on_ack(self.now, nonce)
+                    self.policy.on_ack(self.now_ns, nonce)
                 else:
                     count("acknowledgements passed over: nonce not sent on this stream")
             case ProxyJoined(hello, stream):
                 self.on_proxy_joined(hello, stream)
             case ProxyLeft(proxy, stream):
                 if self.streams.on_left(proxy, stream):
-                    self.policy.on_proxy_left(self.now, proxy)
+                    self.policy.on_proxy_left(self.now_ns, proxy)
             case EndpointList():
                 self.on_endpoints("whole" if event.is_snapshot else "changes", event)
             case DiscoveryFailed():
-                self.policy.on_endpoints(self.now, "error", [])
+                self.policy.on_endpoints(self.now_ns, "error", [])
             case TimerDue():
-                self.policy.tick(self.now)
+                self.policy.tick(self.now_ns)
 
     def on_backend_report(self, report: BackendReport) -> None:
         """Hands on what a zone's proxies met, if zone and backend are known."""
@@ -194,14 +198,14 @@
         zone, backend = self.zone_indices[report.zone], self.backends.index_by_name[report.backend]
         attempts, failures = report.attempts, report.failures
         stats = AttemptReport(attempts, failures, report.latency_ns, report.period_ns, report.load)
-        self.policy.on_backend_report(self.now, zone, backend, stats)
+        self.policy.on_backend_report(self.now_ns, zone, backend, stats)
 
     def on_proxy_joined(self, hello: ProxyHello, stream: Mailbox[ConnectionItem]) -> None:
         """Takes in a proxy; if it had an older stream, it has left by that first."""
         if self.streams.on_joined(hello.proxy, stream):
-            self.policy.on_proxy_left(self.now, hello.proxy)
+            self.policy.on_proxy_left(self.now_ns, hello.proxy)
         logger.info("proxy {} of {}: joined", hello.proxy, hello.zone)
-        self.policy.on_proxy_joined(self.now, hello.proxy, self.zone_indices[hello.zone], hello.usual_rate)
+        self.policy.on_proxy_joined(self.now_ns, hello.proxy, self.zone_indices[hello.zone], hello.usual_rate)
 
     def on_endpoints(self, kind: str, listing: EndpointList) -> None:
         """Hands on a part of the endpoint list, or all of it; `kind` as `Controller.on_endpoints` has it."""
@@ -217,7 +221,7 @@
             entries.append(EndpointEntry(index, self.zone_indices[e.zone], e.state, e.since_ns, e.weight))
         if kind == "changes" and not entries:
             return  # a watch that timed out: nothing happened
-        self.policy.on_endpoints(self.now, kind, entries)
+        self.policy.on_endpoints(self.now_ns, kind, entries)
 
     def send_updates(self) -> None:
         """Sends what this batch has changed."""
@@ -227,7 +231,7 @@
 
     def log_summary(self) -> None:
         """Logs all counters, and what the process holds."""
-        self.last_summary_ns = self.now
+        self.last_summary_ns = self.now_ns
         memory_mib = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss // KIB_PER_MIB
         try:
             descriptors = str(len(os.listdir("/proc/self/fd")))
--- a/meadowworks/fleet/discovery.py
+++ b/meadowworks/fleet/discovery.py
@@ -58,7 +58,7 @@
         timeouts = aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_S)
         async with aiohttp.ClientSession(timeout=timeouts) as session:
             while True:
-                while not self.watching or self.commands.arrived.is_set():
+                while not self.watching or self.commands.not_empty.is_set():
                     await self.commands.wait()
                     for command in self.commands.drain():
                         self.on_command(command)
@@ -79,7 +79,9 @@
         try:
             news = await self.fetch_in_time(session)
         except Exception as error:  # whatever it is, the old list stands and the policy is notified
-            if not self.commands.arrived.is_set():  # else the old address went before its successor was read
+            if (
+                not self.commands.not_empty.is_set()
+            ):  # else the old address went before its successor was read
                 self._on_failure(f"{type(error).__name__} {error}")
             return
         if news is None:
@@ -141,10 +143,10 @@
         if self.index is not None and news.index < self.index:
             old, self.index = self.index, None
             raise ValueError(f"index went back from {old} to {news.index}")
-        if news.malformed and count("discovery answers with malformed entries"):
+        if news.malformed_count and count("discovery answers with malformed entries"):
             logger.warning(
-                "discovery: {} malformed entries passed over at index {}", news.malformed, news.index
+                "discovery: {} malformed entries passed over at index {}", news.malformed_count, news.index
             )
         # What a malformed change had to tell is in the whole list; if that is malformed too, it has to do.
-        self.index = None if news.malformed and query else news.index
+        self.index = None if news.malformed_count and query else news.index
         return news
--- a/meadowworks/fleet/listener.py
+++ b/meadowworks/fleet/listener.py
@@ -27,7 +27,7 @@
     ProxyJoined,
     ProxyLeft,
     UnknownMessageError,
-    decode,
+    decode_line,
     is_unknown_message,
 )
 from meadowworks.runtime.connection_limit import ConnectionLimit
@@ -63,7 +63,7 @@
         descriptor_limit: int,
     ) -> None:
         self.events, self.zones, self.proxy_count = events, zones, proxy_count
-        self.connection_slots: ConnectionLimit[Connection] = ConnectionLimit(
+        self.connection_slots: ConnectionLimit[PeerConnection] = ConnectionLimit(
             descriptor_limit - RESERVED_DESCRIPTORS, int(EVICTION_GRACE_S * SECOND_NS)
         )
         self.collectors: CollectorLimit[Mailbox[ConnectionItem]] = CollectorLimit(MAX_COLLECTORS_PER_ZONE)
@@ -100,7 +100,7 @@
             await self.wait_for_slot()
             try:
                 accepted, _ = await loop.sock_accept(listening)
-                await loop.connect_accepted_socket(lambda: Connection(loop, self), accepted)
+                await loop.connect_accepted_socket(lambda: PeerConnection(loop, self), accepted)
             except OSError as error:  # gone again, or not a descriptor left in spite of all
                 if count("connections not accepted"):
                     logger.warning("a connection could not be accepted: {}", error)
@@ -143,7 +143,7 @@
             task.get_loop().call_exception_handler(context)
 
 
-class Connection(BaseProtocol):
+class PeerConnection(BaseProtocol):
     """One connection: bytes to lines, lines to messages, messages to its state, whose host it is."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, listener: Listener) -> None:
@@ -182,13 +182,13 @@
             return
         self.scanned_bytes = len(self.buffer)
         if self.buffer:
-            beginning = bytes(self.buffer[: CONNECTION_LIMITS.unknown_bytes])
+            beginning = bytes(self.buffer[: CONNECTION_LIMITS.max_unrecognized_bytes])
             self.state.on_partial_line(len(self.buffer), is_unknown_message(beginning))
 
     def on_line(self, line: bytes) -> None:
         """Decodes a line and hands it to the state."""
         try:
-            message = decode(line)
+            message = decode_line(line)
         except UnknownMessageError as error:
             self._log_passed_over("unreadable", line, error)
             self.state.on_unreadable_line()
@@ -237,27 +237,27 @@
         if self.handshake_timer:
             self.handshake_timer.cancel()
 
-    def start_peer(self, first: ProxyHello | CollectorHello) -> None:
+    def start_peer(self, hello: ProxyHello | CollectorHello) -> None:
         """Starts the peer's actor."""
         self.mailbox = Mailbox(MAX_QUEUED_REPORTS)
-        self.listener.start_peer(first, self.state, self.mailbox)
+        self.listener.start_peer(hello, self.state, self.mailbox)
 
-    def enqueue(self, item: ConnectionItem, report: bool) -> None:
+    def enqueue(self, item: ConnectionItem, is_report: bool) -> None:
         """Puts an item into the mailbox of the peer's actor."""
-        self.mailbox.put(item, report)
+        self.mailbox.put(item, is_report)
 
-    def joined_event(self, first: ProxyHello) -> ProxyJoined:
+    def joined_event(self, hello: ProxyHello) -> ProxyJoined:
         """The event that this proxy has joined by this connection."""
-        return ProxyJoined(first, self.mailbox)
+        return ProxyJoined(hello, self.mailbox)
 
-    def left_event(self, first: ProxyHello) -> ProxyLeft:
+    def left_event(self, hello: ProxyHello) -> ProxyLeft:
         """The event that this proxy has left by this connection."""
-        return ProxyLeft(first.proxy, self.mailbox)
+        return ProxyLeft(hello.proxy, self.mailbox)
 
-    def publish(self, item: ControllerEvent, report: bool) -> None:
+    def publish(self, item: ControllerEvent, is_report: bool) -> None:
         """Puts an event into the controller's mailbox."""
-        self.listener.events.put(item, report)
+        self.listener.events.put(item, is_report)
 
-    def count(self, what: str) -> None:
+    def count(self, event: str) -> None:
         """Counts an event for the log."""
-        count(what)
+        count(event)
--- a/meadowworks/fleet/mailbox.py
+++ b/meadowworks/fleet/mailbox.py
@@ -19,29 +19,29 @@
         self.max_reports = max_reports
         self.items: deque[tuple[bool, T]] = deque()  # whether it is a report, and the item
         self.report_count = 0
-        self.arrived = asyncio.Event()
+        self.not_empty = asyncio.Event()
 
-    def put(self, item: T, report: bool = False) -> None:
+    def put(self, item: T, is_report: bool = False) -> None:
         """Adds an item and never waits.
 
         Of reports the oldest goes first: nobody repeats what it covers, but late reports are worth less than
         new ones.
         """
-        if report and self.report_count >= self.max_reports:
+        if is_report and self.report_count >= self.max_reports:
             oldest = next(k for k, (droppable, _) in enumerate(self.items) if droppable)
             del self.items[oldest]
             self.report_count -= 1
             count("reports dropped from a full mailbox")
-        self.items.append((report, item))
-        self.report_count += report
+        self.items.append((is_report, item))
+        self.report_count += is_report
         check_invariant(self.report_count <= self.max_reports, "mailbox bound")
-        self.arrived.set()
+        self.not_empty.set()
 
     async def wait(self) -> None:
         """Returns once there is an item."""
-        await self.arrived.wait()
+        await self.not_empty.wait()
 
-    async def each(self) -> AsyncIterator[T]:
+    async def iterate(self) -> AsyncIterator[T]:
         """Yields the items as they come, without end."""
         while True:
             await self.wait()
@@ -53,5 +53,5 @@
         items = [item for _, item in self.items]
         self.items.clear()
         self.report_count = 0
-        self.arrived.clear()
+        self.not_empty.clear()
         return items
--- a/meadowworks/fleet/messages.py
+++ b/meadowworks/fleet/messages.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from meadowworks.fleet.mailbox import Mailbox
-from meadowworks.fleet.names import ENDPOINT_STATES
+from meadowworks.fleet.names import ENDPOINT_STATE_BY_STATUS
 
 NS_PER_MS = 1_000_000
 MAX_LINE_BYTES = 1 << 20  # the protocol's limit for a message
@@ -43,7 +43,7 @@
     proxy: int
     zone: str
     usual_rate: float
-    new: bool
+    is_new: bool
 
 
 @dataclass(frozen=True, slots=True)
@@ -99,7 +99,7 @@
     index: int
     is_snapshot: bool
     entries: tuple[Endpoint, ...]
-    malformed: int = 0  # entries that could not be read
+    malformed_count: int = 0  # entries that could not be read
 
 
 # -- to the proxies
@@ -277,7 +277,7 @@
     return start.partition(b" ")[0].rstrip(b"\r\n") not in MESSAGE_KINDS
 
 
-def decode(line: bytes) -> PeerMessage:
+def decode_line(line: bytes) -> PeerMessage:
     """Reads one line.
 
     :raises UnknownMessageError: for what is no message.
@@ -340,7 +340,7 @@
     return (f"{max(value, LEAST_WEIGHT):.9f}".rstrip("0").rstrip(".")) if value else "0"
 
 
-def encode(updates: Sequence[TableUpdate]) -> bytes:
+def encode_updates(updates: Sequence[TableUpdate]) -> bytes:
     """One message: a line for each part, and all but the last announce another.
 
     :raises ValueError: for a weight or a limit that is negative or not finite.
@@ -377,7 +377,7 @@
     if not isinstance(entry["name"], str) or not entry["name"]:
         raise ValueError("an entry without a name")
     since_ns = round(parse_decimal(str(entry.get("since_ms", 0)))) * NS_PER_MS
-    state, weight = ENDPOINT_STATES[entry["status"]], parse_decimal(str(entry.get("weight", 1.0)))
+    state, weight = ENDPOINT_STATE_BY_STATUS[entry["status"]], parse_decimal(str(entry.get("weight", 1.0)))
     return Endpoint(entry["name"], str(entry["zone"]), state, since_ns, weight)
 
 
--- a/meadowworks/fleet/names.py
+++ b/meadowworks/fleet/names.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 # Discovery's words for the state of an endpoint, and the policy's.
-ENDPOINT_STATES = {"in_service": "ready", "terminating": "draining", "terminated": "gone"}
+ENDPOINT_STATE_BY_STATUS = {"in_service": "ready", "terminating": "draining", "terminated": "gone"}
 
 
 class NameIndex:
--- a/meadowworks/fleet/peers.py
+++ b/meadowworks/fleet/peers.py
@@ -22,7 +22,7 @@
         logger.info("collector of {}: joined", state.peer.zone)
     state.on_actor_started()
     try:
-        async for item in mailbox.each():
+        async for item in mailbox.iterate():
             state.on_mailbox_item(item)
             if state.finish_reason:
                 logger.info("{}: disconnected, {}", describe(state.peer), state.finish_reason)
--- a/meadowworks/fleet/settings.py
+++ b/meadowworks/fleet/settings.py
@@ -17,7 +17,7 @@
 NS_PER_US = 1000
 
 
-class SettingsError(Exception):
+class FleetSettingsError(Exception):
     """A setting that the program needs is absent or makes no sense; the text is one plain sentence."""
 
 
@@ -55,14 +55,17 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingsReader:
-    """Typed values of flat settings. Methods raise `SettingsError` for what is missing or no such value."""
+    """Typed access to flat settings.
+
+    Methods raise `FleetSettingsError` for a value that is missing or malformed.
+    """
 
     values: Mapping[str, str]
 
     def text(self, key: str) -> str:
         """A value as it stands."""
         if key not in self.values:
-            raise SettingsError(f"setting {key} is missing")
+            raise FleetSettingsError(f"setting {key} is missing")
         return self.values[key]
 
     def number(self, key: str, default: float | None = None) -> float:
@@ -75,7 +78,7 @@
         except ValueError:
             found = nan
         if not isfinite(found):
-            raise SettingsError(f"setting {key} is no number: {value!r}")
+            raise FleetSettingsError(f"setting {key} is no number: {value!r}")
         return found
 
     def integer(self, key: str, default: float | None = None) -> int:
@@ -98,7 +101,7 @@
         """Yes or no for each of `count` routes."""
         found = [part in TRUE_WORDS for part in self.text(key).split(",")]
         if len(found) != count:
-            raise SettingsError(f"setting {key} has {len(found)} values for {count} routes")
+            raise FleetSettingsError(f"setting {key} has {len(found)} values for {count} routes")
         return found
 
 
@@ -118,7 +121,7 @@
 def read_settings(options: Mapping[str, str]) -> tuple[Settings, dict[str, int], dict[str, int]]:
     """The settings, and the indices of the zones and of the routes by name.
 
-    :raises SettingsError: if one is missing or makes no sense.
+    :raises FleetSettingsError: if one is missing or makes no sense.
     """
     reader = SettingsReader(options)
     routes, route_indices = read_routes(reader)
--- a/meadowworks/fleet/streams.py
+++ b/meadowworks/fleet/streams.py
@@ -11,7 +11,7 @@
 
 from meadowworks.fleet.invariants import check_invariant
 from meadowworks.fleet.mailbox import Mailbox
-from meadowworks.fleet.messages import ConnectionEnd, ConnectionItem, UpdateMessage, encode
+from meadowworks.fleet.messages import ConnectionEnd, ConnectionItem, UpdateMessage, encode_updates
 from meadowworks.fleet.table_updates import TableUpdates
 
 # Unacknowledged on a stream: more than may be sent to a proxy while one of them can still count.
@@ -77,7 +77,7 @@
         messages: dict[int, tuple[UpdateMessage, int | None]] = {}
         try:
             for proxies, updates in self.table_updates.take_messages():
-                message = UpdateMessage(encode(updates), len(updates)), updates[-1].nonce
+                message = UpdateMessage(encode_updates(updates), len(updates)), updates[-1].nonce
                 for proxy in proxies:
                     check_invariant(proxy not in messages, "one message a proxy a batch")
                     messages[proxy] = message
--- a/meadowworks/fleet/table_updates.py
+++ b/meadowworks/fleet/table_updates.py
@@ -46,9 +46,9 @@
 
     def remove_proxy(self, proxy: int) -> None:
         """Forgets a proxy, and what was to be sent to it."""
-        for number in {*self.assignments.pop(proxy, ())}:
-            if number is not None:
-                self.tables[number].proxies.discard(proxy)
+        for table_id in {*self.assignments.pop(proxy, ())}:
+            if table_id is not None:
+                self.tables[table_id].proxies.discard(proxy)
         self.new_tables.pop(proxy, None)
         self.reserved_lines.pop(proxy, None)
 
@@ -56,42 +56,42 @@
         """The routes in a bit mask; 0 stands for all."""
         return [k for k in range(len(self.routes)) if not routes or routes >> k & 1]
 
-    def table(self, number: int) -> PublishedTable:
+    def table(self, table_id: int) -> PublishedTable:
         """A table, a new one if it was not there."""
-        return self.tables.setdefault(number, PublishedTable())
+        return self.tables.setdefault(table_id, PublishedTable())
 
-    def set_weight(self, number: int, backend: int, weight: float) -> None:
+    def set_weight(self, table_id: int, backend: int, weight: float) -> None:
         """Sets a backend's weight in a table; 0 takes it out."""
-        table = self.table(number)
+        table = self.table(table_id)
         table.weights[backend] = weight
         if not weight:
             del table.weights[backend]
         table.changed_backends.add(backend)
         table.reserved_lines += 1
-        self.changed_tables.add(number)
+        self.changed_tables.add(table_id)
 
-    def assign_table(self, routes: int, proxy: int, number: int) -> None:
+    def assign_table(self, routes: int, proxy: int, table_id: int) -> None:
         """Makes a proxy use a table for the routes of a bit mask."""
         check_invariant(proxy in self.assignments, "no order to a proxy that has not joined")
         if proxy not in self.assignments:
             return
-        selected, table, old = self.select_routes(routes), self.table(number), self.assignments[proxy]
-        assignment = tuple(number if k in selected else its for k, its in enumerate(old))
+        selected, table, old = self.select_routes(routes), self.table(table_id), self.assignments[proxy]
+        assignment = tuple(table_id if k in selected else its for k, its in enumerate(old))
         self.assignments[proxy] = assignment
         for unused in {*old} - {*assignment} - {None}:
             self.tables[unused].proxies.discard(proxy)  # type: ignore[index]
         table.proxies.add(proxy)
-        self.new_tables.setdefault(proxy, set()).add(number)
+        self.new_tables.setdefault(proxy, set()).add(table_id)
         lines = 1 + len(table.weights) + len(table.admissions)
         self.reserved_lines[proxy] = self.reserved_lines.get(proxy, 0) + lines
 
-    def set_admission(self, number: int, routes: int, limit: float, retry_policy: int) -> None:
+    def set_admission(self, table_id: int, routes: int, limit: float, retry_policy: int) -> None:
         """Sets the admission limit and the retry policy of a table's routes."""
-        table, selected = self.table(number), self.select_routes(routes)
+        table, selected = self.table(table_id), self.select_routes(routes)
         table.admissions.update((k, (limit, retry_policy)) for k in selected)
         table.changed_routes.update(selected)
         table.reserved_lines += 1
-        self.changed_tables.add(number)
+        self.changed_tables.add(table_id)
 
     def route_names(self, routes: Sequence[int]) -> tuple[str, ...]:
         """Routes by name; none stand for all."""
@@ -101,10 +101,10 @@
         """What is sent to proxies with this assignment, of whose tables some are new to them."""
         admissions = self._admissions_to_send(assignment, new)
         updates = []
-        for number in sorted({number for number in assignment if number is not None}):
-            table, full = self.tables[number], number in new
+        for table_id in sorted({table_id for table_id in assignment if table_id is not None}):
+            table, full = self.tables[table_id], table_id in new
             if full or table.changed_backends:
-                routes = tuple(k for k, its in enumerate(assignment) if its == number)
+                routes = tuple(k for k, its in enumerate(assignment) if its == table_id)
                 backends = table.weights if full else sorted(table.changed_backends)
                 weights = tuple((self.backend_names[b], table.weights.get(b, 0.0)) for b in backends)
                 admission = admissions.pop(routes, None)
@@ -117,10 +117,10 @@
     ) -> dict[tuple[int, ...], Admission]:
         """Admissions that have changed or come with a new table, by the routes that share them."""
         routes_by_admission: dict[Admission, list[int]] = {}
-        for k, number in enumerate(assignment):
-            if number is None or k not in (table := self.tables[number]).admissions:
+        for k, table_id in enumerate(assignment):
+            if table_id is None or k not in (table := self.tables[table_id]).admissions:
                 continue
-            if number in new or k in table.changed_routes:  # a full table resets admissions
+            if table_id in new or k in table.changed_routes:  # a full table resets admissions
                 routes_by_admission.setdefault(table.admissions[k], []).append(k)
         return {tuple(routes): admission for admission, routes in routes_by_admission.items()}
 
@@ -137,8 +137,8 @@
                     self._check_reserved(assignment, proxies, updates)
                     yield sorted(proxies), updates
         finally:  # a fault in one message is no fault in the next batch
-            for number in self.changed_tables:
-                table = self.tables[number]
+            for table_id in self.changed_tables:
+                table = self.tables[table_id]
                 table.changed_backends, table.changed_routes, table.reserved_lines = set(), set(), 0
             self.changed_tables, self.new_tables, self.reserved_lines, self.nonce = set(), {}, {}, None
 
@@ -146,7 +146,9 @@
         self, assignment: TableAssignment, proxies: list[int], updates: list[TableUpdate]
     ) -> None:
         lines = sum(update.channel_lines() for update in updates)
-        reserved = sum(self.tables[number].reserved_lines for number in {*assignment} if number is not None)
+        reserved = sum(
+            self.tables[table_id].reserved_lines for table_id in {*assignment} if table_id is not None
+        )
         reserved += self.nonce is not None
         check_invariant(
             all(lines <= reserved + self.reserved_lines.get(proxy, 0) for proxy in proxies),
--- a/meadowworks/local/commands.py
+++ b/meadowworks/local/commands.py
@@ -19,7 +19,7 @@
     Ports,
     SystemLayout,
     build_configuration,
-    first_unavailable,
+    find_unavailable_address,
 )
 
 DEMO_ROUTES = {"/read/": ("safe", "lookup"), "/order/": ("unsafe", "orders")}
@@ -38,7 +38,7 @@
     if not 1024 <= port <= 65000:
         raise CommandError("--port is a number from 1024 to 65000")
     layout = SystemLayout(DEMO_SUBNET, Ports(port, port + 1, port + 2, port + 3))
-    if reason := first_unavailable(layout.all_addresses()):
+    if reason := find_unavailable_address(layout.all_addresses()):
         raise CommandError(f"{reason}; end what listens there, or name another --port")
     with running_nodes(layout) as processes:
         return asyncio.run(_serve(layout, processes, seconds))
--- a/meadowworks/local/hostile_clients.py
+++ b/meadowworks/local/hostile_clients.py
@@ -22,7 +22,7 @@
 from meadowworks.local.commands import DEMO_SERVICES, put_configuration
 from meadowworks.local.hostile_behaviours import BEHAVIOURS, GET_REQUEST, Behaviour, Client
 from meadowworks.local.processes import running_backends, running_nodes
-from meadowworks.local.system import SystemLayout, free_ports
+from meadowworks.local.system import SystemLayout, find_free_ports
 
 SUBNET = 79
 BACKEND_ZONE = "south"
@@ -103,7 +103,7 @@
     """
     if not 5 <= seconds <= 600 or not 1 <= clients <= 100:
         raise CommandError("--seconds is from 5 to 600, --clients from 1 to 100")
-    layout = SystemLayout(SUBNET, free_ports(), control_plane_nodes=1, proxies=1)
+    layout = SystemLayout(SUBNET, find_free_ports(), control_plane_nodes=1, proxies=1)
     with running_nodes(layout) as processes:
         tally = asyncio.run(_run_clients(layout, processes[-1].pid, seconds, clients))
     report = tally.report(seconds)
--- a/meadowworks/local/system.py
+++ b/meadowworks/local/system.py
@@ -34,7 +34,7 @@
     peer: int
 
 
-def free_ports() -> Ports:
+def find_free_ports() -> Ports:
     """Return ports that nothing listens on just now."""
     sockets = [socket.socket() for _ in range(4)]
     for sock in sockets:
@@ -45,7 +45,7 @@
     return Ports(*numbers)
 
 
-def first_unavailable(addresses: list[Address]) -> str | None:
+def find_unavailable_address(addresses: list[Address]) -> str | None:
     """Return the first address that can't be listened on, with the reason."""
     for address in addresses:
         try:
--- a/meadowworks/modelcheck/models/connection/connection.py
+++ b/meadowworks/modelcheck/models/connection/connection.py
@@ -137,28 +137,28 @@
         """Keeps the connection from being evicted."""
         self.shared.connection_limit.protect(self.place)
 
-    def start_peer(self, _first: ProxyHello | CollectorHello) -> None:
+    def start_peer(self, _hello: ProxyHello | CollectorHello) -> None:
         """Asks for the peer's actor, which the step `begin` starts."""
         self.has_actor = True
 
-    def enqueue(self, item: ConnectionItem, report: bool) -> None:
+    def enqueue(self, item: ConnectionItem, is_report: bool) -> None:
         """Puts an item into the actor's mailbox."""
-        self.mailbox.put(item, report)
+        self.mailbox.put(item, is_report)
 
-    def joined_event(self, first: ProxyHello) -> ProxyJoined:
+    def joined_event(self, hello: ProxyHello) -> ProxyJoined:
         """The event that this proxy has joined by this connection."""
-        return ProxyJoined(first, self.mailbox)
+        return ProxyJoined(hello, self.mailbox)
 
-    def left_event(self, first: ProxyHello) -> ProxyLeft:
+    def left_event(self, hello: ProxyHello) -> ProxyLeft:
         """The event that this proxy has left by this connection."""
-        return ProxyLeft(first.proxy, self.mailbox)
+        return ProxyLeft(hello.proxy, self.mailbox)
 
-    def publish(self, item: ControllerEvent, report: bool) -> None:
+    def publish(self, item: ControllerEvent, is_report: bool) -> None:
         """Puts an event into the controller's mailbox."""
         self.shared.outcomes.append(Published(self.place, self.is_identified))
-        self.shared.controller_mailbox.put(item, report)
+        self.shared.controller_mailbox.put(item, is_report)
 
-    def count(self, _what: str) -> None:
+    def count(self, _event: str) -> None:
         """Drops a count for the log."""
 
 
--- a/meadowworks/modelcheck/models/connection/properties.py
+++ b/meadowworks/modelcheck/models/connection/properties.py
@@ -75,7 +75,7 @@
 def unreadable_lines_end(world: World) -> bool:
     """Unreadable lines close a connection at their limit, which for an unidentified one is the first."""
     for line in outcomes_of(world, UnreadableLine):
-        is_over_limit = not line.is_identified or line.line_count >= LIMITS.unreadable_lines
+        is_over_limit = not line.is_identified or line.line_count >= LIMITS.max_unreadable_lines
         if not line.former_reason and bool(line.close_reason) != is_over_limit:
             return False
     return all(line.close_reason for line in outcomes_of(world, PartialLine))
@@ -83,7 +83,7 @@
 
 def unread_bounded(world: World) -> bool:
     """No more stays unread than the limit, and the message that goes beyond it."""
-    return all(connection.unread <= LIMITS.unsent_bytes + 1 for connection in world.connections)
+    return all(connection.unread <= LIMITS.max_unsent_bytes + 1 for connection in world.connections)
 
 
 def descriptors_counted(world: World) -> bool:
--- a/meadowworks/modelcheck/models/connection/scenarios.py
+++ b/meadowworks/modelcheck/models/connection/scenarios.py
@@ -8,7 +8,7 @@
 from meadowworks.fleet.connection_state import ConnectionLimits
 
 LIMITS = ConnectionLimits(
-    unsent_bytes=1, unreadable_lines=2, unknown_bytes=1
+    max_unsent_bytes=1, max_unreadable_lines=2, max_unrecognized_bytes=1
 )  # messages, lines and bytes that a world has room for
 MAX_REPORTS = 1  # in a mailbox
 
--- a/meadowworks/modelcheck/models/connection/world.py
+++ b/meadowworks/modelcheck/models/connection/world.py
@@ -158,7 +158,7 @@
         """A remote end sends more of a line than the limit allows, and no end."""
         connection = self.connections[place]
         connection.budget.unreadable_lines -= 1
-        connection.state.on_partial_line(LIMITS.unknown_bytes + 1, True)
+        connection.state.on_partial_line(LIMITS.max_unrecognized_bytes + 1, True)
         self.outcomes.append(PartialLine(place, connection.state.close_reason))
 
     def do_spoilt(self, place: int) -> None:
--- a/meadowworks/simulation/fleet.py
+++ b/meadowworks/simulation/fleet.py
@@ -35,7 +35,7 @@
     UpdateMessage,
     WatchEndpoints,
 )
-from meadowworks.fleet.names import ENDPOINT_STATES
+from meadowworks.fleet.names import ENDPOINT_STATE_BY_STATUS
 from meadowworks.policy.interface import Settings
 from meadowworks.simulation.proxies import Proxy
 from meadowworks.simulation.servers import OVERLOAD_TOLERANCE, SECOND, Server
@@ -56,9 +56,9 @@
     """The fleet's time as the controllers' clock."""
 
     def __init__(self, fleet: SimulatedFleet) -> None:
-        self.fleet, self.offset = fleet, 0
+        self.fleet, self.offset_ns = fleet, 0
 
-    def now(self) -> int:
+    def now_ns(self) -> int:
         return self.fleet.now
 
 
@@ -309,7 +309,7 @@
 
     def entry(self, server: Server) -> Endpoint:
         return Endpoint(
-            server.name, server.zone, ENDPOINT_STATES[server.state], server.since_ns, server.weight
+            server.name, server.zone, ENDPOINT_STATE_BY_STATUS[server.state], server.since_ns, server.weight
         )
 
     def full_list(self) -> EndpointList:
--- a/meadowworks/simulation/forward.py
+++ b/meadowworks/simulation/forward.py
@@ -23,7 +23,7 @@
     ZONES,
     SystemLayout,
     build_configuration,
-    free_ports,
+    find_free_ports,
 )
 from meadowworks.runtime.asgi import Receive, Scope, Send
 from meadowworks.runtime.errors import RequestError
@@ -142,9 +142,9 @@
 
 async def measure(count: int, folder: Path) -> None:
     """Start a system and a bare server, measure both, and print what was found."""
-    layout = SystemLayout(LOCAL_SUBNET, free_ports(), CONTROL_PLANE_NODES, PROXIES)
+    layout = SystemLayout(LOCAL_SUBNET, find_free_ports(), CONTROL_PLANE_NODES, PROXIES)
     nodes = [start_node(layout, place, folder) for place in range(CONTROL_PLANE_NODES + PROXIES)]
-    port = free_ports().http
+    port = find_free_ports().http
     bare_server = start_bare_server(port)
     try:
         async with running_backends(layout):
--- a/meadowworks/simulation/loop_latency.py
+++ b/meadowworks/simulation/loop_latency.py
@@ -28,7 +28,7 @@
 from meadowworks.config.route_table import load_route_table_steps
 from meadowworks.config.validation import validation_steps
 from meadowworks.controlplane.server import ControlPlaneServer
-from meadowworks.local.system import SystemLayout, build_configuration, free_ports
+from meadowworks.local.system import SystemLayout, build_configuration, find_free_ports
 from meadowworks.proxy.server import ProxyServer
 from meadowworks.runtime.compression import compress_steps, decompress_steps
 from meadowworks.runtime.cooperative import run_cooperatively
@@ -155,7 +155,7 @@
 
 def measure_programs(routes: int, folder: Path) -> None:
     """Print how long each program of a system is kept at rest, and by a large configuration."""
-    layout = SystemLayout(79, free_ports())
+    layout = SystemLayout(79, find_free_ports())
     programs: list[Program] = []
     try:
         for number in range(layout.control_plane_nodes + layout.proxies):
--- a/meadowworks/simulator_adapter/events.py
+++ b/meadowworks/simulator_adapter/events.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from meadowworks.fleet.names import ENDPOINT_STATES
+from meadowworks.fleet.names import ENDPOINT_STATE_BY_STATUS
 from meadowworks.fleet.settings import NS_PER_US
 from meadowworks.policy.interface import AttemptReport, EndpointEntry
 from meadowworks.simulator_adapter.host import ControllerInstance
@@ -46,7 +46,7 @@
         EndpointEntry(
             host.backends.index(entry[5]),
             host.zones[entry[6]],
-            ENDPOINT_STATES[entry[2]],
+            ENDPOINT_STATE_BY_STATUS[entry[2]],
             0 if entry[3] == NONE else int(entry[3]) * NS_PER_US,
             1.0 if entry[7] == NONE else float(entry[7]),
         )
--- a/meadowworks/simulator_adapter/host.py
+++ b/meadowworks/simulator_adapter/host.py
@@ -13,7 +13,7 @@
     """A controller by its name on the wire; the adapter gives out the indices of backends, zones and routes.
 
     :param output: the lines of the reply.
-    :raises SettingsError: if an option is missing or makes no sense.
+    :raises FleetSettingsError: if an option is missing or makes no sense.
     """
 
     def __init__(
--- a/meadowworks/simulator_adapter/wire.py
+++ b/meadowworks/simulator_adapter/wire.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterator
 from typing import TextIO
 
-from meadowworks.fleet.settings import NS_PER_US, SettingsError
+from meadowworks.fleet.settings import NS_PER_US, FleetSettingsError
 from meadowworks.simulator_adapter.events import EVENTS, NONE, PolicyCall, Values, parse_endpoints
 from meadowworks.simulator_adapter.host import ControllerInstance
 
@@ -89,7 +89,7 @@
             )
         except KeyError as error:
             raise WireError(f"line {at}: {kind}: unknown name {error}") from error
-        except (SettingsError, ValueError, IndexError) as error:
+        except (FleetSettingsError, ValueError, IndexError) as error:
             raise WireError(f"line {at}: {kind}: {error}") from error
 
     def _start(self, values: Values, now_ns: int) -> None:
--- a/tests/fleet/test_controller.py
+++ b/tests/fleet/test_controller.py
@@ -27,11 +27,11 @@
             config, Mailbox[ControllerEvent](9), Mailbox[DiscoveryCommand](9), at
         )
         due, wait = node.timer_due_ns, config.settings.report_interval_ns
-        node.now = due + 1000  # a little late: the next is counted from when this one was due
+        node.now_ns = due + 1000  # a little late: the next is counted from when this one was due
         node.set_timer(wait)
         assert node.timer_due_ns == due + wait
-        node.now = node.timer_due_ns + 10 * wait
+        node.now_ns = node.timer_due_ns + 10 * wait
         node.set_timer(wait)
-        assert node.timer_due_ns == node.now + wait
+        assert node.timer_due_ns == node.now_ns + wait
 
     asyncio.run(act())
--- a/tests/fleet/test_listener.py
+++ b/tests/fleet/test_listener.py
@@ -49,17 +49,17 @@
     return listener.Listener(module, {"a"}, 4, int(options.get("sockets", 64))), module
 
 
-def hired(first: bytes) -> tuple[listener.Connection, Transport, Mailbox[ControllerEvent]]:
+def hired(first: bytes) -> tuple[listener.PeerConnection, Transport, Mailbox[ControllerEvent]]:
     """A connection that has said who it is, on a transport that reads nothing."""
     here, module = door()
-    peer, line = listener.Connection(asyncio.get_running_loop(), here), Transport()
+    peer, line = listener.PeerConnection(asyncio.get_running_loop(), here), Transport()
     peer.connection_made(cast(asyncio.Transport, line))
     peer.data_received(first)
     return peer, line, module
 
 
 def test_a_stream_that_is_not_read_is_ended_alone_and_left(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(listener, "CONNECTION_LIMITS", ConnectionLimits(unsent_bytes=20))
+    monkeypatch.setattr(listener, "CONNECTION_LIMITS", ConnectionLimits(max_unsent_bytes=20))
 
     async def act() -> None:
         peer, slow, module = hired(b"attach id=2 site=a rps=1 new=1\r\n")
@@ -108,11 +108,11 @@
 
 @pytest.mark.parametrize("first", [b"", b"telemetry site=a\r\n"])
 def test_who_asks_and_does_not_read_is_ended(monkeypatch: pytest.MonkeyPatch, first: bytes) -> None:
-    monkeypatch.setattr(listener, "CONNECTION_LIMITS", ConnectionLimits(unsent_bytes=20))
+    monkeypatch.setattr(listener, "CONNECTION_LIMITS", ConnectionLimits(max_unsent_bytes=20))
 
     async def act() -> None:
         door, slow = listener.Listener(Mailbox[ControllerEvent](9), {"a"}, 4, 64), Transport()
-        peer = listener.Connection(asyncio.get_running_loop(), door)
+        peer = listener.PeerConnection(asyncio.get_running_loop(), door)
         peer.connection_made(cast(asyncio.Transport, slow))
         peer.data_received(first + b"hb\r\n")
         assert not slow.aborted
@@ -152,7 +152,7 @@
     monkeypatch.setattr(listener, "MAX_QUEUED_REPORTS", 3)
 
     async def act() -> None:
-        peer = listener.Connection(asyncio.get_running_loop(), door()[0])
+        peer = listener.PeerConnection(asyncio.get_running_loop(), door()[0])
         peer.connection_made(cast(asyncio.Transport, Transport()))
         peer.data_received(b"attach id=2 site=a rps=1 new=1\r\n" + b"done id=2 seq=7 ms=1\r\n" * 9)
         assert len(peer.mailbox.items) == 3
@@ -165,11 +165,14 @@
     async def act() -> None:
         here, module = door()
         bounds = listener.CONNECTION_LIMITS
-        for rubbish in (b"\x00\xff what\r\n" * bounds.unreadable_lines, b"\x00\xff" * bounds.unknown_bytes):
-            peer, line = listener.Connection(asyncio.get_running_loop(), here), Transport()
+        for rubbish in (
+            b"\x00\xff what\r\n" * bounds.max_unreadable_lines,
+            b"\x00\xff" * bounds.max_unrecognized_bytes,
+        ):
+            peer, line = listener.PeerConnection(asyncio.get_running_loop(), here), Transport()
             peer.connection_made(cast(asyncio.Transport, line))
             peer.data_received(b"attach id=2 site=a rps=1 new=1\r\n")
-            for _ in range(2 * listener.CONNECTION_LIMITS.unreadable_lines):
+            for _ in range(2 * listener.CONNECTION_LIMITS.max_unreadable_lines):
                 peer.data_received(b"client_stats id=2 lane=a count=x fail=0 over=1000\r\n\x00\r\n")
                 peer.data_received(b"client_stats id=2 lane=a count=1 fail=0 over=1000\r\n")
             assert not line.aborted and not line.unread
--- a/tests/fleet/test_messages.py
+++ b/tests/fleet/test_messages.py
@@ -10,21 +10,21 @@
     BackendReport,
     ProxyHello,
     UnknownMessageError,
-    decode,
+    decode_line,
     parse_endpoint_list,
 )
 
 
 def test_lines_of_the_protocol_are_read_in_its_units() -> None:
     told = b"upstream_stats site=a target=s-5 count=4 fail=1 mean=41.7 over=1000.0 util=inflight:7,util:0.61"
-    assert decode(told) == BackendReport(
+    assert decode_line(told) == BackendReport(
         "a", "s-5", 4, 1, 41_700_000, 1_000_000_000, {"inflight": 7.0, "util": 0.61}
     )
-    assert decode(b"attach id=17 site=a rps=21.5 new=1\r") == ProxyHello(17, "a", 21.5, True)
-    none_good = decode(b"upstream_stats site=a target=s-5 count=2 fail=2 over=500")
+    assert decode_line(b"attach id=17 site=a rps=21.5 new=1\r") == ProxyHello(17, "a", 21.5, True)
+    none_good = decode_line(b"upstream_stats site=a target=s-5 count=2 fail=2 over=500")
     assert none_good == BackendReport("a", "s-5", 2, 2, 0, 500_000_000, {})
     with pytest.raises(ValueError, match="5 of 4"):
-        decode(told.replace(b"fail=1", b"fail=5"))
+        decode_line(told.replace(b"fail=1", b"fail=5"))
 
 
 @pytest.mark.parametrize("answer", [None, [], {}, {"index": 1, "snapshot": True}, {"endpoints": []}])
@@ -56,7 +56,7 @@
 )
 def test_a_field_spoilt_is_told_from_what_is_no_message(line: str) -> None:
     with pytest.raises(ValueError) as found:
-        decode(line.encode())
+        decode_line(line.encode())
     assert not isinstance(found.value, UnknownMessageError)
     with pytest.raises(UnknownMessageError):
-        decode(b"x" + line.encode())
+        decode_line(b"x" + line.encode())
--- a/tests/fleet/test_table_updates.py
+++ b/tests/fleet/test_table_updates.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from meadowworks.fleet.messages import (
-    encode,
+    encode_updates,
 )
 from meadowworks.fleet.settings import flatten
 from meadowworks.fleet.table_updates import TableUpdates
@@ -104,7 +104,7 @@
             for p, parts in sent.items():
                 assert 0 < sum(part.channel_lines() for part in parts) <= wire.cost[p]
                 before = peers[p].messages
-                for line in encode(parts).decode().split("\r\n")[:-1]:
+                for line in encode_updates(parts).decode().split("\r\n")[:-1]:
                     peers[p].apply(line)
                 assert peers[p].messages == before + 1  # one a turn, whatever its parts
             wire.cost.clear()
@@ -125,7 +125,7 @@
     orders.assign_table(0, 0, 0)
     orders.set_weight(0, 0, figure)
     with pytest.raises(ValueError, match="cannot be ordered"):
-        encode(next(orders.take_messages())[1])
+        encode_updates(next(orders.take_messages())[1])
 
 
 def test_what_many_proxies_are_told_alike_is_one_message() -> None:
@@ -154,7 +154,8 @@
     orders.set_weight(0, 1, 1e-12)
     orders.assign_table(1, 0, 0)
     assert (
-        encode(next(orders.take_messages())[1]) == b"assign routes=look full=1 endpoints=s-1:0.000000001\r\n"
+        encode_updates(next(orders.take_messages())[1])
+        == b"assign routes=look full=1 endpoints=s-1:0.000000001\r\n"
     )
 
 
@@ -166,6 +167,6 @@
         orders.assign_table(2, proxy, 1)
     orders.nonce = 905
     ((users, parts),) = orders.take_messages()
-    lines = encode(parts).decode().split("\r\n")[:-1]
+    lines = encode_updates(parts).decode().split("\r\n")[:-1]
     assert users == [0, 1] and ["nonce_out=905" in line for line in lines] == [False, True]
     assert [part.channel_lines() for part in parts] == [1, 2] and orders.nonce is None
--- a/tests/gateway/golden_product.py
+++ b/tests/gateway/golden_product.py
@@ -257,19 +257,19 @@
 
 def encode_orders(*parts: tuple[Any, ...]) -> bytes:
     """Each part: routes, whether it is full, lines, grant, mark."""
-    return messages.encode([messages.TableUpdate(*part) for part in parts])
+    return messages.encode_updates([messages.TableUpdate(*part) for part in parts])
 
 
 def decode_line(line: bytes) -> tuple[Any, ...]:
     """What a proxy or collector says: its kind, and its fields."""
-    found = messages.decode(line)
+    found = messages.decode_line(line)
     return type(found), *(getattr(found, name) for name in LINE_FIELDS[type(found)])
 
 
 LINE_FIELDS: dict[Any, tuple[str, ...]] = {
     messages.Heartbeat: (),
     messages.CollectorHello: ("zone",),
-    messages.ProxyHello: ("proxy", "zone", "usual_rate", "new"),
+    messages.ProxyHello: ("proxy", "zone", "usual_rate", "is_new"),
     messages.UpdateApplied: ("proxy", "nonce"),
     messages.BackendReport: ("zone", "backend", "attempts", "failures", "latency_ns", "period_ns", "load"),
     messages.DemandReport: ("proxy", "route", "calls", "dropped", "period_ns"),
--- a/tests/gateway/test_fleet.py
+++ b/tests/gateway/test_fleet.py
@@ -21,7 +21,7 @@
 from meadowworks.controlplane.server import ControlPlaneServer
 from meadowworks.forwarding.staleness import MAX_AGE_NS
 from meadowworks.local.backend import StubBackend
-from meadowworks.local.system import SystemLayout, build_configuration, free_ports
+from meadowworks.local.system import SystemLayout, build_configuration, find_free_ports
 from meadowworks.proxy.control_plane_view import STARTUP_GRACE_NS
 from meadowworks.proxy.server import ProxyServer
 from meadowworks.runtime import node_settings
@@ -39,7 +39,7 @@
 class Fleet:
     def __init__(self, folder: Path) -> None:
         self.runner = asyncio.Runner()
-        self.layout, self.folder = SystemLayout(next(NETS) % 250, free_ports()), folder
+        self.layout, self.folder = SystemLayout(next(NETS) % 250, find_free_ports()), folder
         self.shutdown_requested: dict[int, asyncio.Future[None]] = {}
         self.server_tasks: dict[int, asyncio.Task[None]] = {}
         self.nodes: dict[int, Any] = {}
--- a/tests/gateway/test_settings_terms.py
+++ b/tests/gateway/test_settings_terms.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from meadowworks.local.system import SystemLayout, free_ports
+from meadowworks.local.system import SystemLayout, find_free_ports
 from meadowworks.runtime import node_settings
 from tests.gateway.test_fleet import ROUTES, Fleet, fleet  # noqa: F401  # the fixture
 
@@ -24,7 +24,7 @@
 
 @pytest.mark.parametrize("how", TERMS)
 def test_terms_that_are_not_known_pass(how: str, tmp_path: Path) -> None:
-    settings = SystemLayout(90, free_ports()).node_settings(3, tmp_path, True)
+    settings = SystemLayout(90, find_free_ports()).node_settings(3, tmp_path, True)
     settings["terms"] = {**settings.get("terms", {}), **TERMS[how]}
     found = node_settings.parse_settings(json.dumps(settings))
     assert found.tolerated_failures == TERMS[how].get("tolerate", settings["terms"].get("tolerate", {})).get(
--- a/tests/gateway/test_unusable_disk.py
+++ b/tests/gateway/test_unusable_disk.py
@@ -13,7 +13,7 @@
 import pytest
 
 from meadowworks.controlplane.server import ControlPlaneServer
-from meadowworks.local.system import SystemLayout, free_ports
+from meadowworks.local.system import SystemLayout, find_free_ports
 from meadowworks.runtime.errors import SettingsError
 from meadowworks.runtime.node_settings import parse_settings
 from meadowworks.storage.sqlite_store import FILE_NAME
@@ -38,7 +38,7 @@
     disk = tmp_path / "disk"
     break_disk(how, disk)
     settings = tmp_path / "settings.json"
-    layout = SystemLayout(next(NETS) % 250, free_ports())
+    layout = SystemLayout(next(NETS) % 250, find_free_ports())
     settings.write_text(json.dumps(layout.node_settings(0, disk, True)))
     found = subprocess.run(
         [sys.executable, "-m", "meadowworks.controlplane"],
@@ -55,7 +55,7 @@
 
 def test_a_disk_that_refuses_the_first_write_is_told_alike(tmp_path: Path) -> None:
     async def main() -> None:
-        layout = SystemLayout(next(NETS) % 250, free_ports())
+        layout = SystemLayout(next(NETS) % 250, find_free_ports())
         server = ControlPlaneServer(parse_settings(json.dumps(layout.node_settings(0, tmp_path, True))))
 
         async def start() -> None:
