--- a/meadowworks/__main__.py
+++ b/meadowworks/__main__.py
@@ -1,4 +1,4 @@
-"""The command `meadowworks`: the fleet controller without arguments, the command line with them."""
+"""The command `meadowworks`: runs the fleet controller without arguments, else the command line."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 
 def main() -> int:
-    """Runs the program.
+    """Run the program.
 
-    :returns: its exit status: 0 after a signal, 1 after a fault, 2 for a configuration without sense.
+    :returns: the exit status: 0 after a signal, 1 after a fault, 2 for an invalid configuration.
     """
     if len(sys.argv) > 1:
-        from meadowworks.cli import main as commands  # what commands need, a controller's start does not
+        from meadowworks.cli import main as commands  # its dependencies are not needed by the controller
 
         return commands.main()
     logger.remove()
@@ -32,7 +32,7 @@
     try:
         asyncio.run(serve(config))
     except Exception:
-        logger.exception("an actor failed: the program ends")
+        logger.exception("an actor failed; the program ends")
         return 1
     return 0
 
--- a/meadowworks/fleet/__init__.py
+++ b/meadowworks/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The real controller: the decision module on sockets, an actor for each peer and job."""
+"""The fleet controller: the policy behind sockets, with one actor for each peer and each task."""
--- a/meadowworks/fleet/collector_limit.py
+++ b/meadowworks/fleet/collector_limit.py
@@ -1,4 +1,4 @@
-"""How many collectors of one zone may be connected, and which one makes way for the next."""
+"""Limits the number of connected collectors of each zone."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 
 class CollectorLimit(Generic[CollectorT]):
-    """Keeps the newest collectors of each zone: older ones may have been cut off without notice."""
+    """Keeps the newest collectors of each zone; older connections may be dead without notice."""
 
     def __init__(self, max_per_zone: int) -> None:
         self.max_per_zone = max_per_zone
         self._by_zone: dict[str, deque[CollectorT]] = {}
 
     def add(self, zone: str, collector: CollectorT) -> CollectorT | None:
-        """Adds a collector.
+        """Add a collector.
 
-        :returns: the zone's oldest, which has to make way for it, if there are too many.
+        :returns: the zone's oldest collector, which has to be closed, if there are too many; else None.
         """
         collectors = self._by_zone.setdefault(zone, deque())
         collectors.append(collector)
--- a/meadowworks/fleet/connection_state.py
+++ b/meadowworks/fleet/connection_state.py
@@ -1,9 +1,8 @@
-"""The state of one connection: unidentified once it is accepted, then a known peer's, then over.
+"""The state of one connection: unidentified after it is accepted, then a known peer's, then closed.
 
-A state machine without I/O: it decides what each line and each event of a connection leads to, acts by the
-host that it is given, and reads no clock and no socket. Two tasks drive it: the protocol on the socket for
-what comes in and for the transport, and the peer's actor for its mailbox. `meadowworks/modelcheck` explores
-this very class.
+A state machine without I/O: it handles each line and event of a connection through the given host, and reads
+neither clock nor socket. Two tasks drive it: the socket's protocol delivers lines and transport events, and
+the peer's actor delivers the items of its mailbox. `meadowworks/modelcheck` explores this class.
 """
 
 from __future__ import annotations
@@ -37,58 +36,60 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionLimits:
-    """What a connection may leave undone before it is ended.
+    """The limits beyond which a connection is closed.
 
-    The bytes are many times what a channel queue at its limit holds; one line may be corrupted on its way, so
-    only many in a row are another protocol.
+    :ivar max_unsent_bytes: written and not yet read by the peer; far more than a full channel queue holds.
+    :ivar max_unreadable_lines: consecutive lines that are not messages. A single line may be corrupted on its
+        way; many in a row mean another protocol.
+    :ivar max_unrecognized_bytes: of an incomplete line from an unidentified peer or of an unknown message.
     """
 
-    max_unsent_bytes: int = 1 << 18  # written, and not read by the other side
-    max_unreadable_lines: int = 8  # in a row, that are no message
-    max_unrecognized_bytes: int = 1 << 12  # without a line's end, as long as nothing tells what it is
+    max_unsent_bytes: int = 1 << 18
+    max_unreadable_lines: int = 8
+    max_unrecognized_bytes: int = 1 << 12
 
 
 class ConnectionHost(Protocol):
-    """What the state machine may do with its connection."""
+    """The operations of a connection that its state machine uses."""
 
     def write(self, data: bytes) -> None:
-        """Writes without waiting."""
+        """Write without waiting."""
 
     def unsent_bytes(self) -> int:
-        """How much has been written and not sent."""
+        """Return how many written bytes have not been sent."""
 
     def close(self) -> None:
-        """Closes the connection once what was written has gone."""
+        """Close the connection once all written bytes are sent."""
 
     def abort(self) -> None:
-        """Closes the connection at once."""
+        """Close the connection at once."""
 
     def mark_identified(self) -> None:
-        """Keeps the connection from being evicted: its peer is known, or it is closing."""
+        """Protect the connection from eviction: its peer is identified, or it is closing."""
 
     def start_peer(self, hello: ProxyHello | CollectorHello) -> None:
-        """Starts the peer's actor."""
+        """Start the peer's actor."""
 
     def enqueue(self, item: ConnectionItem, is_report: bool) -> None:
-        """Puts an item into the mailbox of the peer's actor."""
+        """Put an item into the mailbox of the peer's actor."""
 
     def joined_event(self, hello: ProxyHello) -> ProxyJoined:
-        """The event that this proxy has joined by this connection."""
+        """Return the event that a proxy has joined on this connection."""
 
     def left_event(self, hello: ProxyHello) -> ProxyLeft:
-        """The event that this proxy has left by this connection."""
+        """Return the event that a proxy has left this connection."""
 
     def publish(self, item: ControllerEvent, is_report: bool) -> None:
-        """Puts an event into the controller's mailbox."""
+        """Put an event into the controller's mailbox."""
 
     def count(self, event: str) -> None:
-        """Counts an event for the log."""
+        """Count an event for the log."""
 
 
 class ConnectionState:
     """The state machine of one connection.
 
-    :param is_known_peer: whether the settings have such a peer.
+    :param is_known_peer: returns whether the settings contain a peer.
     """
 
     def __init__(
@@ -98,15 +99,15 @@
         limits: ConnectionLimits,
     ) -> None:
         self.host, self.is_known_peer, self.limits = host, is_known_peer, limits
-        self.peer: ProxyHello | CollectorHello | None = None  # once it has said who it is
-        self.close_reason = ""  # why nothing is read any more
-        self.finish_reason = ""  # why its actor has ended
-        self.unreadable_lines = 0  # in a row
+        self.peer: ProxyHello | CollectorHello | None = None  # once it is identified
+        self.close_reason = ""  # why the connection no longer handles input; empty while it does
+        self.finish_reason = ""  # why its actor has ended; empty before that
+        self.unreadable_lines = 0  # consecutive
 
     # -- from the socket
 
     def on_message(self, message: PeerMessage) -> None:
-        """A line that is a message."""
+        """Handle a message."""
         if self.close_reason:
             return
         self.unreadable_lines = 0
@@ -126,22 +127,26 @@
                 self.reject("has not joined")
 
     def on_malformed_message(self) -> None:
-        """A message with a field that makes no sense: it costs a known peer that message alone."""
+        """Handle a message with a malformed field: an identified peer only loses this message."""
         if not self.close_reason and not self.peer:
             self.reject("cannot be read")
 
     def on_unreadable_line(self) -> None:
-        """A line that is no message."""
+        """Handle a line that is not a message."""
         if self.close_reason:
             return
         self.unreadable_lines += 1
         if not self.peer:
             self.reject("cannot be read")
         elif self.unreadable_lines >= self.limits.max_unreadable_lines:
-            self.terminate("goes on with what cannot be read")
+            self.terminate("too many unreadable lines")
 
     def on_partial_line(self, size: int, is_unknown: bool) -> None:
-        """So many bytes have come without a line's end; with `is_unknown` no message begins so."""
+        """Handle an incomplete line.
+
+        :param size: its bytes so far.
+        :param is_unknown: whether no message starts like this.
+        """
         if self.close_reason or size <= self.limits.max_unrecognized_bytes:
             return
         if not self.peer:
@@ -150,16 +155,16 @@
             self.terminate("a line too long")
 
     def on_handshake_timeout(self) -> None:
-        """It has not said who it is in time; heartbeats do not count, since they hold a descriptor too."""
+        """Reject a peer that has not identified itself in time; heartbeats do not extend the time."""
         if not self.close_reason and not self.peer:
             self.reject("no name in time")
 
     def on_evicted(self) -> None:
-        """Others wait for its descriptor. Only unidentified connections are evicted."""
+        """Close an unidentified connection whose descriptor is needed for another one."""
         self.reject("too many")
 
     def on_connection_lost(self, reason: str) -> None:
-        """The connection has ended, from either side."""
+        """Handle the end of the connection, whichever side closed it."""
         self.close_reason = self.close_reason or reason
         self.host.mark_identified()
         if self.peer:
@@ -168,12 +173,12 @@
     # -- from the actor
 
     def on_actor_started(self) -> None:
-        """The peer's actor runs: a proxy has joined."""
+        """Publish that a proxy has joined, now that its actor runs."""
         if isinstance(self.peer, ProxyHello):
             self.host.publish(self.host.joined_event(self.peer), False)
 
     def on_mailbox_item(self, item: ConnectionItem) -> None:
-        """Takes the next item of the mailbox."""
+        """Handle the next item of the mailbox."""
         if self.finish_reason:
             return
         match item:
@@ -188,15 +193,15 @@
             case _ if self.may_send(item):
                 self.host.publish(item, True)  # type: ignore[arg-type]
             case BackendReport():
-                self.host.count("lines passed over: another zone's report")
+                self.host.count("lines ignored: another zone's report")
             case _:
-                self.host.count("lines passed over: not a stream's own")
+                self.host.count("lines ignored: not allowed from this peer")
 
     def may_send(self, item: ConnectionItem) -> bool:
-        """Whether this peer may send such a message.
+        """Return whether this peer may send a message.
 
-        A proxy may send its own demand and acknowledgements, a collector its zone's reports and any demand.
-        What the backends met never comes by a proxy, nor a second joining by the same stream.
+        A proxy may send its own demand reports and acknowledgements; a collector may send backend reports of
+        its zone and any demand report. A second hello on a connection is not allowed.
         """
         if isinstance(self.peer, ProxyHello):
             return isinstance(item, DemandReport | UpdateApplied) and item.proxy == self.peer.proxy
@@ -206,7 +211,7 @@
         return isinstance(item, DemandReport)
 
     def finish(self, reason: str) -> None:
-        """Ends the actor, and its connection with it. A proxy has left, which is published once."""
+        """End the actor and its connection; publish once that a proxy has left."""
         if self.finish_reason:
             return
         self.finish_reason, self.close_reason = reason, self.close_reason or reason
@@ -214,10 +219,10 @@
         if isinstance(self.peer, ProxyHello):
             self.host.publish(self.host.left_event(self.peer), False)
 
-    # -- what follows
+    # -- output
 
     def write(self, data: bytes) -> None:
-        """Writes, and ends a connection that reads nothing: nobody waits for it, nor keeps memory for it."""
+        """Write, and close a connection whose unsent bytes exceed the limit. Bounds memory for slow peers."""
         if self.close_reason:
             return
         self.host.write(data)
@@ -225,7 +230,7 @@
             self.terminate("does not read")
 
     def reject(self, reason: str) -> None:
-        """Ends an unidentified connection at once, and tells it why unless it reads nothing."""
+        """Send the reason and close an unidentified connection; abort it if the peer does not read."""
         self.close_reason = reason
         self.host.count(f"unidentified connections rejected: {reason}")
         self.host.mark_identified()
@@ -236,7 +241,7 @@
             self.host.close()
 
     def terminate(self, reason: str) -> None:
-        """Ends a connection at once. A peer's actor learns of it as of any end."""
+        """Close a connection at once. Its actor is notified by `on_connection_lost`."""
         self.close_reason = reason
         self.host.count(f"connections ended: {reason}")
         self.host.abort()
--- a/meadowworks/fleet/discovery.py
+++ b/meadowworks/fleet/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery's actor: follows the endpoint list by one watch after another, as long as the policy wants it."""
+"""The discovery actor: follows the endpoint list by long polling while the policy wants it."""
 
 from __future__ import annotations
 
@@ -20,23 +20,22 @@
 )
 
 NS_PER_MS = 1_000_000
-# A watch waits so long, of the time within which the settings want the list asked for. Short, so that a
-# connection that has gone silent is noticed soon; a watch that goes on costs discovery nothing.
+# The wait of a long poll, as a share of `refresh_ns`. Short, so that a dead connection is noticed soon.
 WATCH_WAIT_SHARE = 0.2
 MAX_WATCH_WAIT_MS = 60_000
-# An answer of discovery is due 2 s after a wait is over. The answer to a watch that goes on is missed soon
-# enough to ask again before; a new watch may have to wait for its turn until then.
+# Discovery replies within 2 s after the wait is over. A new watch allows the full 2 s, since it may be
+# queued; an established one allows less, which leaves time for another attempt.
 ESTABLISHED_WATCH_GRACE_S, NEW_WATCH_GRACE_S = 1.0, 2.0
-CONNECT_TIMEOUT_S = 1.0  # a connection that has not come up by now will not
-MIN_POLL_INTERVAL_S = 0.1  # after an answer that did not wait: no busy loop, and the watch goes on
-STALL_READ_S = 0.1  # a process that was held up reads what came in meanwhile before it gives a call up
+CONNECT_TIMEOUT_S = 1.0
+MIN_POLL_INTERVAL_S = 0.1  # after a reply without a wait: prevents a busy loop
+STALL_READ_S = 0.1  # extra time to read a reply that arrived while the process was stalled
 
 
 class DiscoveryClient:
-    """The watch of the endpoint list.
+    """Watches the endpoint list.
 
-    :param index: of the list that the controller has; None if it has none.
-    :param refresh_ns: the time within which the settings want the list asked for.
+    :param index: the index of the list that the controller has; None if it has none.
+    :param refresh_ns: the maximum time between two requests for the list; 0 for no maximum.
     """
 
     def __init__(
@@ -54,7 +53,7 @@
         self.watching = self.watch_established = False
 
     async def run(self) -> None:
-        """Watches as long as that is wanted, without end."""
+        """Watch the list whenever watching is enabled, without end."""
         timeouts = aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_S)
         async with aiohttp.ClientSession(timeout=timeouts) as session:
             while True:
@@ -65,51 +64,50 @@
                 await self._watch_once(session)
 
     def on_command(self, command: DiscoveryCommand) -> None:
-        """Takes in a command of the policy or of a new configuration."""
+        """Handle a command from the policy or from a configuration reload."""
         match command:
             case WatchEndpoints(enabled):
                 self.watching = enabled
-            case DiscoveryMoved(address):  # the whole list: what the old one had not sent yet is lost
+            case DiscoveryMoved(address):  # without an index: the new address sends the whole list
                 self.address, self.index = address, None
                 self.watching, self.watch_established = True, False
 
     async def _watch_once(self, session: aiohttp.ClientSession) -> None:
         loop = asyncio.get_running_loop()
-        old_index, began = self.index, loop.time()
+        old_index, started = self.index, loop.time()
         try:
-            news = await self.fetch_in_time(session)
-        except Exception as error:  # whatever it is, the old list stands and the policy is notified
-            if (
-                not self.commands.not_empty.is_set()
-            ):  # else the old address went before its successor was read
+            update = await self.fetch_with_timeout(session)
+        except Exception as error:  # on any error the old list stays valid and the policy is notified
+            # A pending command may bring a new address: ignores a failure of the old one.
+            if not self.commands.not_empty.is_set():
                 self._on_failure(f"{type(error).__name__} {error}")
             return
-        if news is None:
+        if update is None:
             return
         self.watch_established = True
-        if news.is_snapshot or news.entries:
-            kind = "whole" if news.is_snapshot else "changes"
-            logger.info("discovery: index {}, {}, {} entries", news.index, kind, len(news.entries))
-        self.events.put(news)
-        if news.index == old_index and (loop.time() - began) * 2000 < self.watch_wait_ms:
-            count("discovery answers without a wait")
+        if update.is_snapshot or update.entries:
+            kind = "whole" if update.is_snapshot else "changes"
+            logger.info("discovery: index {}, {}, {} entries", update.index, kind, len(update.entries))
+        self.events.put(update)
+        if update.index == old_index and (loop.time() - started) * 2000 < self.watch_wait_ms:
+            count("discovery replies without a wait")
             await asyncio.sleep(MIN_POLL_INTERVAL_S)
 
     def _on_failure(self, reason: str) -> None:
         self.watching = self.watch_established = False
         count("discovery calls failed")
-        logger.warning("discovery: call failed, the old list stands: {}", reason)
+        logger.warning("discovery: call failed, the old list stays valid: {}", reason)
         self.events.put(DiscoveryFailed(reason))
 
-    async def fetch_in_time(self, session: aiohttp.ClientSession) -> EndpointList | None:
-        """One call within its time limit.
+    async def fetch_with_timeout(self, session: aiohttp.ClientSession) -> EndpointList | None:
+        """Run one call within its time limit.
 
-        Guards against giving up, after a stall that outlasted the limit, an answer that lies in the socket:
-        what it has sent counts as received.
+        After the limit it reads the socket once more. Prevents the loss of a reply that had already arrived
+        when a stall of this process outlasted the limit.
 
-        :returns: the answer; None if a command came first.
-        :raises TimeoutError: if there was no answer in time.
-        :raises Exception: whatever the call fails with.
+        :returns: the reply; None if a command came first.
+        :raises TimeoutError: if there is no reply in time.
+        :raises Exception: the error of the call.
         """
         call = asyncio.ensure_future(self.fetch(session))
         command = asyncio.ensure_future(self.commands.wait())
@@ -122,31 +120,32 @@
                 return call.result()
             if command.done():
                 return None
-            raise TimeoutError(f"no answer within {limit_s} s")
+            raise TimeoutError(f"no reply within {limit_s} s")
         finally:
             call.cancel()
             command.cancel()
 
     async def fetch(self, session: aiohttp.ClientSession) -> EndpointList:
-        """One call of a watch; without an index, the whole list.
+        """Make one call: a long poll, or without an index a request for the whole list.
 
-        :raises ValueError: for another status than 200, for an answer that cannot be read, and for an index
-            that went back.
+        :raises ValueError: if the status is not 200, the reply is malformed or the index decreased.
         :raises aiohttp.ClientError: if the connection fails.
         """
         query = {} if self.index is None else {"index": str(self.index), "wait": str(self.watch_wait_ms)}
         url = f"http://{self.address}/discovery/hosts"
-        async with session.get(url, params=query, allow_redirects=False) as answer:
-            if answer.status != 200:
-                raise ValueError(f"status {answer.status}")
-            news = decode_endpoint_list(await answer.read())
-        if self.index is not None and news.index < self.index:
+        async with session.get(url, params=query, allow_redirects=False) as response:
+            if response.status != 200:
+                raise ValueError(f"status {response.status}")
+            update = decode_endpoint_list(await response.read())
+        if self.index is not None and update.index < self.index:
             old, self.index = self.index, None
-            raise ValueError(f"index went back from {old} to {news.index}")
-        if news.malformed_count and count("discovery answers with malformed entries"):
+            raise ValueError(f"index decreased from {old} to {update.index}")
+        if update.malformed_count and count("discovery replies with malformed entries"):
             logger.warning(
-                "discovery: {} malformed entries passed over at index {}", news.malformed_count, news.index
+                "discovery: {} malformed entries passed over at index {}",
+                update.malformed_count,
+                update.index,
             )
-        # What a malformed change had to tell is in the whole list; if that is malformed too, it has to do.
-        self.index = None if news.malformed_count and query else news.index
-        return news
+        # After a malformed change the whole list is requested; a malformed whole list is accepted as it is.
+        self.index = None if update.malformed_count and query else update.index
+        return update
--- a/meadowworks/fleet/invariants.py
+++ b/meadowworks/fleet/invariants.py
@@ -1,6 +1,6 @@
 """Invariants: asserted in debug builds, counted in release builds (`python -O`).
 
-The same counters hold what is passed over, dropped or at fault; the controller logs them every ten seconds.
+The same counters record ignored and dropped items and faults; the controller logs them every ten seconds.
 """
 
 from __future__ import annotations
@@ -11,18 +11,18 @@
 
 
 def count(event: str, times: int = 1) -> bool:
-    """Counts an event.
+    """Count an event.
 
-    :returns: whether it is the first, second, fourth, eighth of its kind, so that a log of these stays short.
+    :returns: whether the count is a power of two, so that a caller can log ever fewer of these events.
     """
     counters[event] += times
     return counters[event] & (counters[event] - 1) == 0
 
 
 def check_invariant(holds: bool, description: str) -> None:
-    """Counts an invariant that does not hold, and fails in a debug build.
+    """Count a violated invariant, and fail in a debug build.
 
-    :raises AssertionError: in debug builds, if it does not hold.
+    :raises AssertionError: in debug builds, if the invariant does not hold.
     """
     if holds:
         return
@@ -31,5 +31,5 @@
 
 
 def format_counters() -> str:
-    """All counters in one line."""
+    """Return all counters in one line."""
     return ", ".join(f"{event}: {times}" for event, times in sorted(counters.items())) or "none"
--- a/meadowworks/fleet/listener.py
+++ b/meadowworks/fleet/listener.py
@@ -1,7 +1,7 @@
-"""The controller's socket: accepts connections, splits lines, and does what a connection's state decides.
+"""The controller's listening socket: accepts connections, splits lines, and hosts the connection states.
 
-Streams are not HTTP, so aiohttp's low-level server cannot read them; each connection stands on the protocol
-class under that server (`aiohttp.base_protocol.BaseProtocol`), accepted one by one with asyncio.
+The streams are not HTTP, so aiohttp's server cannot read them. Each connection extends the protocol class
+under that server (`aiohttp.base_protocol.BaseProtocol`); asyncio accepts the connections one by one.
 """
 
 from __future__ import annotations
@@ -34,25 +34,25 @@
 
 SECOND_NS = 1_000_000_000
 CONNECTION_LIMITS = ConnectionLimits()
-HANDSHAKE_TIMEOUT_S = 1.5  # who has not joined after 1 s may be ended; half as long again for a busy machine
-# With no descriptor to spare the oldest unidentified connection gives way, once its bytes may have come.
+HANDSHAKE_TIMEOUT_S = 1.5  # the protocol allows 1 s; the rest is a margin for a busy machine
+# The age from which an unidentified connection may be evicted: its first bytes have had time to arrive.
 EVICTION_GRACE_S = 0.2
-# For the loop, the log, the configuration, discovery's connections old and new.
+# For the event loop, the log, the configuration, and old and new connections to discovery.
 RESERVED_DESCRIPTORS = 24
-ACCEPT_RETRY_S = 0.02  # between looks for a descriptor while peers hold them all
-ACCEPT_BACKLOG = 1024  # connections that may wait to be accepted: a fleet that dials at once, with others
-MAX_QUEUED_REPORTS = 4096  # on one connection: many times what the report rate brings in a stall
-BIND_TIMEOUT_S, BIND_RETRY_S = 10.0, 0.05  # how long to try for the address, and how often
-MAX_COLLECTORS_PER_ZONE = 4  # each zone has one, and older ones may be cut off without notice
-LOGGED_LINE_BYTES = 120  # of a line that is passed over
+ACCEPT_RETRY_S = 0.02  # between checks for a free descriptor
+ACCEPT_BACKLOG = 1024  # room for all proxies of a fleet that connect at once
+MAX_QUEUED_REPORTS = 4096  # per connection; far more than arrive during a stall
+BIND_TIMEOUT_S, BIND_RETRY_S = 10.0, 0.05  # how long to retry binding the address, and the interval
+MAX_COLLECTORS_PER_ZONE = 4  # each zone has one; older connections may be dead without notice
+LOGGED_LINE_BYTES = 120  # of an ignored line
 
 
 class Listener:
-    """The listening socket, the connections, and which of them are unidentified so far.
+    """Accepts connections within the descriptor limit, and starts the actors of identified peers.
 
-    :param zones: the zones that the settings name.
-    :param proxy_count: proxies are numbered below this.
-    :param descriptor_limit: how many the process may hold.
+    :param zones: the zones of the settings.
+    :param proxy_count: proxies have numbers below this.
+    :param descriptor_limit: how many file descriptors the process may open.
     """
 
     def __init__(
@@ -70,7 +70,7 @@
         self.peer_tasks: set[asyncio.Task[None]] = set()
 
     async def open_socket(self, host: str, port: int) -> socket.socket:
-        """Binds the address; waits for a predecessor that was killed a moment ago and still holds it.
+        """Bind the address; retry while a predecessor that was killed still holds it.
 
         :raises OSError: if the address is not free in time.
         """
@@ -89,11 +89,11 @@
             await asyncio.sleep(BIND_RETRY_S)
 
     async def run(self, listening: socket.socket) -> None:
-        """Accepts one connection after another, each only once there is a descriptor for it.
+        """Accept connections one by one, each only once a descriptor is free.
 
-        Guards against crowds: asyncio's own server accepts all that wait before any has been read, and stops
-        for a second when descriptors run out. A first line that has come is read before the next connection
-        is accepted, so a proxy is never one of the crowd; the rest waits in the backlog.
+        Prevents lost proxies under a flood of connections: asyncio's own server accepts the whole backlog
+        before it reads any of it, and pauses for a second when descriptors run out. Here a first line that
+        has arrived is read before the next connection is accepted; the other connections stay in the backlog.
         """
         loop = asyncio.get_running_loop()
         while True:
@@ -101,13 +101,13 @@
             try:
                 accepted, _ = await loop.sock_accept(listening)
                 await loop.connect_accepted_socket(lambda: PeerConnection(loop, self), accepted)
-            except OSError as error:  # gone again, or not a descriptor left in spite of all
+            except OSError as error:  # closed by the peer meanwhile, or no descriptor is left after all
                 if count("connections not accepted"):
                     logger.warning("a connection could not be accepted: {}", error)
                 await asyncio.sleep(ACCEPT_RETRY_S)
 
     async def wait_for_slot(self) -> None:
-        """Returns once there is a descriptor; unidentified connections give way for it."""
+        """Wait until a descriptor is free; evict unidentified connections for it."""
         loop = asyncio.get_running_loop()
         while self.connection_slots.is_full():
             oldest, wait_ns = self.connection_slots.next_eviction(int(loop.time() * SECOND_NS))
@@ -117,7 +117,7 @@
             await asyncio.sleep(wait_s)
 
     def is_known_peer(self, hello: ProxyHello | CollectorHello) -> bool:
-        """Whether the settings have such a peer."""
+        """Return whether the settings contain a peer."""
         if hello.zone not in self.zones:
             return False
         return isinstance(hello, CollectorHello) or hello.proxy < self.proxy_count
@@ -128,44 +128,44 @@
         state: ConnectionState,
         mailbox: Mailbox[ConnectionItem],
     ) -> None:
-        """Starts the actor of a peer that has said who it is."""
+        """Start the actor of an identified peer."""
         if isinstance(hello, CollectorHello) and (oldest := self.collectors.add(hello.zone, mailbox)):
-            oldest.put(ConnectionEnd("newer ones of its zone have come"))
+            oldest.put(ConnectionEnd("replaced by newer collectors of its zone"))
         task = asyncio.get_running_loop().create_task(peers.run_peer(state, mailbox))
         self.peer_tasks.add(task)
         task.add_done_callback(self.on_peer_ended)
 
     def on_peer_ended(self, task: asyncio.Task[None]) -> None:
-        """Hands the fault of a failed actor to the loop's handler."""
+        """Pass the exception of a failed actor to the event loop's exception handler."""
         self.peer_tasks.discard(task)
         if not task.cancelled() and (error := task.exception()) is not None:
-            context = {"message": "a peer's actor failed; its connection is ended", "exception": error}
+            context = {"message": "a peer's actor failed; its connection is closed", "exception": error}
             task.get_loop().call_exception_handler(context)
 
 
 class PeerConnection(BaseProtocol):
-    """One connection: bytes to lines, lines to messages, messages to its state, whose host it is."""
+    """One connection: splits bytes into lines, decodes them, and hosts the connection's state machine."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, listener: Listener) -> None:
         super().__init__(loop)
         self.listener = listener
         self.state = ConnectionState(self, listener.is_known_peer, CONNECTION_LIMITS)
         self.buffer = bytearray()
-        self.scanned_bytes = 0  # of the buffer, that hold no line's end
-        self.mailbox: Mailbox[ConnectionItem]  # of a known peer: the others are many, and need none
+        self.scanned_bytes = 0  # of the buffer, without a line feed
+        self.mailbox: Mailbox[ConnectionItem]  # set by `start_peer`: unidentified connections need none
         self.handshake_timer: asyncio.TimerHandle | None = None
 
     # -- from the transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Counts the connection, and gives it time to say who it is."""
+        """Count the connection, and start its handshake timer."""
         super().connection_made(transport)
         self.listener.connection_slots.on_open(int(self._loop.time() * SECOND_NS), self)
-        # Never put off: who only sends heartbeats holds a descriptor as the silent do.
+        # Never extended: a peer that only sends heartbeats also holds a descriptor.
         self.handshake_timer = self._loop.call_later(HANDSHAKE_TIMEOUT_S, self.state.on_handshake_timeout)
 
     def data_received(self, data: bytes) -> None:
-        """Takes in whole lines, and keeps the rest."""
+        """Handle complete lines, and buffer the rest."""
         if self.state.close_reason:
             return
         self.buffer += data
@@ -186,78 +186,78 @@
             self.state.on_partial_line(len(self.buffer), is_unknown_message(beginning))
 
     def on_line(self, line: bytes) -> None:
-        """Decodes a line and hands it to the state."""
+        """Decode a line and pass it to the state machine."""
         try:
             message = decode_line(line)
         except UnknownMessageError as error:
-            self._log_passed_over("unreadable", line, error)
+            self._log_ignored("unreadable", line, error)
             self.state.on_unreadable_line()
         except ValueError as error:
-            self._log_passed_over("malformed", line, error)
+            self._log_ignored("malformed", line, error)
             self.state.on_malformed_message()
         else:
             self.state.on_message(message)
 
-    def _log_passed_over(self, kind: str, line: bytes, error: ValueError) -> None:
-        if count(f"lines passed over: {kind}"):
-            logger.warning("passed over {!r}: {}", line[:LOGGED_LINE_BYTES], error)
+    def _log_ignored(self, kind: str, line: bytes, error: ValueError) -> None:
+        if count(f"lines ignored: {kind}"):
+            logger.warning("ignored line {!r}: {}", line[:LOGGED_LINE_BYTES], error)
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Gives the connection's place back."""
+        """Release the connection's slot."""
         super().connection_lost(exc)
         self.listener.connection_slots.on_close(self)
         self.state.on_connection_lost("closed" if exc is None else f"{exc}")
         if not self.state.peer:
-            del self.state.host  # guards against crowds that only a collection of garbage would free
+            del self.state.host  # prevents a reference cycle, which keeps memory until garbage collection
 
-    # -- the state's host
+    # -- the state machine's host
 
     def write(self, data: bytes) -> None:
-        """Writes without waiting."""
+        """Write without waiting."""
         if self.transport:
             self.transport.write(data)
 
     def unsent_bytes(self) -> int:
-        """How much has been written and not sent."""
+        """Return how many written bytes have not been sent."""
         return self.transport.get_write_buffer_size() if self.transport else 0
 
     def close(self) -> None:
-        """Closes the connection once what was written has gone."""
+        """Close the connection once all written bytes are sent."""
         if self.transport:
             self.transport.close()
 
     def abort(self) -> None:
-        """Closes the connection at once."""
+        """Close the connection at once."""
         if self.transport:
             self.transport.abort()
 
     def mark_identified(self) -> None:
-        """Keeps the connection from being evicted, and stops the handshake's timer."""
+        """Protect the connection from eviction, and stop the handshake timer."""
         self.listener.connection_slots.protect(self)
         if self.handshake_timer:
             self.handshake_timer.cancel()
 
     def start_peer(self, hello: ProxyHello | CollectorHello) -> None:
-        """Starts the peer's actor."""
+        """Start the peer's actor."""
         self.mailbox = Mailbox(MAX_QUEUED_REPORTS)
         self.listener.start_peer(hello, self.state, self.mailbox)
 
     def enqueue(self, item: ConnectionItem, is_report: bool) -> None:
-        """Puts an item into the mailbox of the peer's actor."""
+        """Put an item into the mailbox of the peer's actor."""
         self.mailbox.put(item, is_report)
 
     def joined_event(self, hello: ProxyHello) -> ProxyJoined:
-        """The event that this proxy has joined by this connection."""
+        """Return the event that a proxy has joined on this connection."""
         return ProxyJoined(hello, self.mailbox)
 
     def left_event(self, hello: ProxyHello) -> ProxyLeft:
-        """The event that this proxy has left by this connection."""
+        """Return the event that a proxy has left this connection."""
         return ProxyLeft(hello.proxy, self.mailbox)
 
     def publish(self, item: ControllerEvent, is_report: bool) -> None:
-        """Puts an event into the controller's mailbox."""
+        """Put an event into the controller's mailbox."""
         self.listener.events.put(item, is_report)
 
     def count(self, event: str) -> None:
-        """Counts an event for the log."""
+        """Count an event for the log."""
         count(event)
--- a/meadowworks/fleet/mailbox.py
+++ b/meadowworks/fleet/mailbox.py
@@ -1,4 +1,4 @@
-"""The mailbox of an actor, with a bound on reports: the oldest give way to new ones, all else stays."""
+"""The mailbox of an actor: at its limit the oldest report is dropped; other items are never dropped."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 
 
 class Mailbox(Generic[T]):
-    """A queue of items for one reader; `max_reports` bounds those that are reports."""
+    """A queue of items for one reader; holds at most `max_reports` items that are reports."""
 
     def __init__(self, max_reports: int) -> None:
         self.max_reports = max_reports
-        self.items: deque[tuple[bool, T]] = deque()  # whether it is a report, and the item
+        self.items: deque[tuple[bool, T]] = deque()  # (is_report, item)
         self.report_count = 0
         self.not_empty = asyncio.Event()
 
     def put(self, item: T, is_report: bool = False) -> None:
-        """Adds an item and never waits.
+        """Add an item without waiting.
 
-        Of reports the oldest goes first: nobody repeats what it covers, but late reports are worth less than
-        new ones.
+        If the mailbox already holds `max_reports` reports, the oldest one is dropped for a new one. Its data
+        is lost, but newer reports are more useful.
         """
         if is_report and self.report_count >= self.max_reports:
-            oldest = next(k for k, (droppable, _) in enumerate(self.items) if droppable)
+            oldest = next(position for position, (droppable, _) in enumerate(self.items) if droppable)
             del self.items[oldest]
             self.report_count -= 1
             count("reports dropped from a full mailbox")
@@ -38,18 +38,18 @@
         self.not_empty.set()
 
     async def wait(self) -> None:
-        """Returns once there is an item."""
+        """Wait until the mailbox holds an item."""
         await self.not_empty.wait()
 
     async def iterate(self) -> AsyncIterator[T]:
-        """Yields the items as they come, without end."""
+        """Yield items as they arrive, without end."""
         while True:
             await self.wait()
             for item in self.drain():
                 yield item
 
     def drain(self) -> list[T]:
-        """Takes out all items."""
+        """Remove and return all items."""
         items = [item for _, item in self.items]
         self.items.clear()
         self.report_count = 0
--- a/meadowworks/fleet/messages.py
+++ b/meadowworks/fleet/messages.py
@@ -1,7 +1,7 @@
-"""What is said on the sockets and between the actors, as small frozen values.
+"""The messages on the sockets and between the actors, as frozen dataclasses.
 
-Each line or answer is decoded once and encoded once. Whatever cannot be read raises ValueError; who reads it
-decides what that ends.
+Each line or reply is decoded once and encoded once. Malformed input raises ValueError, and the caller decides
+what follows.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 NS_PER_MS = 1_000_000
 MAX_LINE_BYTES = 1 << 20  # the protocol's limit for a message
-MAX_MESSAGE_PARTS = 64  # and for its parts
+MAX_MESSAGE_PARTS = 64  # the protocol's limit for the parts of a message
 
 
 # -- from the peers
@@ -26,19 +26,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """Asks whether the controller is there."""
+    """A peer's request for a sign that the controller is alive."""
 
 
 @dataclass(frozen=True, slots=True)
 class CollectorHello:
-    """The first message of the collector of a zone's reports."""
+    """The first message of a collector, which sends the reports of a zone."""
 
     zone: str
 
 
 @dataclass(frozen=True, slots=True)
 class ProxyHello:
-    """The first message of a proxy; `usual_rate` in calls a second."""
+    """The first message of a proxy; `usual_rate` is in calls per second."""
 
     proxy: int
     zone: str
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendReport:
-    """What the proxies of a zone met at a backend."""
+    """The results of a zone's proxies at one backend."""
 
     zone: str
     backend: str
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DemandReport:
-    """Calls of a route that came to a proxy."""
+    """The calls of one route that a proxy received."""
 
     proxy: int
     route: str
@@ -83,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """A backend as discovery names it; `since_ns` is when it was started, 0 if that is long ago."""
+    """A backend in discovery's list; `since_ns` is its start time, 0 if that is long ago."""
 
     name: str
     zone: str
@@ -99,7 +99,7 @@
     index: int
     is_snapshot: bool
     entries: tuple[Endpoint, ...]
-    malformed_count: int = 0  # entries that could not be read
+    malformed_count: int = 0  # malformed entries, which are left out
 
 
 # -- to the proxies
@@ -107,11 +107,11 @@
 
 @dataclass(frozen=True, slots=True)
 class TableUpdate:
-    """One line of a message to a proxy; without routes it is meant for all of them.
+    """One line of a message to a proxy; empty `routes` stand for all routes.
 
-    :ivar replaces: the proxy drops what it held for these routes.
+    :ivar replaces: whether the proxy first drops its tables and admissions of these routes.
     :ivar admission: limit and retry policy.
-    :ivar nonce: of a message, in its last line: the proxy acknowledges it once it has applied all.
+    :ivar nonce: on the last line of a message; the proxy acknowledges it once it has applied the message.
     """
 
     routes: tuple[str, ...]
@@ -121,13 +121,13 @@
     nonce: int | None = None
 
     def channel_lines(self) -> int:
-        """What the control channel counts, the message's overhead aside."""
+        """Return the lines that the control channel counts, without the overhead per message."""
         return self.replaces + len(self.weights) + (self.admission is not None) + (self.nonce is not None)
 
 
 @dataclass(frozen=True, slots=True)
 class UpdateMessage:
-    """What a batch sends a proxy, encoded once for all that get the same."""
+    """A batch's message to a proxy, encoded once for all proxies that receive it."""
 
     data: bytes
     part_count: int
@@ -138,14 +138,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionEnd:
-    """The connection has ended, or is to be ended."""
+    """The connection has ended, or has to be closed."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class ProxyJoined:
-    """A proxy has said who it is on a new stream."""
+    """A proxy has identified itself on a new stream."""
 
     hello: ProxyHello
     stream: Mailbox[ConnectionItem]
@@ -161,130 +161,129 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchEndpoints:
-    """Whether the endpoint list is to be followed."""
+    """Enables or disables the watch of the endpoint list."""
 
     enabled: bool
 
 
 @dataclass(frozen=True, slots=True)
 class DiscoveryMoved:
-    """Discovery is at another address now."""
+    """Discovery has a new address."""
 
     address: str
 
 
 @dataclass(frozen=True, slots=True)
 class DiscoveryFailed:
-    """A call at discovery failed; the watch has ended."""
+    """A call to discovery failed; the watch has ended."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class TimerDue:
-    """The policy's one timer has come due."""
+    """The policy's only timer is due."""
 
 
-Report = BackendReport | DemandReport | UpdateApplied  # the oldest gives way where a mailbox is full
+Report = BackendReport | DemandReport | UpdateApplied  # a full mailbox drops the oldest
 PeerMessage = Heartbeat | CollectorHello | ProxyHello | Report
-ConnectionItem = PeerMessage | UpdateMessage | ConnectionEnd  # to the actor of a connection
-DiscoveryCommand = WatchEndpoints | DiscoveryMoved  # to discovery's actor
+ConnectionItem = PeerMessage | UpdateMessage | ConnectionEnd  # in the mailbox of a peer's actor
+DiscoveryCommand = WatchEndpoints | DiscoveryMoved  # in the mailbox of the discovery actor
 ControllerEvent = ProxyJoined | ProxyLeft | Report | EndpointList | DiscoveryFailed | TimerDue
 
 # -- the protocol's lines
 
 HEARTBEAT_REPLY = b"hb_ok\r\n"
 MESSAGE_KINDS = frozenset((b"hb", b"telemetry", b"attach", b"done", b"upstream_stats", b"client_stats"))
-# What the protocol writes: plain digits. int() and float() would take underscores, signs, other scripts'
-# digits, nan, and numbers of any length.
+# The protocol's numbers have plain ASCII digits. int() and float() also accept underscores, signs, digits of
+# other scripts, nan, and numbers of any length.
 INTEGER = re.compile(r"[0-9]{1,15}")
 DECIMAL = re.compile(r"[0-9]{1,15}(\.[0-9]{1,30})?([eE][+-]?[0-9]{1,2})?")
-LEAST_WEIGHT = 1e-9  # that is written: 0 would take a line out
+MIN_WEIGHT = 1e-9  # the smallest weight on the wire: 0 would remove the endpoint
 
 
 class UnknownMessageError(ValueError):
-    """A line that is no message of the protocol at all, as against a message with a malformed field."""
+    """A line is not a message of the protocol, in contrast to a message with a malformed field."""
 
 
 def encode_rejection(reason: str) -> bytes:
-    """The last message to a connection that cannot become a peer's."""
+    """Return the last message to a connection that is rejected."""
     return f"reject reason={reason.replace(' ', '_')}\r\n".encode()
 
 
 def parse_decimal(text: str) -> float:
-    """A number that is not negative.
+    """Parse a non-negative decimal number.
 
     :raises ValueError: for any other text.
     """
     value = float(text) if DECIMAL.fullmatch(text) else -1.0
     if not isfinite(value) or value < 0:
-        raise ValueError(f"no figure: {text[:40]!r}")
+        raise ValueError(f"not a non-negative number: {text[:40]!r}")
     return value
 
 
 def parse_ms(text: str) -> int:
-    """Milliseconds as nanoseconds.
+    """Parse a duration in milliseconds; return it in nanoseconds.
 
-    :raises ValueError: for what is no such number.
+    :raises ValueError: for any other text.
     """
     return round(parse_decimal(text) * NS_PER_MS)
 
 
 def parse_integer(text: str) -> int:
-    """A whole number that is not negative.
+    """Parse a non-negative integer.
 
     :raises ValueError: for any other text.
     """
     if not INTEGER.fullmatch(text):
-        raise ValueError(f"no whole number: {text[:40]!r}")
+        raise ValueError(f"not a non-negative integer: {text[:40]!r}")
     return int(text)
 
 
 def parse_flag(text: str) -> bool:
-    """`0` or `1`.
+    """Parse a boolean, `0` or `1`.
 
     :raises ValueError: for any other text.
     """
     if text not in ("0", "1"):
-        raise ValueError(f"neither yes nor no: {text[:40]!r}")
+        raise ValueError(f"neither 0 nor 1: {text[:40]!r}")
     return text == "1"
 
 
 def parse_period(text: str) -> int:
-    """The time that a report covers, in nanoseconds.
+    """Parse the period of a report in milliseconds; return it in nanoseconds.
 
-    :raises ValueError: for what is no such time, and for none at all.
+    :raises ValueError: for any other text, and for a period of 0.
     """
     if not (period_ns := parse_ms(text)):
-        raise ValueError("a report that covers no time")
+        raise ValueError("a report with a period of 0")
     return period_ns
 
 
 def parse_fields(words: Sequence[str], separator: str) -> dict[str, str]:
-    """Names and values.
+    """Parse words of the form `name<separator>value`.
 
-    :raises ValueError: for a word without separator, and for a name that comes twice, since nothing tells
-        which of the two is meant.
+    :raises ValueError: for a word without separator, and for a duplicate name, which is ambiguous.
     """
     fields = dict(word.partition(separator)[::2] for word in words)
     if len(fields) < len(words) or not all(separator in word for word in words):
-        raise ValueError(f"no {separator!r} between a name and its value, or a name twice")
+        raise ValueError(f"a field without {separator!r}, or a duplicate field name")
     return fields
 
 
 def is_unknown_message(start: bytes) -> bool:
-    """Whether no message begins so, however it goes on."""
+    """Return whether no message of the protocol starts like this."""
     return start.partition(b" ")[0].rstrip(b"\r\n") not in MESSAGE_KINDS
 
 
 def decode_line(line: bytes) -> PeerMessage:
-    """Reads one line.
+    """Decode one line.
 
-    :raises UnknownMessageError: for what is no message.
+    :raises UnknownMessageError: for a line that is not a message.
     :raises ValueError: for a message with a malformed field.
     """
     if is_unknown_message(line):
-        raise UnknownMessageError(f"unknown kind {line[:40]!r}")
+        raise UnknownMessageError(f"unknown message {line[:40]!r}")
     kind, *words = line.decode("utf-8").rstrip("\r").split(" ")
     fields = parse_fields(words, "=")
     try:
@@ -294,25 +293,25 @@
             case "telemetry":
                 return CollectorHello(fields["site"])
             case "attach":
-                usual, new = fields.get("rps", "0"), fields.get("new", "0")
+                usual_rate, is_new = fields.get("rps", "0"), fields.get("new", "0")
                 proxy, zone = parse_integer(fields["id"]), fields["site"]
-                return ProxyHello(proxy, zone, parse_decimal(usual), parse_flag(new))
+                return ProxyHello(proxy, zone, parse_decimal(usual_rate), parse_flag(is_new))
             case "done":
-                parse_decimal(fields["ms"])  # not needed, but it tells whether the line is malformed
+                parse_decimal(fields["ms"])  # unused, but a malformed value makes the line malformed
                 return UpdateApplied(parse_integer(fields["id"]), parse_integer(fields["seq"]))
             case "upstream_stats":
                 return _backend_report(fields)
             case _:
                 return _demand_report(fields)
     except KeyError as missing:
-        raise ValueError(f"{kind} without {missing}") from missing
+        raise ValueError(f"{kind}: field {missing} is missing") from missing
 
 
 def _backend_report(fields: dict[str, str]) -> BackendReport:
     attempts, failures = parse_integer(fields["count"]), parse_integer(fields["fail"])
     if failures > attempts:
-        raise ValueError(f"{failures} of {attempts} tries failed")
-    # Without a success there may be no mean.
+        raise ValueError(f"{failures} of {attempts} attempts failed")
+    # The mean is optional if no attempt succeeded.
     latency_ns = parse_ms(fields.get("mean", "0") if failures == attempts else fields["mean"])
     load = parse_fields(fields["util"].split(","), ":") if fields.get("util") else {}
     zone, backend, period_ns = fields["site"], fields["target"], parse_period(fields["over"])
@@ -331,22 +330,22 @@
 
 
 def format_decimal(value: float) -> str:
-    """A number without an exponent; a weight too small to show is not 0, which would take a line out.
+    """Return a number as text without an exponent; a positive number never becomes 0.
 
-    :raises ValueError: for what is negative or not finite.
+    :raises ValueError: for a number that is negative or not finite.
     """
     if not isfinite(value) or value < 0:
-        raise ValueError(f"a figure that cannot be ordered: {value!r}")
-    return (f"{max(value, LEAST_WEIGHT):.9f}".rstrip("0").rstrip(".")) if value else "0"
+        raise ValueError(f"cannot encode {value!r}: negative or not finite")
+    return (f"{max(value, MIN_WEIGHT):.9f}".rstrip("0").rstrip(".")) if value else "0"
 
 
 def encode_updates(updates: Sequence[TableUpdate]) -> bytes:
-    """One message: a line for each part, and all but the last announce another.
+    """Encode a message: one line per part; all but the last have `continued=1`.
 
     :raises ValueError: for a weight or a limit that is negative or not finite.
     """
     lines = []
-    for place, update in enumerate(updates, 1):
+    for number, update in enumerate(updates, 1):
         words = ["assign"]
         if update.routes:
             words.append("routes=" + "+".join(update.routes))
@@ -360,33 +359,34 @@
             words.append(f"admit={format_decimal(limit)} policy={retry_policy}")
         if update.nonce is not None:
             words.append(f"nonce_out={update.nonce}")
-        if place < len(updates):
+        if number < len(updates):
             words.append("continued=1")
         lines.append(" ".join(words) + "\r\n")
     return "".join(lines).encode()
 
 
-# -- discovery's answers
+# -- discovery's replies
 
 
 def parse_endpoint(entry: Any) -> Endpoint:
-    """One entry of an endpoint list.
+    """Parse one entry of an endpoint list.
 
-    :raises ValueError: or KeyError or TypeError, for one that makes no sense.
+    :raises ValueError: or KeyError, TypeError or AttributeError, for a malformed entry.
     """
     if not isinstance(entry["name"], str) or not entry["name"]:
-        raise ValueError("an entry without a name")
+        raise ValueError("an endpoint without a name")
     since_ns = round(parse_decimal(str(entry.get("since_ms", 0)))) * NS_PER_MS
     state, weight = ENDPOINT_STATE_BY_STATUS[entry["status"]], parse_decimal(str(entry.get("weight", 1.0)))
     return Endpoint(entry["name"], str(entry["zone"]), state, since_ns, weight)
 
 
 def parse_endpoint_list(answer: Any) -> EndpointList:
-    """Discovery's answer, already read as JSON.
+    """Parse discovery's reply, already decoded from JSON.
 
-    A malformed entry is left out and counted; a whole list then tells nothing of who is absent.
+    A malformed entry is left out and counted. A whole list with malformed entries counts as changes, so that
+    no endpoint is taken to be removed.
 
-    :raises ValueError: if it is no list at all.
+    :raises ValueError: if it is not an endpoint list.
     """
     entries, malformed = [], 0
     try:
@@ -398,12 +398,12 @@
         is_snapshot = bool(answer["snapshot"]) and not malformed
         return EndpointList(int(answer["index"]), is_snapshot, tuple(entries), malformed)
     except (KeyError, TypeError) as error:
-        raise ValueError(f"a list without sense: {type(error).__name__} {error}") from error
+        raise ValueError(f"not an endpoint list: {type(error).__name__} {error}") from error
 
 
 def decode_endpoint_list(body: bytes) -> EndpointList:
-    """Discovery's answer as it came.
+    """Decode the body of discovery's reply.
 
-    :raises ValueError: if it is no JSON or no list.
+    :raises ValueError: if it is not JSON or not an endpoint list.
     """
     return parse_endpoint_list(json.loads(body))
--- a/meadowworks/fleet/names.py
+++ b/meadowworks/fleet/names.py
@@ -1,15 +1,15 @@
-"""What all adapters of the policy do with names: indices for them, and the policy's words for states."""
+"""Names as the adapters of the policy translate them: indices for names, and endpoint states."""
 
 from __future__ import annotations
 
-# Discovery's words for the state of an endpoint, and the policy's.
+# The policy's endpoint state for each endpoint status of discovery.
 ENDPOINT_STATE_BY_STATUS = {"in_service": "ready", "terminating": "draining", "terminated": "gone"}
 
 
 class NameIndex:
-    """Gives each name a small index when it first appears, and keeps both directions until it is released.
+    """Assigns each name a small index on first use, and maps both ways until the index is released.
 
-    No index is given out again: what still speaks of the old name cannot mean another.
+    Indices are never reused, so that a late reference to a released index cannot match another name.
     """
 
     def __init__(self) -> None:
@@ -18,17 +18,17 @@
         self.next_index = 0
 
     def index(self, name: str) -> int:
-        """The index of a name, a new one if it has none."""
-        known = self.index_by_name.get(name)
-        if known is None:
-            known = self.index_by_name[name] = self.next_index
-            self.name_by_index[known] = name
+        """Return the index of a name; assign a new one if it has none."""
+        index = self.index_by_name.get(name)
+        if index is None:
+            index = self.index_by_name[name] = self.next_index
+            self.name_by_index[index] = name
             self.next_index += 1
-        return known
+        return index
 
     def release(self, index: int) -> None:
-        """Forgets an index and its name.
+        """Remove an index and its name.
 
-        :raises KeyError: if it is not known.
+        :raises KeyError: if the index is not assigned.
         """
         del self.index_by_name[self.name_by_index.pop(index)]
--- a/meadowworks/fleet/peers.py
+++ b/meadowworks/fleet/peers.py
@@ -1,4 +1,4 @@
-"""The actor of a peer, a proxy or a collector: hands its mailbox to its connection's state, item by item."""
+"""The actor of a peer (a proxy or a collector): passes the items of its mailbox to the connection state."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 def describe(peer: ProxyHello | CollectorHello | None) -> str:
-    """A peer for the log."""
+    """Return a description of a peer for the log."""
     if isinstance(peer, ProxyHello):
         return f"proxy {peer.proxy}"
     return f"collector of {peer.zone}" if peer else "unidentified peer"
 
 
 async def run_peer(state: ConnectionState, mailbox: Mailbox[ConnectionItem]) -> None:
-    """Runs until the connection ends; however that comes, a proxy has then left."""
+    """Process the mailbox until the connection ends; a proxy has then left, whatever the reason."""
     if isinstance(state.peer, CollectorHello):
         logger.info("collector of {}: joined", state.peer.zone)
     state.on_actor_started()
--- a/meadowworks/fleet/server.py
+++ b/meadowworks/fleet/server.py
@@ -1,4 +1,4 @@
-"""The controller program: starts the actors, handles signals, and ends with the first actor that does."""
+"""The controller program: starts the actors, handles signals, and ends when a main actor ends."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 from meadowworks.fleet.mailbox import Mailbox
 from meadowworks.fleet.messages import ControllerEvent, DiscoveryCommand, DiscoveryMoved
 
-MAX_QUEUED_EVENTS = 16384  # reports waiting for the policy: more than a minute of them
-MAX_QUEUED_COMMANDS = 1  # nothing in discovery's mailbox is a report, so nothing is ever dropped from it
-# Fields of the configuration that need no restart: followed at once, or of use at a start alone.
+MAX_QUEUED_EVENTS = 16384  # reports that wait for the policy, for more than a minute
+MAX_QUEUED_COMMANDS = 1  # without effect: the discovery actor's mailbox holds no reports
+# Fields of the configuration whose change needs no restart: applied at once, or only used at a start.
 RELOADABLE = frozenset(("discovery_address", "seed", "known_endpoints"))
-# The others as the operator's file names them.
+# Names in the configuration file of fields that need a restart, where they differ.
 SETTING_NAMES = {"descriptor_limit": "sockets", "zone_indices": "zones", "route_indices": "profiles"}
 
 
@@ -36,9 +36,9 @@
         self._stopped: asyncio.Future[None] | None = None
 
     async def run(self) -> None:
-        """Serves until SIGTERM or SIGINT, or until one of the main actors fails.
+        """Serve until SIGTERM or SIGINT, or until a main actor fails.
 
-        :raises Exception: what the failed actor raised.
+        :raises Exception: the exception of the failed actor.
         """
         loop = asyncio.get_running_loop()
         self._stopped = loop.create_future()
@@ -71,16 +71,16 @@
             self._stopped.set_result(None)
 
     def _on_loop_exception(self, _: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-        """Logs what fails outside the main actors: in a peer's actor, in the loop, in the transports."""
+        """Log a fault outside the main actors: in a peer's actor, the event loop or a transport."""
         exception = context.get("exception")
         if count("faults in the loop or a peer's actor"):
             logger.opt(exception=exception).error("fault outside the main actors: {}", context.get("message"))
-        # Assertions end debug builds; a release has none.
+        # A failed assertion ends a debug build; a release build has none.
         if isinstance(exception, AssertionError) and self._stopped and not self._stopped.done():
             self._stopped.set_exception(exception)
 
     def reload_config(self) -> None:
-        """Reads the configuration again. If anything is wrong with it, the old one stays in force."""
+        """Read the configuration again; keep the old one if the new one is invalid."""
         old = self.config
         try:
             self.config = new = load_config(os.environ)
@@ -97,8 +97,8 @@
 
 
 async def serve(config: FleetConfig) -> None:
-    """Runs the controller until it is stopped.
+    """Run the controller until it is stopped.
 
-    :raises Exception: what ended one of its main actors.
+    :raises Exception: the exception of a failed main actor.
     """
     await FleetServer(config).run()
--- a/meadowworks/fleet/settings.py
+++ b/meadowworks/fleet/settings.py
@@ -1,7 +1,7 @@
-"""The one reader of the policy's settings for all adapters: names and values as text, read into `Settings`.
+"""Reads the policy's settings for all adapters: flat names and text values become `Settings`.
 
-The simulator's wire brings them flat; a real controller's configuration brings them as nested JSON, which
-`flatten` writes out under the same names.
+The simulator's protocol has flat settings. A controller's configuration has nested JSON, which `flatten`
+converts to the same names.
 """
 
 from __future__ import annotations
@@ -18,36 +18,36 @@
 
 
 class FleetSettingsError(Exception):
-    """A setting that the program needs is absent or makes no sense; the text is one plain sentence."""
+    """A setting is missing or invalid; the message is one sentence."""
 
 
 def flatten(nested: Mapping[str, Any]) -> dict[str, str]:
-    """Nested JSON under the wire's names.
+    """Convert nested JSON to flat settings.
 
-    Keys are paths with dots, lists of plain values are joined by commas, a list of objects is its `.count`
-    and its items by place.
+    Keys are dotted paths. A list of plain values is joined by commas. A list of objects becomes a `.count`
+    and its items, each under its index.
     """
     flat: dict[str, str] = {}
 
-    def put(path: str, value: Any) -> None:
+    def add(path: str, value: Any) -> None:
         if isinstance(value, dict):
             for key, inner in value.items():
-                put(f"{path}.{key}" if path else str(key), inner)
+                add(f"{path}.{key}" if path else str(key), inner)
         elif isinstance(value, list) and any(isinstance(item, dict) for item in value):
             flat[path + ".count"] = str(len(value))
-            for place, item in enumerate(value):
-                put(f"{path}.{place}", item)
+            for index, item in enumerate(value):
+                add(f"{path}.{index}", item)
         elif isinstance(value, list):
             flat[path] = ",".join(format_value(item) for item in value)
         elif value is not None:
             flat[path] = format_value(value)
 
-    put("", nested)
+    add("", nested)
     return flat
 
 
 def format_value(value: Any) -> str:
-    """A plain JSON value as the simulator's wire writes it."""
+    """Return a plain JSON value as text, in the simulator's format."""
     if isinstance(value, bool):
         return "true" if value else "false"
     return str(value).replace(" ", "_").replace(",", "_")
@@ -63,50 +63,50 @@
     values: Mapping[str, str]
 
     def text(self, key: str) -> str:
-        """A value as it stands."""
+        """Return a value as text."""
         if key not in self.values:
             raise FleetSettingsError(f"setting {key} is missing")
         return self.values[key]
 
     def number(self, key: str, default: float | None = None) -> float:
-        """A finite number; the default, if there is one, where the setting is missing."""
+        """Return a finite number, or the default, if given, for a missing setting."""
         if default is not None and key not in self.values:
             return default
         value = self.text(key)
         try:
-            found = float(value)
+            number = float(value)
         except ValueError:
-            found = nan
-        if not isfinite(found):
+            number = nan
+        if not isfinite(number):
             raise FleetSettingsError(f"setting {key} is no number: {value!r}")
-        return found
+        return number
 
     def integer(self, key: str, default: float | None = None) -> int:
-        """A number, rounded."""
+        """Return a number, rounded to an integer."""
         return round(self.number(key, default))
 
     def duration_ns(self, key: str, default: float | None = None) -> int:
-        """A time in nanoseconds; the setting is in microseconds."""
+        """Return a duration in nanoseconds; the setting is in microseconds."""
         return round(self.number(key, default)) * NS_PER_US
 
     def flag(self, key: str) -> bool:
-        """Yes or no, which must be there."""
+        """Return a required boolean."""
         return self.text(key) in TRUE_WORDS
 
     def optional_flag(self, key: str) -> bool:
-        """Yes or no; no where it is missing."""
+        """Return an optional boolean; a missing setting is False."""
         return self.values.get(key) in TRUE_WORDS
 
     def flags(self, key: str, count: int) -> list[bool]:
-        """Yes or no for each of `count` routes."""
-        found = [part in TRUE_WORDS for part in self.text(key).split(",")]
-        if len(found) != count:
-            raise FleetSettingsError(f"setting {key} has {len(found)} values for {count} routes")
-        return found
+        """Return a boolean for each of `count` routes."""
+        values = [part in TRUE_WORDS for part in self.text(key).split(",")]
+        if len(values) != count:
+            raise FleetSettingsError(f"setting {key} has {len(values)} values for {count} routes")
+        return values
 
 
 def read_routes(reader: SettingsReader) -> tuple[tuple[Route, ...], dict[str, int]]:
-    """The routes, and the index of each by name."""
+    """Return the routes, and the index of each route by name."""
     count = reader.integer("profiles.count")
     own_zone_only = reader.flags("extra.home_only", count)
     routes, indices = [], {}
@@ -119,9 +119,9 @@
 
 
 def read_settings(options: Mapping[str, str]) -> tuple[Settings, dict[str, int], dict[str, int]]:
-    """The settings, and the indices of the zones and of the routes by name.
+    """Return the settings, the index of each zone by name, and the index of each route by name.
 
-    :raises FleetSettingsError: if one is missing or makes no sense.
+    :raises FleetSettingsError: if a setting is missing or invalid.
     """
     reader = SettingsReader(options)
     routes, route_indices = read_routes(reader)
--- a/meadowworks/fleet/streams.py
+++ b/meadowworks/fleet/streams.py
@@ -1,7 +1,7 @@
-"""Which stream each proxy is on, and which nonces were sent on it. A proxy has one stream: its newest.
+"""The current stream of each proxy, and the nonces sent on it. A proxy has one stream: its newest.
 
-Decided here: whose end counts as a proxy's leaving, and whose acknowledgement counts. What the proxies are
-sent is in `TableUpdates`, which this keeps in step with the streams.
+Decides whether the end of a stream means that its proxy has left, and whether an acknowledgement is valid.
+`TableUpdates` holds the content that the proxies are sent; `ProxyStreams` keeps its proxies up to date.
 """
 
 from __future__ import annotations
@@ -14,24 +14,24 @@
 from meadowworks.fleet.messages import ConnectionEnd, ConnectionItem, UpdateMessage, encode_updates
 from meadowworks.fleet.table_updates import TableUpdates
 
-# Unacknowledged on a stream: more than may be sent to a proxy while one of them can still count.
+# Unacknowledged nonces kept for a stream; the policy no longer waits for older ones.
 MAX_OUTSTANDING_NONCES = 64
 
 
 class ProxyStreams:
-    """The stream of each proxy: the mailbox of its connection's actor."""
+    """The stream of each proxy, which is the mailbox of its connection's actor."""
 
     def __init__(self, table_updates: TableUpdates) -> None:
         self.table_updates = table_updates
         self.by_proxy: dict[int, Mailbox[ConnectionItem]] = {}
-        self.outstanding_nonces: dict[int, deque[int]] = {}  # on the proxy's stream, oldest first
+        self.outstanding_nonces: dict[int, deque[int]] = {}  # by proxy, oldest first
 
     def on_joined(self, proxy: int, stream: Mailbox[ConnectionItem]) -> bool:
-        """Takes in a proxy's newest stream.
+        """Register a proxy's newest stream.
 
-        An older one is ended: it has not been seen to end, and its end will be no second leaving.
+        An older stream of the proxy is closed; its end is ignored later, since the proxy has not left.
 
-        :returns: whether there was an older one.
+        :returns: whether there was an older stream.
         """
         old = self.by_proxy.get(proxy)
         if old is not None:
@@ -43,9 +43,9 @@
         return old is not None
 
     def on_left(self, proxy: int, stream: Mailbox[ConnectionItem]) -> bool:
-        """Takes in the end of a stream.
+        """Handle the end of a stream.
 
-        :returns: whether the proxy has left by this: the end of a stream that was replaced means nothing.
+        :returns: whether the proxy has left; False if the stream had been replaced.
         """
         if self.by_proxy.get(proxy) is not stream:
             return False
@@ -54,10 +54,10 @@
         return True
 
     def on_applied(self, proxy: int, nonce: int) -> bool:
-        """Takes in an acknowledgement.
+        """Handle an acknowledgement.
 
-        :returns: whether the nonce was sent on the stream that the proxy is on: one of an earlier stream
-            tells nothing of what waits on this one, and one that was never sent tells nothing at all.
+        :returns: whether the nonce was sent on the proxy's current stream. A nonce of an earlier stream does
+            not acknowledge a message of this one.
         """
         outstanding = self.outstanding_nonces.get(proxy, deque())
         if nonce not in outstanding:
@@ -67,22 +67,23 @@
         return True
 
     def send_updates(self, call_rate: Callable[[int], float] = lambda _: 0.0) -> Iterator[tuple[int, int]]:
-        """Puts what has changed since the last call into the streams' mailboxes, one message a proxy.
+        """Put the changes since the last call into the streams' mailboxes, one message per proxy.
 
-        The channel takes one message after the other, for seconds in a large fleet: a proxy of more calls a
-        second is updated first, so that most calls go by the new tables soonest.
+        The control channel is serial and may need seconds in a large fleet. Proxies with a higher call rate
+        are updated first, so that most calls use the new tables early.
 
-        :returns: for each message that was made, its proxies and its lines.
+        :param call_rate: calls per second of a proxy.
+        :returns: an iterator over the messages; for each, the number of its proxies and of its channel lines.
         """
         messages: dict[int, tuple[UpdateMessage, int | None]] = {}
         try:
             for proxies, updates in self.table_updates.take_messages():
                 message = UpdateMessage(encode_updates(updates), len(updates)), updates[-1].nonce
                 for proxy in proxies:
-                    check_invariant(proxy not in messages, "one message a proxy a batch")
+                    check_invariant(proxy not in messages, "one message per proxy and batch")
                     messages[proxy] = message
                 yield len(proxies), sum(update.channel_lines() for update in updates)
-        finally:  # a fault in one message costs the others nothing
+        finally:  # a fault in one message does not hold back the others
             for proxy in sorted(messages, key=lambda proxy: (-call_rate(proxy), proxy)):
                 update, nonce = messages[proxy]
                 self.by_proxy[proxy].put(update)
--- a/tests/fleet/test_discovery.py
+++ b/tests/fleet/test_discovery.py
@@ -34,7 +34,7 @@
                 return EndpointList(2, False, ())
 
             monkeypatch.setattr(actor, "fetch", call)
-            answer = asyncio.create_task(actor.fetch_in_time(cast(Any, None)))
+            answer = asyncio.create_task(actor.fetch_with_timeout(cast(Any, None)))
             await asyncio.sleep(0)
             await asyncio.sleep(0)  # the call waits
             far.send(b"!")
--- a/tests/fleet/test_messages.py
+++ b/tests/fleet/test_messages.py
@@ -29,7 +29,7 @@
 
 @pytest.mark.parametrize("answer", [None, [], {}, {"index": 1, "snapshot": True}, {"endpoints": []}])
 def test_a_list_without_sense_is_an_error(answer: Any) -> None:
-    with pytest.raises(ValueError, match="without sense"):
+    with pytest.raises(ValueError, match="not an endpoint list"):
         parse_endpoint_list(answer)
 
 
--- a/tests/fleet/test_server.py
+++ b/tests/fleet/test_server.py
@@ -334,7 +334,7 @@
         ({"settings": {**NESTED, "limits": {"probes": True}}}, "limits.probes"),
         ({"settings": {**NESTED, "extra": {**NESTED["extra"], "slices": 8}}}, "extra.slices"),
         ({"settings": None}, "settings are missing"),
-        ({"listen": "nowhere"}, "listen is no address"),
+        ({"listen": "nowhere"}, "listen is not an address"),
         ({"name": ""}, "NODE_NAME is not set"),
         ({"known": {"index": 1}}, "known cannot be read"),
     ],
--- a/tests/fleet/test_table_updates.py
+++ b/tests/fleet/test_table_updates.py
@@ -124,7 +124,7 @@
     orders.add_proxy(0)
     orders.assign_table(0, 0, 0)
     orders.set_weight(0, 0, figure)
-    with pytest.raises(ValueError, match="cannot be ordered"):
+    with pytest.raises(ValueError, match="cannot encode"):
         encode_updates(next(orders.take_messages())[1])
 
 
