--- a/meadowworks/cli/__init__.py
+++ b/meadowworks/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line for operators: a module a command."""
+"""The command line for operators; each command has a module."""
--- a/meadowworks/cli/config.py
+++ b/meadowworks/cli/config.py
@@ -1,4 +1,4 @@
-"""`meadowworks config`: checks, puts, gets and compares configurations."""
+"""`meadowworks config`: checks, uploads, downloads and compares configurations."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
     words: Annotated[
         tuple[str, ...], Arg(help="a node's API address (put, get, diff), then a file (check, put, diff)")
     ] = (),
-    at: Annotated[str, Arg(long=True, help="the API address, if it is not among the words")] = "",
+    at: Annotated[str, Arg(long=True, help="the node's API address, if it is not given as a word")] = "",
 ) -> int:
-    """Check a configuration here, put it into force, get the one in force, or compare a file with it.
+    """Check a configuration file, put it into force, get the active configuration, or compare a file with it.
 
     config check FILE, config put ADDRESS FILE, config get ADDRESS, config diff ADDRESS FILE.
-    Exit code 1: it was rejected, or it differs.
+    Exit code 1 if the configuration was rejected or differs.
     """
     if action not in USAGE:
         raise CommandError(f"there is no {action!r}; usage: {', or '.join(USAGE.values())}")
@@ -77,8 +77,8 @@
     body = _read(file)
     _validated(file, body)
     reply = call_node(address, b"GET", READ_PATH)
-    in_force = json.loads(reply.body) if reply.status == HTTP_OK else {}
-    lines = differences(in_force, json.loads(body))
+    active = json.loads(reply.body) if reply.status == HTTP_OK else {}
+    lines = differences(active, json.loads(body))
     print("\n".join(lines) or "no difference")
     return 1 if lines else 0
 
@@ -91,7 +91,10 @@
 
 
 def _validated(file: Path, body: bytes) -> int:
-    """Return the version of a valid configuration."""
+    """Return the version of a valid configuration.
+
+    :raises CommandError: if it is invalid.
+    """
     checked = validate_configuration(body)
     if isinstance(checked, InvalidConfiguration):
         raise CommandError(f"{file}: {checked.reason}")
@@ -99,7 +102,7 @@
 
 
 def differences(old: Any, new: Any, path: str = "") -> list[str]:
-    """Return what differs between two JSON documents, a line each; list elements are matched by name."""
+    """Return the differences of two JSON documents, one per line; list elements are matched by name."""
     if isinstance(old, dict) and isinstance(new, dict):
         return [
             line
--- a/meadowworks/cli/errors.py
+++ b/meadowworks/cli/errors.py
@@ -1,4 +1,4 @@
-"""What a command of the command line fails with."""
+"""Errors of the command line."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class CommandError(MeadowworksError):
-    """The input of a command is invalid, or the node it asks does not answer; one plain sentence.
+    """A command has invalid input, or its node does not answer; the message is one sentence.
 
-    Ends the command with exit code 2. Whether it may be tried again, the sentence says.
+    Ends the command with exit code 2. The message says whether the command may be retried.
     """
--- a/meadowworks/cli/lists.py
+++ b/meadowworks/cli/lists.py
@@ -1,4 +1,4 @@
-"""`meadowworks nodes` and `meadowworks backends`: lists out of a node's status."""
+"""`meadowworks nodes` and `meadowworks backends`: lists from a node's status."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 
 def nodes(
     at: Annotated[str, Arg(help="a control-plane node's peer address")],
-    as_json: Annotated[bool, Arg(long="--json", help="one JSON object on standard output")] = False,
+    as_json: Annotated[bool, Arg(long="--json", help="print one JSON object")] = False,
 ) -> int:
-    """The nodes that a control-plane node knows, which may be a part of them."""
+    """List the nodes that a control-plane node has in its view, which may not be all nodes."""
     return _print_list(at, "members", NODE_COLUMNS, as_json)
 
 
 def backends(
     at: Annotated[str, Arg(help="a node's peer address")],
-    as_json: Annotated[bool, Arg(long="--json", help="one JSON object on standard output")] = False,
+    as_json: Annotated[bool, Arg(long="--json", help="print one JSON object")] = False,
 ) -> int:
-    """The backends that a node knows, and their states."""
+    """List the backends that a node has in its view, and their states."""
     return _print_list(at, "backends", BACKEND_COLUMNS, as_json)
 
 
--- a/meadowworks/cli/main.py
+++ b/meadowworks/cli/main.py
@@ -1,4 +1,4 @@
-"""The command line: `meadowworks COMMAND ...`. A command's module is imported only when it is asked for."""
+"""The command line, `meadowworks COMMAND ...`. A command's module is imported when the command runs."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from meadowworks.cli.errors import CommandError as CommandError
 
 EXIT_BAD_INPUT = 2
-EXIT_INTERRUPTED = 130  # as a shell reports SIGINT
-EXIT_BROKEN_PIPE = 141  # as a shell reports SIGPIPE
+EXIT_INTERRUPTED = 130  # the exit code of a shell after SIGINT
+EXIT_BROKEN_PIPE = 141  # the exit code of a shell after SIGPIPE
 
 
 class Command(NamedTuple):
-    """Where a command's function stands, and one line on what it does."""
+    """The module and function of a command, and a summary in one line."""
 
     module: str
     function: str
@@ -27,23 +27,27 @@
 
 COMMANDS = {
     "check": Command("meadowworks.modelcheck.commands", "check", "explore all states of the state machines"),
-    "days": Command("meadowworks.simulation.bench_days", "days", "play recorded scenarios in a simulator"),
+    "days": Command("meadowworks.simulation.bench_days", "days", "replay recorded scenarios in a simulator"),
     "lab": Command("meadowworks.simulation.commands", "lab", "simulate and measure the state machines"),
-    "local": Command("meadowworks.local.commands", "local", "start a small gateway here, to try it"),
-    "status": Command("meadowworks.cli.status", "status", "what a node knows"),
-    "why": Command("meadowworks.cli.why", "why", "what a proxy's load balancing of a service rests on"),
-    "members": Command("meadowworks.cli.members", "members", "who votes, and why a node does not"),
-    "nodes": Command("meadowworks.cli.lists", "nodes", "the nodes that a control-plane node knows"),
-    "backends": Command("meadowworks.cli.lists", "backends", "the backends that a node knows"),
+    "local": Command("meadowworks.local.commands", "local", "start a small gateway on this machine"),
+    "status": Command("meadowworks.cli.status", "status", "print a node's status, or a table of all nodes"),
+    "why": Command("meadowworks.cli.why", "why", "explain a proxy's load balancing of a service"),
+    "members": Command(
+        "meadowworks.cli.members", "members", "list the voting members, and why a node is not one"
+    ),
+    "nodes": Command("meadowworks.cli.lists", "nodes", "list the nodes in a control-plane node's view"),
+    "backends": Command("meadowworks.cli.lists", "backends", "list the backends in a node's view"),
     "config": Command("meadowworks.cli.config", "config", "check, put, get or diff a configuration"),
-    "rude": Command("meadowworks.local.hostile_clients", "rude", "slow and hostile clients against a proxy"),
-    "settings": Command("meadowworks.cli.settings", "settings", "check a settings file of a node"),
+    "rude": Command(
+        "meadowworks.local.hostile_clients", "rude", "run slow and hostile clients against a proxy"
+    ),
+    "settings": Command("meadowworks.cli.settings", "settings", "check a node's settings file"),
 }
-USAGE = "usage: meadowworks COMMAND [OPTION ...]; without one the fleet controller runs, as NODE_CONFIG says"
+USAGE = "usage: meadowworks COMMAND [OPTION ...]; without COMMAND, the fleet controller of NODE_CONFIG runs"
 
 
 def usage_text() -> str:
-    """Return the usage and a line for each command."""
+    """Return the usage and a summary of each command."""
     summaries = [f"  {name:8} {command.summary}" for name, command in COMMANDS.items()]
     return "\n".join([USAGE, "", *summaries, "", "Each command has --help."])
 
@@ -51,9 +55,9 @@
 def main(arguments: Sequence[str] | None = None) -> int:
     """Run a command.
 
-    :param arguments: the process's own if None.
-    :returns: the exit code: 0 when all holds, 1 when what the command asks does not, 2 on bad input, 141 when
-        the reader of the output has gone.
+    :param arguments: the arguments of the process if None.
+    :returns: the exit code: 0 on success, 1 if the command's check fails, 2 on invalid input, 141 if standard
+        output is closed.
     """
     try:
         status = run_command(sys.argv[1:] if arguments is None else arguments)
@@ -68,11 +72,11 @@
     if not arguments or arguments[0] in ("--help", "-h", "help"):
         print(usage_text())
         return 0
-    name, *rest = arguments
+    name, *command_arguments = arguments
     if name not in COMMANDS:
         return report_error(f"there is no command {name!r}: there are {', '.join(COMMANDS)}")
     try:
-        return _invoke(name, rest)
+        return _invoke(name, command_arguments)
     except (CommandError, ValueError) as error:
         return report_error(str(error))
     except KeyboardInterrupt:
@@ -88,7 +92,7 @@
     except ModuleNotFoundError as error:
         needed = f"{error.name}, which is not installed: pip install 'meadowworks[tools]'"
         return report_error(f"{name} needs {needed}")
-    quiet = cappa.Output(error_console=Console(file=io.StringIO()))  # an error is one line of `report_error`
+    quiet = cappa.Output(error_console=Console(file=io.StringIO()))  # `report_error` prints errors
     try:
         status = cappa.invoke(
             cappa.command(name=f"meadowworks {name}")(function),
@@ -104,14 +108,14 @@
 
 
 def discard_output() -> int:
-    """Send what is still to be printed nowhere, at the process's end too; return the exit code."""
+    """Discard output that is not printed yet, also at the end of the process; return the exit code."""
     with contextlib.suppress(OSError, ValueError):
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
     return EXIT_BROKEN_PIPE
 
 
 def report_error(reason: str) -> int:
-    """Print an error as one line; return the exit code of bad input."""
+    """Print an error on one line; return the exit code for invalid input."""
     print(f"meadowworks: {' '.join(reason.split())}", file=sys.stderr)
     return EXIT_BAD_INPUT
 
--- a/meadowworks/cli/members.py
+++ b/meadowworks/cli/members.py
@@ -1,4 +1,4 @@
-"""`meadowworks members list`: who votes in the newest epoch, and why a node does not."""
+"""`meadowworks members list`: the voting members of the newest epoch, and why a node does not vote."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 
 COLUMNS = ("disk", "address", "node", "epoch", "lease_ms", "in", "why not in")
 MAX_PARALLEL_CALLS = 8
-MAX_ADDRESSES = 64  # that are asked: bounds what nodes of different systems at one address would lead to
-DISK_LENGTH = 8  # characters of a disk's id that are shown
-BOOTSTRAP_PREFIX = "@"  # begins a member's id before the first epoch: whichever disk is at that address
+MAX_ADDRESSES = 64  # bounds the search if nodes report addresses of other systems
+DISK_LENGTH = 8  # printed characters of a disk id
+BOOTSTRAP_PREFIX = "@"  # prefix of a member id before the first epoch: any disk at that address
 NOT_VOTING = "does not vote: its settings say so"
-Statuses = dict[str, Status | None]  # by address; None for one that does not answer
+Statuses = dict[str, Status | None]  # by address; None if the node does not answer
 
 
 class MemberRow(NamedTuple):
-    """A cell for each of COLUMNS; what is unknown is None."""
+    """A row of the table, with a cell for each of COLUMNS; unknown cells are None."""
 
     disk: str | None
     address: str
@@ -37,9 +37,9 @@
 def members(
     action: Annotated[str, Arg(help="list")],
     at: Annotated[str, Arg(help="a control-plane node's peer address: ip and the first port of portRange")],
-    as_json: Annotated[bool, Arg(long="--json", help="one JSON object on standard output")] = False,
+    as_json: Annotated[bool, Arg(long="--json", help="print one JSON object")] = False,
 ) -> int:
-    """The members of the newest epoch, as each node reports itself, and who is not in and why.
+    """List the members of the newest epoch, as each node reports itself, and why a node is not a member.
 
     Exit code 1 if a node that should vote does not.
     """
@@ -56,32 +56,35 @@
 
 
 def _fetch_all(address: str) -> Statuses:
-    """Ask a node, then everyone it knows, and whom these know."""
+    """Fetch the status of a node and, transitively, of all nodes that these report."""
     own = find_status(address)
     if own is None:
         raise CommandError(f"{address} does not answer with a status: is that a node's peer address?")
     if "sure" not in own:
         raise CommandError(f"{address} reports no members: is that a control-plane node's peer address?")
-    known = {address, *known_addresses(own, address)}
+    addresses = {address, *known_addresses(own, address)}
     statuses: Statuses = {address: own}
-    while unasked := sorted(known - statuses.keys()):
+    while pending := sorted(addresses - statuses.keys()):
         with ThreadPoolExecutor(MAX_PARALLEL_CALLS) as pool:
-            for other, status in zip(unasked, pool.map(find_status, unasked), strict=True):
+            for other, status in zip(pending, pool.map(find_status, pending), strict=True):
                 statuses[other] = status
-                if status and len(known) < MAX_ADDRESSES:
-                    known |= set(known_addresses(status, other))
+                if status and len(addresses) < MAX_ADDRESSES:
+                    addresses |= set(known_addresses(status, other))
     return statuses
 
 
 def known_addresses(status: Status, address: str) -> list[str]:
-    """Return the peer addresses of the members and of other voters that a node knows; ports are alike."""
+    """Return the peer addresses of the members and other voters in a node's status.
+
+    Voters are reported without a port; all nodes use the port of `address`.
+    """
     port = address.rpartition(":")[2]
     voters = [f"{peer.host}:{port}" for peer in _peers(status) if peer.votes]
     return [*map(str, (status.get("members_of_epoch") or {}).values()), *voters]
 
 
 class Peer(NamedTuple):
-    """What a node's status says of another node."""
+    """Another node, as listed in a node's status."""
 
     name: str
     host: str
@@ -90,7 +93,7 @@
 
 
 def _peers(status: Status) -> list[Peer]:
-    """Return whom a node knows; a row may have further cells."""
+    """Return the nodes listed in a status; rows of newer nodes may have more cells."""
     size = len(Peer._fields)
     return [Peer(*row[:size]) for row in status.get("members") or () if len(row) >= size]
 
@@ -103,18 +106,18 @@
     members: dict[str, str]
 
     def excludes(self, disk: str) -> bool:
-        """Whether a disk is known not to be a member; before the first epoch members have no ids yet."""
+        """Return whether a disk is not a member; before the first epoch members have no disk ids yet."""
         is_bootstrap = any(member.startswith(BOOTSTRAP_PREFIX) for member in self.members)
         return bool(self.members) and disk not in self.members and not is_bootstrap
 
 
 def membership_rows(statuses: Statuses) -> tuple[int | None, list[MemberRow]]:
-    """Return the newest epoch and a row a node: its members, then who else answers."""
-    nodes = {at: status for at, status in statuses.items() if status is None or "sure" in status}
+    """Return the newest epoch and a row per node: its members, then other nodes that answer."""
+    nodes = {address: status for address, status in statuses.items() if status is None or "sure" in status}
     reported = [status for status in nodes.values() if status]
     newest = max(reported, key=lambda status: status.get("epoch") or 0, default={})
     membership = Membership(newest.get("epoch"), dict(newest.get("members_of_epoch") or {}))
-    non_voting = {at for at in nodes if is_non_voting(statuses, at)}
+    non_voting = {address for address in nodes if is_non_voting(statuses, address)}
     rows: list[MemberRow] = []
     listed: set[str] = set()
     for disk, address in sorted(membership.members.items(), key=lambda pair: pair[1]):
@@ -134,7 +137,7 @@
 
 
 def _other_disk(disk: str, status: Status | None) -> str | None:
-    """Return the id of the disk that answers at a member's address in place of its own."""
+    """Return the id of another disk that answers at a member's address; None if there is none."""
     if status is None or disk.startswith(BOOTSTRAP_PREFIX) or status.get("disk") in (disk, None):
         return None
     return str(status["disk"])
@@ -146,30 +149,30 @@
 
 
 def is_non_voting(statuses: Statuses, address: str) -> bool:
-    """Whether any node knows the one at an address as one that does not vote."""
+    """Return whether any node reports the node at an address as non-voting."""
     host = address.rpartition(":")[0]
     peers = [peer for status in statuses.values() if status for peer in _peers(status)]
     return any(peer.host == host and not peer.votes for peer in peers)
 
 
 def _row(disk: str, address: str, status: Status | None, reason: str) -> MemberRow:
-    found = status or {}
-    shown_disk = str(found.get("disk") or disk)[:DISK_LENGTH] or None
+    known_status = status or {}
+    shown_disk = str(known_status.get("disk") or disk)[:DISK_LENGTH] or None
     return MemberRow(
         shown_disk,
         address,
-        found.get("node"),
-        found.get("epoch"),
-        found.get("lease_ms"),
+        known_status.get("node"),
+        known_status.get("epoch"),
+        known_status.get("lease_ms"),
         "no" if reason else "yes",
         reason,
     )
 
 
 def reason_not_in(status: Status | None, membership: Membership, non_voting: bool = False) -> str:
-    """Return why a node has no vote, the first cause first; empty if it has one.
+    """Return the first reason why a node does not vote; empty if it does.
 
-    :param non_voting: its settings give it no vote.
+    :param non_voting: whether its settings give it no vote.
     """
     epoch = membership.epoch
     if status is None:
--- a/meadowworks/cli/node_client.py
+++ b/meadowworks/cli/node_client.py
@@ -1,4 +1,4 @@
-"""Calls of the command line to a node."""
+"""The client with which the command line calls a node."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from meadowworks.runtime.errors import RequestError
 from meadowworks.runtime.http_connection import Response, connect
 
-CALL_TIMEOUT_S = 5.0  # a person waits for it; a node answers within milliseconds
-MAX_REPLY_BYTES = 64 << 20  # as large as the largest configuration
+CALL_TIMEOUT_S = 5.0
+MAX_REPLY_BYTES = 64 << 20  # the size of the largest configuration
 HTTP_OK = 200
 Status = dict[str, Any]  # a node's status document
 
@@ -42,7 +42,7 @@
 
 
 def read_status(address: str) -> Status | None:
-    """Return a node's status; None if what answers has none.
+    """Return a node's status; None if the reply is not 200.
 
     :raises CommandError: the address is invalid, or there is no reply.
     """
@@ -51,7 +51,7 @@
 
 
 def find_status(address: str) -> Status | None:
-    """Return a node's status; None if there is none for any reason."""
+    """Return a node's status; None if it cannot be read for any reason."""
     try:
         status = read_status(address)
     except (CommandError, ValueError):
--- a/meadowworks/cli/output.py
+++ b/meadowworks/cli/output.py
@@ -1,4 +1,4 @@
-"""How commands print tables."""
+"""Printing of tables."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def print_columns(rows: list[list[str]]) -> None:
-    """Print rows as aligned columns; the first row holds their names."""
+    """Print rows as aligned columns; the first row holds the column names."""
     widths = [max(map(len, column)) for column in zip(*rows, strict=True)]
     for row in rows:
         cells = [cell.ljust(width) for cell, width in zip(row, widths, strict=True)]
--- a/meadowworks/cli/settings.py
+++ b/meadowworks/cli/settings.py
@@ -1,4 +1,4 @@
-"""`meadowworks settings`: whether a settings file is valid."""
+"""`meadowworks settings`: checks a settings file."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 def settings(file: Annotated[Path, Arg(help="a settings file")]) -> int:
     """Check a node's settings file."""
     try:
-        found = parse_settings(file.read_bytes())
+        node_settings = parse_settings(file.read_bytes())
     except OSError as error:
         raise CommandError(f"{file} cannot be read: {error.strerror}") from None
     except SettingsError as error:
         raise CommandError(f"{file}: {error}") from None
-    print(f"{file}: {found.node} of {found.zone}, serves {', '.join(found.roles)}")
+    print(f"{file}: {node_settings.node} of {node_settings.zone}, serves {', '.join(node_settings.roles)}")
     return 0
--- a/meadowworks/cli/status.py
+++ b/meadowworks/cli/status.py
@@ -1,4 +1,4 @@
-"""`meadowworks status`: what one node knows, or a row for each node of the system."""
+"""`meadowworks status`: the status of one node, or a table of all nodes of the system."""
 
 from __future__ import annotations
 
@@ -19,29 +19,29 @@
 
 def status(
     at: Annotated[str, Arg(help="a node's peer address: ip and the first port of portRange")],
-    as_json: Annotated[bool, Arg(long="--json", help="one JSON object on standard output")] = False,
+    as_json: Annotated[bool, Arg(long="--json", help="print one JSON object")] = False,
     everyone: Annotated[
-        bool, Arg(long="--all", help="a row for each node that this control-plane node knows")
+        bool, Arg(long="--all", help="a row for each node in this control-plane node's view")
     ] = False,
 ) -> int:
-    """What a node knows: its version, members, backends and, of a proxy, its load balancing.
+    """Print a node's version, members and backends, and a proxy's load balancing.
 
-    With --all, a row for each node; exit code 1 if one does not answer, is not well, or has another version.
+    With --all, a row per node. Exit code 1 if a node does not answer, is not well or has another version.
     """
-    found = read_status(at)
-    if found is None:
+    node_status = read_status(at)
+    if node_status is None:
         raise CommandError(f"{at} has no status: is that a node's peer address?")
     if everyone:
-        return _print_all(at, found, as_json)
+        return _print_all(at, node_status, as_json)
     if as_json:
-        print(json.dumps(found))
+        print(json.dumps(node_status))
     else:
-        _print_fields(found)
+        _print_fields(node_status)
     return 0
 
 
-def _print_fields(found: Status) -> None:
-    for name, value in found.items():
+def _print_fields(node_status: Status) -> None:
+    for name, value in node_status.items():
         if not isinstance(value, dict):
             print(f"{name}: {value}")
             continue
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeRow:
-    """One node in the table of all: a control-plane node is well with a lease, a proxy when it is ready."""
+    """A row of the table of nodes: a control-plane node is well with a lease, a proxy when it is ready."""
 
     node: str
     kind: str
@@ -64,7 +64,7 @@
 
 
 def _print_all(address: str, own: Status, as_json: bool) -> int:
-    """Print a row a node. A control-plane node knows all voters, but of many proxies only some."""
+    """Print a row per node. A control-plane node has all voters in its view, but maybe not all proxies."""
     if "members" not in own:
         raise CommandError(f"{address} reports no members: is that a control-plane node's peer address?")
     port = address.rpartition(":")[2]
@@ -73,7 +73,7 @@
     with ThreadPoolExecutor(MAX_PARALLEL_CALLS) as pool:
         statuses = list(pool.map(_status_if_answered, addresses))
     rows = [_node_row(own["node"], own)]
-    rows += [_node_row(member[0], found) for member, found in zip(members, statuses, strict=True)]
+    rows += [_node_row(member[0], node_status) for member, node_status in zip(members, statuses, strict=True)]
     tables = [asdict(row) for row in rows]
     if as_json:
         print(json.dumps({"controllers": tables}))
@@ -90,21 +90,21 @@
         return None
 
 
-def _node_row(node: str, found: Status | None) -> NodeRow:
-    if found is None:
+def _node_row(node: str, node_status: Status | None) -> NodeRow:
+    if node_status is None:
         return NodeRow(node, UNKNOWN, UNKNOWN, "silent", UNKNOWN, UNKNOWN, UNKNOWN)
-    is_control_plane = "sure" in found
-    is_well = found["sure"] if is_control_plane else found["ready"]
+    is_control_plane = "sure" in node_status
+    is_well = node_status["sure"] if is_control_plane else node_status["ready"]
     return NodeRow(
-        found["node"],
+        node_status["node"],
         "signalbox" if is_control_plane else "junction",
-        found["version"],
+        node_status["version"],
         "yes" if is_well else "no",
-        " ".join(found.get("undecided", [])) or UNKNOWN,
-        sum(backend[3] == "draining" for backend in found["backends"].values()),
-        ", ".join(_levels(found.get("services", {}))) or UNKNOWN,
+        " ".join(node_status.get("undecided", [])) or UNKNOWN,
+        sum(backend[3] == "draining" for backend in node_status["backends"].values()),
+        ", ".join(_levels(node_status.get("services", {}))) or UNKNOWN,
     )
 
 
 def _levels(services: dict[str, Any]) -> list[str]:
-    return [f"{name} {facts['level']:g}" for name, facts in services.items()]
+    return [f"{name} {service['level']:g}" for name, service in services.items()]
--- a/meadowworks/cli/why.py
+++ b/meadowworks/cli/why.py
@@ -1,4 +1,4 @@
-"""`meadowworks why`: what a proxy's load balancing of one service rests on."""
+"""`meadowworks why`: explains a proxy's load balancing of one service."""
 
 from __future__ import annotations
 
@@ -13,37 +13,37 @@
 
 ZONE_COLUMNS = ("zone", "view", "asked", "keeps", "waiting", "jammed", "calm", "figures_s")
 BACKEND_COLUMNS = ("backend", "weight", "in", "held back")
-WEIGHT_TABLES = {"table": "own table", "abroad": "other zones"}  # field of the status to word of the output
+WEIGHT_TABLES = {"table": "own table", "abroad": "other zones"}  # printed name by field of the status
 
 
 def why(
     service: Annotated[str, Arg(help="a service of the configuration")],
     at: Annotated[str, Arg(help="a proxy's peer address")],
-    as_json: Annotated[bool, Arg(long="--json", help="one JSON object on standard output")] = False,
+    as_json: Annotated[bool, Arg(long="--json", help="print one JSON object")] = False,
 ) -> int:
-    """What a proxy's last decisions on a service rest on: zones, admission, weights, restricted backends."""
+    """Print a proxy's load balancing of a service: zones, admission, weights and restricted backends."""
     services = (read_status(at) or {}).get("services")
     if services is None:
         raise CommandError(f"{at} reports no services: is that a proxy's peer address?")
     if service not in services:
-        known = ", ".join(services) or "none yet"
-        raise CommandError(f"{at} knows no service {service!r}: there are {known}")
-    facts = services[service]
+        names = ", ".join(services) or "none yet"
+        raise CommandError(f"{at} knows no service {service!r}: there are {names}")
+    status = services[service]
     if as_json:
-        print(json.dumps({"service": service, **facts}))
+        print(json.dumps({"service": service, **status}))
         return 0
-    print(_summary(service, facts))
-    print_columns(_zone_rows(facts["zones"]))
-    print_columns(_backend_rows(facts))
+    print(_summary(service, status))
+    print_columns(_zone_rows(status["zones"]))
+    print_columns(_backend_rows(status))
     return 0
 
 
-def _summary(service: str, facts: dict[str, Any]) -> str:
-    retries, requests = facts["further tries"]
+def _summary(service: str, status: dict[str, Any]) -> str:
+    retries, requests = status["further tries"]
     return (
-        f"{service}: level {facts['level']:g}, {facts['asked']:g} calls a second asked, "
-        f"{facts['proven'] + 0:g} proven; {retries} further tries beside {requests} requests in the window"
-        + ("" if facts["further tries allowed"] else "; no further tries now: a zone is jammed")
+        f"{service}: level {status['level']:g}, {status['asked']:g} calls a second asked, "
+        f"{status['proven'] + 0:g} proven; {retries} further tries beside {requests} requests in the window"
+        + ("" if status["further tries allowed"] else "; no further tries now: a zone is jammed")
     )
 
 
@@ -52,11 +52,11 @@
     return [list(ZONE_COLUMNS), *rows]
 
 
-def _backend_rows(facts: dict[str, Any]) -> list[list[str]]:
-    restricted = facts["held back"]
+def _backend_rows(status: dict[str, Any]) -> list[list[str]]:
+    restricted = status["held back"]
     rows = [list(BACKEND_COLUMNS)]
     for field, table in WEIGHT_TABLES.items():
-        for backend_id, weight in facts[field].items():
+        for backend_id, weight in status[field].items():
             restrictions = ", ".join(_restrictions(restricted.get(backend_id, {})))
             rows.append([backend_id, f"{weight:g}", table, restrictions])
     rows += [
@@ -68,9 +68,9 @@
 
 
 def _restrictions(restriction: dict[str, Any]) -> list[str]:
-    found = []
+    texts = []
     if restriction.get("rung"):
-        found.append(f"rung {restriction['rung']}")
+        texts.append(f"rung {restriction['rung']}")
     if restriction.get("part", 1) < 1:
-        found.append(f"part {restriction['part']:g}")
-    return found
+        texts.append(f"part {restriction['part']:g}")
+    return texts
