--- a/meadowworks/local/__init__.py
+++ b/meadowworks/local/__init__.py
@@ -1,1 +1,1 @@
-"""A small gateway on this machine: for a newcomer's first look, and for tests over loopback."""
+"""A small gateway on this machine, for a first trial and for tests over loopback."""
--- a/meadowworks/local/backend.py
+++ b/meadowworks/local/backend.py
@@ -1,4 +1,4 @@
-"""A stand-in for a backend, as the users' page on the protocol describes one."""
+"""A stub of a backend, which implements the backend protocol of the user documentation."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 from meadowworks.runtime.request_body import read_body
 from meadowworks.runtime.response_writer import send_response
 
-MAX_BODY_BYTES = 1 << 20  # of a request, as in the configurations of `system`
-MAX_ACK_BYTES = 4096  # of a response to a heartbeat: a larger one acknowledges nothing
-HEARTBEAT_TIMEOUT_S = 1.0  # to connect, and again to be answered: two intervals of `system`
+MAX_BODY_BYTES = 1 << 20  # of a request; as in `system.build_configuration`
+MAX_ACK_BYTES = 4096  # of a response to a heartbeat
+HEARTBEAT_TIMEOUT_S = 1.0  # to connect, and again for the response
 
 
 class StubBackend:
-    """One incarnation of a backend: it sends heartbeats, and answers every request.
+    """One incarnation of a backend: sends heartbeats and answers every request.
 
-    :ivar state: what its heartbeats and its health check report, `up` or `draining`.
-    :ivar handler: awaited by every request before it is answered.
-    :ivar assigned_address: where the control plane asked it to send heartbeats, until that fails.
-    :ivar handled_request_ids: of the requests that have run, each as often as it ran.
+    :ivar state: `up` or `draining`; reported by heartbeats and by the health check.
+    :ivar handler: awaited before each request is answered.
+    :ivar assigned_address: the control-plane address assigned for heartbeats, until a heartbeat to it fails.
+    :ivar handled_request_ids: the ids of executed requests, with duplicates.
     """
 
     def __init__(
@@ -58,14 +58,14 @@
         self.port = await self.server.listen(self.host, 0)
 
     def stop(self) -> None:
-        """Accept no more requests."""
-        with suppress(Exception):  # its event loop may have ended before
+        """Stop accepting requests."""
+        with suppress(Exception):  # its event loop may have ended already
             self.server.shutdown()
 
     # -- requests
 
     async def handle_request(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Answer a health check or a request; one that wants another backend is refused."""
+        """Answer a health check or a request; reject a request for another backend with 421."""
         body = await read_body(receive, MAX_BODY_BYTES)
         headers = dict(scope["headers"])
         own_id = self.backend_id.encode()
@@ -98,7 +98,7 @@
     # -- heartbeats
 
     async def run_heartbeats(self, addresses: list[Address], interval_s: float) -> None:
-        """Send heartbeats for ever: where the control plane asked for them, else to the next of its nodes."""
+        """Send heartbeats without end: to the assigned address, else to the control-plane nodes in turn."""
         index = sum(self.backend_id.encode()) % len(addresses)
         while True:
             if await self.send_heartbeat(self.assigned_address or addresses[index]) != 200:
@@ -110,8 +110,8 @@
     async def send_heartbeat(self, address: tuple[str, int], leave: bool = False) -> int:
         """Send one heartbeat to the control plane.
 
-        :param leave: say good-bye instead.
-        :returns: the status of the response; 0 if there is none.
+        :param leave: send a leave call instead.
+        :returns: the status of the response; 0 without a response.
         """
         self.heartbeats_sent += 1
         call = "Leave" if leave else "Heartbeat"
@@ -135,10 +135,10 @@
 
 
 async def _post(address: tuple[str, int], path: bytes, body: bytes) -> Response:
-    """Call the control plane over a connection of its own.
+    """Call the control plane over a new connection.
 
     :raises RequestError: if there is no response.
-    :raises TimeoutError: if it does not come in time.
+    :raises TimeoutError: if the response does not come in time.
     """
     host, port = address
     headers = [(b"host", b"ctl"), (b"content-length", str(len(body)).encode())]
--- a/meadowworks/local/commands.py
+++ b/meadowworks/local/commands.py
@@ -1,4 +1,4 @@
-"""`meadowworks local`: three nodes of the control plane, two proxies and stand-in backends, until Ctrl-C."""
+"""`meadowworks local`: runs three control-plane nodes, two proxies and stub backends until Ctrl-C."""
 
 from __future__ import annotations
 
@@ -25,46 +25,46 @@
 DEMO_ROUTES = {"/read/": ("safe", "lookup"), "/order/": ("unsafe", "orders")}
 DEMO_SERVICES = ("lookup", "orders")
 DEMO_SUBNET = 77
-POLL_INTERVAL_S = 0.25  # between looks at the processes, and attempts to put the configuration
+POLL_INTERVAL_S = 0.25  # between checks of the processes, and between attempts to put the configuration
 
 
 def local(
     port: Annotated[
-        int, Arg(long=True, help="the port that clients call; the next three are used too")
+        int, Arg(long=True, help="the port for clients; the next three ports are used too")
     ] = 8480,
-    seconds: Annotated[float, Arg(long=True, help="end after so long; 0: at Ctrl-C")] = 0.0,
+    seconds: Annotated[float, Arg(long=True, help="end after so many seconds; 0 runs until Ctrl-C")] = 0.0,
 ) -> int:
-    """Start a small gateway on loopback, with backends of its own."""
+    """Start a small gateway with backends on loopback."""
     if not 1024 <= port <= 65000:
-        raise CommandError("--port is a number from 1024 to 65000")
+        raise CommandError("--port must be from 1024 to 65000")
     layout = SystemLayout(DEMO_SUBNET, Ports(port, port + 1, port + 2, port + 3))
     if reason := find_unavailable_address(layout.all_addresses()):
-        raise CommandError(f"{reason}; end what listens there, or name another --port")
+        raise CommandError(f"{reason}; end the process that listens there, or choose another --port")
     with running_nodes(layout) as processes:
         return asyncio.run(_serve(layout, processes, seconds))
 
 
 def example_commands(layout: SystemLayout) -> list[str]:
-    """Return what a newcomer may call, as it is to be typed in the project's folder."""
+    """Return example commands, to be run in the project's folder."""
     python = Path(sys.executable)
     program = python.relative_to(PROJECT_ROOT) if python.is_relative_to(PROJECT_ROOT) else python
-    word = f"{program} -m meadowworks"
+    command = f"{program} -m meadowworks"
     control_plane, proxy = layout.ip_address(0), layout.proxy_addresses()[0].host
     ports = layout.ports
     return [
         f"curl -H 'Host: {HOST_NAME}' http://{proxy}:{ports.http}/read/x",
-        f"{word} status {control_plane}:{ports.peer} --all",
-        f"{word} members list {control_plane}:{ports.peer}",
-        f"{word} backends {proxy}:{ports.peer}",
-        f"{word} why lookup {proxy}:{ports.peer}",
-        f"{word} config get {control_plane}:{ports.control}",
+        f"{command} status {control_plane}:{ports.peer} --all",
+        f"{command} members list {control_plane}:{ports.peer}",
+        f"{command} backends {proxy}:{ports.peer}",
+        f"{command} why lookup {proxy}:{ports.peer}",
+        f"{command} config get {control_plane}:{ports.control}",
     ]
 
 
 async def _serve(layout: SystemLayout, processes: list[Process], seconds: float) -> int:
-    """Run the backends until a process ends or the time is over, and put the configuration once.
+    """Run the backends until a process ends or the time is over; put the configuration once.
 
-    :param seconds: 0 for no end.
+    :param seconds: 0 for no time limit.
     :returns: the highest exit status of the processes that have ended.
     """
     end = time.monotonic() + seconds if seconds else float("inf")
@@ -79,9 +79,9 @@
 
 
 async def put_configuration(layout: SystemLayout) -> bool:
-    """Put the configuration of the demonstration.
+    """Put the demo configuration.
 
-    :returns: whether the control plane has taken it.
+    :returns: whether the control plane has accepted it.
     """
     host, port = layout.control_addresses()[0]
     body = build_configuration(1, DEMO_ROUTES)
@@ -96,4 +96,4 @@
     addresses = " or ".join(f"{host}:{port}" for host, port in layout.proxy_addresses())
     commands = "\n".join(f"  {command}" for command in example_commands(layout))
     print(f"the gateway serves at {addresses}; try, in this folder:\n{commands}", flush=True)
-    print("Ctrl-C ends all", flush=True)
+    print("press Ctrl-C to stop", flush=True)
--- a/meadowworks/local/processes.py
+++ b/meadowworks/local/processes.py
@@ -1,4 +1,4 @@
-"""What runs a layout: its nodes as processes of this machine, its backends in this process."""
+"""Runs a layout: its nodes as processes of this machine, its backends in this process."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 from meadowworks.runtime.node_settings import SETTINGS_FILE_VARIABLE
 
 PROJECT_ROOT = Path(__file__).parents[2]
-FIRST_BACKEND_INDEX = 20  # of a layout's addresses: beyond its nodes
+FIRST_BACKEND_INDEX = 20  # index of an address beyond those of the nodes
 
 Process = subprocess.Popen[bytes]
 
 
 def start_node(layout: SystemLayout, index: int, folder: Path) -> Process:
-    """Start a node, which keeps its settings and its state in the folder."""
+    """Start a node, with its settings and its state in a folder."""
     settings_file = folder / f"{index}.json"
     settings_file.write_text(json.dumps(layout.node_settings(index, folder / f"disk-{index}")))
     environ = {
@@ -38,7 +38,7 @@
 
 @contextmanager
 def running_nodes(layout: SystemLayout) -> Iterator[list[Process]]:
-    """Run all nodes of a layout, in a temporary folder; they are terminated at the end."""
+    """Run all nodes of a layout in a temporary folder; terminate them at the end."""
     with tempfile.TemporaryDirectory(prefix="meadowworks-") as folder:
         count = layout.control_plane_nodes + layout.proxies
         processes = [start_node(layout, index, Path(folder)) for index in range(count)]
@@ -55,7 +55,7 @@
 async def running_backends(
     layout: SystemLayout, services: Sequence[str], zones: Sequence[str], per_zone: int = 2
 ) -> AsyncIterator[list[StubBackend]]:
-    """Run stand-in backends of each service in each zone, which send heartbeats to the layout's nodes."""
+    """Run stub backends of each service in each zone; they send heartbeats to the layout's nodes."""
     backends = [
         StubBackend(
             f"{service}-{zone}-{number}", service, zone, layout.ip_address(FIRST_BACKEND_INDEX + number)
--- a/meadowworks/local/system.py
+++ b/meadowworks/local/system.py
@@ -1,4 +1,4 @@
-"""The layout of a small gateway on loopback: every node has an address of 127.0.0.0/8 of its own."""
+"""The layout of a small gateway on loopback: each node has its own address in 127.0.0.0/8."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 
 REGION = "loop"
 ZONES = {"north": REGION, "south": REGION}
-HEARTBEAT_INTERVAL_MS = 500  # of backends: short, so that a newcomer sees what happens
-MAX_SEEDS = 3  # nodes of the control plane that a node's settings name
-HOST_NAME = "local.example"  # the one host of the configuration
+HEARTBEAT_INTERVAL_MS = 500  # of backends; short, so that changes show soon
+MAX_SEEDS = 3  # control-plane nodes in a node's settings
+HOST_NAME = "local.example"  # the only host of the configuration
 
 
 @dataclass(frozen=True, slots=True)
 class Ports:
-    """The ports of every node, each used by those that serve there.
+    """The port numbers, which are the same at every node's address.
 
-    :ivar http: where clients call a proxy.
-    :ivar readyz: where a load balancer asks a proxy whether it is ready.
-    :ivar control: where operators and backends call the control plane.
-    :ivar peer: where the nodes call each other.
+    :ivar http: of proxies, for clients.
+    :ivar readyz: of proxies, for the readiness checks of a load balancer.
+    :ivar control: of control-plane nodes, for operators and backends.
+    :ivar peer: of all nodes, for calls between nodes.
     """
 
     http: int
@@ -35,7 +35,7 @@
 
 
 def find_free_ports() -> Ports:
-    """Return ports that nothing listens on just now."""
+    """Return ports on which nothing listens at the moment."""
     sockets = [socket.socket() for _ in range(4)]
     for sock in sockets:
         sock.bind(("127.0.0.1", 0))
@@ -46,7 +46,7 @@
 
 
 def find_unavailable_address(addresses: list[Address]) -> str | None:
-    """Return the first address that can't be listened on, with the reason."""
+    """Return the first address that cannot be listened on, with the reason; None if there is none."""
     for address in addresses:
         try:
             socket.create_server(address).close()
@@ -57,9 +57,9 @@
 
 @dataclass(frozen=True, slots=True)
 class SystemLayout:
-    """The nodes of a gateway; those of the control plane come first.
+    """The nodes of a gateway, control-plane nodes first.
 
-    :ivar subnet: the third number of all addresses.
+    :ivar subnet: the third number of all IP addresses.
     """
 
     subnet: int
@@ -68,26 +68,26 @@
     proxies: int = 2
 
     def ip_address(self, index: int) -> str:
-        """Return the address of a node, or, beyond the last, one that is free for a backend."""
+        """Return the IP address of a node; an index beyond the last node is free for a backend."""
         return f"127.0.{self.subnet}.{index + 1}"
 
     def control_addresses(self) -> list[Address]:
-        """Where operators and backends call the control plane."""
+        """Return the addresses where operators and backends call the control plane."""
         return [Address(self.ip_address(k), self.ports.control) for k in range(self.control_plane_nodes)]
 
     def proxy_addresses(self) -> list[Address]:
-        """Where clients call the proxies."""
+        """Return the addresses where clients call the proxies."""
         return [Address(self.ip_address(index), self.ports.http) for index in self._proxy_indexes()]
 
     def all_addresses(self) -> list[Address]:
-        """Everything that the nodes listen on."""
+        """Return all addresses that the nodes listen on."""
         ports = self.ports
-        found = [
+        control_plane_addresses = [
             Address(self.ip_address(index), port)
             for index in range(self.control_plane_nodes)
             for port in (ports.control, ports.peer)
         ]
-        return found + [
+        return control_plane_addresses + [
             Address(self.ip_address(index), port)
             for index in self._proxy_indexes()
             for port in (ports.http, ports.readyz, ports.peer)
@@ -96,7 +96,7 @@
     def node_settings(self, index: int, data_dir: Path | None, bootstrap: bool = True) -> dict[str, Any]:
         """Return the settings file of a node, as JSON values.
 
-        :param data_dir: where a node of the control plane keeps its state.
+        :param data_dir: the folder for the state of a control-plane node.
         """
         in_control_plane = index < self.control_plane_nodes
         ip = self.ip_address(index)
@@ -133,7 +133,7 @@
 def build_configuration(version: int, routes: Mapping[str, tuple[str, str]], max_attempts: int = 2) -> bytes:
     """Return a configuration of one host, as JSON.
 
-    :param routes: by prefix: the type, `safe` or `unsafe`, and the service.
+    :param routes: by path prefix, the type (`safe` or `unsafe`) and the service.
     """
     prefixes = [
         {
