--- a/example/toy.py
+++ b/example/toy.py
@@ -1,7 +1,7 @@
-"""Discovery, a proxy and a collector in one short program, to see the controller at work.
+"""Discovery, a proxy and a collector in one short program, to try the controller.
 
-Start it, then the controller as README.md says. The proxy prints its table whenever that changes. After some
-seconds a backend drains, then a new one starts; a second backend begins to drop half of its calls.
+Start it, then the controller, as README.md describes. The proxy prints its table at each update. After some
+seconds one backend drains, then a new one starts, and another backend begins to drop half of its calls.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 from meadowworks.attempts.machine import AttemptMachine, FinalReply
 from meadowworks.attempts.retry_policy import ANSWERED, NEVER_RAN, RouteRetryPolicy
 
-SECOND = 1_000_000_000
+SECOND_NS = 1_000_000_000
 CONFIG = json.loads(Path(os.environ.get("NODE_CONFIG") or Path(__file__).parent / "config.json").read_text())
 CONTROLLER, DISCOVERY = (CONFIG[key].rpartition(":")[::2] for key in ("listen", "discovery"))
 ROUTES = [profile["name"] for profile in CONFIG["settings"]["profiles"]]
 
 
-class Fleet:
-    """The backends as discovery lists them, and which of them drop calls."""
+class ToyDiscovery:
+    """Lists the backends, and holds which of them drop calls."""
 
     def __init__(self) -> None:
         self.index = 0
@@ -51,137 +51,146 @@
         print(f"discovery: {name} is {status}", flush=True)
 
     async def answer(self, request: web.BaseRequest) -> web.StreamResponse:
-        """`GET /discovery/hosts`, as a watch where it names the index that it has."""
+        """Answer `GET /discovery/hosts`; a request with the current index is a long poll."""
         index = int(request.query.get("index", -1))
         if index >= self.index:
             with suppress(TimeoutError):
                 await asyncio.wait_for(self.changed.wait(), int(request.query.get("wait", 0)) / 1000)
-        entries = [entry for at, entry in self.entries.values() if at > index]
+        entries = [entry for changed_index, entry in self.entries.values() if changed_index > index]
         return web.json_response({"index": self.index, "snapshot": index < 0, "endpoints": entries})
 
 
-class Calls:
-    """What a proxy does with its calls: the machine decides, this carries it out on pretended backends. One
-    that drops calls refuses every second try before it runs, with proof: such a call may be tried again
-    elsewhere."""
+class ToyProxy:
+    """A proxy's calls: the attempt machine decides, and simulated backends answer.
 
-    def __init__(self, fleet: Fleet) -> None:
-        self.fleet = fleet
-        ways = [RouteRetryPolicy(False, 2 * SECOND, SECOND, SECOND // 10, 5 * SECOND) for _ in ROUTES]
-        self.machine = AttemptMachine(self, ways, SECOND, 1000, 7)
-        self.names: list[str] = []  # of backends, by index
+    A backend that drops calls rejects every second attempt before it runs; such an attempt may be retried.
+    """
+
+    def __init__(self, discovery: ToyDiscovery) -> None:
+        self.discovery = discovery
+        retry_policies = [
+            RouteRetryPolicy(False, 2 * SECOND_NS, SECOND_NS, SECOND_NS // 10, 5 * SECOND_NS) for _ in ROUTES
+        ]
+        self.machine = AttemptMachine(self, retry_policies, SECOND_NS, 1000, 7)
+        self.backend_names: list[str] = []  # by index
         self.table: dict[str, float] = {}
-        self.grants = [(1.0, 0) for _ in ROUTES]
-        self.sent: list[tuple[int, int, int]] = []
-        self.met: dict[str, list[int]] = {}  # tries and dropped ones, by backend
-        self.asked = [[0, 0] for _ in ROUTES]  # calls and dropped ones, by route
-        self.key = 0
+        self.admissions = [(1.0, 0) for _ in ROUTES]
+        self.pending_attempts: list[tuple[int, int, int]] = []  # key, number and backend
+        self.attempt_counts: dict[str, list[int]] = {}  # attempts and failures, by backend
+        self.call_counts = [[0, 0] for _ in ROUTES]  # calls and dropped calls, by route
+        self.last_key = 0
 
     def send(self, key: int, number: int, backend: int) -> None:
-        self.sent.append((key, number, backend))
+        self.pending_attempts.append((key, number, backend))
 
     def cancel(self, number: int) -> None:
-        """Nothing is under way between two periods."""
+        """Do nothing: no attempt is pending between two periods."""
 
-    def reply(self, key: int, asker: int, told: FinalReply) -> None:
-        self.asked[key % len(ROUTES)][1] += told.kind == "dropped"
+    def reply(self, key: int, waiter: int, reply: FinalReply) -> None:
+        self.call_counts[key % len(ROUTES)][1] += reply.kind == "dropped"
 
-    def count(self, what: str) -> None:
-        print(f"proxy: {what}", flush=True)
+    def count(self, event: str) -> None:
+        print(f"proxy: {event}", flush=True)
 
-    def order(self) -> None:
-        """What the messages since the last call have made of the table."""
-        self.names += [name for name in self.table if name not in self.names]
-        lines = {self.names.index(name): weight for name, weight in self.table.items()}
-        for k, (level, policy) in enumerate(self.grants):
-            self.machine.on_table(k, lines, level, policy)
+    def apply_table(self) -> None:
+        """Pass the current table and admissions to the attempt machine."""
+        self.backend_names += [name for name in self.table if name not in self.backend_names]
+        weights = {self.backend_names.index(name): weight for name, weight in self.table.items()}
+        for route, (limit, retry_policy) in enumerate(self.admissions):
+            self.machine.on_table(route, weights, limit, retry_policy)
 
-    def period(self) -> None:
-        """Half a second's calls, 20 in all."""
+    def run_period(self) -> None:
+        """Make the 20 calls of half a second."""
         now = time.monotonic_ns()
         self.machine.tick(now)
         for _ in range(20):
-            self.key += 1
-            self.asked[self.key % len(ROUTES)][0] += 1
-            self.machine.on_request(now, self.key, self.key % len(ROUTES), self.key, False)
-            while self.sent:
-                key, number, backend = self.sent.pop()
-                name = self.names[backend]
-                refused = name in self.fleet.dropping and number % 2 == 0
-                met = self.met.setdefault(name, [0, 0])
-                met[0] += 1
-                met[1] += refused
-                self.machine.on_attempt_ended(now, key, number, NEVER_RAN if refused else ANSWERED)
-
-
-async def proxy(calls: Calls) -> None:
-    """Joins, and applies what it is sent; dials again when its stream ends."""
-    table = calls.table
+            self.last_key += 1
+            self.call_counts[self.last_key % len(ROUTES)][0] += 1
+            self.machine.on_request(now, self.last_key, self.last_key % len(ROUTES), self.last_key, False)
+            while self.pending_attempts:
+                key, number, backend = self.pending_attempts.pop()
+                name = self.backend_names[backend]
+                is_dropped = name in self.discovery.dropping and number % 2 == 0
+                counts = self.attempt_counts.setdefault(name, [0, 0])
+                counts[0] += 1
+                counts[1] += is_dropped
+                self.machine.on_attempt_ended(now, key, number, NEVER_RAN if is_dropped else ANSWERED)
+
+
+async def run_proxy(proxy: ToyProxy) -> None:
+    """Join the controller and apply its updates; reconnect when the stream ends."""
+    table = proxy.table
     while True:
         with suppress(OSError, asyncio.IncompleteReadError):
             reader, writer = await asyncio.open_connection(*CONTROLLER)
             writer.write(b"attach id=0 site=east rps=40 new=1\r\n")
             while line := (await reader.readuntil(b"\r\n")).decode():
-                says = dict(word.partition("=")[::2] for word in line.split())
-                routes = says["routes"].split("+") if "routes" in says else ROUTES
-                if "full" in says:
+                fields = dict(word.partition("=")[::2] for word in line.split())
+                routes = fields["routes"].split("+") if "routes" in fields else ROUTES
+                if "full" in fields:
                     table.clear()
-                for name, _, weight in (pair.partition(":") for pair in says.get("endpoints", "").split(",")):
+                for name, _, weight in (
+                    pair.partition(":") for pair in fields.get("endpoints", "").split(",")
+                ):
                     if name:
                         table[name] = float(weight)
                 for name in [name for name, weight in table.items() if not weight]:
                     del table[name]
-                if "admit" in says:
+                if "admit" in fields:
                     for route in routes:
-                        calls.grants[ROUTES.index(route)] = float(says["admit"]), int(says["policy"])
-                calls.order()
-                if "nonce_out" in says:
-                    writer.write(f"done id=0 seq={says['nonce_out']} ms=1\r\n".encode())
-                level = f", admits {says['admit']} of {says.get('routes', 'all')}" if "admit" in says else ""
-                print(f"proxy: {dict(sorted(table.items()))}{level}", flush=True)
+                        proxy.admissions[ROUTES.index(route)] = float(fields["admit"]), int(fields["policy"])
+                proxy.apply_table()
+                if "nonce_out" in fields:
+                    writer.write(f"done id=0 seq={fields['nonce_out']} ms=1\r\n".encode())
+                admission = (
+                    f", admits {fields['admit']} of {fields.get('routes', 'all')}"
+                    if "admit" in fields
+                    else ""
+                )
+                print(f"proxy: {dict(sorted(table.items()))}{admission}", flush=True)
         await asyncio.sleep(0.5)
 
 
-async def collector(calls: Calls) -> None:
-    """Passes on twice a second what the proxy's calls have met."""
+async def run_collector(proxy: ToyProxy) -> None:
+    """Run the proxy's calls, and report their results twice a second."""
     while True:
         with suppress(OSError):
             _, writer = await asyncio.open_connection(*CONTROLLER)
             writer.write(b"telemetry site=east\r\n")
             while not writer.is_closing():
-                calls.period()
-                for name, (tries, bad) in calls.met.items():
+                proxy.run_period()
+                for name, (attempts, failures) in proxy.attempt_counts.items():
                     writer.write(
-                        f"upstream_stats site=east target={name} count={tries} fail={bad} "
+                        f"upstream_stats site=east target={name} count={attempts} fail={failures} "
                         "mean=80 over=500 util=queue:0\r\n".encode()
                     )
-                for route, (count, dropped) in zip(ROUTES, calls.asked, strict=True):
-                    said = f"client_stats id=0 lane={route} count={count} fail={dropped} over=500\r\n"
-                    writer.write(said.encode())
-                calls.met.clear()
-                calls.asked = [[0, 0] for _ in ROUTES]
+                for route, (count, dropped) in zip(ROUTES, proxy.call_counts, strict=True):
+                    report = f"client_stats id=0 lane={route} count={count} fail={dropped} over=500\r\n"
+                    writer.write(report.encode())
+                proxy.attempt_counts.clear()
+                proxy.call_counts = [[0, 0] for _ in ROUTES]
                 await writer.drain()
                 await asyncio.sleep(0.5)
         await asyncio.sleep(0.5)
 
 
 async def main() -> None:
-    fleet = Fleet()
-    calls = Calls(fleet)
+    discovery = ToyDiscovery()
+    proxy = ToyProxy(discovery)
     for name in ("s-1", "s-2", "s-3", "s-4"):
-        fleet.put(name)
-    await asyncio.get_running_loop().create_server(web.Server(fleet.answer), *DISCOVERY)
-    peers = [asyncio.create_task(proxy(calls)), asyncio.create_task(collector(calls))]
-    while not calls.table:
+        discovery.put(name)
+    await asyncio.get_running_loop().create_server(web.Server(discovery.answer), *DISCOVERY)
+    peers = [asyncio.create_task(run_proxy(proxy)), asyncio.create_task(run_collector(proxy))]
+    while not proxy.table:
         await asyncio.sleep(0.1)
     await asyncio.sleep(8)
-    fleet.put("s-1", "terminating")
+    discovery.put("s-1", "terminating")
     await asyncio.sleep(4)
-    fleet.put("s-1", "terminated")
-    fleet.put("s-5", since_ms=time.time_ns() // 1_000_000)
+    discovery.put("s-1", "terminated")
+    discovery.put("s-5", since_ms=time.time_ns() // 1_000_000)
     await asyncio.sleep(4)
     print("backends: s-2 drops half of its calls", flush=True)
-    fleet.dropping.add("s-2")
+    discovery.dropping.add("s-2")
     await asyncio.gather(*peers)
 
 
