--- a/tests/fleet/program.py
+++ b/tests/fleet/program.py
@@ -1,4 +1,4 @@
-"""The real controller as a process, and stand-ins for all that it speaks to."""
+"""The fleet controller as a process, and fakes of the programs that it connects with."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 from aiohttp import web
 
-LANES, PATIENCE_S = ("look", "book"), 30.0  # what has not come by then never will, on a slow machine too
+ROUTES, TIMEOUT_S = ("look", "book"), 30.0  # long enough for a slow machine
 
 
-NESTED: dict[str, Any] = {
+SETTINGS: dict[str, Any] = {
     "balancers": 1,
     "tick_us": 5000,
     "zones": ["east", "west"],
@@ -53,7 +53,7 @@
 }
 
 
-def listed(name: str, zone: str = "east", status: str = "in_service", since_ms: int = 0) -> dict[str, Any]:
+def endpoint(name: str, zone: str = "east", status: str = "in_service", since_ms: int = 0) -> dict[str, Any]:
     return {
         "name": name,
         "address": "127.0.0.9:1",
@@ -66,112 +66,114 @@
     }
 
 
-class Desk:
-    """Stands for discovery: a list, its watches, and the ways in which it fails."""
+class FakeDiscovery:
+    """A fake of discovery: a list, its long polls, and several failure modes."""
 
     def __init__(self, *entries: dict[str, Any]) -> None:
-        self.index, self.calls, self.mood = 1, 0, "well"
+        self.index, self.calls, self.mode = 1, 0, "well"
         self.entries = {entry["name"]: (1, entry) for entry in entries}
-        self.news = asyncio.Condition()
+        self.changed = asyncio.Condition()
 
     async def open(self) -> str:
         server = await asyncio.get_running_loop().create_server(web.Server(self.answer), "127.0.0.1", 0)
         return f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
 
-    async def tell(self, *entries: dict[str, Any], mood: str = "well") -> None:
-        async with self.news:
-            self.mood, self.index = mood, self.index + bool(entries)
+    async def update(self, *entries: dict[str, Any], mode: str = "well") -> None:
+        async with self.changed:
+            self.mode, self.index = mode, self.index + bool(entries)
             self.entries.update((entry["name"], (self.index, entry)) for entry in entries)
-            self.news.notify_all()
+            self.changed.notify_all()
 
-    def since(self, index: int) -> dict[str, Any]:
-        changed = [entry for at, entry in self.entries.values() if at > index]
-        return {"index": self.index, "snapshot": index < 0, "endpoints": changed}
+    def entries_since(self, index: int) -> dict[str, Any]:
+        entries = [entry for changed_index, entry in self.entries.values() if changed_index > index]
+        return {"index": self.index, "snapshot": index < 0, "endpoints": entries}
 
     async def answer(self, request: web.BaseRequest) -> web.StreamResponse:
         self.calls += 1
         index, wait_s = int(request.query.get("index", -1)), int(request.query.get("wait", 0)) / 1000
-        if self.mood == "well":
+        if self.mode == "well":
             with suppress(TimeoutError):
-                async with self.news, asyncio.timeout(wait_s):
-                    await self.news.wait_for(lambda: self.index > index or self.mood != "well")
-        if self.mood == "silent":
+                async with self.changed, asyncio.timeout(wait_s):
+                    await self.changed.wait_for(lambda: self.index > index or self.mode != "well")
+        if self.mode == "silent":
             await asyncio.Event().wait()
-        if self.mood == "cut":
+        if self.mode == "cut":
             response = web.StreamResponse(headers={"Content-Length": "900"})
             await response.prepare(request)
             await response.write(b'{"index":')
             assert request.transport is not None
             request.transport.abort()
             return response
-        if self.mood == "back":
+        if self.mode == "back":
             return web.json_response({"index": 0, "snapshot": False, "endpoints": []})
-        if self.mood == "hasty":
-            return web.json_response(self.since(index))
-        return web.json_response(self.since(index)) if self.mood == "well" else web.Response(status=503)
+        if self.mode == "hasty":
+            return web.json_response(self.entries_since(index))
+        return (
+            web.json_response(self.entries_since(index)) if self.mode == "well" else web.Response(status=503)
+        )
 
 
-class Peer:
-    """One connection to the controller; as a proxy it applies what it is sent."""
+class FakePeer:
+    """One connection to the controller; as a proxy it applies the updates that it receives."""
 
     def __init__(self) -> None:
-        self.tables: dict[str, dict[str, float]] = {lane: {} for lane in LANES}
-        self.levels: dict[str, tuple[float, int]] = {}
-        self.messages = self.beats = 0
-        self.number = ""  # answers marks once it has one
+        self.tables: dict[str, dict[str, float]] = {route: {} for route in ROUTES}
+        self.admissions: dict[str, tuple[float, int]] = {}
+        self.messages = self.heartbeat_replies = 0
+        self.number = ""  # acknowledges nonces once it has one
 
-    async def dial(self, port: int, *lines: str) -> Peer:
+    async def connect(self, port: int, *lines: str) -> FakePeer:
         self.reader, self.writer = await asyncio.open_connection("127.0.0.1", port)
-        self.say(*lines)
+        self.send(*lines)
         return self
 
-    def say(self, *lines: str) -> None:
+    def send(self, *lines: str) -> None:
         self.writer.write("".join(line + "\r\n" for line in lines).encode())
 
     def apply(self, line: str) -> None:
         kind, *words = line.split()
         if kind == "hb_ok":
-            self.beats += 1
+            self.heartbeat_replies += 1
             return
-        says = dict(word.partition("=")[::2] for word in words)
+        fields = dict(word.partition("=")[::2] for word in words)
         assert kind == "assign"
-        assert set(says) <= {"routes", "full", "endpoints", "admit", "policy", "continued", "nonce_out"}
-        self.messages += "continued" not in says
-        if "nonce_out" in says and self.number:
-            self.say(f"done id={self.number} seq={says['nonce_out']} ms=1.5")
-        for lane in says["routes"].split("+") if "routes" in says else LANES:
-            if "full" in says:
-                self.tables[lane] = {}
-                self.levels.pop(lane, None)
-            for pair in says.get("endpoints", "").split(","):
+        assert set(fields) <= {"routes", "full", "endpoints", "admit", "policy", "continued", "nonce_out"}
+        self.messages += "continued" not in fields
+        if "nonce_out" in fields and self.number:
+            self.send(f"done id={self.number} seq={fields['nonce_out']} ms=1.5")
+        for route in fields["routes"].split("+") if "routes" in fields else ROUTES:
+            if "full" in fields:
+                self.tables[route] = {}
+                self.admissions.pop(route, None)
+            for pair in fields.get("endpoints", "").split(","):
                 if pair:
                     name, _, weight = pair.partition(":")
-                    self.tables[lane][name] = float(weight)
+                    self.tables[route][name] = float(weight)
                     if not float(weight):
-                        del self.tables[lane][name]
-            if "admit" in says:
-                self.levels[lane] = float(says["admit"]), int(says["policy"])
+                        del self.tables[route][name]
+            if "admit" in fields:
+                self.admissions[route] = float(fields["admit"]), int(fields["policy"])
 
-    async def until(self, truth: Callable[[Peer], bool]) -> None:
-        async with asyncio.timeout(PATIENCE_S):
-            while not truth(self):
+    async def receive_until(self, condition: Callable[[FakePeer], bool]) -> None:
+        async with asyncio.timeout(TIMEOUT_S):
+            while not condition(self):
                 self.apply((await self.reader.readuntil(b"\r\n")).decode())
 
-    async def over(self) -> None:
-        """Waits for the controller to end the connection, whatever it still sends."""
+    async def wait_closed(self) -> None:
+        """Wait until the controller closes the connection; discard received data."""
         with suppress(ConnectionError):
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(TIMEOUT_S):
                 while await self.reader.read(1 << 16):
                     pass
 
 
-class Program:
-    """The real controller as the platform starts it, on a loopback port that was free."""
+class ControllerProcess:
+    """The controller as a process on a free loopback port."""
 
     def __init__(
-        self, folder: Path, desk: Desk, settings: dict[str, Any] = NESTED, sockets: int = 1024
+        self, folder: Path, discovery: FakeDiscovery, settings: dict[str, Any] = SETTINGS, sockets: int = 1024
     ) -> None:
-        self.desk, self.folder, self.sockets = desk, folder, sockets
+        self.discovery, self.folder, self.sockets = discovery, folder, sockets
         with socket.create_server(("127.0.0.1", 0)) as free:
             self.port = free.getsockname()[1]
         self.config: dict[str, Any] = {
@@ -179,7 +181,7 @@
             "listen": f"127.0.0.1:{self.port}",
             "seed": "8c1f30d2",
             "limits": {"sockets": sockets},
-            "known": {"index": 1, "snapshot": True, "endpoints": [e for _, e in desk.entries.values()]},
+            "known": {"index": 1, "snapshot": True, "endpoints": [e for _, e in discovery.entries.values()]},
             "settings": settings,
         }
 
@@ -189,14 +191,14 @@
         config.write_text(json.dumps(self.config))
         return config
 
-    async def logged(self, text: str) -> None:
-        async with asyncio.timeout(PATIENCE_S):
+    async def wait_for_log(self, text: str) -> None:
+        async with asyncio.timeout(TIMEOUT_S):
             while text not in self.log():
                 await asyncio.sleep(0.02)
 
-    async def start(self, *command: str) -> Program:
+    async def start(self, *command: str) -> ControllerProcess:
         if "discovery" not in self.config:
-            self.config["discovery"] = await self.desk.open()
+            self.config["discovery"] = await self.discovery.open()
         config = self.write()
         with open(self.folder / "log", "w") as log:
             self.process = await asyncio.create_subprocess_exec(
@@ -209,16 +211,16 @@
             )
         return self
 
-    async def peer(self, *lines: str) -> Peer:
-        """Dials until the controller is there, as a proxy or a collector would."""
-        async with asyncio.timeout(PATIENCE_S):
+    async def peer(self, *lines: str) -> FakePeer:
+        """Connect to the controller; retry until it listens."""
+        async with asyncio.timeout(TIMEOUT_S):
             while self.process.returncode is None:
                 with suppress(ConnectionError):
-                    return await Peer().dial(self.port, *lines)
+                    return await FakePeer().connect(self.port, *lines)
                 await asyncio.sleep(0.02)
         raise AssertionError(self.log())
 
-    async def proxy(self, number: int, zone: str = "east") -> Peer:
+    async def proxy(self, number: int, zone: str = "east") -> FakePeer:
         peer = await self.peer(f"attach id={number} site={zone} rps=9.5 new=1")
         peer.number = str(number)
         return peer
@@ -226,22 +228,27 @@
     def log(self) -> str:
         return (self.folder / "log").read_text()
 
-    async def end(self, number: int) -> int:
+    async def stop(self, signal_number: int) -> int:
         if self.process.returncode is None:
-            self.process.send_signal(number)
-        async with asyncio.timeout(PATIENCE_S):
+            self.process.send_signal(signal_number)
+        async with asyncio.timeout(TIMEOUT_S):
             return await self.process.wait()
 
 
-def play(act: Callable[[Program], Awaitable[None]], folder: Path, desk: Desk, **options: Any) -> None:
-    """Runs the act beside a started program, and sees that the program was still there at its end."""
+def run_with_controller(
+    scenario: Callable[[ControllerProcess], Awaitable[None]],
+    folder: Path,
+    discovery: FakeDiscovery,
+    **options: Any,
+) -> None:
+    """Run a scenario against a started controller; check that the controller still runs afterwards."""
 
-    async def whole() -> None:
-        program = await Program(folder, desk, **options).start()
+    async def run() -> None:
+        controller = await ControllerProcess(folder, discovery, **options).start()
         try:
-            await act(program)
-            assert program.process.returncode is None, program.log()
+            await scenario(controller)
+            assert controller.process.returncode is None, controller.log()
         finally:
-            assert await program.end(signal.SIGTERM) == 0, program.log()
+            assert await controller.stop(signal.SIGTERM) == 0, controller.log()
 
-    asyncio.run(whole())
+    asyncio.run(run())
--- a/tests/fleet/test_controller.py
+++ b/tests/fleet/test_controller.py
@@ -1,4 +1,4 @@
-"""The timer of the main actor."""
+"""Tests the timer of the main actor."""
 
 from __future__ import annotations
 
@@ -6,32 +6,32 @@
 import json
 from pathlib import Path
 
-from meadowworks.fleet import controller
 from meadowworks.fleet.config import load_config
+from meadowworks.fleet.controller import FleetController
 from meadowworks.fleet.mailbox import Mailbox
 from meadowworks.fleet.messages import (
     ControllerEvent,
     DiscoveryCommand,
 )
-from tests.fleet.program import Desk, Program
+from tests.fleet.program import ControllerProcess, FakeDiscovery
 
 
-def test_the_timer_neither_drifts_nor_piles_up_after_a_stall(tmp_path: Path) -> None:
-    program = Program(tmp_path, Desk())
-    (tmp_path / "config.json").write_text(json.dumps({**program.config, "discovery": "127.0.0.1:1"}))
+def test_timer_does_not_drift_and_skips_missed_ticks_after_stall(tmp_path: Path) -> None:
+    process = ControllerProcess(tmp_path, FakeDiscovery())
+    (tmp_path / "config.json").write_text(json.dumps({**process.config, "discovery": "127.0.0.1:1"}))
 
-    async def act() -> None:
+    async def scenario() -> None:
         config = load_config({"NODE_CONFIG": str(tmp_path / "config.json")})
-        at = asyncio.get_running_loop().call_at
-        node = controller.FleetController(
-            config, Mailbox[ControllerEvent](9), Mailbox[DiscoveryCommand](9), at
+        call_at = asyncio.get_running_loop().call_at
+        controller = FleetController(
+            config, Mailbox[ControllerEvent](9), Mailbox[DiscoveryCommand](9), call_at
         )
-        due, wait = node.timer_due_ns, config.settings.report_interval_ns
-        node.now_ns = due + 1000  # a little late: the next is counted from when this one was due
-        node.set_timer(wait)
-        assert node.timer_due_ns == due + wait
-        node.now_ns = node.timer_due_ns + 10 * wait
-        node.set_timer(wait)
-        assert node.timer_due_ns == node.now_ns + wait
+        due, wait = controller.timer_due_ns, config.settings.report_interval_ns
+        controller.now_ns = due + 1000  # slightly late: the next due time is relative to this one
+        controller.set_timer(wait)
+        assert controller.timer_due_ns == due + wait
+        controller.now_ns = controller.timer_due_ns + 10 * wait
+        controller.set_timer(wait)
+        assert controller.timer_due_ns == controller.now_ns + wait
 
-    asyncio.run(act())
+    asyncio.run(scenario())
--- a/tests/fleet/test_mailbox.py
+++ b/tests/fleet/test_mailbox.py
@@ -1,4 +1,4 @@
-"""The bound of a mailbox."""
+"""Tests the limit of a mailbox."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from meadowworks.fleet.mailbox import Mailbox
 
 
-def test_a_full_mailbox_drops_its_oldest_reports_and_nothing_else() -> None:
-    async def act() -> list[str]:
-        box: Mailbox[str] = Mailbox(2)
+def test_full_mailbox_drops_only_oldest_reports() -> None:
+    async def scenario() -> list[str]:
+        mailbox: Mailbox[str] = Mailbox(2)
         for item in ("join", "a", "b", "leave", "c", "d"):
-            box.put(item, is_report=len(item) == 1)
-        return box.drain()
+            mailbox.put(item, is_report=len(item) == 1)
+        return mailbox.drain()
 
-    assert asyncio.run(act()) == ["join", "leave", "c", "d"]
+    assert asyncio.run(scenario()) == ["join", "leave", "c", "d"]
--- a/tests/fleet/test_messages.py
+++ b/tests/fleet/test_messages.py
@@ -1,4 +1,4 @@
-"""Lines of the protocol and answers of discovery."""
+"""Tests the decoding of protocol lines and of discovery's replies."""
 
 from __future__ import annotations
 
@@ -15,22 +15,22 @@
 )
 
 
-def test_lines_of_the_protocol_are_read_in_its_units() -> None:
-    told = b"upstream_stats site=a target=s-5 count=4 fail=1 mean=41.7 over=1000.0 util=inflight:7,util:0.61"
-    assert decode_line(told) == BackendReport(
+def test_lines_are_decoded_with_units_converted() -> None:
+    line = b"upstream_stats site=a target=s-5 count=4 fail=1 mean=41.7 over=1000.0 util=inflight:7,util:0.61"
+    assert decode_line(line) == BackendReport(
         "a", "s-5", 4, 1, 41_700_000, 1_000_000_000, {"inflight": 7.0, "util": 0.61}
     )
     assert decode_line(b"attach id=17 site=a rps=21.5 new=1\r") == ProxyHello(17, "a", 21.5, True)
-    none_good = decode_line(b"upstream_stats site=a target=s-5 count=2 fail=2 over=500")
-    assert none_good == BackendReport("a", "s-5", 2, 2, 0, 500_000_000, {})
+    all_failed = decode_line(b"upstream_stats site=a target=s-5 count=2 fail=2 over=500")
+    assert all_failed == BackendReport("a", "s-5", 2, 2, 0, 500_000_000, {})
     with pytest.raises(ValueError, match="5 of 4"):
-        decode_line(told.replace(b"fail=1", b"fail=5"))
+        decode_line(line.replace(b"fail=1", b"fail=5"))
 
 
-@pytest.mark.parametrize("answer", [None, [], {}, {"index": 1, "snapshot": True}, {"endpoints": []}])
-def test_a_list_without_sense_is_an_error(answer: Any) -> None:
+@pytest.mark.parametrize("reply", [None, [], {}, {"index": 1, "snapshot": True}, {"endpoints": []}])
+def test_invalid_endpoint_list_is_rejected(reply: Any) -> None:
     with pytest.raises(ValueError, match="not an endpoint list"):
-        parse_endpoint_list(answer)
+        parse_endpoint_list(reply)
 
 
 @pytest.mark.parametrize(
@@ -54,9 +54,9 @@
         "done id=0 seq=x ms=1",
     ],
 )
-def test_a_field_spoilt_is_told_from_what_is_no_message(line: str) -> None:
-    with pytest.raises(ValueError) as found:
+def test_malformed_field_is_not_an_unknown_message(line: str) -> None:
+    with pytest.raises(ValueError) as raised:
         decode_line(line.encode())
-    assert not isinstance(found.value, UnknownMessageError)
+    assert not isinstance(raised.value, UnknownMessageError)
     with pytest.raises(UnknownMessageError):
         decode_line(b"x" + line.encode())
--- a/tests/fleet/test_names.py
+++ b/tests/fleet/test_names.py
@@ -1,11 +1,11 @@
-"""Indices of names."""
+"""Tests the indices of names."""
 
 from __future__ import annotations
 
 from meadowworks.fleet.names import NameIndex
 
 
-def test_a_name_that_was_freed_comes_back_under_another_index() -> None:
+def test_released_name_gets_new_index() -> None:
     names = NameIndex()
     old = names.index("s-1")
     names.release(old)
--- a/tests/gateway/test_cli_main.py
+++ b/tests/gateway/test_cli_main.py
@@ -1,4 +1,4 @@
-"""The command line: invalid input is one line with the usage, and what it prints can be called."""
+"""Tests that the command line reports invalid input on one line, and that its printed examples run."""
 
 from __future__ import annotations
 
@@ -36,21 +36,21 @@
     assert usage in err
 
 
-def test_the_commands_that_local_prints_to_try_exist() -> None:
+def test_example_commands_of_local_exist() -> None:
     lines = [shlex.split(line) for line in example_commands(SystemLayout(7, Ports(1, 2, 3, 4)))]
     assert lines[0][0] == "curl"
     assert len(lines) > 4
-    for python, *rest in lines[1:]:
+    for python, *arguments in lines[1:]:
         assert (PROJECT_ROOT / python).exists()
-        assert rest[:2] == ["-m", "meadowworks"]
-        assert rest[2] in commands.COMMANDS
-        assert commands.main([rest[2], "--help"]) == 0
+        assert arguments[:2] == ["-m", "meadowworks"]
+        assert arguments[2] in commands.COMMANDS
+        assert commands.main([arguments[2], "--help"]) == 0
 
 
-def test_a_command_whose_reader_has_gone_ends_quietly(monkeypatch: pytest.MonkeyPatch) -> None:
-    read, write = os.pipe()
-    os.close(read)
-    with os.fdopen(write, "w") as gone:
-        monkeypatch.setattr(sys, "stdout", gone)
+def test_broken_pipe_ends_command_quietly(monkeypatch: pytest.MonkeyPatch) -> None:
+    read_fd, write_fd = os.pipe()
+    os.close(read_fd)
+    with os.fdopen(write_fd, "w") as broken_pipe:
+        monkeypatch.setattr(sys, "stdout", broken_pipe)
         assert commands.main(["--help"]) == 141
         monkeypatch.undo()
--- a/tests/gateway/test_config_command.py
+++ b/tests/gateway/test_config_command.py
@@ -1,4 +1,4 @@
-"""`meadowworks config diff`: differences are reported by name."""
+"""Tests that `meadowworks config diff` reports differences by name."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 CONFIG = json.loads(build_configuration(7, {"/a/": ("safe", "s"), "/a/b/": ("unsafe", "t")}))
 
 
-def test_a_difference_is_reported_by_name() -> None:
-    other = copy.deepcopy(CONFIG)
-    other["vhosts"][0]["prefixes"][1]["tries"] = 9
-    assert differences(CONFIG, other) == ["vhosts.local.example.prefixes.r1.tries: 2 -> 9"]
-    del other["vhosts"][0]["prefixes"][0]
-    assert len(differences(CONFIG, other)) == 2
+def test_difference_is_reported_by_name() -> None:
+    changed = copy.deepcopy(CONFIG)
+    changed["vhosts"][0]["prefixes"][1]["tries"] = 9
+    assert differences(CONFIG, changed) == ["vhosts.local.example.prefixes.r1.tries: 2 -> 9"]
+    del changed["vhosts"][0]["prefixes"][0]
+    assert len(differences(CONFIG, changed)) == 2
     assert not differences(CONFIG, CONFIG)
