--- a/meadowworks/fleet/peers.py
+++ b/meadowworks/fleet/peers.py
@@ -17,7 +17,7 @@
 
 
 async def run_peer(state: ConnectionState, mailbox: Mailbox[ConnectionItem]) -> None:
-    """Process the mailbox until the connection ends; a proxy has then left, whatever the reason."""
+    """Process the mailbox until the connection ends. Afterwards a proxy has left, whatever ended it."""
     if isinstance(state.peer, CollectorHello):
         logger.info("collector of {}: joined", state.peer.zone)
     state.on_actor_started()
--- a/meadowworks/fleet/streams.py
+++ b/meadowworks/fleet/streams.py
@@ -29,7 +29,7 @@
     def on_joined(self, proxy: int, stream: Mailbox[ConnectionItem]) -> bool:
         """Register a proxy's newest stream.
 
-        An older stream of the proxy is closed; its end is ignored later, since the proxy has not left.
+        An older stream of the proxy is closed, which counts as a leave; its later end is ignored.
 
         :returns: whether there was an older stream.
         """
--- a/meadowworks/local/hostile_clients.py
+++ b/meadowworks/local/hostile_clients.py
@@ -206,7 +206,7 @@
 
 
 async def _run_good_client(host: str, port: int, statistics: RunStatistics, end: float, number: int) -> None:
-    """Send five requests a second, each on a connection of its own."""
+    """Send five requests per second, each on a new connection."""
     request = GET_REQUEST.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n")
     turn = 0
     while time.monotonic() < end - GOOD_TIMEOUT_S:
--- a/tests/fleet/test_controller.py
+++ b/tests/fleet/test_controller.py
@@ -6,8 +6,8 @@
 import json
 from pathlib import Path
 
+from meadowworks.fleet import controller
 from meadowworks.fleet.config import load_config
-from meadowworks.fleet.controller import FleetController
 from meadowworks.fleet.mailbox import Mailbox
 from meadowworks.fleet.messages import (
     ControllerEvent,
@@ -23,15 +23,15 @@
     async def scenario() -> None:
         config = load_config({"NODE_CONFIG": str(tmp_path / "config.json")})
         call_at = asyncio.get_running_loop().call_at
-        controller = FleetController(
+        fleet_controller = controller.FleetController(
             config, Mailbox[ControllerEvent](9), Mailbox[DiscoveryCommand](9), call_at
         )
-        due, wait = controller.timer_due_ns, config.settings.report_interval_ns
-        controller.now_ns = due + 1000  # slightly late: the next due time is relative to this one
-        controller.set_timer(wait)
-        assert controller.timer_due_ns == due + wait
-        controller.now_ns = controller.timer_due_ns + 10 * wait
-        controller.set_timer(wait)
-        assert controller.timer_due_ns == controller.now_ns + wait
+        due, wait = fleet_controller.timer_due_ns, config.settings.report_interval_ns
+        fleet_controller.now_ns = due + 1000  # slightly late: the next due time is relative to this one
+        fleet_controller.set_timer(wait)
+        assert fleet_controller.timer_due_ns == due + wait
+        fleet_controller.now_ns = fleet_controller.timer_due_ns + 10 * wait
+        fleet_controller.set_timer(wait)
+        assert fleet_controller.timer_due_ns == fleet_controller.now_ns + wait
 
     asyncio.run(scenario())
