--- a/meadowworks/__main__.py
+++ b/meadowworks/__main__.py
@@ -1,4 +1,4 @@
-"""The command `meadowworks`: the fleet controller without arguments, the command line with them."""
+"""The command `meadowworks`: runs the fleet controller without arguments, else the command line."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 
 from meadowworks.fleet.config import load_config
 from meadowworks.fleet.server import serve
-from meadowworks.fleet.settings import SettingsError
+from meadowworks.fleet.settings import FleetSettingsError
 
 
 def main() -> int:
-    """Runs the program.
+    """Run the program.
 
-    :returns: its exit status: 0 after a signal, 1 after a fault, 2 for a configuration without sense.
+    :returns: the exit status: 0 after a signal, 1 after a fault, 2 for an invalid configuration.
     """
     if len(sys.argv) > 1:
-        from meadowworks.cli import main as commands  # what commands need, a controller's start does not
+        from meadowworks.cli import main as commands  # its dependencies are not needed by the controller
 
         return commands.main()
     logger.remove()
     logger.add(sys.stderr, format="{time:HH:mm:ss.SSS} {level} {message}", backtrace=False, diagnose=False)
     try:
         config = load_config(os.environ)
-    except SettingsError as error:
+    except FleetSettingsError as error:
         print(f"meadowworks: {error}", file=sys.stderr)
         return 2
     try:
--- a/meadowworks/policy/__init__.py
+++ b/meadowworks/policy/__init__.py
@@ -76,7 +76,7 @@
         self.host.set_timer(self.tick_interval_ns)
         if now - self.last_tick_ns > STALL_TICKS * self.tick_interval_ns:
             self.stalled_ns = now  # reports of the next seconds may come late
-            self.host.log("tick delayed by a stall: tables leave out warming backends for a while")
+            self.host.log("stalled: backends that are warming up get no calls for a while")
         for p in self.proxies.values():
             p.demand = {k: (r * 2 ** ((self.last_tick_ns - now) / h), h) for k, (r, h) in p.demand.items()}
         self.last_tick_ns = now
--- a/meadowworks/policy/weights.py
+++ b/meadowworks/policy/weights.py
@@ -74,7 +74,7 @@
         share = 1 - (1 - share) * available / max(sum(spare) - spare[zone], 1e-9)
         if abs(share - old) <= SPILL_STEP * old and (share < 1.0 or old == 1.0):
             return
-        self.host.log(f"zone {zone}: " + ("no spillover" if share == 1.0 else "spills over to other zones"))
+        self.host.log(f"zone {zone}: {'keeps its calls' if share == 1.0 else 'spills over to other zones'}")
         excess = capacity * (1 - share) / max(share, EJECTION_WEIGHTS[-1]) / max(available, 1e-9)
         view.local_share = share
         view.remote_weights = [excess * s / max(z.capacity, 1e-9) for s, z in zip(free, loads, strict=True)]
--- a/meadowworks/simulator_adapter/host.py
+++ b/meadowworks/simulator_adapter/host.py
@@ -14,7 +14,7 @@
 
     :param name: its name in the protocol.
     :param output: the lines of the reply, to which orders are appended.
-    :raises SettingsError: if an option is missing or invalid.
+    :raises FleetSettingsError: if an option is missing or invalid.
     """
 
     def __init__(
--- a/tests/gateway/golden_product.py
+++ b/tests/gateway/golden_product.py
@@ -315,19 +315,19 @@
 
 def encode_table_updates(*parts: tuple[Any, ...]) -> bytes:
     """Encode table updates, given as the fields of each `TableUpdate`."""
-    return fleet_messages.encode([fleet_messages.TableUpdate(*part) for part in parts])
+    return fleet_messages.encode_updates([fleet_messages.TableUpdate(*part) for part in parts])
 
 
 def decode_report(line: bytes) -> tuple[Any, ...]:
     """Decode a message of a proxy or a collector; return its type and its fields."""
-    report = fleet_messages.decode(line)
+    report = fleet_messages.decode_line(line)
     return type(report), *(getattr(report, name) for name in REPORT_FIELDS[type(report)])
 
 
 REPORT_FIELDS: dict[Any, tuple[str, ...]] = {
     Heartbeat: (),
     CollectorHello: ("zone",),
-    ProxyHello: ("proxy", "zone", "usual_rate", "new"),
+    ProxyHello: ("proxy", "zone", "usual_rate", "is_new"),
     UpdateApplied: ("proxy", "nonce"),
     BackendReport: ("zone", "backend", "attempts", "failures", "latency_ns", "period_ns", "load"),
     DemandReport: ("proxy", "route", "calls", "dropped", "period_ns"),
