--- a/meadowworks/simulation/scale/__init__.py
+++ b/meadowworks/simulation/scale/__init__.py
@@ -1,5 +1,5 @@
-"""`lab scale`: programs of the gateway by the hundred in one process, and what each role costs as they grow.
+"""`lab scale`: simulates hundreds of the gateway's programs in one process and measures each role's cost.
 
-The programs are made of the product's own state machines and codecs, without sockets, disks or requests; time
-is simulated. `simulation` plays a deployment, `series` plays many, `report` tabulates what they measured.
+The programs consist of the product's own state machines and codecs, without sockets, disks or requests, in
+simulated time. `simulation` runs one deployment, `series` runs several, and `report` tabulates their results.
 """
--- a/meadowworks/simulation/scale/churn.py
+++ b/meadowworks/simulation/scale/churn.py
@@ -1,4 +1,4 @@
-"""Instances that end in order and are followed by others."""
+"""Planned replacement of backends and restarts of proxies."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 
 
 class Churn:
-    """Replaces backends and restarts proxies."""
+    """Replaces backends and restarts proxies at random."""
 
     def __init__(self, deployment: Deployment, pulls: Pulls, heartbeats: Heartbeats) -> None:
         self._deployment = deployment
         self._scheduler = deployment.scheduler
         self._pulls, self._heartbeats = pulls, heartbeats
 
-    def replace_one(self, interval_ns: int) -> None:
-        """Replace a backend or a proxy, by how many there are of each, and the next after the interval."""
+    def replace_random_instance(self, interval_ns: int) -> None:
+        """Replace a random backend or restart a random proxy, and schedule the next after the interval."""
         deployment = self._deployment
-        self._scheduler.call_later(interval_ns, partial(self.replace_one, interval_ns))
+        self._scheduler.call_later(interval_ns, partial(self.replace_random_instance, interval_ns))
         proxies = deployment.all_proxies()
         if deployment.random.random() * (len(deployment.backends) + len(proxies)) < len(proxies):
             self.restart_proxy(proxies[deployment.random.randrange(len(proxies))])
@@ -34,7 +34,7 @@
             self._replace_backend()
 
     def _replace_backend(self) -> None:
-        """Let a backend drain and leave, and another begin at its address."""
+        """Drain a random backend, which leaves later, and start another one at its address."""
         deployment = self._deployment
         not_draining = [name for names in deployment.instances_of_zone.values() for name in names]
         instance = deployment.random.choice(not_draining)
@@ -50,7 +50,7 @@
         self._scheduler.enqueue(host.node, partial(host.program.on_leave, instance, lambda: None))
 
     def restart_proxy(self, host: AnyProxyHost) -> None:
-        """Begin a new incarnation of a proxy, which knows nothing."""
+        """Start a new incarnation of a proxy, which has no state."""
         node = host.node
         node.incarnation += 1
         if isinstance(host, ProxyHost):
--- a/meadowworks/simulation/scale/command.py
+++ b/meadowworks/simulation/scale/command.py
@@ -1,4 +1,4 @@
-"""`lab scale` and `lab report`: run simulations of a deployment, and report what they measured."""
+"""`lab scale` and `lab report`: simulations of a deployment, and reports of their results."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 MAX_CONTROL_PLANES = 16
 MAX_PROCESSES = 16
-INTERRUPTED = 130  # exit code of what was not played to its end, as a shell has it for Ctrl-C
+EXIT_INTERRUPTED = 130  # exit code of an incomplete run, as a shell's for Ctrl-C
 
 
 @dataclass(frozen=True, slots=True)
 class SeriesSettings:
-    """Which runs are made: one, or several with other seeds, or a series along an axis."""
+    """The runs to make: one, several with successive seeds, or a series along an axis."""
 
     axis: str
     points: str
@@ -32,32 +32,32 @@
 
 
 def run_scale(settings: ScaleSettings, plan: SeriesSettings, keep: Path | None, as_json: bool) -> int:
-    """Run what is asked for and print the results.
+    """Run one simulation or a series and print the results.
 
-    :param keep: a file that takes each result, a line of JSON.
-    :returns: an exit code, `INTERRUPTED` if not all was played to its end.
-    :raises CommandError: for settings that make no sense.
+    :param keep: a file to which each result is appended as a line of JSON.
+    :returns: an exit code, `EXIT_INTERRUPTED` if a run was not completed.
+    :raises CommandError: for invalid settings.
     """
     check_settings(settings)
     if plan.runs < 1 or not 1 <= plan.processes <= MAX_PROCESSES:
-        raise CommandError(f"--runs is 1 or more, --processes from 1 to {MAX_PROCESSES}")
+        raise CommandError(f"--runs must be 1 or more, --processes from 1 to {MAX_PROCESSES}")
     if plan.axis or plan.runs > 1:
         return run_all(settings, plan, keep, as_json)
     result = measure(settings, print_progress)
     append_result(keep, result)
     print(json.dumps(result) if as_json else format_result(result))
-    return 0 if result["complete"] else INTERRUPTED
+    return 0 if result["complete"] else EXIT_INTERRUPTED
 
 
 def run_all(settings: ScaleSettings, plan: SeriesSettings, keep: Path | None, as_json: bool) -> int:
-    """Run a series, each run in a process of its own."""
-    wanted = list(series_of(settings, plan))
-    for one in wanted:
-        check_settings(one)
+    """Run a series, each run in a separate process."""
+    all_settings = list(expand_series(settings, plan))
+    for run_settings in all_settings:
+        check_settings(run_settings)
     results = []
     complete = True
     try:
-        for result in series.run_series(wanted, plan.processes, print_progress):
+        for result in series.run_series(all_settings, plan.processes, print_progress):
             append_result(keep, result)
             results.append(result)
             if not as_json:
@@ -66,13 +66,13 @@
         complete = False
     if as_json:
         print(json.dumps({"complete": complete, "points": results}))
-    return 0 if complete else INTERRUPTED
+    return 0 if complete else EXIT_INTERRUPTED
 
 
-def series_of(settings: ScaleSettings, plan: SeriesSettings) -> Iterator[ScaleSettings]:
-    """Yield the settings of each run: of each point, one for each seed.
+def expand_series(settings: ScaleSettings, plan: SeriesSettings) -> Iterator[ScaleSettings]:
+    """Yield the settings of each run: for each point, one run for each seed.
 
-    :raises CommandError: for an unknown axis, or points that are no numbers.
+    :raises CommandError: for an unknown axis, or points that are not numbers.
     """
     if plan.axis and plan.axis not in series.AXIS_VALUES:
         raise CommandError(f"there is no axis {plan.axis!r}: there are {', '.join(series.AXIS_VALUES)}")
@@ -84,47 +84,47 @@
 
 
 def check_settings(settings: ScaleSettings) -> None:
-    """Refuse what can't be simulated.
+    """Check that a deployment can be simulated.
 
-    :raises CommandError: with the reason.
+    :raises CommandError: for settings out of range.
     """
     if not 1 <= settings.boxes <= MAX_CONTROL_PLANES or settings.controllers <= settings.boxes:
         raise CommandError(
-            f"--boxes is from 1 to {MAX_CONTROL_PLANES}, and there are more --controllers than that"
+            f"--boxes must be from 1 to {MAX_CONTROL_PLANES}, and there must be more --controllers than that"
         )
     sizes = (settings.zones, settings.backends, settings.services, settings.routes, settings.whole)
     if min(sizes) < 1 or not settings.seconds > 0:
         raise CommandError(
-            "--zones, --backends, --services, --routes and --whole are 1 or more, --seconds above 0"
+            "--zones, --backends, --services, --routes and --whole must be 1 or more, --seconds above 0"
         )
     rates = (settings.changes, settings.churn, settings.requests)
     if min(rates) < 0 or not math.isfinite(sum(rates) + settings.seconds):
-        raise CommandError("--changes, --churn and --requests are 0 or more")
+        raise CommandError("--changes, --churn and --requests must be 0 or more")
     if not settings.most_mb > 0:
-        raise CommandError("--most-mb is above 0")
+        raise CommandError("--most-mb must be above 0")
     if settings.loss and settings.loss not in LOSSES:
         raise CommandError(f"there is no loss {settings.loss!r}: there are {', '.join(LOSSES)}")
 
 
 def parse_numbers(text: str) -> tuple[float, ...]:
-    """Read numbers with commas between.
+    """Parse numbers separated by commas.
 
-    :raises CommandError: for anything else.
+    :raises CommandError: for any other text.
     """
     try:
         return tuple(float(part) for part in text.split(",")) if text else ()
     except ValueError:
-        raise CommandError(f"--points are numbers with commas between, not {text[:40]!r}") from None
+        raise CommandError(f"--points must be numbers separated by commas, not {text[:40]!r}") from None
 
 
 def print_progress(line: str) -> None:
-    """Say on standard error how far a run is, unless this is a child of a series."""
+    """Print the progress of a run on standard error, except in a child process of a series."""
     if series.QUIET_VARIABLE not in os.environ:
         print(f"lab scale: {line}", file=sys.stderr, flush=True)
 
 
 def append_result(file: Path | None, result: dict[str, Any]) -> None:
-    """Add a result to a file, if there is one."""
+    """Append a result to a file, if one is given."""
     if file:
         file.parent.mkdir(parents=True, exist_ok=True)
         with file.open("a") as out:
@@ -132,18 +132,21 @@
 
 
 def format_result(result: dict[str, Any]) -> str:
-    """Return a result as lines for a terminal."""
+    """Format a result as lines for a terminal."""
     settings = result["asked"]
     sizes = ", ".join(f"{name} {settings[name]:g}" for name in series.TARGET_SIZES if name in settings)
-    lines = [sizes if result["complete"] else f"{sizes} (not to its end: {result['why']})"]
+    lines = [sizes if result["complete"] else f"{sizes} (incomplete: {result['why']})"]
     for name, role in result["roles"].items():
         if role:
             lines.append(_format_role(name, role, result["memory"].get(name, {}).get("held_mb")))
     for change in result["changes"]:
-        shown = (f"{n} {v:.3f}" if v is not None else f"{n} not in time" for n, v in change.items())
-        lines.append(f"  a change: {', '.join(shown)}")
+        shown = (
+            f"{name} {value:.3f}" if value is not None else f"{name} not in time"
+            for name, value in change.items()
+        )
+        lines.append(f"  configuration change: {', '.join(shown)}")
     for name, rows in result.get("profile", {}).items():
-        lines.append(f"  {name}, parts with and without what a function calls:")
+        lines.append(f"  {name}, share of the time by function, with and without its callees:")
         lines += [f"    {r['whole']:.2f} {r['own']:.2f} {r['function']}, {r['calls']} calls" for r in rows]
     if result["loss"]:
         lines.append(f"  loss: {json.dumps(result['loss'])}")
@@ -162,7 +165,7 @@
 def write_report(files: Sequence[Path], page: Path | None) -> int:
     """Print Markdown tables of kept results, and write a page of plots if one is named.
 
-    :raises CommandError: for files that hold no results.
+    :raises CommandError: without files, and for files that contain no results.
     """
     if not files:
         raise CommandError("report wants the files that scale has kept")
--- a/meadowworks/simulation/scale/configuration_changes.py
+++ b/meadowworks/simulation/scale/configuration_changes.py
@@ -1,4 +1,4 @@
-"""Changes of the configuration by an operator, and when they come into force."""
+"""Changes of the configuration by an operator, and the times at which proxies apply them."""
 
 from __future__ import annotations
 
@@ -32,9 +32,9 @@
 
 
 class ConfigurationChanges:
-    """An operator who replaces the configuration at the first control plane, again and again.
+    """An operator that periodically replaces the configuration at the first control plane.
 
-    Consensus is stood in for by its two rounds of messages, each with a disk's sync at the replicas.
+    Consensus is represented by its two rounds of messages, each with a disk sync at the replicas.
     """
 
     def __init__(self, deployment: Deployment) -> None:
@@ -43,7 +43,7 @@
         self.changes: list[ConfigurationChange] = []
 
     def send(self, version: int, interval_ns: int) -> None:
-        """Send a version in which one route has another deadline, and the next one after the interval."""
+        """Send a version with one changed route, and schedule the next one after the interval."""
         deployment = self._deployment
         self._scheduler.call_later(interval_ns, partial(self.send, version + 1, interval_ns))
         body = self._changed_configuration(version)
@@ -54,15 +54,15 @@
         self._scheduler.call_later(IN_ZONE_NS, partial(self._scheduler.enqueue, host.node, arrival))
 
     def on_applied(self, node: SimulatedNode, version: int) -> None:
-        """Note that a version, and all before it, are in force at a proxy."""
+        """Record that a proxy has applied a version, and thus all earlier ones."""
         for change in self.changes:
             if change.version <= version:
                 change.applied_ns.setdefault(node.name, self._deployment.now)
 
     def _changed_configuration(self, version: int) -> bytes:
-        configuration, chance = self._deployment.configuration, self._deployment.random
-        host = configuration["vhosts"][chance.randrange(len(configuration["vhosts"]))]
-        route = chance.choice(host["prefixes"])
+        configuration, rng = self._deployment.configuration, self._deployment.random
+        host = configuration["vhosts"][rng.randrange(len(configuration["vhosts"]))]
+        route = rng.choice(host["prefixes"])
         route["deadlineMs"] = 1000 + version % 500
         configuration["ver"] = f"{version:08x}"
         return json.dumps(configuration).encode()
@@ -85,37 +85,39 @@
         self._send_round(host, encode(prepare), lambda: self._send_round(host, encode(accept), commit))
 
     def _send_round(self, host: ControlPlaneHost, message: bytes, on_majority: Callback) -> None:
-        """Send a message of consensus to all others; go on once enough of them have written it."""
+        """Send a message of consensus to all replicas; call `on_majority` once enough have written it."""
         deployment, scheduler = self._deployment, self._scheduler
-        required = len(deployment.control_planes) // 2
-        packed = host.program.meter.timed("letters", lambda: zlib.compress(message, COMPRESSION_LEVEL))
-        on_reply = _after(required, partial(scheduler.enqueue, host.node, on_majority), host)
+        required_replies = len(deployment.control_planes) // 2
+        compressed = host.program.meter.timed("letters", lambda: zlib.compress(message, COMPRESSION_LEVEL))
+        on_reply = _count_replies(required_replies, partial(scheduler.enqueue, host.node, on_majority), host)
         for replica in deployment.control_planes[1:]:
-            host.program.meter.sent(len(packed))
+            host.program.meter.sent(len(compressed))
             delay_ns = deployment.topology.link_delay_ns(host.node.zone, replica.node.zone)
             reply = partial(scheduler.enqueue, host.node, on_reply)
-            answer = partial(self._answer_round, replica, packed, DISK_SYNC_NS + delay_ns, reply)
+            answer = partial(self._answer_round, replica, compressed, DISK_SYNC_NS + delay_ns, reply)
             scheduler.call_after_work(delay_ns, partial(scheduler.enqueue, replica.node, answer))
-        if not required:
+        if not required_replies:
             scheduler.call_after_work(DISK_SYNC_NS, partial(scheduler.enqueue, host.node, on_majority))
 
-    def _answer_round(self, replica: ControlPlaneHost, packed: bytes, wait_ns: int, reply: Callback) -> None:
+    def _answer_round(
+        self, replica: ControlPlaneHost, compressed: bytes, wait_ns: int, reply: Callback
+    ) -> None:
         meter = replica.program.meter
-        meter.received(len(packed))
-        meter.timed("letters", lambda: decode(zlib.decompress(packed)))
+        meter.received(len(compressed))
+        meter.timed("letters", lambda: decode(zlib.decompress(compressed)))
         meter.sent(CONSENSUS_REPLY_BYTES)
         self._scheduler.call_after_work(wait_ns, reply)
 
 
-def _after(required: int, action: Callback, host: ControlPlaneHost) -> Callable[[], None]:
-    """Return what counts a reply, and takes the action at the one by which they are enough."""
+def _count_replies(required_replies: int, action: Callback, host: ControlPlaneHost) -> Callable[[], None]:
+    """Return a callback that counts replies and calls the action at the last required one."""
     replies = 0
 
     def on_reply() -> None:
         nonlocal replies
         host.program.meter.received(CONSENSUS_REPLY_BYTES)
         replies += 1
-        if replies == required:
+        if replies == required_replies:
             action()
 
     return on_reply
--- a/meadowworks/simulation/scale/control_plane.py
+++ b/meadowworks/simulation/scale/control_plane.py
@@ -1,7 +1,7 @@
-"""A control plane made of the product's own state machines and codecs, without sockets and disks.
+"""A simulated control plane, built from the product's own state machines and codecs.
 
-What the server does between a message that comes and one that leaves is done here with the same calls in the
-same order; the clock is handed in. Left out: HTTP, the disk, and consensus.
+It handles messages with the same calls in the same order as the server, with a clock as a parameter. HTTP,
+disks and consensus are left out.
 """
 
 from __future__ import annotations
@@ -34,8 +34,8 @@
 PEER_SAMPLING_SEED = 7
 BATCHING_DELAY_NS = int(PROXY_BATCHING_DELAY_S * SECOND)
 COMPRESSION_LEVEL = 6
-ACKNOWLEDGEMENT_BYTES = 2  # of an answer to a heartbeat: an empty JSON object
-START_SECONDS = 1_764_000_000  # the heartbeat of a first incarnation, as by the calendar
+ACKNOWLEDGEMENT_BYTES = 2  # of the response to a heartbeat: an empty JSON object
+START_UNIX_S = 1_764_000_000  # the heartbeat of a first incarnation, a Unix timestamp
 
 Clock = Callable[[], int]
 CallLater = Callable[[int, Callback], None]
@@ -43,14 +43,14 @@
 
 
 def peer_record(name: str, host: str, zone: str, is_voter: bool, incarnation: int = 0) -> PeerRecord:
-    """Return the record by which a program of an incarnation is known to others."""
+    """Return the peer record of a program's incarnation."""
     source = f"{name}.{incarnation:08x}"
-    return PeerRecord(name, host, CONTROL_PLANE_PORT, zone, is_voter, source, START_SECONDS + incarnation)
+    return PeerRecord(name, host, CONTROL_PLANE_PORT, zone, is_voter, source, START_UNIX_S + incarnation)
 
 
 @dataclass(frozen=True, slots=True)
 class VersionedContent:
-    """The configuration at a control plane, as the operator sent it or compressed; version 0 is none."""
+    """A version of the configuration, as the operator sent it or compressed; version 0 stands for none."""
 
     version: int = 0
     content: bytes = b""
@@ -58,7 +58,7 @@
 
 @dataclass(slots=True, eq=False)
 class PendingPull:
-    """A pull that waits for updates, until `deadline_ns` at most."""
+    """A pull that waits for updates until `deadline_ns` at most."""
 
     request: PullRequest
     deadline_ns: int
@@ -67,10 +67,10 @@
 
 
 class CopyableZoneLoads(ZoneLoads):
-    """The product's sums of load reports, which another control plane can take over."""
+    """The product's sums of load reports, with a copy operation."""
 
     def copy_from(self, other: CopyableZoneLoads) -> None:
-        """Add what another control plane has summed so far."""
+        """Add the sums of another control plane."""
         for zone, report in other._reports.items():
             self.add(zone, report.pack())
 
@@ -79,8 +79,8 @@
     """One control plane.
 
     :param heartbeat_ms: the interval at which backends send their heartbeats.
-    :param call_later: calls back after so many nanoseconds, once this control plane is free.
-    :param required_replicas: the other control planes that must know a drain before it is acknowledged.
+    :param call_later: calls back after a delay in nanoseconds, once this control plane is idle.
+    :param required_replicas: the other control planes that must have a drain before it is acknowledged.
     """
 
     def __init__(
@@ -105,19 +105,19 @@
         self._pending_pulls: dict[int, PendingPull] = {}
         self._pulse = 0
         self._required_replicas = required_replicas
-        self._unacknowledged_drains: dict[int, Callback] = {}  # by version of the own updates
-        self._replicated_versions: dict[str, int] = {}  # of the own updates, by host of who has them
+        self._unacknowledged_drains: dict[int, Callback] = {}  # by version of the local updates
+        self._replicated_versions: dict[str, int] = {}  # by host: the local updates' version that it has
 
     # -- configuration and pending pulls
 
     def adopt_configuration(self, version: int, content: bytes) -> None:
-        """Take a newer configuration and hand it to all who wait."""
+        """Adopt a configuration if it is newer, and answer the pending pulls."""
         if version > self.configuration.version:
             self.configuration = VersionedContent(version, content)
             self._wake_pulls()
 
     def compressed_configuration(self) -> CompressedConfig:
-        """Return the version and its content, compressed once for all as the program does."""
+        """Return the configuration, compressed once per version as in the program."""
         if self._compressed.version != self.configuration.version:
             content = zlib.compress(self.configuration.content, COMPRESSION_LEVEL)
             self._compressed = VersionedContent(self.configuration.version, content)
@@ -136,19 +136,19 @@
                 wait_ns = min(BATCHING_DELAY_NS, max(0, pending.deadline_ns - self._clock()))
             self._call_later(wait_ns, lambda pending=pending: self._answer_if_due(pending))  # type: ignore[misc]
 
-    # -- pulls by others
+    # -- pulls by other programs
 
     def on_pull(self, body: bytes, on_reply: OnReply) -> None:
-        """Answer a pull, at once or when there is something to tell; `on_reply` gets the encoded reply."""
+        """Answer a pull, at once or when there are updates; `on_reply` receives the encoded reply."""
         self.meter.received(len(body))
         request = self.meter.timed("read a pull", lambda: decode_pull_request(body))
-        self.meter.timed("note a pull", lambda: self._note_pull(request))
+        self.meter.timed("note a pull", lambda: self._record_pull(request))
         wait_ns = min(request.max_wait_ms, MAX_WAIT_MS) * MS
         pending = PendingPull(request, self._clock() + wait_ns, on_reply)
         self._call_later(wait_ns, lambda: self._on_wait_expired(pending))
         self._answer_if_due(pending)
 
-    def _note_pull(self, request: PullRequest) -> None:
+    def _record_pull(self, request: PullRequest) -> None:
         sender = request.sender
         self.peers.merge(self._clock(), [sender, *request.peers])
         if sender.is_voter:
@@ -188,9 +188,9 @@
         lacks_configuration = self.configuration.version > request.config_version
         configuration = self.compressed_configuration() if lacks_configuration else None
         records = tuple(self.peers.shuffle_sample()[1:]) if request.peers else ()
-        known = self.peers.peers.get(request.sender.host)
-        if known is not None and known.record.heartbeat > request.sender.heartbeat:
-            records = (*records, known.record)  # so that an older incarnation sees that it was followed
+        peer = self.peers.peers.get(request.sender.host)
+        if peer is not None and peer.record.heartbeat > request.sender.heartbeat:
+            records = (*records, peer.record)  # lets an older incarnation detect that it was replaced
         reply = PullReply(self.peers.local, records, tuple(deltas), True, configuration)
         body = reply.encode()
         self.meter.sent(len(body))
@@ -199,19 +199,19 @@
     # -- backends
 
     def on_heartbeat(self, instance_id: str, body: bytes, on_acknowledged: Callback) -> None:
-        """Take a backend's heartbeat; a drain is acknowledged once enough others know of it."""
+        """Handle a backend's heartbeat; a drain is acknowledged once enough control planes have it."""
 
         def apply() -> int:
-            found = self.heartbeats.record_heartbeat(self._clock(), instance_id, json.loads(body))
-            return getattr(found, "version", 0)
+            update = self.heartbeats.record_heartbeat(self._clock(), instance_id, json.loads(body))
+            return getattr(update, "version", 0)
 
         version = self.meter.timed("a beat", apply)
         self._acknowledge_when_replicated(len(body), version, on_acknowledged)
 
     def on_leave(self, instance_id: str, on_acknowledged: Callback) -> None:
-        """Take a backend's last word."""
-        found = self.meter.timed("a beat", lambda: self.heartbeats.leave(self._clock(), instance_id))
-        self._acknowledge_when_replicated(len(b"{}"), getattr(found, "version", 0), on_acknowledged)
+        """Handle the departure of a backend."""
+        update = self.meter.timed("a beat", lambda: self.heartbeats.leave(self._clock(), instance_id))
+        self._acknowledge_when_replicated(len(b"{}"), getattr(update, "version", 0), on_acknowledged)
 
     def _acknowledge_when_replicated(self, size: int, version: int, on_acknowledged: Callback) -> None:
         self.meter.received(size)
@@ -224,14 +224,14 @@
 
     def _acknowledge_drains(self) -> None:
         for version in list(self._unacknowledged_drains):
-            replicas = sum(known >= version for known in self._replicated_versions.values())
+            replicas = sum(replicated >= version for replicated in self._replicated_versions.values())
             if replicas >= self._required_replicas:
                 self._unacknowledged_drains.pop(version)()
 
     # -- own pulls
 
     def build_pull(self, with_peers: bool) -> bytes:
-        """Return a pull of another control plane's updates."""
+        """Return an encoded pull of another control plane's updates."""
         body = self.meter.timed("ask others", lambda: self._own_pull(with_peers).encode())
         self.meter.sent(len(body))
         return body
@@ -243,7 +243,7 @@
         return PullRequest(local, records, vector, self.configuration.version, MAX_WAIT_MS)
 
     def on_pull_reply(self, body: bytes) -> None:
-        """Take the reply to an own pull."""
+        """Handle the reply to one of its own pulls."""
         self.meter.received(len(body))
         reply = self.meter.timed("read news", lambda: decode_pull_reply(body))
         self.meter.timed("take news", lambda: self._apply_reply(reply))
@@ -257,10 +257,10 @@
             version, content = reply.config
             self.adopt_configuration(version, zlib.decompress(content))
 
-    # -- from time to time
+    # -- periodic work
 
     def each_second(self) -> None:
-        """Do what the program does each second."""
+        """Run the periodic work of one second."""
         self.meter.timed("each second: lives", self._expire)
         self.meter.timed("each second: figures", self.publish_load_reports)
         self.meter.timed("each second: for the disk", self.encoded_heartbeats)
@@ -275,11 +275,11 @@
         self.backends.changed_ids.clear()
 
     def publish_load_reports(self) -> None:
-        """Publish the sums of a second by zone, and that this control plane lives."""
+        """Publish the last second's sums by zone, and a counter that shows that this control plane runs."""
         self._pulse += 1
         self.gossip.publish("pulse", self._pulse)
         self.zone_loads.publish(self._clock())
 
     def encoded_heartbeats(self) -> dict[str, Any]:
-        """Return what the program keeps of its backends on the disk, by instance."""
+        """Return the backends' records that the program writes to the disk, by instance."""
         return {instance: encode(value) for instance, value in self.heartbeats.durable_values().items()}
--- a/meadowworks/simulation/scale/deployment.py
+++ b/meadowworks/simulation/scale/deployment.py
@@ -1,4 +1,4 @@
-"""The machines of a simulated deployment, built as if they had run for a while."""
+"""The machines of a simulated deployment, in the state of one that has run for a while."""
 
 from __future__ import annotations
 
@@ -27,25 +27,25 @@
 from meadowworks.simulation.scale.topology import Topology
 
 HEARTBEAT_MS = 1500
-REQUEST_MS = 90  # that a request takes in the load reports that are drawn
+REQUEST_MS = 90  # latency of a request in the generated load reports
 
 
 @dataclass(frozen=True, slots=True, eq=False)
 class ControlPlaneHost:
-    """A control plane and the machine that it works on."""
+    """A control plane and its machine."""
 
     node: SimulatedNode
     program: SimulatedControlPlane
 
     @property
     def address(self) -> str:
-        """The host by which its peers know it."""
+        """The host in its peer record."""
         return self.program.peers.local.host
 
 
 @dataclass(slots=True, eq=False)
 class ProxyHost:
-    """A proxy that is simulated whole; a restart replaces the program."""
+    """A proxy that is simulated in full; a restart replaces `program`."""
 
     node: SimulatedNode
     selection: ControlPlaneSelector
@@ -76,9 +76,10 @@
 
 @dataclass(slots=True)
 class FailedMachines:
-    """What a run has lost: nodes without power, and backends that ended without a word.
+    """The failed machines of a run.
 
-    `backends` maps an instance to the node that it called. `lost_ns` is when the loss came, 0 before it.
+    `backends` maps a backend that ended without leaving to the name of its control plane. `lost_ns` is the
+    time of the loss, 0 before it.
     """
 
     lost_ns: int = 0
@@ -86,7 +87,7 @@
 
 
 class Deployment:
-    """Control planes, proxies and backends that know each other, with a configuration in force."""
+    """Control planes, proxies and backends that have each other's records and a configuration."""
 
     def __init__(self, settings: ScaleSettings, progress: Callable[[str], None]) -> None:
         self.settings = settings
@@ -98,9 +99,9 @@
         self.proxies: list[ProxyHost] = []
         self.stubs: list[StubHost] = []
         self.backends: dict[str, Backend] = {}  # by instance
-        self.rehomed: dict[str, ControlPlaneHost] = {}  # by instance: whom it calls since its own failed
+        self.failover_targets: dict[str, ControlPlaneHost] = {}  # by instance: replaces its failed one
         self.instances_of_zone: dict[str, list[str]] = {zone: [] for zone in self.topology.zones}
-        progress(f"builds {settings.controllers} controllers, {settings.backends} backends")
+        progress(f"building {settings.controllers} controllers, {settings.backends} backends")
         self._add_control_planes()
         self.configuration = generate_configuration(1, settings.routes, settings.services, self.random)
         self._adopt_configuration()
@@ -115,10 +116,10 @@
         return self.scheduler.now
 
     def clock(self) -> int:
-        """Return the simulated time, for programs that ask for it."""
+        """Return the simulated time in nanoseconds, as the clock of programs."""
         return self.scheduler.now
 
-    # -- building
+    # -- construction
 
     def _add_control_planes(self) -> None:
         count = self.settings.boxes
@@ -152,14 +153,14 @@
         self.add_backend(Backend(service, address, zone))
 
     def add_backend(self, backend: Backend) -> str:
-        """Add an instance and return its name, which is drawn."""
+        """Add an instance and return its random name."""
         instance = f"i-{self.random.getrandbits(32):08x}"
         self.backends[instance] = backend
         self.instances_of_zone[backend.zone].append(instance)
         return instance
 
     def _spread_first_heartbeats(self) -> None:
-        """Let all control planes know of all backends, without a message."""
+        """Record the first heartbeats and replicate them to all control planes, without messages."""
         for instance in self.backends:
             program = self.control_plane_of(instance).program
             program.heartbeats.record_heartbeat(self.now, instance, json.loads(self.heartbeat_body(instance)))
@@ -176,13 +177,13 @@
     def _add_proxies(self) -> None:
         count = max(0, self.settings.controllers - self.settings.boxes)
         whole = min(self.settings.whole, count)
-        are_whole = {number * count // max(1, self.settings.whole) for number in range(whole)}
+        full_numbers = {number * count // max(1, self.settings.whole) for number in range(whole)}
         for number in range(count):
             zone = self.topology.zone(number)
             address = f"10.{1 + number // 50000}.{number // 250 % 200}.{number % 250 + 1}"
             record = peer_record(f"edge-{number}", address, zone, False)
             node = SimulatedNode(record.name, zone)
-            if number in are_whole:
+            if number in full_numbers:
                 proxy = SimulatedProxy(record, self.topology.zones, self.clock, node.meter)
                 self.proxies.append(ProxyHost(node, ControlPlaneSelector(zone), proxy))
                 self.transfer_state(proxy)
@@ -193,35 +194,35 @@
                 stub.configuration_version = control_plane.configuration.version
                 self.stubs.append(StubHost(node, ControlPlaneSelector(zone), stub))
 
-    # -- what is known of the deployment
+    # -- queries
 
     def nearest_control_plane(self, zone: str) -> ControlPlaneHost:
-        """Return the control plane that a proxy of a zone chooses first."""
+        """Return the preferred control plane of a proxy in a zone."""
         records = [host.program.peers.local for host in self.control_planes]
         chosen = ControlPlaneSelector(zone).choose(self.now, records, [])
         return next(host for host in self.control_planes if chosen and host.address == chosen[0])
 
     def control_plane_of(self, instance: str) -> ControlPlaneHost:
-        """Return where a backend sends its heartbeats: in its zone if there is one, else anywhere."""
-        if instance in self.rehomed:
-            return self.rehomed[instance]
+        """Return the control plane of a backend: one in its zone, else one by a hash of its name."""
+        if instance in self.failover_targets:
+            return self.failover_targets[instance]
         for host in self.control_planes:
             if host.node.zone == self.backends[instance].zone:
                 return host
         return self.control_planes[zlib.crc32(instance.encode()) % len(self.control_planes)]
 
     def all_proxies(self) -> list[AnyProxyHost]:
-        """Return the proxies that are simulated whole, then the stubs."""
+        """Return the proxies that are simulated in full, then the stubs."""
         return [*self.proxies, *self.stubs]
 
     def random_offset_ns(self, seconds: float) -> int:
-        """Draw when within a period something begins."""
+        """Return a random offset within a period."""
         return int(self.random.random() * seconds * 1_000_000_000)
 
-    # -- what machines say
+    # -- messages
 
     def transfer_state(self, proxy: SimulatedProxy) -> None:
-        """Give a proxy all that is known in one reply."""
+        """Transfer the complete state to a proxy in one reply."""
         control_plane = self.nearest_control_plane(proxy.zone).program
         proxy.on_pull_reply(complete_reply(control_plane, proxy.gossip.source_id).encode())
 
@@ -235,7 +236,7 @@
         return json.dumps(body, separators=(",", ":")).encode()
 
     def draw_load_report(self, zone: str) -> list[Any] | None:
-        """Draw what a proxy has counted over a second, in the form of a pull's load report."""
+        """Return a random load report of a proxy for one second, in the format of a pull."""
         instances = self.instances_of_zone[zone] or list(self.backends)
         if not instances or not self.settings.requests:
             return None
@@ -248,7 +249,7 @@
 
 
 def complete_reply(control_plane: SimulatedControlPlane, receiver: str) -> PullReply:
-    """Return the reply to somebody who knows nothing: all updates and the configuration."""
+    """Return the reply to a program without state: all updates and the configuration."""
     deltas = tuple(control_plane.gossip.deltas_since({}, receiver))
     configuration = control_plane.compressed_configuration()
     return PullReply(control_plane.peers.local, (), deltas, True, configuration)
--- a/meadowworks/simulation/scale/generated_configuration.py
+++ b/meadowworks/simulation/scale/generated_configuration.py
@@ -1,4 +1,4 @@
-"""Configurations of any size, of names that bear compression as names do."""
+"""Generated configurations of any size, whose names compress about as well as real ones."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
     return f"svc{number:04}"
 
 
-def generate_configuration(version: int, routes: int, services: int, chance: random.Random) -> dict[str, Any]:
-    """Return a complete configuration in the operator's format, with ten routes a host."""
+def generate_configuration(version: int, routes: int, services: int, rng: random.Random) -> dict[str, Any]:
+    """Return a complete configuration in the operator's format, with ten routes per host."""
     return {
         "ver": f"{version:08x}",
         "svcs": [
@@ -28,21 +28,21 @@
             "idleTimeoutMs": 15000,
         },
         "vhosts": [
-            _host(first, min(routes, first + ROUTES_PER_HOST), services, chance)
+            _host(first, min(routes, first + ROUTES_PER_HOST), services, rng)
             for first in range(0, routes, ROUTES_PER_HOST)
         ],
     }
 
 
-def _host(first_route: int, end: int, services: int, chance: random.Random) -> dict[str, Any]:
-    prefixes = [_route(number, services, chance) for number in range(first_route, end)]
-    return {"host": f"h{chance.getrandbits(20):05x}-{first_route}.example", "prefixes": prefixes}
+def _host(first_route: int, end: int, services: int, rng: random.Random) -> dict[str, Any]:
+    prefixes = [_route(number, services, rng) for number in range(first_route, end)]
+    return {"host": f"h{rng.getrandbits(20):05x}-{first_route}.example", "prefixes": prefixes}
 
 
-def _route(number: int, services: int, chance: random.Random) -> dict[str, Any]:
+def _route(number: int, services: int, rng: random.Random) -> dict[str, Any]:
     return {
-        "name": f"r-{chance.getrandbits(28):07x}",
-        "prefix": f"/{chance.getrandbits(24):06x}/{number}/",
+        "name": f"r-{rng.getrandbits(28):07x}",
+        "prefix": f"/{rng.getrandbits(24):06x}/{number}/",
         "type": "safe" if number % 3 else "unsafe",
         "deadlineMs": 1000,
         "targetMs": 250,
--- a/meadowworks/simulation/scale/linear_fit.py
+++ b/meadowworks/simulation/scale/linear_fit.py
@@ -1,4 +1,4 @@
-"""A straight line through measured points, and the power by which they grow."""
+"""Fits of measured points: a straight line, and the exponent of their growth."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LinearFit:
-    """y = base + slope * x, by least squares of relative deviations.
+    """The line y = base + slope * x, fitted by least squares of the relative deviations.
 
-    `max_deviation` is the largest of those; `exponent` is the power of growth over the upper half of the
-    points, by logarithms.
+    `max_deviation` is the largest relative deviation. `exponent` is that of a power law, fitted to the upper
+    half of the points on logarithmic scales.
     """
 
     base: float
@@ -24,12 +24,12 @@
     exponent: float
 
     def at(self, x: float) -> float:
-        """Return y on the line."""
+        """Return the line's value at x."""
         return self.base + self.slope * x
 
 
 def fit_line(points: Sequence[Point]) -> LinearFit | None:
-    """Fit a line to the points above 0; None if they have fewer than two different x."""
+    """Fit a line to the points with positive y; None if they have fewer than two different x."""
     points = [(x, y) for x, y in points if y > 0]
     if len({x for x, _ in points}) < 2:
         return None
@@ -46,11 +46,11 @@
 
 
 def power_exponent(points: Sequence[Point]) -> float:
-    """Return the slope of log y over log x, of the upper half of the x, or the upper two if they are few."""
+    """Return the slope of log y over log x in the upper half of the x, at least the upper two."""
     points = sorted(point for point in points if point[0] > 0)
     xs = sorted({x for x, _ in points})
-    least_x = xs[len(xs) // 2 - (len(xs) < 4)]
-    upper = [(math.log(x), math.log(y)) for x, y in points if x >= least_x]
+    lowest_x = xs[len(xs) // 2 - (len(xs) < 4)]
+    upper = [(math.log(x), math.log(y)) for x, y in points if x >= lowest_x]
     mean_x, mean_y = mean(x for x, _ in upper), mean(y for _, y in upper)
     variance = sum((x - mean_x) ** 2 for x, _ in upper)
     return sum((x - mean_x) * (y - mean_y) for x, y in upper) / variance if variance else 0.0
--- a/meadowworks/simulation/scale/losses.py
+++ b/meadowworks/simulation/scale/losses.py
@@ -1,4 +1,4 @@
-"""Losses of machines, zones and links, and how long it takes until they are known."""
+"""Losses of machines, zones and links, and the times until proxies detect them."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from meadowworks.simulation.scale.scheduler import SimulatedNode
 from meadowworks.simulation.scale.settings import Loss
 
-MACHINES_PER_RACK = 40  # of one zone, proxies and backends by how many there are
+MACHINES_PER_RACK = 40  # all in one zone; proxies and backends in the proportion of their numbers
 DETECTION_INTERVAL_NS = SECOND // 20
 
 
 @dataclass(frozen=True, slots=True)
 class LastZone:
-    """What is in the zone that losses strike: proxies, and backends by instance."""
+    """The zone that losses affect, with its proxies and the instances of its backends."""
 
     name: str
     proxies: list[AnyProxyHost]
@@ -28,10 +28,10 @@
 
 
 class Losses:
-    """Takes from a deployment what its settings name, and notes when each proxy knows of it.
+    """Injects the loss of the settings into a deployment, and records when each proxy detects it.
 
-    `detected_s` is by the proxies' names: the seconds until they knew, or until their pulls were answered or
-    a configuration was in force again.
+    `detected_s` maps a proxy's name to the seconds until it detected the loss of backends, or, depending on
+    the loss, until a pull was answered or a configuration was applied again.
     """
 
     def __init__(self, deployment: Deployment) -> None:
@@ -42,7 +42,7 @@
         self._without_control_plane: set[str] = set()  # names of proxies
 
     def inject(self, loss: Loss, pulls: Pulls, churn: Churn) -> None:
-        """Let a loss happen now, and look from now on who knows of it."""
+        """Inject a loss now, and check periodically which proxies have detected it."""
         self._deployment.failed.lost_ns = self._deployment.now
         zone = self._last_zone()
         match loss:
@@ -63,12 +63,12 @@
         self._detect()
 
     def on_answered(self, node: SimulatedNode) -> None:
-        """Note that a proxy's pull was answered."""
+        """Record that a proxy's pull was answered."""
         if node.name in self._without_control_plane:
             self._detected(node)
 
     def on_applied(self, node: SimulatedNode) -> None:
-        """Note that a configuration has come into force at a proxy."""
+        """Record that a proxy has applied a configuration."""
         if node.name in self._restarted:
             self._detected(node)
 
@@ -80,15 +80,15 @@
         name = self._deployment.topology.zones[-1]
         proxies = [host for host in self._deployment.all_proxies() if host.node.zone == name]
         backends = self._deployment.backends.items()
-        return LastZone(name, proxies, [instance for instance, one in backends if one.zone == name])
+        return LastZone(name, proxies, [instance for instance, backend in backends if backend.zone == name])
 
     # -- kinds of loss
 
     def _end_backends(self, instances: Sequence[str]) -> None:
-        """End backends without a word."""
+        """Stop backends without a drain or a departure message."""
         for instance in instances:
-            calls = self._deployment.control_plane_of(instance).node.name
-            self._deployment.failed.backends[instance] = calls
+            control_plane = self._deployment.control_plane_of(instance).node.name
+            self._deployment.failed.backends[instance] = control_plane
             zone = self._deployment.backends[instance].zone
             self._deployment.instances_of_zone[zone].remove(instance)
 
@@ -122,7 +122,7 @@
         self._scheduler.powered_off.update(host.node.name for host in proxies)
 
     def _isolate_region(self, pulls: Pulls) -> None:
-        """Cut the last region off for half the run."""
+        """Isolate the last region from the others for half the run."""
         topology = self._deployment.topology
         topology.isolated_regions.add(topology.region_of(topology.zones[-1]))
         self._without_control_plane = {
@@ -136,19 +136,19 @@
     # -- detection
 
     def _detect(self) -> None:
-        """Note which of the whole proxies know that all lost backends are gone, and look again."""
+        """Record which proxies have detected the loss of all lost backends, and schedule the next check."""
         failed = self._deployment.failed.backends
         for host in self._deployment.proxies:
             name = host.node.name
             if not failed or name in self._scheduler.powered_off or name in self.detected_s:
                 continue
-            known = (host.program.backends.instances.get(instance) for instance in failed)
-            if all(one is None or one.state != "up" for one in known):
+            states = (host.program.backends.instances.get(instance) for instance in failed)
+            if all(state is None or state.state != "up" for state in states):
                 self._detected(host.node)
         self._scheduler.call_later(DETECTION_INTERVAL_NS, self._detect)
 
     def result(self, until_ns: int) -> dict[str, Any]:
-        """Return the JSON object of the loss, empty if there was to be none."""
+        """Return the JSON object of the loss, empty if the settings have none."""
         kind, failed = self._deployment.settings.loss, self._deployment.failed
         if not kind:
             return {}
@@ -157,7 +157,7 @@
             "controllers lost": len(self._scheduler.powered_off),
             "backends lost": len(failed.backends),
             "junctions concerned": len(self._without_control_plane | self._restarted),
-            "lives that beat elsewhere": len(self._deployment.rehomed),
+            "lives that beat elsewhere": len(self._deployment.failover_targets),
             "followed for_s": (until_ns - failed.lost_ns) / SECOND,
             "known_s": summarize(list(self.detected_s.values())),
         }
--- a/meadowworks/simulation/scale/plot.py
+++ b/meadowworks/simulation/scale/plot.py
@@ -1,4 +1,4 @@
-"""Plots of measured points as SVG, both scales logarithmic."""
+"""SVG plots of measured points on logarithmic scales."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogScales:
-    """Where values come to stand in the picture; the limits are decimal logarithms."""
+    """The mapping of values to pixels; the limits are decimal logarithms."""
 
     low_x: float
     high_x: float
@@ -25,7 +25,7 @@
 
     @classmethod
     def around(cls, xs: Sequence[float], ys: Sequence[float]) -> LogScales:
-        """Return scales with a little room about the values."""
+        """Return scales that cover the values with a small margin."""
         return cls(
             math.log10(min(xs)) - 0.05,
             math.log10(max(xs)) + 0.05,
@@ -34,7 +34,7 @@
         )
 
     def position(self, x: float, y: float) -> Point:
-        """Return the pixel of a value."""
+        """Return the position of a point in pixels."""
         return (
             LEFT + (math.log10(x) - self.low_x) / (self.high_x - self.low_x) * (WIDTH - LEFT - RIGHT),
             HEIGHT
@@ -51,7 +51,7 @@
     budget: float | None,
     target: float,
 ) -> str:
-    """Draw the points, the fitted line up to the target, and the budget; empty without points above 0."""
+    """Draw the points, the fitted line up to the target, and the budget; empty without positive points."""
     points = [(x, y) for x, y in points if x > 0 and y > 0]
     if not points:
         return ""
@@ -78,7 +78,7 @@
 
 
 def _grid(scales: LogScales) -> list[str]:
-    """Draw a line and a number at each power of ten."""
+    """Draw a grid line and a label at each power of ten."""
     marks = []
     for power in range(math.ceil(scales.low_x), math.floor(scales.high_x) + 1):
         x, _ = scales.position(10.0**power, 10**scales.low_y)
--- a/meadowworks/simulation/scale/process_costs.py
+++ b/meadowworks/simulation/scale/process_costs.py
@@ -1,4 +1,4 @@
-"""Where processor time goes by function, and what memory an object holds."""
+"""Processor time by function, and the memory of an object."""
 
 from __future__ import annotations
 
@@ -14,26 +14,26 @@
 
 
 def profile_by_function(profile: Profile) -> list[dict[str, Any]]:
-    """Return the functions that take most, as parts of all of it.
+    """Return the functions with the most processor time, as fractions of the total.
 
-    `whole` is with what a function calls, `own` without. The profiler slows calls, so small functions come
-    out too large.
+    `whole` includes the function's callees, `own` doesn't. The profiler adds time to each call, so the
+    figures of small functions are too high.
     """
     stats = pstats.Stats(profile).get_stats_profile()
     by_time = sorted(stats.func_profiles.items(), key=lambda pair: -pair[1].cumtime)
     return [
         {
-            "function": f"{Path(one.file_name).parent.name}/{Path(one.file_name).stem}.{name}",
-            "calls": one.ncalls,
-            "own": one.tottime / stats.total_tt,
-            "whole": one.cumtime / stats.total_tt,
+            "function": f"{Path(row.file_name).parent.name}/{Path(row.file_name).stem}.{name}",
+            "calls": row.ncalls,
+            "own": row.tottime / stats.total_tt,
+            "whole": row.cumtime / stats.total_tt,
         }
-        for name, one in by_time[:FUNCTIONS_SHOWN]
+        for name, row in by_time[:FUNCTIONS_SHOWN]
     ]
 
 
 def traced_memory_mb(build: Callable[[], object]) -> dict[str, float]:
-    """Return the megabytes that what is built holds, and that its building took at the most."""
+    """Return the memory that a built object holds, and the peak memory while building it, in MB."""
     gc.collect()
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
--- a/meadowworks/simulation/scale/proxy.py
+++ b/meadowworks/simulation/scale/proxy.py
@@ -1,4 +1,4 @@
-"""A proxy made of the product's own state machines and codecs, without sockets and requests."""
+"""A simulated proxy, built from the product's own state machines and codecs, without sockets and requests."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class SimulatedProxy:
-    """One proxy; `load_report` is what it counts for the next pull, `own_load_report` for itself."""
+    """One proxy; `load_report` collects counts for the next pull, `own_load_report` those for its own use."""
 
     def __init__(self, record: PeerRecord, zones: list[str], clock: Clock, meter: ResourceMeter) -> None:
         self.zone, self.meter = record.zone, meter
@@ -49,7 +49,7 @@
             self._apply_load_report(zone, int(covers_ms), backends, dict(requests))
 
     def _apply_load_report(self, zone: str, covers_ms: int, backends: Any, requests: dict[str, int]) -> None:
-        """Hand a zone's figures to the services that they are about."""
+        """Apply a zone's load report to the balancers of its services."""
         now = self._clock()
         by_service: dict[str, dict[str, BackendLoad]] = {}
         for row in backends:
@@ -94,14 +94,14 @@
     # -- pulls
 
     def build_pull(self) -> bytes:
-        """Return a pull of updates, with what was counted since the one before."""
+        """Return an encoded pull of updates, with the counts since the previous pull."""
         body = self.meter.timed("ask", lambda: self._next_pull().encode())
         self.meter.sent(len(body))
         return body
 
     def _next_pull(self) -> PullRequest:
-        says_who = self._pulls_answered % PULLS_PER_OWN_RECORD == 0
-        records = (self.peers.local,) if says_who else ()
+        includes_record = self._pulls_answered % PULLS_PER_OWN_RECORD == 0
+        records = (self.peers.local,) if includes_record else ()
         counted, self.load_report = self.load_report, LoadReport()
         version = self.route_table.version if self.route_table else 0
         report = counted.pack() if counted else None
@@ -109,7 +109,7 @@
         return PullRequest(self.peers.local, records, vector, version, LONG_POLL_MS, report)
 
     def on_pull_reply(self, body: bytes) -> None:
-        """Take the reply to a pull, with a new route table if there is one."""
+        """Handle the reply to a pull, with a new route table if there is one."""
         self.meter.received(len(body))
         reply = self.meter.timed("read news", lambda: decode_pull_reply(body))
         table = self._load_table(reply.config[1]) if reply.config and reply.config[1] else None
@@ -128,10 +128,10 @@
         for delta in reply.deltas:
             self.gossip.apply(now, delta)
 
-    # -- from time to time
+    # -- periodic work
 
     def each_second(self) -> None:
-        """Do what the program does each second."""
+        """Run the periodic work of one second."""
         self.meter.timed("each second: lives", self._expire)
         self.meter.timed("hand on lives", self._refresh_endpoints)
         self.meter.timed("each second: own figures", self._use_own_load_report)
@@ -147,14 +147,14 @@
         self.backends.refresh_all()
 
     def _use_own_load_report(self) -> None:
-        """Go by the own counts where the zone's are late."""
+        """Apply the proxy's own counts if its zone's load report is overdue."""
         now, own_zone = self._clock(), self._zones.index(self.zone)
         own, self.own_load_report = self.own_load_report, LoadReport()
         if any(service.is_report_overdue(now, own_zone) for service in self._services.values()):
             self._apply_load_report(self.zone, OWN_REPORT_MS, own.pack()[0], own.service_requests)
 
     def each_quarter_second(self) -> None:
-        """Let the policy of each service take its turn."""
+        """Run the periodic work of each service's policy."""
         now = self._clock()
         self.meter.timed("controllers' turns", lambda: self._tick_services(now))
 
--- a/meadowworks/simulation/scale/proxy_stub.py
+++ b/meadowworks/simulation/scale/proxy_stub.py
@@ -1,4 +1,4 @@
-"""A proxy as its control plane sees it, at a small part of the cost."""
+"""A stub that sends the same pulls as a proxy, at a fraction of the cost."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 
 class ProxyStub:
-    """Sends the pulls of a proxy by the product's codec and keeps no more of replies than a version vector.
+    """Sends the pulls of a proxy with the product's codec; of the replies it keeps only version numbers.
 
-    :param load_report: draws what a proxy would have counted since the pull before.
+    :param load_report: returns a random load report for the time since the previous pull.
     """
 
     def __init__(self, record: PeerRecord, load_report: Callable[[], Any], meter: ResourceMeter) -> None:
@@ -27,15 +27,15 @@
         self._pulls_answered = 0
 
     def restart(self, record: PeerRecord) -> None:
-        """Begin a new incarnation, which knows nothing."""
+        """Start a new incarnation, which has no state."""
         self.record = record
         self.version_vector, self.configuration_version = {}, 0
 
     def build_pull(self, heartbeat: int) -> bytes:
-        """Return a pull of updates."""
+        """Return an encoded pull of updates."""
         self.record = replace(self.record, heartbeat=heartbeat)
-        says_who = self._pulls_answered % PULLS_PER_OWN_RECORD == 0
-        records = (self.record,) if says_who else ()
+        includes_record = self._pulls_answered % PULLS_PER_OWN_RECORD == 0
+        records = (self.record,) if includes_record else ()
         request = PullRequest(
             self.record,
             records,
@@ -49,7 +49,7 @@
         return body
 
     def on_pull_reply(self, body: bytes, reply: PullReply) -> None:
-        """Note what the reply to a pull has brought."""
+        """Record the versions in the reply to a pull."""
         self.meter.received(len(body))
         self._pulls_answered += 1
         for delta in reply.deltas:
--- a/meadowworks/simulation/scale/pull_exchange.py
+++ b/meadowworks/simulation/scale/pull_exchange.py
@@ -1,4 +1,4 @@
-"""One pull in simulated time, from its sending to its reply or its time-out."""
+"""One pull in simulated time, from its request to its reply or time-out."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from meadowworks.simulation.scale.deployment import ControlPlaneHost, Deployment
 from meadowworks.simulation.scale.scheduler import SimulatedNode
 
-CONNECT_TIMEOUT_NS = int(CONNECT_TIMEOUT_S * SECOND)  # at a node that gave no answer before
+CONNECT_TIMEOUT_NS = int(CONNECT_TIMEOUT_S * SECOND)  # for a node that has not answered the previous pull
 
 
 @dataclass(slots=True, eq=False)
 class PullExchange:
-    """A pull by a node at a control plane.
+    """A pull from a node to a control plane.
 
-    `on_reply` is work of the node; `on_failure` comes when its patience is over. Neither comes once the node
-    has another incarnation.
+    `on_reply` is called as work of the node, `on_failure` after the time-out. Neither is called once the node
+    has a new incarnation.
     """
 
     deployment: Deployment
@@ -37,7 +37,7 @@
         self.delay_ns = self.deployment.topology.link_delay_ns(self.node.zone, self.target.node.zone)
 
     def send(self, body: bytes, timeout_ns: int) -> None:
-        """Send the request, which reaches the control plane after the link's delay if they are connected."""
+        """Send the request, which arrives after the link's delay if the control plane is reachable."""
         scheduler, target = self.deployment.scheduler, self.target.node
         arrived = partial(self._on_request_arrived, body)
         scheduler.call_after_work(self.delay_ns, partial(self._deliver_to, target, arrived))
@@ -51,7 +51,7 @@
             scheduler.enqueue(receiver, action)
 
     def _on_request_arrived(self, body: bytes) -> None:
-        if not self.is_over:  # a connection that was closed meanwhile is seen before its request is read
+        if not self.is_over:  # the server detects a closed connection before it reads the request
             self.target.program.on_pull(body, self._send_reply)
 
     def _send_reply(self, body: bytes, reply: PullReply) -> None:
--- a/meadowworks/simulation/scale/pulls.py
+++ b/meadowworks/simulation/scale/pulls.py
@@ -1,4 +1,4 @@
-"""Pulls in simulated time: of proxies at control planes, and of control planes at each other."""
+"""Pulls in simulated time, from proxies to control planes and between control planes."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from meadowworks.proxy.pull_schedule import FAILURE_PAUSE_S, PULL_TIMEOUT_S
 from meadowworks.proxy.timers import POLICY_TICK_S
 from meadowworks.simulation.event_scheduler import SECOND
-from meadowworks.simulation.scale.control_plane import START_SECONDS
+from meadowworks.simulation.scale.control_plane import START_UNIX_S
 from meadowworks.simulation.scale.deployment import (
     AnyProxyHost,
     ControlPlaneHost,
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True)
 class PullCost:
-    """What replies have cost the proxies that are simulated whole, for stubs to take as long."""
+    """The processor time of replies at fully simulated proxies, by which stubs estimate theirs."""
 
     cpu_ns: float = 0.0
     reply_bytes: float = 0.0
@@ -42,15 +42,15 @@
         self.reply_bytes += reply_bytes
 
     def estimate_ns(self, reply_bytes: int) -> int:
-        """Return what a reply of a size costs; 0 before there was one."""
+        """Return the estimated processor time of a reply of a size; 0 before the first reply."""
         return int(self.cpu_ns / self.reply_bytes * reply_bytes) if self.reply_bytes else 0
 
 
 class Pulls:
-    """Keeps all pulls going.
+    """Runs the pulls and the periodic work of all programs.
 
-    :param on_answered: is told of each proxy whose pull was answered.
-    :param on_configuration: is told of each proxy that has a new configuration in force, and its version.
+    :param on_answered: called with each proxy whose pull was answered.
+    :param on_configuration: called with each proxy that has applied a configuration, and its version.
     """
 
     def __init__(
@@ -62,14 +62,14 @@
         self._deployment = deployment
         self._scheduler = deployment.scheduler
         self._on_answered, self._on_configuration = on_answered, on_configuration
-        self._costs = {False: PullCost(), True: PullCost()}  # by whether a configuration came
+        self._costs = {False: PullCost(), True: PullCost()}  # by whether the reply had a configuration
         self._records = {host.node.name: host.program.peers.local for host in deployment.control_planes}
         self._by_address = {host.address: host for host in deployment.control_planes}
 
-    # -- beginnings
+    # -- start
 
     def start_control_plane(self, host: ControlPlaneHost) -> None:
-        """Begin a control plane's turns and its pulls at all others."""
+        """Start a control plane's periodic work and its pulls of all other control planes' updates."""
         deployment, start = self._deployment, self._deployment.now
         second_ns = start + deployment.random_offset_ns(1.0)
         self._scheduler.call_at(second_ns, partial(self._control_plane_second, host))
@@ -79,7 +79,7 @@
                 self._scheduler.call_at(pull_ns, partial(self._pull_updates, host, target, 0))
 
     def start_proxy(self, host: ProxyHost) -> None:
-        """Begin the pulls and turns of a proxy's present incarnation."""
+        """Start the pulls and the periodic work of a proxy's current incarnation."""
         offset_ns = self._deployment.random_offset_ns
         incarnation = host.node.incarnation
         self._scheduler.call_later(offset_ns(1.0), lambda: self._proxy_pull(host, incarnation))
@@ -87,20 +87,20 @@
         self._scheduler.call_later(offset_ns(0.25), lambda: self._proxy_quarter_second(host, incarnation))
 
     def start_stub(self, host: StubHost) -> None:
-        """Begin a stub's pulls, some time within a second."""
+        """Start a stub's pulls, at a random time within a second."""
         self._scheduler.call_later(self._deployment.random_offset_ns(1.0), partial(self.pull_of_stub, host))
 
     # -- control planes
 
     def _control_plane_second(self, host: ControlPlaneHost) -> None:
-        def turn() -> None:
+        def run() -> None:
             host.program.each_second()
             self._scheduler.call_after_work(SECOND, partial(self._control_plane_second, host))
 
-        self._scheduler.enqueue(host.node, turn)
+        self._scheduler.enqueue(host.node, run)
 
     def _pull_updates(self, host: ControlPlaneHost, target: ControlPlaneHost, pull_number: int) -> None:
-        """Pull another control plane's updates, again and again."""
+        """Pull another control plane's updates; each reply starts the next pull."""
         scheduler = self._scheduler
 
         def on_reply(body: bytes, _reply: PullReply) -> None:
@@ -109,9 +109,9 @@
 
         def on_failure() -> None:
             if target.address in host.program.peers.peers:
-                again = partial(self._pull_updates, host, target, pull_number)
-                scheduler.call_later(REPLICATION_RETRY_NS, again)
-            else:  # its record has expired; one that comes back is met again
+                retry = partial(self._pull_updates, host, target, pull_number)
+                scheduler.call_later(REPLICATION_RETRY_NS, retry)
+            else:  # its record has expired; waits for a new one
                 scheduler.call_later(SECOND, on_failure)
 
         def send() -> None:
@@ -125,7 +125,7 @@
     # -- proxies
 
     def control_plane_for(self, host: AnyProxyHost) -> ControlPlaneHost:
-        """Return where a proxy pulls now; records of control planes that are lost go after a time."""
+        """Return the control plane that a proxy pulls from; lost ones count until their records expire."""
         now = self._deployment.now
         have_expired = now - self._deployment.failed.lost_ns > PEER_EXPIRY_NS
         expired = self._scheduler.powered_off if have_expired else set()
@@ -142,7 +142,7 @@
         def on_reply(body: bytes, reply: PullReply) -> None:
             proxy.on_pull_reply(body)
             has_configuration = reply.config is not None
-            self._costs[has_configuration].add(proxy.meter.turn_ns, len(body))
+            self._costs[has_configuration].add(proxy.meter.work_ns, len(body))
             version = proxy.route_table.version if proxy.route_table else 0
 
             def after_work() -> None:
@@ -165,7 +165,7 @@
         scheduler.enqueue(node, send)
 
     def _count_requests(self, proxy: SimulatedProxy) -> None:
-        """Let a proxy count what it would have forwarded since its pull before."""
+        """Add the requests since the previous pull to a proxy's load reports."""
         requests = proxy.load_report.service_requests
         for instance, *counts in (self._deployment.draw_load_report(proxy.zone) or [[]])[0]:
             proxy.load_report.backend_counts[instance] = list(counts)
@@ -174,24 +174,24 @@
             requests[service] = requests.get(service, 0) + counts[0]
 
     def _proxy_second(self, host: ProxyHost, incarnation: int) -> None:
-        def turn() -> None:
+        def run() -> None:
             if host.node.incarnation == incarnation:
                 host.program.each_second()
                 self._scheduler.call_after_work(SECOND, partial(self._proxy_second, host, incarnation))
 
-        self._scheduler.enqueue(host.node, turn)
+        self._scheduler.enqueue(host.node, run)
 
     def _proxy_quarter_second(self, host: ProxyHost, incarnation: int) -> None:
-        def turn() -> None:
+        def run() -> None:
             if host.node.incarnation == incarnation:
                 host.program.each_quarter_second()
-                again = partial(self._proxy_quarter_second, host, incarnation)
-                self._scheduler.call_after_work(POLICY_TICK_NS, again)
+                next_tick = partial(self._proxy_quarter_second, host, incarnation)
+                self._scheduler.call_after_work(POLICY_TICK_NS, next_tick)
 
-        self._scheduler.enqueue(host.node, turn)
+        self._scheduler.enqueue(host.node, run)
 
     def pull_of_stub(self, host: StubHost) -> None:
-        """Send a stub's pull, and the next one when a whole proxy would be done with the reply."""
+        """Send a stub's pull, and the next one when a full proxy would have processed the reply."""
         node, stub, scheduler = host.node, host.program, self._scheduler
         target = self.control_plane_for(host)
 
@@ -213,6 +213,6 @@
             scheduler.call_later(PROXY_RETRY_NS, partial(self.pull_of_stub, host))
 
         if node.name not in scheduler.powered_off:
-            body = stub.build_pull(START_SECONDS + node.incarnation + self._deployment.now // SECOND)
+            body = stub.build_pull(START_UNIX_S + node.incarnation + self._deployment.now // SECOND)
             exchange = PullExchange(self._deployment, node, target, on_reply, on_failure)
             exchange.send(body, PULL_TIMEOUT_NS)
--- a/meadowworks/simulation/scale/quantiles.py
+++ b/meadowworks/simulation/scale/quantiles.py
@@ -1,4 +1,4 @@
-"""A few figures that stand for many."""
+"""A summary of measured values."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def summarize(values: Sequence[float]) -> dict[str, float]:
-    """Return how many values there are, their median and the greatest; nothing if there are none."""
+    """Return the number of values, their median and their maximum; empty without values."""
     if not values:
         return {}
     ordered = sorted(values)
--- a/meadowworks/simulation/scale/report.py
+++ b/meadowworks/simulation/scale/report.py
@@ -1,4 +1,4 @@
-"""What `lab scale` has measured: points, a fit with its deviation, and what that predicts for the target."""
+"""Reports of `lab scale`: measured points, a fit with its deviation, and its prediction for the target."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from meadowworks.simulation.scale.series import SCALED_SIZES, TARGET_SIZES
 
 AXES = tuple(name for name in TARGET_SIZES if name != "target")
-PARTS_SHOWN = 5  # of a role's processor time, the largest
+PARTS_SHOWN = 5  # the largest parts of a role's processor time
 RunResult = dict[str, Any]  # the JSON object of one run of `lab scale`
 Selector = Callable[[RunResult], float | None]
 
 
 @dataclass(frozen=True, slots=True)
 class Metric:
-    """A measured quantity; `budget` is in the same unit, if the users named one."""
+    """A measured quantity; `budget` is the users' limit in the same unit, if any."""
 
     name: str
     unit: str
@@ -28,7 +28,7 @@
 
 
 def role_metric(role: str, field: str, factor: float = 1.0) -> Selector:
-    """Select a figure of one role's, times a factor that changes its unit."""
+    """Return a selector of a role's figure, multiplied by a unit conversion factor."""
 
     def select(result: RunResult) -> float | None:
         value = result["roles"][role].get(field)
@@ -38,17 +38,17 @@
 
 
 def start_metric(field: str, factor: float = 1.0) -> Selector:
-    """Select a figure of a proxy's start, times a factor that changes its unit."""
+    """Return a selector of a figure of a proxy's start, multiplied by a unit conversion factor."""
     return lambda result: result["start"]["junction"][field] * factor if result["start"] else None
 
 
 def memory_metric(role: str) -> Selector:
-    """Select the memory that one program of a role holds."""
+    """Return a selector of the memory of one program of a role."""
     return lambda result: result["memory"].get(role, {}).get("held_mb")
 
 
 def slowest_change(result: RunResult) -> float | None:
-    """Select the longest time after which a change of the configuration was in force everywhere."""
+    """Return the longest time until a configuration change was applied everywhere, None without changes."""
     values = [change["at_all_s"] for change in result["changes"] if change["at_all_s"] is not None]
     return max(values) if values else None
 
@@ -68,7 +68,7 @@
 
 
 def fraction_of_target(result: RunResult) -> float:
-    """Return which fraction of the target's every size was simulated; 0 if the sizes are no such fraction."""
+    """Return the simulated fraction of the target's sizes; 0 if the sizes have different fractions."""
     settings = result["asked"]
     fraction: float = round(settings["backends"] / TARGET_SIZES["backends"], 3)
     fits = all(settings[name] == max(1, round(TARGET_SIZES[name] * fraction)) for name in SCALED_SIZES)
@@ -76,47 +76,51 @@
 
 
 def axis_value(result: RunResult, axis: str) -> float:
-    """Return where on an axis a result stands."""
+    """Return a result's value on an axis."""
     return fraction_of_target(result) if axis == "target" else float(result["asked"][axis])
 
 
 def results_by_axis(results: Iterable[RunResult]) -> dict[str, list[RunResult]]:
-    """Group results by the axis along which they differ from the most usual of the file's values."""
-    results = [one for one in results if one["complete"] and not one["loss"]]
-    if of_target := [one for one in results if fraction_of_target(one)]:
-        others = (one for one in results if not fraction_of_target(one))
+    """Group results by the axis along which they differ from the most common values."""
+    results = [result for result in results if result["complete"] and not result["loss"]]
+    if of_target := [result for result in results if fraction_of_target(result)]:
+        others = (result for result in results if not fraction_of_target(result))
         return {"target": of_target, **results_by_axis(others)}
-    usual: dict[str, Any] = {}
+    common_values: dict[str, Any] = {}
     for axis in AXES:
-        values = [one["asked"][axis] for one in results]
-        usual[axis] = max(set(values), key=values.count) if values else None
-    found: dict[str, list[RunResult]] = {}
+        values = [result["asked"][axis] for result in results]
+        common_values[axis] = max(set(values), key=values.count) if values else None
+    groups: dict[str, list[RunResult]] = {}
     for axis in AXES:
-        others_usual = [
-            one for one in results if all(one["asked"][name] == usual[name] for name in AXES if name != axis)
+        varying = [
+            result
+            for result in results
+            if all(result["asked"][name] == common_values[name] for name in AXES if name != axis)
         ]
-        if len({one["asked"][axis] for one in others_usual}) > 1:
-            found[axis] = others_usual
-    return found
+        if len({result["asked"][axis] for result in varying}) > 1:
+            groups[axis] = varying
+    return groups
 
 
 def build_report(results: Sequence[RunResult]) -> tuple[str, str]:
-    """Return Markdown tables and SVG plots of the axes along which the results of one file differ."""
+    """Return Markdown tables and SVG plots, for each axis along which the results differ."""
     text, plots = [], []
     for axis, rows in results_by_axis(results).items():
-        xs = sorted({axis_value(one, axis) for one in rows})
+        xs = sorted({axis_value(result, axis) for result in rows})
         target = TARGET_SIZES[axis]
         text += ["", f"### {axis}", "", *_table_head(xs, target)]
         plots.append(f"<h2>{axis}</h2>")
         for metric in METRICS:
-            points = [(axis_value(one, axis), y) for one in rows if (y := metric.select(one)) is not None]
+            points = [
+                (axis_value(result, axis), y) for result in rows if (y := metric.select(result)) is not None
+            ]
             if len({x for x, _ in points}) < 2:
                 continue
             fit = fit_line(points)
             title = f"{metric.name}, {metric.unit}"
             text.append(_table_row(title, xs, points, fit, target))
             plots.append(draw_plot(title, axis, points, fit, metric.budget, target))
-        largest = [one for one in rows if axis_value(one, axis) == max(xs)]
+        largest = [result for result in rows if axis_value(result, axis) == max(xs)]
         text += ["", *processor_breakdown(largest, max(xs))]
     return "\n".join(text).strip(), "\n".join(plots)
 
@@ -138,7 +142,7 @@
 
 
 def _predictions(points: Sequence[Point], fit: LinearFit, target: float) -> list[str]:
-    """Return the fit in figures, and what it and the power of growth predict for the target."""
+    """Return the cells of the fit, and the predictions for the target by the line and by the power law."""
     largest_x = max(x for x, _ in points)
     extrapolated = "" if largest_x >= target else " x"
     last = mean(y for x, y in points if x == largest_x)
@@ -153,7 +157,7 @@
 
 
 def build_page(plots: Sequence[str]) -> str:
-    """Return an HTML page of plots."""
+    """Return an HTML page of the plots."""
     head = (
         "<!doctype html><meta charset=utf-8><title>lab scale</title>"
         "<style>body{font:14px sans-serif;margin:2em}svg{margin:4px}</style>"
@@ -164,7 +168,7 @@
 
 
 def processor_breakdown(results: Sequence[RunResult], size: float) -> list[str]:
-    """Say what each role's processor time consists of, the largest parts first."""
+    """Return a line for each role with the largest parts of its processor time."""
     lines = []
     for role in ("junction", "signalbox"):
         ms_by_part: dict[str, list[float]] = {}
@@ -178,12 +182,12 @@
 
 
 def format_number(value: float) -> str:
-    """Return three digits, or thousands with commas."""
+    """Format a number with three digits, or from 1000 as an integer with commas."""
     return f"{value:.3g}" if abs(value) < 1000 else f"{value:,.0f}"
 
 
 def format_cell(values: Sequence[float]) -> str:
-    """Return the mean, and half of what lies between the least and the greatest as a part of it."""
+    """Format the mean, and half the range as a percentage of the mean."""
     if not values:
         return ""
     middle = mean(values)
--- a/meadowworks/simulation/scale/resource_meter.py
+++ b/meadowworks/simulation/scale/resource_meter.py
@@ -1,4 +1,4 @@
-"""What one program costs: processor time by part, messages and bytes."""
+"""The resources that one program uses: processor time by part, messages and bytes."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 @dataclass(slots=True)
 class ResourceMeter:
-    """The costs of one program; bytes are those of message bodies.
+    """The resources of one program; bytes are those of message bodies.
 
-    `cpu_ns` sums processor time by the part of the work, `turn_ns` that of the work at hand. A `profile` is
-    shared by the programs of a role.
+    `cpu_ns` is the processor time by part of the work, `work_ns` that of the current piece of work. The
+    programs of a role share a `profile`.
     """
 
     cpu_ns: dict[str, int] = field(default_factory=dict)
-    turn_ns: int = 0
+    work_ns: int = 0
     in_bytes: int = 0
     out_bytes: int = 0
     in_messages: int = 0
@@ -28,31 +28,31 @@
     profile: Profile | None = None
 
     def timed(self, part: str, work: Callable[[], Value]) -> Value:
-        """Do a part of the work and add its processor time."""
+        """Run a part of the work and add its processor time."""
         start = time.process_time_ns()
         try:
             return self.profile.runcall(work) if self.profile else work()
         finally:
             spent = time.process_time_ns() - start
-            self.turn_ns += spent
+            self.work_ns += spent
             self.cpu_ns[part] = self.cpu_ns.get(part, 0) + spent
 
-    def take_turn_ns(self) -> int:
-        """Return the processor time of the work at hand, and begin anew."""
-        spent, self.turn_ns = self.turn_ns, 0
+    def take_work_ns(self) -> int:
+        """Return the processor time of the current piece of work, and reset it."""
+        spent, self.work_ns = self.work_ns, 0
         return spent
 
     def received(self, size: int) -> None:
-        """Count a message that came in."""
+        """Count a received message."""
         self.in_messages += 1
         self.in_bytes += size
 
     def sent(self, size: int) -> None:
-        """Count a message that went out."""
+        """Count a sent message."""
         self.out_messages += 1
         self.out_bytes += size
 
     def clear(self) -> None:
-        """Forget what was counted so far."""
+        """Reset all counts."""
         self.cpu_ns.clear()
         self.in_bytes = self.out_bytes = self.in_messages = self.out_messages = 0
--- a/meadowworks/simulation/scale/results.py
+++ b/meadowworks/simulation/scale/results.py
@@ -33,49 +33,49 @@
 
 @dataclass(frozen=True, slots=True)
 class RunPeriod:
-    """The simulated time that was counted."""
+    """The measured period of simulated time."""
 
     since_ns: int
     until_ns: int
 
     @property
     def seconds(self) -> float:
-        """Its length, above 0 in any case."""
+        """The length, at least a small positive number."""
         return max(1e-9, (self.until_ns - self.since_ns) / SECOND)
 
 
 def collect_results(simulation: ScaleSimulation, period: RunPeriod, complete: bool) -> dict[str, Any]:
-    """Return all that was measured."""
+    """Return the JSON object of a run."""
     deployment = simulation.deployment
     content = deployment.control_planes[0].program.configuration.content
     compressed = zlib.compress(content, COMPRESSION_LEVEL)
     proxies = len(deployment.all_proxies())
-    drains_s = [ns / SECOND for ns in simulation.heartbeats.drain_acknowledged_ns]
-    found: dict[str, Any] = {
+    drains_s = [ns / SECOND for ns in simulation.heartbeats.drain_latencies_ns]
+    result: dict[str, Any] = {
         "asked": asdict(simulation.settings),
         "complete": complete,
         "why": simulation.ended_early,
         "counted_s": period.seconds,
         "roles": _roles(deployment, period),
         "configuration": {"bytes": len(content), "compressed": len(compressed)},
-        "changes": [change_result(one, proxies) for one in simulation.changes.changes],
+        "changes": [change_result(change, proxies) for change in simulation.changes.changes],
         "loss": simulation.losses.result(period.until_ns),
         "drain_ack_s": summarize(drains_s),
         "held": control_plane_state(deployment, simulation.pulls),
     }
     if simulation.profiles:
-        found["profile"] = {role: profile_by_function(one) for role, one in simulation.profiles.items()}
-    found["start"], found["memory"] = start_results(deployment) if simulation.settings.memory else ({}, {})
-    found["process"] = {"peak_mb": peak_mb(), "processes": 1}
-    return found
+        result["profile"] = {role: profile_by_function(one) for role, one in simulation.profiles.items()}
+    result["start"], result["memory"] = start_results(deployment) if simulation.settings.memory else ({}, {})
+    result["process"] = {"peak_mb": peak_mb(), "processes": 1}
+    return result
 
 
 def _roles(deployment: Deployment, period: RunPeriod) -> dict[str, Any]:
-    whole = [host.node.meter for host in deployment.proxies]
+    full_proxies = [host.node.meter for host in deployment.proxies]
     all_proxies = [host.node.meter for host in deployment.all_proxies()]
     control_planes = [host.node.meter for host in deployment.control_planes]
     return {
-        "junction": role_result(whole, all_proxies, period.seconds),
+        "junction": role_result(full_proxies, all_proxies, period.seconds),
         "signalbox": role_result(control_planes, control_planes, period.seconds),
     }
 
@@ -83,10 +83,10 @@
 def role_result(
     metered: Sequence[ResourceMeter], counted: Sequence[ResourceMeter], seconds: float
 ) -> dict[str, Any]:
-    """Return means a program and second.
+    """Return the mean figures per program and second.
 
-    :param metered: the programs whose processor time is real.
-    :param counted: the programs whose messages and bytes are.
+    :param metered: the programs whose processor time is measured.
+    :param counted: the programs whose messages and bytes are counted.
     """
     if not metered:
         return {}
@@ -99,34 +99,33 @@
         "controllers": len(counted),
         "metered": len(metered),
         "processor_ms_s": sum(parts.values()) / ns_to_ms_s,
-        "processor_ms_s_most": max(sum(one.cpu_ns.values()) for one in metered) / 1e6 / seconds,
+        "processor_ms_s_most": max(sum(meter.cpu_ns.values()) for meter in metered) / 1e6 / seconds,
         "parts_ms_s": {name: ns / ns_to_ms_s for name, ns in parts.most_common()},
-        "in_bytes_s": sum(one.in_bytes for one in counted) / program_seconds,
-        "out_bytes_s": sum(one.out_bytes for one in counted) / program_seconds,
-        "in_messages_s": sum(one.in_messages for one in counted) / program_seconds,
-        "out_messages_s": sum(one.out_messages for one in counted) / program_seconds,
-        "out_bytes_s_most": max(one.out_bytes for one in counted) / seconds,
+        "in_bytes_s": sum(meter.in_bytes for meter in counted) / program_seconds,
+        "out_bytes_s": sum(meter.out_bytes for meter in counted) / program_seconds,
+        "in_messages_s": sum(meter.in_messages for meter in counted) / program_seconds,
+        "out_messages_s": sum(meter.out_messages for meter in counted) / program_seconds,
+        "out_bytes_s_most": max(meter.out_bytes for meter in counted) / seconds,
     }
 
 
 def change_result(change: ConfigurationChange, proxies: int) -> dict[str, Any]:
-    """Return when a change was acknowledged, and from then, in force at half of the proxies, 99 % and all."""
+    """Return the time to a change's acknowledgement, and then until 50, 99, 100 % of proxies apply it."""
     acknowledged_ns = change.acknowledged_ns
     if not acknowledged_ns:
         return {"ack_s": None, "at_50_s": None, "at_99_s": None, "at_all_s": None}
     applied_s = sorted((ns - acknowledged_ns) / SECOND for ns in change.applied_ns.values())
-    found: dict[str, float | None] = {"ack_s": (acknowledged_ns - change.sent_ns) / SECOND}
+    result: dict[str, float | None] = {"ack_s": (acknowledged_ns - change.sent_ns) / SECOND}
     for name, percent in (("at_50_s", 50), ("at_99_s", 99), ("at_all_s", 100)):
         index = -(-proxies * percent // 100) - 1  # rounded up
-        found[name] = applied_s[index] if 0 <= index < len(applied_s) else None
-    return found
+        result[name] = applied_s[index] if 0 <= index < len(applied_s) else None
+    return result
 
 
 def control_plane_state(deployment: Deployment, pulls: Pulls) -> dict[str, Any]:
-    """Return what a control plane holds.
+    """Return the connections and the sizes of a control plane's state.
 
-    Connections are those of proxies and control planes that pull there, its own pulls, and backends that
-    call.
+    Connections are those of pulls by proxies and other control planes, of its own pulls, and of backends.
     """
     control_planes = deployment.control_planes
     connections: Counter[str] = Counter()
@@ -149,10 +148,9 @@
 
 
 def start_results(deployment: Deployment) -> tuple[dict[str, Any], dict[str, Any]]:
-    """Start a program of each role beside what is there, and return what it cost, and what memory it holds.
+    """Start one more program of each role, and return a proxy's start cost and the memory of each role.
 
-    Memory is by tracemalloc: the difference that the program makes in this process, without the interpreter
-    and libraries.
+    Memory is measured by tracemalloc as the increase by the program, without the interpreter and libraries.
     """
 
     def start_proxy() -> SimulatedProxy:
@@ -173,24 +171,24 @@
 
 
 def _start_control_plane(deployment: Deployment) -> SimulatedControlPlane:
-    """Start a control plane that takes over all that another one has."""
+    """Start a control plane that copies the state of another one."""
     zone = deployment.topology.zones[0]
-    model = deployment.nearest_control_plane(zone).program
-    record = peer_record("core-new", model.peers.local.host, zone, True, 1)
-    started = SimulatedControlPlane(
+    source = deployment.nearest_control_plane(zone).program
+    record = peer_record("core-new", source.peers.local.host, zone, True, 1)
+    control_plane = SimulatedControlPlane(
         record, HEARTBEAT_MS, deployment.clock, lambda _wait_ns, _action: None, ResourceMeter()
     )
-    started.on_pull_reply(complete_reply(model, record.incarnation).encode())
-    for instance in list(model.heartbeats.registrations):
+    control_plane.on_pull_reply(complete_reply(source, record.incarnation).encode())
+    for instance in list(source.heartbeats.registrations):
         if instance in deployment.backends:
             body = json.loads(deployment.heartbeat_body(instance))
-            started.heartbeats.record_heartbeat(deployment.now, instance, body)
-    started.zone_loads.copy_from(model.zone_loads)
-    return started
+            control_plane.heartbeats.record_heartbeat(deployment.now, instance, body)
+    control_plane.zone_loads.copy_from(source.zone_loads)
+    return control_plane
 
 
 def traffic_increase(roles: dict[str, Any], undisturbed: dict[str, Any]) -> dict[str, float]:
-    """Return what the programs of each role took beyond those of another run, all together, a second."""
+    """Return the increase of each role's total figures per second over those of an undisturbed run."""
     return {
         f"{role} {figure}": (roles[role][figure] - undisturbed[role][figure]) * roles[role]["controllers"]
         for role in roles
--- a/meadowworks/simulation/scale/series.py
+++ b/meadowworks/simulation/scale/series.py
@@ -1,4 +1,4 @@
-"""Runs of `lab scale` along one axis, each in a process of its own, a bounded number at once."""
+"""Series of `lab scale` along one axis; each run is a separate process, and a bounded number run at once."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     "zones": (4, 8, 16, 24),
     "target": (0.003, 0.01, 0.03, 0.1),
 }
-TARGET_SIZES = {  # the size that users plan for; changes and churn of a day as an hour's
+TARGET_SIZES = {  # the size that users plan for; changes and churn are a day's figures as rates per hour
     "controllers": 3300,
     "backends": 28000,
     "services": 1800,
@@ -38,23 +38,24 @@
 }
 SCALED_SIZES = ("controllers", "backends", "services", "routes")
 INTEGER_SETTINGS = ("seed", "boxes", "zones", "controllers", "backends", "services", "routes", "whole")
-QUIET_VARIABLE = "MEADOWWORKS_LAB_QUIET"  # in the environment of children: no progress
+QUIET_VARIABLE = "MEADOWWORKS_LAB_QUIET"  # in the environment of children, disables reports of progress
 POLL_INTERVAL_S = 0.05
-EXIT_TIMEOUT_S = 30  # for a child to say what it has after Ctrl-C
+EXIT_TIMEOUT_S = 30  # for a child to print its result after Ctrl-C
 
 
 @dataclass(frozen=True, slots=True)
 class ChildRun:
-    """A process that plays one run, and the file that takes its standard output."""
+    """A process of one run, and the file that receives its standard output."""
 
     process: subprocess.Popen[bytes]
     out: IO[str]
 
 
 def settings_at(settings: ScaleSettings, axis: str, value: float) -> ScaleSettings:
-    """Return the settings with one of the sizes changed.
+    """Return the settings with the value of one axis changed.
 
-    Along `target` each size is that part of the target's, in its zones and under its control planes.
+    On the axis `target`, the value is a fraction of the target's sizes; zones and control planes are as in
+    the target.
     """
     if axis == "target":
         sizes: dict[str, Any] = {name: max(1, round(TARGET_SIZES[name] * value)) for name in SCALED_SIZES}
@@ -64,7 +65,7 @@
 
 
 def command_options(settings: ScaleSettings) -> list[str]:
-    """Return the options of `lab scale` that stand for the settings."""
+    """Return the settings as options of `lab scale`."""
     options = []
     for name, value in asdict(settings).items():
         if isinstance(value, bool):
@@ -77,23 +78,23 @@
 def run_series(
     series: Sequence[ScaleSettings], processes: int, progress: Callable[[str], None]
 ) -> Iterator[dict[str, Any]]:
-    """Yield results as they come; a run that has none is left out, and has said why on standard error.
+    """Yield results in order of completion; a run without a result has printed its error on standard error.
 
-    :param processes: how many run at once.
-    :raises KeyboardInterrupt: at Ctrl-C, which the children get too; what they have is yielded before.
+    :param processes: the number of runs at once.
+    :raises KeyboardInterrupt: on Ctrl-C, after the partial results of the children, which also receive it.
     """
-    waiting, running = list(series), list[ChildRun]()
+    pending, running = list(series), list[ChildRun]()
     try:
-        while waiting or running:
-            while waiting and len(running) < processes:
-                running.append(start_child(waiting.pop(0)))
+        while pending or running:
+            while pending and len(running) < processes:
+                running.append(start_child(pending.pop(0)))
             sleep(POLL_INTERVAL_S)
-            for child in [one for one in running if one.process.poll() is not None]:
+            for child in [child for child in running if child.process.poll() is not None]:
                 running.remove(child)
                 if result := child_result(child):
                     yield result
-                done = len(series) - len(waiting) - len(running)
-                progress(f"{done} of {len(series)} runs are done")
+                done = len(series) - len(pending) - len(running)
+                progress(f"{done} of {len(series)} runs done")
     except KeyboardInterrupt:
         for child in running:
             if result := child_result(child):
@@ -106,22 +107,22 @@
 
 
 def start_child(settings: ScaleSettings) -> ChildRun:
-    """Start a process that plays one run."""
+    """Start the process of one run."""
     program = [sys.executable, "-O", "-m", "meadowworks"]
     command = [*program, "lab", "scale", *command_options(settings), "--json"]
-    out = TemporaryFile("w+")  # noqa: SIM115 (a pipe would hold up a child whose result is long)
+    out = TemporaryFile("w+")  # noqa: SIM115 (a pipe would block a child with a long result)
     environment = {**os.environ, QUIET_VARIABLE: "1"}
     return ChildRun(subprocess.Popen(command, stdout=out, env=environment), out)
 
 
 def child_result(child: ChildRun) -> dict[str, Any] | None:
-    """Return what a child has printed, None if that is nothing."""
+    """Return the result that a child has printed, None without output."""
     try:
         child.process.wait(EXIT_TIMEOUT_S)
     except subprocess.TimeoutExpired:
         child.process.terminate()
     child.out.seek(0)
-    text = child.out.read().strip()
+    output = child.out.read().strip()
     child.out.close()
-    result: dict[str, Any] | None = json.loads(text.splitlines()[-1]) if text else None
+    result: dict[str, Any] | None = json.loads(output.splitlines()[-1]) if output else None
     return result
--- a/meadowworks/simulation/scale/settings.py
+++ b/meadowworks/simulation/scale/settings.py
@@ -1,4 +1,4 @@
-"""What a run of `lab scale` simulates."""
+"""The settings of a run of `lab scale`."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Loss(StrEnum):
-    """What is lost during a run; the values are words of the command line and of JSON."""
+    """What is lost during a run; the values are used on the command line and in JSON."""
 
     BACKEND = "backend"
     PROXY = "junction"
@@ -26,10 +26,10 @@
     """Sizes and rates of a deployment; the fields are options of `lab scale` and fields of its JSON.
 
     `controllers` counts control planes (`boxes`) and proxies. `changes` of the configuration and `churn`
-    (proxies and backends that end and are followed by another) are an hour's, `requests` a second's at each
-    proxy. `whole` proxies are simulated whole, the others by stubs. Without `cpu` processor time delays
-    nothing, so that counts do not depend on the machine. A run that takes more than `most_mb` of memory ends
-    early.
+    (proxies and backends that end and are replaced) are rates per hour, `requests` is the rate per second at
+    each proxy. `whole` proxies are simulated in full, the others by stubs. Without `cpu`, processor time
+    takes no simulated time, so counts don't depend on the machine. A run that uses more than `most_mb` MB of
+    memory ends early.
     """
 
     controllers: int = 30
--- a/meadowworks/simulation/scale/simulation.py
+++ b/meadowworks/simulation/scale/simulation.py
@@ -1,4 +1,4 @@
-"""Plays a deployment for some simulated seconds and measures what it costs."""
+"""Runs a deployment for some simulated seconds and measures its cost."""
 
 from __future__ import annotations
 
@@ -21,22 +21,22 @@
 from meadowworks.simulation.scale.scheduler import MemoryLimitError, SimulatedNode
 from meadowworks.simulation.scale.settings import Loss, ScaleSettings
 
-WARM_UP_S = 2.5  # simulated, before anything is counted
+WARM_UP_S = 2.5  # simulated time before the measurement
 HOUR_S = 3600.0
-FIRST_EVENT_NS = SECOND // 2  # after the warm-up, unless the interval of such events is shorter
-LONGEST_WAIT = 10  # times the counted seconds, for configurations that are not in force everywhere
+FIRST_EVENT_NS = SECOND // 2  # after the warm-up; less if the interval of the events is shorter
+MAX_WAIT_FACTOR = 10  # multiple of the measured seconds to wait for proxies to apply a configuration
 
 Progress = Callable[[str], None]
 
 
-def say_nothing(_line: str) -> None:
-    """Stand in for progress where nobody follows it."""
+def ignore_progress(_line: str) -> None:
+    """Discard a line of progress."""
 
 
 class ScaleSimulation:
-    """One run; `ended_early` says why it was not played to its end, if so."""
+    """One run; `ended_early` is the reason if it was not completed, else empty."""
 
-    def __init__(self, settings: ScaleSettings, progress: Progress = say_nothing) -> None:
+    def __init__(self, settings: ScaleSettings, progress: Progress = ignore_progress) -> None:
         self.settings = settings
         self.deployment = Deployment(settings, progress)
         self.losses = Losses(self.deployment)
@@ -44,7 +44,7 @@
         self.pulls = Pulls(self.deployment, self.losses.on_answered, self._on_configuration)
         self.heartbeats = Heartbeats(self.deployment)
         self.churn = Churn(self.deployment, self.pulls, self.heartbeats)
-        self.profiles: dict[str, Profile] = {}  # by role, in the words of the JSON
+        self.profiles: dict[str, Profile] = {}  # by role, as named in the JSON
         self.ended_early = ""
         self._counted_since_ns = self._counted_until_ns = self.deployment.now
 
@@ -53,16 +53,16 @@
         self.changes.on_applied(node, version)
 
     def run(self) -> bool:
-        """Play the deployment and return whether it was played to its end."""
+        """Run the deployment and return whether the run was completed."""
         if self.settings.profile:
             self._start_profiles()
         with _frozen_heap():
             try:
-                self._play()
+                self._run_events()
             except KeyboardInterrupt:
-                self.ended_early = "ended by hand"
+                self.ended_early = "interrupted"
             except MemoryLimitError:
-                self.ended_early = f"it took more than {self.settings.most_mb:g} MB"
+                self.ended_early = f"memory limit of {self.settings.most_mb:g} MB exceeded"
             finally:
                 self._counted_until_ns = self.deployment.now
         return not self.ended_early
@@ -74,14 +74,14 @@
         for control_plane in self.deployment.control_planes:
             control_plane.node.meter.profile = self.profiles["signalbox"]
 
-    def _play(self) -> None:
+    def _run_events(self) -> None:
         deployment, scheduler = self.deployment, self.deployment.scheduler
         self._start_all()
         scheduler.run_until(deployment.now + int(WARM_UP_S * SECOND))
         for node in self._nodes():
             node.meter.clear()
         self._counted_since_ns = deployment.now
-        scheduler.run_until(deployment.now + int(self.settings.seconds * SECOND), announce=True)
+        scheduler.run_until(deployment.now + int(self.settings.seconds * SECOND), report_progress=True)
         if self.settings.changes:
             self._wait_for_changes()
 
@@ -92,7 +92,7 @@
             yield proxy.node
 
     def _start_all(self) -> None:
-        """Begin all that goes on, each at a time that is drawn."""
+        """Start all programs and events, each at a random time."""
         deployment, settings = self.deployment, self.settings
         for control_plane in deployment.control_planes:
             self.pulls.start_control_plane(control_plane)
@@ -109,7 +109,7 @@
             loss_ns = int((WARM_UP_S + 1) * SECOND)
             deployment.scheduler.call_later(loss_ns, lambda: self.losses.inject(loss, self.pulls, self.churn))
         if settings.churn:
-            self._start_repeated(settings.churn, self.churn.replace_one)
+            self._start_repeated(settings.churn, self.churn.replace_random_instance)
 
     def _start_repeated(self, per_hour: float, begin: Callable[[int], None]) -> None:
         interval_ns = int(HOUR_S / per_hour * SECOND)
@@ -117,16 +117,16 @@
         self.deployment.scheduler.call_later(first_ns, lambda: begin(interval_ns))
 
     def _wait_for_changes(self) -> None:
-        """Go on until what was sent is in force everywhere, so that the slowest is seen."""
+        """Continue until all proxies have applied the changes, to measure the slowest."""
         deployment, scheduler = self.deployment, self.deployment.scheduler
-        longest_ns = LONGEST_WAIT * self.settings.seconds * SECOND
+        longest_ns = MAX_WAIT_FACTOR * self.settings.seconds * SECOND
         counted_until_ns = self._counted_since_ns + int(self.settings.seconds * SECOND)
         proxies = len(deployment.all_proxies())
         while scheduler.events and deployment.now - self._counted_since_ns < longest_ns:
-            counted = [one for one in self.changes.changes if one.sent_ns < counted_until_ns]
-            if all(len(one.applied_ns) >= proxies for one in counted):
+            counted = [change for change in self.changes.changes if change.sent_ns < counted_until_ns]
+            if all(len(change.applied_ns) >= proxies for change in counted):
                 break
-            scheduler.run_until(deployment.now + SECOND, announce=True)
+            scheduler.run_until(deployment.now + SECOND, report_progress=True)
 
     def result(self, complete: bool) -> dict[str, Any]:
         """Return the JSON object of the run."""
@@ -136,7 +136,7 @@
 
 @contextmanager
 def _frozen_heap() -> Iterator[None]:
-    """Keep the collector away: the programs have a heap of their own each; here one would pay for all."""
+    """Disable the garbage collector, which would scan the heaps of all programs during the work of one."""
     gc.collect()
     gc.freeze()
     gc.disable()
@@ -147,15 +147,15 @@
         gc.unfreeze()
 
 
-def measure(settings: ScaleSettings, progress: Progress = say_nothing) -> dict[str, Any]:
-    """Play once; with a loss, a second time without it, for what the loss cost."""
-    began = time.monotonic()
+def measure(settings: ScaleSettings, progress: Progress = ignore_progress) -> dict[str, Any]:
+    """Run once; with a loss, run again without it to measure the increase of traffic."""
+    start_s = time.monotonic()
     simulation = ScaleSimulation(settings, progress)
     complete = simulation.run()
-    found = simulation.result(complete)
+    result = simulation.result(complete)
     if settings.loss and complete:
         undisturbed = ScaleSimulation(replace(settings, loss="", memory=False), progress)
-        found["complete"] = undisturbed.run()
-        found["loss"]["more"] = traffic_increase(found["roles"], undisturbed.result(True)["roles"])
-    found["process"]["took_s"] = time.monotonic() - began
-    return found
+        result["complete"] = undisturbed.run()
+        result["loss"]["more"] = traffic_increase(result["roles"], undisturbed.result(True)["roles"])
+    result["process"]["took_s"] = time.monotonic() - start_s
+    return result
--- a/tests/simulation/test_scale_command.py
+++ b/tests/simulation/test_scale_command.py
@@ -1,4 +1,4 @@
-"""The command lines of `lab scale` and `lab report`."""
+"""The commands `lab scale` and `lab report`."""
 
 from __future__ import annotations
 
@@ -10,17 +10,19 @@
 from meadowworks.cli.main import main
 
 
-def test_a_bound_on_memory_is_a_number(capsys: pytest.CaptureFixture[str]) -> None:
-    words = "--seconds 1 --controllers 4 --boxes 3 --axis boxes --points 3 --routes 10 --no-cpu --most-mb nan"
-    assert main(["lab", "scale", *words.split()]) == 2
+def test_memory_limit_must_be_a_number(capsys: pytest.CaptureFixture[str]) -> None:
+    arguments = (
+        "--seconds 1 --controllers 4 --boxes 3 --axis boxes --points 3 --routes 10 --no-cpu --most-mb nan"
+    )
+    assert main(["lab", "scale", *arguments.split()]) == 2
     assert "most-mb" in capsys.readouterr().err
 
 
-def test_results_are_kept_and_made_into_a_page(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_results_are_kept_and_reported_on_a_page(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     kept, page = tmp_path / "kept.jsonl", tmp_path / "page.html"
-    words = "--backends 12 --services 2 --routes 10 --seconds 2 --whole 1 --no-cpu --axis controllers"
-    words += f" --points 7,13 --processes 2 --json --keep {kept}"
-    status = main(["lab", "scale", *words.split()])
+    arguments = "--backends 12 --services 2 --routes 10 --seconds 2 --whole 1 --no-cpu --axis controllers"
+    arguments += f" --points 7,13 --processes 2 --json --keep {kept}"
+    status = main(["lab", "scale", *arguments.split()])
     points = json.loads(capsys.readouterr().out)["points"]
     assert status == 0
     assert len(points) == len(kept.read_text().splitlines()) == 2
@@ -32,7 +34,7 @@
 
 
 @pytest.mark.parametrize(
-    ("words", "said"),
+    ("arguments", "message"),
     [
         (["--controllers", "3"], "more --controllers"),
         (["--controllers", "x"], "controllers"),
@@ -44,10 +46,10 @@
         (["--processes", "99"], "--processes"),
     ],
 )
-def test_bad_sizes_are_one_plain_line(
-    capsys: pytest.CaptureFixture[str], words: list[str], said: str
+def test_invalid_settings_give_one_line(
+    capsys: pytest.CaptureFixture[str], arguments: list[str], message: str
 ) -> None:
-    assert main(["lab", "scale", *words]) == 2
+    assert main(["lab", "scale", *arguments]) == 2
     error = capsys.readouterr().err.strip()
-    assert said in error
+    assert message in error
     assert "\n" not in error
--- a/tests/simulation/test_scale_report.py
+++ b/tests/simulation/test_scale_report.py
@@ -1,4 +1,4 @@
-"""Reports of `lab scale`: tables, fits and plots of kept results."""
+"""Reports of `lab scale`: tables and fits of kept results."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 from tests.simulation.conftest import RunSmall
 
 
-def test_a_size_at_which_no_change_came_into_force_leaves_its_place_empty(run_small: RunSmall) -> None:
+def test_metric_without_a_value_at_a_size_has_no_row(run_small: RunSmall) -> None:
     few, many = run_small(controllers=7, memory=True), run_small(controllers=13, memory=True)
     for change in many["changes"]:
         change["at_all_s"] = None
     text, _ = build_report([few, many, few])
     (row,) = [line for line in text.splitlines() if "in force everywhere" in line] or [""]
-    assert not row  # a line wants two sizes
+    assert not row  # a fit needs two sizes
     assert "| a junction's bytes in" in text
 
 
-def test_a_fit_finds_a_line_and_says_how_far_off_it_is() -> None:
-    found = fit_line([(x, 3.0 + 0.5 * x) for x in (10.0, 30.0, 100.0, 300.0)])
-    assert found
-    assert found.base == pytest.approx(3.0)
-    assert found.slope == pytest.approx(0.5)
-    assert found.max_deviation < 1e-9
-    assert found.at(3300) == pytest.approx(1653.0)
-    bent = fit_line([(x, x**2) for x in (10.0, 30.0, 100.0, 300.0)])
-    assert bent
-    assert bent.max_deviation > 0.3
-    assert bent.exponent == pytest.approx(2.0)
+def test_fit_returns_the_line_and_its_deviation() -> None:
+    fit = fit_line([(x, 3.0 + 0.5 * x) for x in (10.0, 30.0, 100.0, 300.0)])
+    assert fit
+    assert fit.base == pytest.approx(3.0)
+    assert fit.slope == pytest.approx(0.5)
+    assert fit.max_deviation < 1e-9
+    assert fit.at(3300) == pytest.approx(1653.0)
+    curve = fit_line([(x, x**2) for x in (10.0, 30.0, 100.0, 300.0)])
+    assert curve
+    assert curve.max_deviation > 0.3
+    assert curve.exponent == pytest.approx(2.0)
--- a/tests/simulation/test_scale_simulation.py
+++ b/tests/simulation/test_scale_simulation.py
@@ -1,4 +1,4 @@
-"""`lab scale`: what is counted does not depend on the machine, and is what the programs would say."""
+"""`lab scale`: counts don't depend on the machine and match the messages that the programs would send."""
 
 from __future__ import annotations
 
@@ -18,33 +18,33 @@
     ]
 
 
-def test_counts_are_the_same_in_each_run(run_small: RunSmall) -> None:
+def test_counts_are_reproducible(run_small: RunSmall) -> None:
     assert counts(run_small()) == counts(run_small())
 
 
-def test_a_proxy_pulls_once_a_second_however_many_there_are(run_small: RunSmall) -> None:
+def test_proxy_pulls_once_a_second_for_any_number_of_proxies(run_small: RunSmall) -> None:
     few, many = (run_small(controllers=n, changes=0.0)["roles"] for n in (13, 43))
     for roles in (few, many):
         assert 0.9 <= roles["junction"]["out_messages_s"] <= 1.1
-    # Load reports are sums by zone: a row for each backend, whatever the number of proxies.
+    # Load reports are sums by zone, whose size depends on the backends and not on the proxies.
     assert many["junction"]["in_bytes_s"] < 1.2 * few["junction"]["in_bytes_s"]
-    # Thirty proxies more at three control planes are ten replies more a second at each.
+    # 30 more proxies at three control planes are ten more replies per second at each.
     more = many["signalbox"]["out_messages_s"] - few["signalbox"]["out_messages_s"]
     assert 9 <= more <= 11
 
 
-def test_heartbeats_cost_a_control_plane_a_message_each_and_others_nothing(run_small: RunSmall) -> None:
+def test_heartbeat_is_one_message_to_a_control_plane_and_none_to_proxies(run_small: RunSmall) -> None:
     few, many = (run_small(backends=n, changes=0.0, requests=0.0)["roles"] for n in (24, 84))
     more = many["signalbox"]["in_messages_s"] - few["signalbox"]["in_messages_s"]
     assert more == pytest.approx(60 / 1.5 / 3, abs=0.5)
     assert many["junction"]["in_bytes_s"] == pytest.approx(few["junction"]["in_bytes_s"], rel=0.02)
 
 
-def test_a_change_comes_into_force_everywhere_and_costs_each_its_whole_text(run_small: RunSmall) -> None:
+def test_change_is_applied_everywhere_and_sent_whole_to_each_proxy(run_small: RunSmall) -> None:
     calm, changed = run_small(changes=0.0, routes=300), run_small(routes=300)
     assert len(changed["changes"]) == 2
     for change in changed["changes"]:
-        # Two rounds of consensus with a sync each; then a pull that waits is answered at once.
+        # Two rounds of consensus with a disk sync each, after which pending pulls are answered at once.
         assert 0.01 <= change["ack_s"] <= 0.02
         assert 0 < change["at_50_s"] <= change["at_99_s"] <= change["at_all_s"] <= 0.2
     more = changed["roles"]["junction"]["in_bytes_s"] - calm["roles"]["junction"]["in_bytes_s"]
@@ -52,7 +52,7 @@
     assert whole * 0.95 <= more <= whole * 1.1
 
 
-def test_a_change_is_compressed_once_however_many_pull(
+def test_change_is_compressed_once_for_any_number_of_pulls(
     monkeypatch: pytest.MonkeyPatch, run_small: RunSmall
 ) -> None:
     sizes: list[int] = []
@@ -69,13 +69,13 @@
         (change,) = run_small(controllers=controllers, routes=300, changes=600.0)["changes"]
         assert change["at_all_s"]
         times.append(sum(size > 10000 for size in sizes))
-    # Each of three control planes once for all its proxies, a message to each of two others, one to tell
-    # its size.
+    # Once at each of the three control planes for its proxies, once for each of two replicas, and once to
+    # measure its size for the result.
     assert times[0] == times[1] <= 3 + 2 + 1
 
 
-def test_instances_that_follow_each_other_fast_are_told_to_all(run_small: RunSmall) -> None:
-    """Many leave in the two seconds that one takes to: none leaves twice."""
+def test_fast_replacements_reach_all_programs(run_small: RunSmall) -> None:
+    """Many backends leave within the drain period of one, and none leaves twice."""
     calm, busy = run_small(changes=0.0), run_small(changes=0.0, churn=36000.0)
     assert busy["drain_ack_s"]["many"] > 20
     assert busy["drain_ack_s"]["most"] <= 0.2
@@ -84,15 +84,15 @@
 
 
 @pytest.mark.parametrize(
-    ("loss", "least_s", "most_s"),
+    ("loss", "min_s", "max_s"),
     [
-        ("backend", 4.5, 8.0),  # four heartbeats missed, a turn of a second, a pull held back for a batch
+        ("backend", 4.5, 8.0),  # four missed heartbeats, the periodic check, a pull delayed for a batch
         ("junction", 0.0, 0.5),
-        ("box", 0.2, 2.1),  # the time-out of a pull, then another is asked
+        ("box", 0.2, 2.1),  # the time-out of a pull, then a pull of another control plane
         ("start", 0.0, 0.5),
     ],
 )
-def test_a_loss_is_known_in_time(run_small: RunSmall, loss: str, least_s: float, most_s: float) -> None:
-    found = run_small(loss=loss, changes=0.0, seconds=10.0)["loss"]
-    assert found["known_s"]["many"]
-    assert least_s <= found["known_s"]["most"] <= most_s
+def test_loss_is_detected_in_time(run_small: RunSmall, loss: str, min_s: float, max_s: float) -> None:
+    result = run_small(loss=loss, changes=0.0, seconds=10.0)["loss"]
+    assert result["known_s"]["many"]
+    assert min_s <= result["known_s"]["most"] <= max_s
--- a/tests/simulation/test_work_scheduler.py
+++ b/tests/simulation/test_work_scheduler.py
@@ -1,4 +1,4 @@
-"""Nodes that work on one thing at a time, and links between their zones."""
+"""Nodes that process one work item at a time, and links between zones."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     return WorkScheduler(count_cpu, max_mb, lambda _line: None)
 
 
-def test_what_work_schedules_counts_from_the_end_of_the_work() -> None:
+def test_delays_of_scheduled_actions_start_at_the_end_of_the_work() -> None:
     scheduler, node, times = build(count_cpu=True), SimulatedNode("n", "z"), list[int]()
 
     def work() -> None:
@@ -32,24 +32,24 @@
     assert times == [START_NS + node.meter.cpu_ns["spin"]]
 
 
-def test_without_processor_time_work_takes_none() -> None:
+def test_work_takes_no_time_without_processor_time() -> None:
     scheduler, node, times = build(count_cpu=False), SimulatedNode("n", "z"), list[int]()
     scheduler.enqueue(node, lambda: scheduler.call_after_work(5, lambda: times.append(scheduler.now)))
     scheduler.run_until(START_NS + SECOND)
     assert times == [START_NS + 5]
 
 
-def test_a_node_does_one_thing_after_another_and_none_without_power() -> None:
-    scheduler, node, seen = build(count_cpu=False), SimulatedNode("n", "z"), list[str]()
-    scheduler.enqueue(node, lambda: seen.append("first"))
-    scheduler.enqueue(node, lambda: seen.append("second"))
-    assert seen == ["first"]
+def test_node_works_sequentially_and_not_without_power() -> None:
+    scheduler, node, calls = build(count_cpu=False), SimulatedNode("n", "z"), list[str]()
+    scheduler.enqueue(node, lambda: calls.append("first"))
+    scheduler.enqueue(node, lambda: calls.append("second"))
+    assert calls == ["first"]
     scheduler.powered_off.add("n")
     scheduler.run_until(START_NS + SECOND)
-    assert seen == ["first"]
+    assert calls == ["first"]
 
 
-def test_a_run_that_takes_too_much_memory_ends(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_run_above_the_memory_limit_ends(monkeypatch: pytest.MonkeyPatch) -> None:
     scheduler = build(count_cpu=False, max_mb=1.0)
     clock = iter(range(0, 100, 3))
     monkeypatch.setattr(time, "monotonic", lambda: float(next(clock)))
@@ -58,7 +58,7 @@
         scheduler.run_until(START_NS + SECOND)
 
 
-def test_links_between_zones() -> None:
+def test_link_delays_and_reachability_between_zones() -> None:
     topology = Topology(8)
     near, same_region, far = topology.zones[0], topology.zones[3], topology.zones[4]
     assert topology.link_delay_ns(near, near) == IN_ZONE_NS
