--- a/meadowworks/modelcheck/models/__init__.py
+++ b/meadowworks/modelcheck/models/__init__.py
@@ -1,1 +1,1 @@
-"""The models by name. Each module here puts a machine of the product into a small world."""
+"""Models that `meadowworks check` explores; each puts state machines of the product into a small world."""
--- a/meadowworks/modelcheck/models/consensus/__init__.py
+++ b/meadowworks/modelcheck/models/consensus/__init__.py
@@ -1,14 +1,14 @@
-"""The model of agreement: versions of the configuration and members of epochs, on majorities of disks.
+"""The consensus model: configuration versions and epoch members, decided by majorities of disks.
 
-Acceptors stand on disks that are wiped, replaced, restarted and taken off; proposers, reconfigurations,
-quorum reads and state transfers race, are given up, begin again, or finish what another began, as
-`consensus.operation_runner` has them do.
+Disks of acceptors are wiped or replaced, and machines restart or are lost. Proposers, reconfigurations,
+quorum reads and state transfers race; each can be abandoned, begin again or complete the work of another, as
+in `consensus.operation_runner`.
 
-A request and its reply are one step, or the reply is lost: what a proposer has heard only tells when its next
-requests go, and those are steps of their own; one that got no reply may be asked again. An acceptor's reply
-is on its disk when it leaves (the model `replica` looks at that), also to its own proposer: a loss of power
-of a proposer's machine before any of its writes is a crash before the step in which it asks itself. A
-partition needs no clock: every proposer may go on, whoever it no longer reaches.
+A request and its reply are one step, or the reply is lost. Replies only determine which requests a proposer
+sends next, and those are steps of their own; a request without a reply can be sent again. An acceptor's
+reply, also that to its own proposer, is on its disk before it is sent; the model `replica` checks this. If a
+proposer's machine loses power before any of its writes, this equals a crash before the step in which it asks
+itself. A partition needs no clock: every proposer may continue, whichever members it can still reach.
 """
 
 from __future__ import annotations
--- a/meadowworks/modelcheck/models/consensus/acceptors.py
+++ b/meadowworks/modelcheck/models/consensus/acceptors.py
@@ -1,4 +1,4 @@
-"""Acceptors of the model: as a scenario begins, and as they answer a call."""
+"""Acceptors of the model: their initial states and their replies to calls."""
 
 from __future__ import annotations
 
@@ -28,60 +28,77 @@
 )
 from meadowworks.modelcheck.models.consensus.scenarios import Scenario, X
 
-MEMBERS_BALLOT, CHOSEN_BALLOT, FOUNDING_BALLOT = Ballot(1, 1, "b.0"), Ballot(1, 1, "a.0"), Ballot(0, 9, "a.0")
+MEMBERS_BALLOT = Ballot(1, 1, "b.0")
+CHOSEN_BALLOT = Ballot(1, 1, "a.0")
+FOUNDING_BALLOT = Ballot(0, 9, "a.0")
 
 
-def exchange(frozen: Any, other: Any) -> Any:
-    """One request of a call and its reply, as plain values.
+def exchange(frozen_call: Any, frozen_acceptor: Any) -> Any:
+    """Let an acceptor handle the request of a call, and the call its reply, as plain values.
 
-    :returns: the acceptor and the call after it, the call's outcome, a newer epoch that the reply told of,
-        and what is to be checked of a vote.
+    :returns: the acceptor and the call after the exchange, the call's outcome, a newer epoch if the reply
+        announced one, and the outcome to record if the acceptor voted.
     """
-    call, one = thaw_call(frozen), thaw_acceptor(other)
+    call, acceptor = thaw_call(frozen_call), thaw_acceptor(frozen_acceptor)
     assert call is not None
     request = call.request()
-    newest, votes = one.newest_epoch().number, may_vote_in(one, request.epoch)
-    reply = one.handle(request)
-    took = ("took", request.epoch, newest, votes) if isinstance(reply, PromiseReply | AcceptedReply) else None
-    call.on_reply(one.id_in_epoch(request.epoch), reply)
-    newer = reply.epoch if isinstance(reply, StaleEpochReply) else None
-    same = freeze_acceptor(one)
-    return other if same == other else same, freeze_call(call, frozen[-1]), call.outcome, newer, took
+    newest, may_vote = acceptor.newest_epoch().number, may_vote_in(acceptor, request.epoch)
+    reply = acceptor.handle(request)
+    vote = (
+        ("took", request.epoch, newest, may_vote) if isinstance(reply, PromiseReply | AcceptedReply) else None
+    )
+    call.on_reply(acceptor.id_in_epoch(request.epoch), reply)
+    newer_epoch = reply.epoch if isinstance(reply, StaleEpochReply) else None
+    updated = freeze_acceptor(acceptor)
+    return (
+        frozen_acceptor if updated == frozen_acceptor else updated,
+        freeze_call(call, frozen_call[-1]),
+        call.outcome,
+        newer_epoch,
+        vote,
+    )
 
 
-def may_vote_in(one: Acceptor, epoch: int) -> bool:
-    """Whether it is to vote in an epoch, and is ready to."""
-    there = one.installed and one.sealed_by is None and one.is_eligible and one.epoch.number == epoch
-    return there and any(disk == one.id_in_epoch(epoch) for disk, _ in one.epoch.members)
+def may_vote_in(acceptor: Acceptor, epoch: int) -> bool:
+    """Return whether an acceptor is a member of an epoch that may vote and is ready to."""
+    is_ready = (
+        acceptor.installed
+        and acceptor.sealed_by is None
+        and acceptor.is_eligible
+        and acceptor.epoch.number == epoch
+    )
+    return is_ready and any(disk == acceptor.id_in_epoch(epoch) for disk, _ in acceptor.epoch.members)
 
 
-def initial_acceptor(scenario: Scenario, k: int) -> Acceptor:
-    """The acceptor of a place as the scenario begins."""
-    disk = chr(ord("a") + k)
+def initial_acceptor(scenario: Scenario, place: int) -> Acceptor:
+    """Return the acceptor of a place in the initial state of a scenario."""
+    disk = chr(ord("a") + place)
     seeds = tuple(address for _, address in scenario.members) if scenario.founding else ()
-    founder = scenario.founding and str(k) in seeds
-    made = started(
-        load_acceptor(None, new_member_id=disk, address=str(k), seeds=seeds, bootstrap=founder, voting=True)
+    is_founder = scenario.founding and str(place) in seeds
+    acceptor = start_acceptor(
+        load_acceptor(
+            None, new_member_id=disk, address=str(place), seeds=seeds, bootstrap=is_founder, voting=True
+        )
     )
-    if not scenario.founding and (disk, str(k)) in scenario.members:
-        made.epoch, made.installed = thaw_epoch(1, scenario.members), True
-        if scenario.next_members and k < made.epoch.majority:
-            made.slots[MEMBERSHIP_VERSION] = AcceptorSlot(
+    if not scenario.founding and (disk, str(place)) in scenario.members:
+        acceptor.epoch, acceptor.installed = thaw_epoch(1, scenario.members), True
+        if scenario.next_members and place < acceptor.epoch.majority:
+            acceptor.slots[MEMBERSHIP_VERSION] = AcceptorSlot(
                 MEMBERS_BALLOT, MEMBERS_BALLOT, encode_member_list(scenario.next_members)
             )
-        if k in scenario.chosen_at:
-            made.slots[1] = AcceptorSlot(CHOSEN_BALLOT, CHOSEN_BALLOT, X)
-        if k in scenario.accepted_before:
-            made.slots[1] = AcceptorSlot(FOUNDING_BALLOT, FOUNDING_BALLOT, X)
-        if k in scenario.sealed_at:
-            made.sealed_by = thaw_epoch(2, scenario.next_members)
-    if k in scenario.installed_at:
-        made.handle(InstallRequest(2, thaw_epoch(2, scenario.next_members), Acceptor("").export_state()))
-        made.changed_slots, made.metadata_changed = set(), False
-    return made
+        if place in scenario.chosen_at:
+            acceptor.slots[1] = AcceptorSlot(CHOSEN_BALLOT, CHOSEN_BALLOT, X)
+        if place in scenario.accepted_before:
+            acceptor.slots[1] = AcceptorSlot(FOUNDING_BALLOT, FOUNDING_BALLOT, X)
+        if place in scenario.sealed_at:
+            acceptor.sealed_by = thaw_epoch(2, scenario.next_members)
+    if place in scenario.installed_at:
+        acceptor.handle(InstallRequest(2, thaw_epoch(2, scenario.next_members), Acceptor("").export_state()))
+        acceptor.changed_slots, acceptor.metadata_changed = set(), False
+    return acceptor
 
 
-def started(made: Acceptor) -> Acceptor:
-    """The acceptor after the start of its process, whose first write is on the disk."""
-    Replica(made, 1, lambda: 0.5).start(0)
-    return made
+def start_acceptor(acceptor: Acceptor) -> Acceptor:
+    """Start the acceptor's process, which writes its first state to the disk, and return the acceptor."""
+    Replica(acceptor, 1, lambda: 0.5).start(0)
+    return acceptor
--- a/meadowworks/modelcheck/models/consensus/enabled.py
+++ b/meadowworks/modelcheck/models/consensus/enabled.py
@@ -1,4 +1,4 @@
-"""Which steps may come next in a world."""
+"""The steps that are enabled in a state."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 
 
 def enabled_steps(world: World) -> list[Step]:
-    """The steps that may come next, by their names and what they are of."""
+    """Return the enabled steps, each a kind followed by its arguments."""
     return [*call_steps(world), *fault_steps(world), *peer_steps(world)]
 
 
 def call_steps(world: World) -> Iterator[Step]:
-    """Tasks begin, their calls ask acceptors, and late requests come."""
+    """Yield the beginnings of tasks, the requests of calls and the arrivals of late requests."""
     scenario = world.scenario
     for index, task in enumerate(scenario.tasks):
         if world.frozen_acceptors[task.place] is None:
@@ -39,7 +39,7 @@
             continue
         for _, address in world.unanswered_members(index):
             place = int(address)
-            if world.reaches(task.place, place):
+            if world.is_reachable(task.place, place):
                 yield "ask", index, place
                 if scenario.replies_may_be_lost and place != task.place:
                     yield "lost", index, place
@@ -50,7 +50,7 @@
 
 
 def fault_steps(world: World) -> Iterator[Step]:
-    """Disks and machines are lost, processes start again."""
+    """Yield losses of disks and machines, and restarts of processes."""
     for kind, places in zip(("wipe", "gone", "crash", "off"), world.faults_left, strict=True):
         for place in places:
             if world.frozen_acceptors[place] is not None:
@@ -61,50 +61,55 @@
 
 
 def peer_steps(world: World) -> Iterator[Step]:
-    """Acceptors hear from each other outside of any call, and the network is cut."""
+    """Yield messages between acceptors outside of any call, and the start of the partition."""
     scenario = world.scenario
     if scenario.acceptors_learn or scenario.members_install or scenario.acceptors_announce:
-        for (k, one), (j, other) in permutations(enumerate(world.frozen_acceptors), 2):
-            if one is None or other is None or not world.reaches(k, j):
+        for (place, acceptor), (other_place, other) in permutations(enumerate(world.frozen_acceptors), 2):
+            if acceptor is None or other is None or not world.is_reachable(place, other_place):
                 continue
-            if scenario.acceptors_learn and other[COMMITTED][0] < one[COMMITTED][0]:
-                yield "tell", k, j
+            if scenario.acceptors_learn and other[COMMITTED][0] < acceptor[COMMITTED][0]:
+                yield "tell", place, other_place
             if scenario.acceptors_announce and other[EPOCH][0] > 0:
-                yield "hear", k, j
-            if scenario.members_install and may_install(one, other):
-                yield "bring", k, j
+                yield "hear", place, other_place
+            if scenario.members_install and may_install(acceptor, other):
+                yield "bring", place, other_place
     if scenario.partition and not world.partition:
         yield ("cut",)
 
 
 def may_begin(world: World, task: Task) -> bool:
-    """Whether a task may begin its next attempt."""
-    epoch, installed, sealed, view = (
-        world.frozen_acceptors[task.place][place] for place in (EPOCH, INSTALLED, SEALED_BY, ANNOUNCED_EPOCH)
+    """Return whether a task may begin its next attempt."""
+    epoch, is_installed, sealed_by, announced_epoch = (
+        world.frozen_acceptors[task.place][field] for field in (EPOCH, INSTALLED, SEALED_BY, ANNOUNCED_EPOCH)
     )
-    newest = max(epoch[0], view[0])
+    newest = max(epoch[0], announced_epoch[0])
     if task.epoch not in (-1, newest):
         return False
     if task.kind == "carry":
-        return bool(installed and sealed is not None)
+        return bool(is_installed and sealed_by is not None)
     if task.kind == "change":
         return True
     if task.kind in ("members", "leave"):
-        return bool(installed and sealed is None and epoch[0] == newest)
+        return bool(is_installed and sealed_by is None and epoch[0] == newest)
     if task.kind == "put" and world.scenario.partition and not world.partition:
-        return False  # before the partition it is as in the scenarios without one
+        return False  # scenarios without a partition cover the states before it
     if task.kind in ("put", "finish") and task.version <= world.frozen_acceptors[task.place][COMMITTED][0]:
         return False
     return bool(newest >= 0)
 
 
-def may_install(one: Any, other: Any) -> bool:
-    """`one` votes, and has the other as a member that does not."""
-    epoch, installed, sealed, view = one[EPOCH], one[INSTALLED], one[SEALED_BY], one[ANNOUNCED_EPOCH]
+def may_install(acceptor: Any, other: Any) -> bool:
+    """Return whether an acceptor votes in an epoch and another is a member that is not installed in it."""
+    epoch, is_installed, sealed_by, announced_epoch = (
+        acceptor[EPOCH],
+        acceptor[INSTALLED],
+        acceptor[SEALED_BY],
+        acceptor[ANNOUNCED_EPOCH],
+    )
     return bool(
-        installed
-        and sealed is None
-        and view[0] <= epoch[0]
+        is_installed
+        and sealed_by is None
+        and announced_epoch[0] <= epoch[0]
         and epoch[0] > 0
         and any(disk == other[MEMBER_ID] for disk, _ in epoch[1])
         and not (other[INSTALLED] and other[EPOCH][0] >= epoch[0])
--- a/meadowworks/modelcheck/models/consensus/frozen.py
+++ b/meadowworks/modelcheck/models/consensus/frozen.py
@@ -1,6 +1,6 @@
-"""Acceptors, calls and requests as plain values, and back.
+"""Conversion of acceptors, calls and requests to plain values and back.
 
-A world keeps plain values alone: what is kept is then what tells worlds apart.
+A world stores only plain values, so that its state key contains all of its state.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 )
 from meadowworks.modelcheck.models.consensus.scenarios import Members
 
-# Where each field stands in a frozen acceptor; a tuple of plain values, since the explorer marshals it.
+# Indices of the fields in a frozen acceptor, which is a plain tuple because the explorer marshals it.
 (
     MEMBER_ID,
     ADDRESS,
@@ -50,75 +50,98 @@
 Call = Proposer | Reconfiguration | QuorumRead | StateTransfer
 
 
-def freeze_acceptor(one: Acceptor) -> Any:
-    """An acceptor as a plain value, without what it has still to write."""
+def freeze_acceptor(acceptor: Acceptor) -> Any:
+    """Return an acceptor as a plain value, without its pending writes."""
     return (
-        one.member_id,
-        one.address,
-        one.bootstrap_id,
-        one.is_eligible,
-        one.incarnation,
-        (one.epoch.number, one.epoch.members),
-        one.installed,
-        None if one.sealed_by is None else (one.sealed_by.number, one.sealed_by.members),
-        (one.committed.version, one.committed.value),
-        one.digest_history(),
-        freeze_slots((v, s.promised, s.accepted, s.value) for v, s in sorted(one.slots.items())),
-        (one.announced_epoch.number, one.announced_epoch.members),
+        acceptor.member_id,
+        acceptor.address,
+        acceptor.bootstrap_id,
+        acceptor.is_eligible,
+        acceptor.incarnation,
+        (acceptor.epoch.number, acceptor.epoch.members),
+        acceptor.installed,
+        None if acceptor.sealed_by is None else (acceptor.sealed_by.number, acceptor.sealed_by.members),
+        (acceptor.committed.version, acceptor.committed.value),
+        acceptor.digest_history(),
+        freeze_slots((v, s.promised, s.accepted, s.value) for v, s in sorted(acceptor.slots.items())),
+        (acceptor.announced_epoch.number, acceptor.announced_epoch.members),
     )
 
 
 def freeze_slots(rows: Iterable[tuple[int, Ballot, Ballot, bytes]]) -> Any:
-    """Slots as plain values."""
-    return tuple([(v, tuple(p), tuple(a), c) for v, p, a, c in rows])
+    """Return slots as plain values."""
+    return tuple(
+        [(version, tuple(promised), tuple(accepted), value) for version, promised, accepted, value in rows]
+    )
 
 
 def freeze_state(state: AcceptorState) -> Any:
-    """A transferred state as a plain value."""
+    """Return a transferred state as a plain value."""
     return (state.committed.version, state.committed.value), state.history, freeze_slots(state.slots)
 
 
 @lru_cache(4096)
 def thaw_epoch(number: int, members: Members) -> Epoch:
-    """An epoch; the same object for the same values."""
+    """Return an epoch; calls with equal values share one object."""
     return Epoch(number, members)
 
 
 def thaw_slots(rows: Any) -> list[tuple[int, Ballot, Ballot, bytes]]:
-    """Slots from plain values."""
-    return [(v, Ballot(*p), Ballot(*a), c) for v, p, a, c in rows]
+    """Return slots from plain values."""
+    return [
+        (version, Ballot(*promised), Ballot(*accepted), value) for version, promised, accepted, value in rows
+    ]
 
 
 def thaw_state(frozen: Any) -> AcceptorState:
-    """A transferred state from a plain value."""
+    """Return a transferred state from a plain value."""
     committed, history, rows = frozen
     return AcceptorState(CommittedValue(*committed), history, tuple(thaw_slots(rows)))
 
 
 def thaw_acceptor(frozen: Any) -> Acceptor:
-    """The acceptor that was frozen."""
-    disk, address, seat, wants, life, epoch, installed, sealed, committed, history, rows, view = frozen
+    """Return an acceptor from a plain value."""
+    (
+        member_id,
+        address,
+        bootstrap_id,
+        is_eligible,
+        incarnation,
+        epoch,
+        installed,
+        sealed_by,
+        committed,
+        history,
+        rows,
+        announced_epoch,
+    ) = frozen
     return Acceptor(
-        disk,
+        member_id,
         address,
-        seat,
-        wants,
-        life,
+        bootstrap_id,
+        is_eligible,
+        incarnation,
         thaw_epoch(*epoch),
         installed,
-        None if sealed is None else thaw_epoch(*sealed),
+        None if sealed_by is None else thaw_epoch(*sealed_by),
         CommittedValue(*committed),
         dict(history),
-        {v: AcceptorSlot(p, a, c) for v, p, a, c in thaw_slots(rows)},
-        thaw_epoch(*view),
+        {
+            version: AcceptorSlot(promised, accepted, value)
+            for version, promised, accepted, value in thaw_slots(rows)
+        },
+        thaw_epoch(*announced_epoch),
     )
 
 
-def freeze_call(call: Call, floor: int) -> Any:
-    """`floor`: the newest version that was chosen when it began, of readers and leavers."""
+def freeze_call(call: Call, min_version: int) -> Any:
+    """Return a call as a plain value.
+
+    :param min_version: the highest chosen version when a read or a leave began; its result must not be older.
+    """
     match call:
         case Proposer():
-            # What was promised tells nothing any more once the second round is on.
+            # The promises have no effect once the accept phase has begun.
             promises = [] if call.accepting else sorted(call.promises.items())
             return (
                 "proposer",
@@ -131,10 +154,10 @@
                 tuple(
                     [(member_id, tuple(p.ballot), tuple(p.accepted), p.value) for member_id, p in promises]
                 ),
-                floor,
+                min_version,
             )
         case Reconfiguration():
-            if call.installing:  # the states matter as what they come to, merged
+            if call.installing:  # only the merged state has an effect from here on
                 merged = call.request()
                 assert isinstance(merged, InstallRequest)
                 call.sealed_states = {"": merged.state}
@@ -150,23 +173,23 @@
                     ]
                 ),
                 tuple(sorted(call.installed_members)),
-                floor,
+                min_version,
             )
         case QuorumRead():
-            seen = [
+            replies = [
                 (
                     member_id,
-                    s.epoch,
-                    s.may_vote,
-                    s.highest_version,
-                    s.committed_version,
-                    s.member_id,
-                    s.address,
-                    s.is_eligible,
+                    reply.epoch,
+                    reply.may_vote,
+                    reply.highest_version,
+                    reply.committed_version,
+                    reply.member_id,
+                    reply.address,
+                    reply.is_eligible,
                 )
-                for member_id, s in sorted(call.replies.items())
+                for member_id, reply in sorted(call.replies.items())
             ]
-            return "reader", (call.epoch.number, call.epoch.members), tuple(seen), floor
+            return "reader", (call.epoch.number, call.epoch.members), tuple(replies), min_version
     return (
         "teacher",
         (call.epoch.number, call.epoch.members),
@@ -174,63 +197,66 @@
         (call.committed.version, call.committed.value),
         call.history,
         tuple(sorted(call.acknowledged)),
-        floor,
+        min_version,
     )
 
 
 def thaw_call(frozen: Any) -> Call | None:
-    """The call that was frozen; none if there is none."""
+    """Return a call from a plain value, None if the value stands for no call."""
     match frozen:
-        case "proposer", epoch, version, ballot, content, accepting, accepts, promises, _:
-            proposer = Proposer(thaw_epoch(*epoch), version, Ballot(*ballot), content)
-            proposer.accepting, proposer.acceptances = accepting, set(accepts)
-            proposer.promises = {w: PromiseReply(Ballot(*b), Ballot(*a), c) for w, b, a, c in promises}
+        case "proposer", epoch, version, ballot, value, accepting, acceptances, promises, _:
+            proposer = Proposer(thaw_epoch(*epoch), version, Ballot(*ballot), value)
+            proposer.accepting, proposer.acceptances = accepting, set(acceptances)
+            proposer.promises = {
+                member_id: PromiseReply(Ballot(*promised), Ballot(*accepted), accepted_value)
+                for member_id, promised, accepted, accepted_value in promises
+            }
             return proposer
-        case "change", epoch, after, installing, states, installed, _:
-            change = Reconfiguration(thaw_epoch(*epoch), thaw_epoch(*after))
-            change.installing, change.installed_members = installing, set(installed)
-            change.sealed_states = {member_id: thaw_state(state) for member_id, state in states}
-            return change
-        case "reader", epoch, seen, _:
-            reader = QuorumRead(thaw_epoch(*epoch))
-            reader.replies = {member_id: QueryReply(*rest) for member_id, *rest in seen}
-            return reader
-        case "teacher", epoch, others, committed, history, acknowledged, _:
-            teacher = StateTransfer(thaw_epoch(*epoch), "", CommittedValue(*committed), history)
-            teacher.other_members, teacher.acknowledged = others, set(acknowledged)
-            return teacher
+        case "change", epoch, next_epoch, installing, states, installed, _:
+            reconfiguration = Reconfiguration(thaw_epoch(*epoch), thaw_epoch(*next_epoch))
+            reconfiguration.installing, reconfiguration.installed_members = installing, set(installed)
+            reconfiguration.sealed_states = {member_id: thaw_state(state) for member_id, state in states}
+            return reconfiguration
+        case "reader", epoch, replies, _:
+            quorum_read = QuorumRead(thaw_epoch(*epoch))
+            quorum_read.replies = {member_id: QueryReply(*fields) for member_id, *fields in replies}
+            return quorum_read
+        case "teacher", epoch, other_members, committed, history, acknowledged, _:
+            transfer = StateTransfer(thaw_epoch(*epoch), "", CommittedValue(*committed), history)
+            transfer.other_members, transfer.acknowledged = other_members, set(acknowledged)
+            return transfer
     return None
 
 
 def freeze_request(request: Request) -> Any:
-    """A request as a plain value.
+    """Return a request as a plain value.
 
-    :raises ValueError: if it is none that changes an acceptor.
+    :raises ValueError: if the request changes no acceptor.
     """
     match request:
         case PrepareRequest(epoch, version, ballot):
             return "prepare", epoch, version, tuple(ballot)
-        case AcceptRequest(epoch, version, ballot, content):
-            return "accept", epoch, version, tuple(ballot), content
-        case SealRequest(epoch, after):
-            return "seal", epoch, (after.number, after.members)
-        case InstallRequest(epoch, after, state):
-            return "install", epoch, (after.number, after.members), freeze_state(state)
-    raise ValueError(f"{request!r} changes nothing that lasts")
+        case AcceptRequest(epoch, version, ballot, value):
+            return "accept", epoch, version, tuple(ballot), value
+        case SealRequest(epoch, next_epoch):
+            return "seal", epoch, (next_epoch.number, next_epoch.members)
+        case InstallRequest(epoch, next_epoch, state):
+            return "install", epoch, (next_epoch.number, next_epoch.members), freeze_state(state)
+    raise ValueError(f"cannot freeze {request!r}: only prepare, accept, seal and install requests are frozen")
 
 
 def thaw_request(frozen: Any) -> Request:
-    """The request that was frozen.
+    """Return a request from a plain value.
 
-    :raises ValueError: if it is none.
+    :raises ValueError: if the value is not a frozen request.
     """
     match frozen:
         case "prepare", epoch, version, ballot:
             return PrepareRequest(epoch, version, Ballot(*ballot))
-        case "accept", epoch, version, ballot, content:
-            return AcceptRequest(epoch, version, Ballot(*ballot), content)
-        case "install", epoch, after, state:
-            return InstallRequest(epoch, thaw_epoch(*after), thaw_state(state))
-        case "seal", epoch, after:
-            return SealRequest(epoch, thaw_epoch(*after))
-    raise ValueError(f"no request: {frozen!r}")
+        case "accept", epoch, version, ballot, value:
+            return AcceptRequest(epoch, version, Ballot(*ballot), value)
+        case "install", epoch, next_epoch, state:
+            return InstallRequest(epoch, thaw_epoch(*next_epoch), thaw_state(state))
+        case "seal", epoch, next_epoch:
+            return SealRequest(epoch, thaw_epoch(*next_epoch))
+    raise ValueError(f"not a frozen request: {frozen!r}")
--- a/meadowworks/modelcheck/models/consensus/machines.py
+++ b/meadowworks/modelcheck/models/consensus/machines.py
@@ -1,4 +1,4 @@
-"""The machines of a world: acceptors on disks, and the faults that may come to them."""
+"""The machines of a world: acceptors on disks, and the faults that can happen to them."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 )
 from meadowworks.consensus.metadata import load_acceptor
 from meadowworks.consensus.write_queue import WriteQueue
-from meadowworks.modelcheck.models.consensus.acceptors import initial_acceptor, started
+from meadowworks.modelcheck.models.consensus.acceptors import initial_acceptor, start_acceptor
 from meadowworks.modelcheck.models.consensus.frozen import (
     freeze_acceptor,
     thaw_acceptor,
@@ -20,10 +20,10 @@
 
 
 class Machines:
-    """Acceptors by their places.
+    """The acceptors by place.
 
-    `frozen_acceptors` are plain values, none where the machine is lost; `touched_acceptors` are those that
-    the step in hand may have changed.
+    `frozen_acceptors` holds plain values, None where the machine is lost. `touched_acceptors` holds the
+    thawed acceptors that the current step may change.
     """
 
     def __init__(self, scenario: Scenario) -> None:
@@ -32,7 +32,7 @@
             freeze_acceptor(initial_acceptor(scenario, place)) for place in range(scenario.place_count)
         ]
         self.touched_acceptors: dict[int, Acceptor] = {}
-        self.ballot_numbers = [0] * scenario.place_count  # in memory
+        self.ballot_numbers = [0] * scenario.place_count  # kept in memory only, lost at a restart
         self.faults_left = (
             scenario.replaceable_disks,
             scenario.losable_machines,
@@ -42,66 +42,68 @@
         self.partition = NO_PAIRS
 
     def end_calls(self, place: int) -> None:
-        """The process of a place ends, and its calls with it."""
+        """End the calls of the process at a place."""
         raise NotImplementedError
 
-    def reaches(self, k: int, j: int) -> bool:
-        """Whether a machine is there and no partition keeps another from it."""
-        return self.frozen_acceptors[j] is not None and not (
-            self.partition and frozenset((k, j)) in self.partition
+    def is_reachable(self, from_place: int, to_place: int) -> bool:
+        """Return whether a machine exists and no partition separates it from another."""
+        return self.frozen_acceptors[to_place] is not None and not (
+            self.partition and frozenset((from_place, to_place)) in self.partition
         )
 
-    def acceptor_at(self, k: int) -> Acceptor:
-        """The acceptor of a place, to be changed in this step."""
-        if k not in self.touched_acceptors:
-            self.touched_acceptors[k] = thaw_acceptor(self.frozen_acceptors[k])
-        return self.touched_acceptors[k]
-
-    def do_wipe(self, k: int) -> None:
-        """An empty disk stands in place of the old one. Its settings say that this is not the first start."""
-        wiped, *rest = self.faults_left
-        self.faults_left = (tuple(j for j in wiped if j != k), *rest)  # type: ignore[assignment]
-        self.end_calls(k)
-        self.ballot_numbers[k] = 0
-        name = self.acceptor_at(k).member_id[0] + "2"
+    def acceptor_at(self, place: int) -> Acceptor:
+        """Return the acceptor of a place, thawed so that this step can change it."""
+        if place not in self.touched_acceptors:
+            self.touched_acceptors[place] = thaw_acceptor(self.frozen_acceptors[place])
+        return self.touched_acceptors[place]
+
+    def replace_disk(self, place: int) -> None:
+        """Replace the disk by an empty one; the settings say that this is not the cluster's first start."""
+        replaceable, *others = self.faults_left
+        self.faults_left = (tuple(p for p in replaceable if p != place), *others)  # type: ignore[assignment]
+        self.end_calls(place)
+        self.ballot_numbers[place] = 0
+        member_id = self.acceptor_at(place).member_id[0] + "2"
         seeds = tuple(address for _, address in self.scenario.members)
-        self.touched_acceptors[k] = started(
-            load_acceptor(None, new_member_id=name, address=str(k), seeds=seeds, bootstrap=False, voting=True)
+        self.touched_acceptors[place] = start_acceptor(
+            load_acceptor(
+                None, new_member_id=member_id, address=str(place), seeds=seeds, bootstrap=False, voting=True
+            )
         )
 
-    def do_gone(self, k: int) -> None:
-        """The machine is lost, with its disk."""
-        wiped, gone, crashes, off = self.faults_left
-        self.faults_left = (wiped, tuple(j for j in gone if j != k), crashes, off)
-        self.end_calls(k)
-        self.ballot_numbers[k] = 0
-        self.touched_acceptors.pop(k, None)
-        self.frozen_acceptors[k] = None
-
-    def do_crash(self, k: int) -> None:
-        """Power is lost; the process starts again."""
-        wiped, gone, crashes, off = self.faults_left
-        self.faults_left = (wiped, gone, tuple(j for j in crashes if j != k), off)
-        self.restart(k, True)
-
-    def do_off(self, k: int) -> None:
-        """The process is started again with settings not to vote."""
-        wiped, gone, crashes, off = self.faults_left
-        self.faults_left = (wiped, gone, crashes, tuple(j for j in off if j != k))
-        self.restart(k, False)
-
-    def do_on(self, k: int) -> None:
-        """The process is started again with settings to vote."""
-        self.restart(k, True)
-
-    def restart(self, k: int, voting: bool) -> None:
-        """The process starts again: what is on the disk is there, what was in memory alone is not."""
-        self.end_calls(k)
-        self.ballot_numbers[k] = 0
-        old = self.acceptor_at(k)
+    def lose_machine(self, place: int) -> None:
+        """Remove the machine and its disk."""
+        replaceable, losable, crashes, restarts = self.faults_left
+        self.faults_left = (replaceable, tuple(p for p in losable if p != place), crashes, restarts)
+        self.end_calls(place)
+        self.ballot_numbers[place] = 0
+        self.touched_acceptors.pop(place, None)
+        self.frozen_acceptors[place] = None
+
+    def lose_power(self, place: int) -> None:
+        """Interrupt the power; the process starts again."""
+        replaceable, losable, crashes, restarts = self.faults_left
+        self.faults_left = (replaceable, losable, tuple(p for p in crashes if p != place), restarts)
+        self.restart(place, True)
+
+    def restart_without_vote(self, place: int) -> None:
+        """Restart the process with settings that exclude it from voting."""
+        replaceable, losable, crashes, restarts = self.faults_left
+        self.faults_left = (replaceable, losable, crashes, tuple(p for p in restarts if p != place))
+        self.restart(place, False)
+
+    def restart_with_vote(self, place: int) -> None:
+        """Restart the process with settings that let it vote."""
+        self.restart(place, True)
+
+    def restart(self, place: int, voting: bool) -> None:
+        """Restart the process: the state on the disk is kept, the state in memory is lost."""
+        self.end_calls(place)
+        self.ballot_numbers[place] = 0
+        old = self.acceptor_at(place)
         old.metadata_changed = True
         metadata = WriteQueue(old).collect_update().metadata
-        self.touched_acceptors[k] = started(
+        self.touched_acceptors[place] = start_acceptor(
             load_acceptor(
                 metadata,
                 new_member_id="",
@@ -115,20 +117,24 @@
             )
         )
 
-    def do_tell(self, k: int, j: int) -> None:
-        """One acceptor tells another what it knows to be chosen."""
-        one = self.acceptor_at(k)
-        self.acceptor_at(j).handle(LearnRequest(one.epoch.number, one.committed, one.digest_history()))
+    def send_committed_value(self, from_place: int, to_place: int) -> None:
+        """Send the committed value and its history from one acceptor to another."""
+        sender = self.acceptor_at(from_place)
+        self.acceptor_at(to_place).handle(
+            LearnRequest(sender.epoch.number, sender.committed, sender.digest_history())
+        )
 
-    def do_bring(self, k: int, j: int) -> None:
-        """One acceptor installs another in its epoch."""
-        one = self.acceptor_at(k)
-        self.acceptor_at(j).handle(InstallRequest(one.epoch.number, one.epoch, one.export_state()))
+    def install_member(self, from_place: int, to_place: int) -> None:
+        """Let one acceptor install another in its epoch."""
+        sender = self.acceptor_at(from_place)
+        self.acceptor_at(to_place).handle(
+            InstallRequest(sender.epoch.number, sender.epoch, sender.export_state())
+        )
 
-    def do_hear(self, k: int, j: int) -> None:
-        """One acceptor hears of the epoch of another."""
-        self.acceptor_at(k).on_epoch_announced(self.acceptor_at(j).epoch)
+    def announce_epoch(self, to_place: int, from_place: int) -> None:
+        """Announce the epoch of one acceptor to another."""
+        self.acceptor_at(to_place).on_epoch_announced(self.acceptor_at(from_place).epoch)
 
-    def do_cut(self) -> None:
-        """The network is cut."""
+    def start_partition(self) -> None:
+        """Start the scenario's network partition."""
         self.partition = self.scenario.partition
--- a/meadowworks/modelcheck/models/consensus/model.py
+++ b/meadowworks/modelcheck/models/consensus/model.py
@@ -1,4 +1,4 @@
-"""The model as the explorer takes it, and its steps in words."""
+"""The consensus model for the explorer, and the descriptions of its steps."""
 
 from __future__ import annotations
 
@@ -11,44 +11,44 @@
 
 STEP_DESCRIPTIONS = {
     "begin": "proposer {} begins",
-    "ask": "proposer {} asks disk {} and hears it",
-    "lost": "proposer {} asks disk {}, whose reply is lost",
-    "late": "held-up request {} comes to disk {}",
+    "ask": "proposer {} sends its request to disk {} and receives the reply",
+    "lost": "proposer {} sends its request to disk {}, whose reply is lost",
+    "late": "late request {} arrives at disk {}",
     "wipe": "disk {} is replaced by an empty one at its address",
     "gone": "machine {} is lost with its disk",
-    "crash": "box {} loses power and comes back with its disk",
-    "off": "box {} is started anew and told not to vote",
-    "on": "box {} is started anew and told to vote",
-    "tell": "disk {} tells disk {} what is chosen",
-    "hear": "disk {} hears which epoch disk {} is in",
+    "crash": "machine {} loses power and restarts with its disk",
+    "off": "machine {} restarts with settings that exclude it from voting",
+    "on": "machine {} restarts with settings that let it vote",
+    "tell": "disk {} sends its committed value to disk {}",
+    "hear": "disk {} receives the epoch of disk {}",
     "bring": "disk {} installs disk {} in its epoch",
-    "cut": "the core is cut",
+    "cut": "the network partition starts",
 }
 
 
 def describe_step(step: Step) -> str:
-    """A step in words, as paths are printed.
+    """Return the description of a step for printed paths.
 
-    :raises ValueError: if it is no step of this model.
+    :raises ValueError: if this model has no such step.
     """
-    kind, *numbers = step
+    kind, *arguments = step
     description = STEP_DESCRIPTIONS.get(kind)
-    if description is None or description.count("{}") != len(numbers):
-        raise ValueError(f"no such step: {step!r}")
-    return description.format(*numbers)
+    if description is None or description.count("{}") != len(arguments):
+        raise ValueError(f"the consensus model has no such step: {step!r}")
+    return description.format(*arguments)
 
 
 def initial_worlds(large: bool, memo: Memo) -> list[World]:
-    """A world for each scenario."""
+    """Return a world for each scenario."""
     return [World(scenario, memo) for scenario in scenarios(large)]
 
 
 def model(large: bool) -> Model:
-    """The model, with the larger scenarios too if they are asked for."""
+    """Return the model, with the larger scenarios if `large`."""
     memo: Memo = {}
     return Model(
         "timetable",
-        "versions of the configuration, and members, on majorities of disks",
+        "configuration versions and epoch members, decided by majorities of disks",
         lambda: initial_worlds(large, memo),
         partial(thaw_world, memo),
         describe_step,
--- a/meadowworks/modelcheck/models/consensus/scenario_table.py
+++ b/meadowworks/modelcheck/models/consensus/scenario_table.py
@@ -1,16 +1,16 @@
-"""The scenarios of the model."""
+"""The scenarios of the consensus model."""
 
 from __future__ import annotations
 
 from meadowworks.modelcheck.models.consensus.scenarios import (
     AB,
     ABC,
+    ABC_WITH_C_REPLACED,
     ABCD,
     ABCDE,
     ABD,
     BCD,
     CDE,
-    WIPED,
     Scenario,
     Task,
     X,
@@ -23,12 +23,16 @@
 
 
 def scenarios(large: bool) -> list[Scenario]:
-    """All scenarios, by place: seeded faults name theirs by it, so new ones go to the end."""
+    """Return all scenarios. Seeded faults refer to them by index, so add new ones at the end."""
     race, change = (propose(0, X), propose(1, Y)), Task(1, "change")
-    two, one = pairs_between((0, 2), (1, 3)), pairs_between((0,), (1, 2, 3))
-    one_set, other_set, carry = propose_members(0, ABC, 0), propose_members(1, AB, 0), Task(0, "carry")
-    read, old = Task(1, "read"), propose(1, X, 1, 2)
-    found = [
+    cut_in_halves, cut_off_place_0 = pairs_between((0, 2), (1, 3)), pairs_between((0,), (1, 2, 3))
+    found_with_abc, found_with_ab, complete_epoch = (
+        propose_members(0, ABC, 0),
+        propose_members(1, AB, 0),
+        Task(0, "carry"),
+    )
+    read, propose_in_epoch_2 = Task(1, "read"), propose(1, X, 1, 2)
+    table = [
         Scenario("begun anew", race, (2, 1)),
         Scenario("two versions", (propose(0, X, 1), propose(1, Y, 2)), (1, 1), acceptors_learn=True),
         Scenario(
@@ -53,9 +57,15 @@
         Scenario("a reader", (propose(0), read), (1, 1)),
         Scenario("two versions are read", (propose(0), propose(1, Y, 2), Task(2, "read")), (1, 1, 1)),
         Scenario("a leaver", (propose(0), Task(2, "leave")), (1, 1)),
-        Scenario("a leaver of four", (carry, Task(3, "leave")), (1, 1), 4, ABCD, chosen_at=(0, 1, 3)),
         Scenario(
-            "founding, a disk is wiped", (one_set, other_set), (1, 1), replaceable_disks=(2,), founding=True
+            "a leaver of four", (complete_epoch, Task(3, "leave")), (1, 1), 4, ABCD, chosen_at=(0, 1, 3)
+        ),
+        Scenario(
+            "founding, a disk is wiped",
+            (found_with_abc, found_with_ab),
+            (1, 1),
+            replaceable_disks=(2,),
+            founding=True,
         ),
         Scenario("founding, too early", (propose_members(0, ABC), propose(1)), (1, 1), founding=True),
         Scenario("one comes in", (change, propose(0)), (1, 1), 4, next_members=ABCD),
@@ -63,18 +73,44 @@
         Scenario(
             "one is lost, another comes", (change, propose(0)), (1, 1), 4, ABC, BCD, losable_machines=(0,)
         ),
-        Scenario("two in a row", (change, propose_members(2, CDE, 2), old), (1, 1, 1), 5, ABC, BCD),
         Scenario(
-            "wiped at its address", (propose_members(0, WIPED, 1), propose(1)), (1, 1), replaceable_disks=(2,)
+            "two in a row", (change, propose_members(2, CDE, 2), propose_in_epoch_2), (1, 1, 1), 5, ABC, BCD
+        ),
+        Scenario(
+            "wiped at its address",
+            (propose_members(0, ABC_WITH_C_REPLACED, 1), propose(1)),
+            (1, 1),
+            replaceable_disks=(2,),
+        ),
+        Scenario(
+            "cut in two",
+            (change, propose(0), propose(1, Y)),
+            (1, 1, 1),
+            4,
+            ABC,
+            ABCD,
+            partition=cut_in_halves,
         ),
-        Scenario("cut in two", (change, propose(0), propose(1, Y)), (1, 1, 1), 4, ABC, ABCD, partition=two),
         Scenario(
-            "cut off alone", (change, propose(0), propose(1, Y)), (1, 1, 1), 4, ABC, ABCD, partition=one
+            "cut off alone",
+            (change, propose(0), propose(1, Y)),
+            (1, 1, 1),
+            4,
+            ABC,
+            ABCD,
+            partition=cut_off_place_0,
         ),
-        Scenario("left half-way", (change, carry), (1, 1), 4, ABC, BCD, crash_places=(1,)),
-        Scenario("left half-way, a version too", (carry, propose(2)), (1, 1), 4, ABC, BCD, (0,)),
+        Scenario("left half-way", (change, complete_epoch), (1, 1), 4, ABC, BCD, crash_places=(1,)),
+        Scenario("left half-way, a version too", (complete_epoch, propose(2)), (1, 1), 4, ABC, BCD, (0,)),
         Scenario(
-            "installed at one", (carry, propose(2), propose(3, Y)), (1, 1, 1), 4, ABC, BCD, (0, 1), (3,)
+            "installed at one",
+            (complete_epoch, propose(2), propose(3, Y)),
+            (1, 1, 1),
+            4,
+            ABC,
+            BCD,
+            (0, 1),
+            (3,),
         ),
         Scenario("two sets", (propose_members(0, ABD), propose_members(1, BCD)), (1, 1), 4),
         Scenario("a register of members anew", (change, propose_members(2, (), 2)), (1, 1), 4, ABC, BCD),
@@ -91,7 +127,14 @@
         Scenario(
             "five become three", (Task(2, "read"),), (1,), 5, ABCDE, ABC, (3, 4), (2,), chosen_at=(2, 3, 4)
         ),
-        Scenario("a reader of the old", (change, old, Task(0, "read", epoch=1)), (1, 1, 1), 4, ABC, BCD),
+        Scenario(
+            "a reader of the old",
+            (change, propose_in_epoch_2, Task(0, "read", epoch=1)),
+            (1, 1, 1),
+            4,
+            ABC,
+            BCD,
+        ),
         Scenario(
             "not to vote for a while",
             (change,),
@@ -117,14 +160,14 @@
         Scenario("members and a version", (propose_members(2, ()), propose(1)), (1, 1), 4, next_members=ABD),
     ]
     if large:
-        found += [
+        table += [
             Scenario("any disk is replaced", race, (1, 1), replaceable_disks=(0, 1, 2)),
             Scenario("begun anew, both", race, (2, 2), replies_may_be_lost=True),
             Scenario("five disks, a race", race, (1, 1), 5, ABCDE, replaceable_disks=(4,)),
             Scenario("one comes in, begun anew", (change, propose(0)), (1, 2), 4, next_members=ABCD),
             Scenario(
                 "left half-way, and a version",
-                (change, carry, propose(2)),
+                (change, complete_epoch, propose(2)),
                 (1, 1, 1),
                 4,
                 ABC,
@@ -142,4 +185,4 @@
                 members_install=True,
             ),
         ]
-    return found
+    return table
--- a/meadowworks/modelcheck/models/consensus/scenarios.py
+++ b/meadowworks/modelcheck/models/consensus/scenarios.py
@@ -1,4 +1,4 @@
-"""What happens in each world of the model: who proposes what, and which faults may come."""
+"""The form of a scenario: its tasks, its initial state and the faults that can happen."""
 
 from __future__ import annotations
 
@@ -11,17 +11,19 @@
 
 
 def members_of(*names: str) -> Members:
-    """Members by their disks: `a` stands at place 0, `b` at 1; `c2` is the second disk at place 2."""
+    """Return members by disk: `a` is at place 0, `b` at place 1; `c2` is the second disk at place 2."""
     return tuple(sorted((name, str(ord(name[0]) - ord("a"))) for name in names))
 
 
 @dataclass(frozen=True, slots=True)
 class Task:
-    """What a call is for.
+    """An operation that a place attempts.
 
-    `kind`: `put` and `finish` are of a version; `members` proposes them, or without any finishes what another
-    has proposed; `change` completes the scenario's chosen members, `carry` those that its place finds itself
-    sealed by; `read` and `leave`. `epoch`: it begins in this one alone; -1: in any.
+    :ivar kind: `put` proposes a value for a version, `finish` completes a version that another has proposed.
+        `members` proposes a member list, or completes another's proposal if `members` is empty. `change` is
+        the reconfiguration to the scenario's `next_members`, `carry` the one to the epoch that has sealed the
+        place's acceptor. `read` and `leave` are a quorum read and the leave of the place.
+    :ivar epoch: the only epoch in which the task may begin, -1 for any.
     """
 
     place: int
@@ -37,53 +39,56 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """How a world begins, and what may happen in it. A place is a machine's number and its address."""
+    """An initial state and the events that can follow it.
+
+    A place is the number of a machine, and as a string its address.
+    """
 
     name: str
     tasks: tuple[Task, ...]
-    attempts: tuple[int, ...]  # that each task may begin
+    attempts: tuple[int, ...]  # how often each task may begin
     place_count: int = 3
-    members: Members = THREE_MEMBERS  # of epoch 1; with `founding`, of the places that found
-    # Chosen already as those of epoch 2, by `b`, with `a`; nothing is sealed yet.
+    members: Members = THREE_MEMBERS  # members of epoch 1; with `founding`, the places that found the cluster
+    # Members of epoch 2, already chosen by a majority of epoch 1, which is not sealed yet.
     next_members: Members = ()
-    # Places that are sealed by epoch 2, and that have it installed, as the scenario begins.
+    # Places that are sealed by epoch 2 in the initial state.
     sealed_at: tuple[int, ...] = ()
+    # Places that have epoch 2 installed in the initial state.
     installed_at: tuple[int, ...] = ()
-    # Places that have accepted X as version 1, under a high number before epoch 1.
+    # Places that have accepted X as version 1 with a high ballot number of epoch 0.
     accepted_before: tuple[int, ...] = ()
-    # Places that have accepted X as version 1 in epoch 1: it is chosen.
+    # Places that have accepted X as version 1 in epoch 1, where it is chosen.
     chosen_at: tuple[int, ...] = ()
     founding: bool = False
-    # Faults, each once a place: an empty disk in place of the old one; machine and disk lost for good; power
-    # lost; restarted without a vote, and later with one.
-    replaceable_disks: tuple[int, ...] = ()
-    losable_machines: tuple[int, ...] = ()
-    crash_places: tuple[int, ...] = ()
-    restart_places: tuple[int, ...] = ()
+    # Faults, each at most once at a place.
+    replaceable_disks: tuple[int, ...] = ()  # the disk is replaced by an empty one
+    losable_machines: tuple[int, ...] = ()  # the machine is lost with its disk
+    crash_places: tuple[int, ...] = ()  # the machine loses power
+    restart_places: tuple[int, ...] = ()  # the process restarts without a vote, later with one
     replies_may_be_lost: bool = False
-    acceptors_learn: bool = False  # acceptors tell each other what they know to be chosen
-    members_install: bool = False  # members install others in their epoch
-    acceptors_announce: bool = False  # acceptors hear of each other's epochs
-    requests_may_be_late: bool = False  # until after their sender has lost power or begun again
-    partition: frozenset[frozenset[int]] = NO_PAIRS  # pairs of places that will not reach each other
+    acceptors_learn: bool = False  # acceptors send each other their committed values
+    members_install: bool = False  # members install other members in their epoch
+    acceptors_announce: bool = False  # acceptors announce their epochs to each other
+    requests_may_be_late: bool = False  # requests can arrive after their sender has restarted or begun again
+    partition: frozenset[frozenset[int]] = NO_PAIRS  # pairs of places that the partition separates
 
 
-def pairs_between(one: Iterable[int], other: Iterable[int]) -> frozenset[frozenset[int]]:
-    """All pairs of a place of the one side and a place of the other."""
-    return frozenset(frozenset((a, b)) for a in one for b in other)
+def pairs_between(places: Iterable[int], other_places: Iterable[int]) -> frozenset[frozenset[int]]:
+    """Return all pairs of a place on one side and a place on the other."""
+    return frozenset(frozenset((place, other)) for place in places for other in other_places)
 
 
 AB, ABC, ABCD, ABCDE, BCD, ABD, CDE = (
     members_of(*names) for names in ("ab", "abc", "abcd", "abcde", "bcd", "abd", "cde")
 )
-WIPED = members_of("a", "b", "c2")
+ABC_WITH_C_REPLACED = members_of("a", "b", "c2")
 
 
 def propose(place: int, value: bytes = X, version: int = 1, epoch: int = -1) -> Task:
-    """A task that proposes a value for a version."""
+    """Return a task that proposes a value for a version."""
     return Task(place, "put", version, value, (), epoch)
 
 
 def propose_members(place: int, members: Members, epoch: int = -1) -> Task:
-    """A task that proposes the next epoch's members."""
+    """Return a task that proposes the members of the next epoch."""
     return Task(place, "members", members=members, epoch=epoch)
--- a/meadowworks/modelcheck/models/consensus/world.py
+++ b/meadowworks/modelcheck/models/consensus/world.py
@@ -1,4 +1,4 @@
-"""One world of the model: acceptors on disks, the calls that are under way, and the steps that may come."""
+"""The state of the consensus model: acceptors on disks, calls in flight, and the steps between states."""
 
 from __future__ import annotations
 
@@ -48,19 +48,35 @@
 from meadowworks.modelcheck.models.consensus.machines import Machines
 from meadowworks.modelcheck.models.consensus.scenarios import NO_PAIRS, Scenario, X
 
-# What came of a request, by the proposer and the acceptor as they were: the acceptor, the proposer, its
-# outcome, the reply's epoch if it is a newer one, and what was done. Whom it asks next, too.
+# Caches the results of `exchange` by frozen call and acceptor, and the members that a call has still to ask.
 Memo = dict[tuple[Any, Any], Any]
 
 
 MAX_MEMO_ENTRIES = 1 << 18
 
+# Step kinds are stored in counterexample files.
+STEP_METHODS: dict[str, str] = {
+    "begin": "begin_attempt",
+    "ask": "ask_acceptor",
+    "lost": "ask_and_lose_reply",
+    "late": "deliver_late_request",
+    "wipe": "replace_disk",
+    "gone": "lose_machine",
+    "crash": "lose_power",
+    "off": "restart_without_vote",
+    "on": "restart_with_vote",
+    "tell": "send_committed_value",
+    "hear": "announce_epoch",
+    "bring": "install_member",
+    "cut": "start_partition",
+}
+
 
 class World(Machines):
-    """One world: the machines, and the calls of the scenario's tasks.
+    """One state of the model: the machines and the calls of the scenario's tasks.
 
-    `memo` is what the acceptors have answered before; it is of one model, so that a seeded fault finds it
-    empty. `outcomes` is what the properties of a step look at.
+    `memo` caches answers of acceptors. Each model has its own, so that a seeded fault does not get answers
+    of the code without it. `outcomes` holds the records of the last step for the step properties.
     """
 
     def __init__(self, scenario: Scenario, memo: Memo) -> None:
@@ -70,8 +86,10 @@
         self.calls: list[Any] = [None] * len(scenario.tasks)
         self.attempts_left: list[int] = list(scenario.attempts)
         self.late_requests: tuple[Any, ...] = ()
-        self.chosen: tuple[tuple[int, int, bytes], ...] = ()  # epoch, version, value: may be acknowledged
-        self.proposed_members: tuple[tuple[int, bytes], ...] = ()  # and the epoch in which they were
+        # (epoch, version, value) of the chosen values, which may have been acknowledged
+        self.chosen: tuple[tuple[int, int, bytes], ...] = ()
+        # (epoch of the proposal, encoded member list)
+        self.proposed_members: tuple[tuple[int, bytes], ...] = ()
         if scenario.next_members:
             value = encode_member_list(scenario.next_members)
             self.chosen, self.proposed_members = ((1, MEMBERSHIP_VERSION, value),), ((1, value),)
@@ -81,163 +99,177 @@
     # -- steps
 
     def enabled(self) -> Iterable[Step]:
-        """The steps that may come next."""
+        """Return the steps that are enabled in this state."""
         return enabled_steps(self)
 
-    def unanswered_members(self, p: int) -> Any:
-        """Whom a task's call asks, by the memo."""
-        at = "targets", self.calls[p]
-        if (found := self.memo.get(at)) is None:
-            call = thaw_call(self.calls[p])
+    def unanswered_members(self, task_index: int) -> Any:
+        """Return the members that a task's call has still to ask, from the memo if they are cached."""
+        memo_key = "targets", self.calls[task_index]
+        if (members := self.memo.get(memo_key)) is None:
+            call = thaw_call(self.calls[task_index])
             assert call is not None
-            found = self.memo[at] = call.unanswered_members()
-        return found
+            members = self.memo[memo_key] = call.unanswered_members()
+        return members
 
     def take_step(self, step: Step) -> None:
-        """Takes a step; what the acceptors have changed is on their disks after it."""
-        kind, *what = step
+        """Take a step; all changes of the acceptors are on their disks when it ends."""
+        kind, *arguments = step
         self.outcomes, before = [], list(self.frozen_acceptors)
-        getattr(self, "do_" + kind)(*what)
-        for k, made in self.touched_acceptors.items():  # on its disk before its answer leaves
-            made.changed_slots, made.metadata_changed, made.committed_changed = set(), False, False
-            self.frozen_acceptors[k] = freeze_acceptor(made)
+        getattr(self, STEP_METHODS[kind])(*arguments)
+        for place, acceptor in self.touched_acceptors.items():  # written before the reply is sent
+            acceptor.changed_slots, acceptor.metadata_changed, acceptor.committed_changed = (
+                set(),
+                False,
+                False,
+            )
+            self.frozen_acceptors[place] = freeze_acceptor(acceptor)
         self.touched_acceptors = {}
         self.outcomes += [
-            ("kept", was, now)
-            for was, now in zip(before, self.frozen_acceptors, strict=True)
-            if was is not now and was is not None and now is not None and was[MEMBER_ID] == now[MEMBER_ID]
+            ("kept", old, new)
+            for old, new in zip(before, self.frozen_acceptors, strict=True)
+            if old is not new and old is not None and new is not None and old[MEMBER_ID] == new[MEMBER_ID]
         ]
 
-    def do_begin(self, p: int) -> None:
-        """A task begins an attempt."""
-        task = self.scenario.tasks[p]
-        self.attempts_left[p] -= 1
-        self.delay_request(p)
-        home = self.acceptor_at(task.place)
-        epoch = home.newest_epoch()
+    def begin_attempt(self, task_index: int) -> None:
+        """Begin an attempt of a task."""
+        task = self.scenario.tasks[task_index]
+        self.attempts_left[task_index] -= 1
+        self.delay_request(task_index)
+        local = self.acceptor_at(task.place)
+        epoch = local.newest_epoch()
         if task.kind == "change":
             self.set_call(
-                p,
+                task_index,
                 Reconfiguration(
                     thaw_epoch(1, self.scenario.members), thaw_epoch(2, self.scenario.next_members)
                 ),
             )
         elif task.kind == "carry":
-            assert home.sealed_by is not None
-            self.set_call(p, Reconfiguration(home.epoch, home.sealed_by))
+            assert local.sealed_by is not None
+            self.set_call(task_index, Reconfiguration(local.epoch, local.sealed_by))
         elif task.kind == "members" or task.kind == "leave" and len(epoch.members) > 3:
-            others = tuple((d, a) for d, a in epoch.members if d != home.member_id)
-            which = others if task.kind == "leave" else task.members
-            content = encode_member_list(which) if which else None
-            if content is not None:
-                self.proposed_members = tuple(sorted({*self.proposed_members, (epoch.number, content)}))
-            self.set_call(p, self.proposer(task.place, epoch, MEMBERSHIP_VERSION, content))
+            others = tuple((d, a) for d, a in epoch.members if d != local.member_id)
+            members = others if task.kind == "leave" else task.members
+            value = encode_member_list(members) if members else None
+            if value is not None:
+                self.proposed_members = tuple(sorted({*self.proposed_members, (epoch.number, value)}))
+            self.set_call(task_index, self.new_proposer(task.place, epoch, MEMBERSHIP_VERSION, value))
         elif task.kind in ("put", "finish"):
-            self.set_call(p, self.proposer(task.place, epoch, task.version, task.value))
+            self.set_call(task_index, self.new_proposer(task.place, epoch, task.version, task.value))
         else:
-            self.set_call(p, QuorumRead(epoch), self.highest_chosen_version())
+            self.set_call(task_index, QuorumRead(epoch), self.highest_chosen_version())
 
     def highest_chosen_version(self) -> int:
-        """The newest version that may be acknowledged."""
+        """Return the highest version that may have been acknowledged, 0 if there is none."""
         return max((version for _, version, _ in self.chosen), default=0)
 
-    def proposer(self, home: int, epoch: Epoch, version: int, content: bytes | None) -> Proposer:
-        """A proposer of a place's replica."""
-        calls = QuorumCallFactory(self.acceptor_at(home), 1)
-        calls.last_ballot_number = self.ballot_numbers[home]
-        made = calls.new_proposer(epoch, version, Operation(OperationKind.PROPOSE, version, content, 0, []))
-        self.ballot_numbers[home] = calls.last_ballot_number
-        return made
-
-    def set_call(self, p: int, call: Call | None, floor: int | None = None) -> None:
-        """A task goes on with another call; none: its attempt is over. `floor` stays if none is given."""
-        if floor is None:
-            floor = self.calls[p][-1] if self.calls[p] else 0
-        self.calls[p] = None if call is None else freeze_call(call, floor)
-
-    def do_ask(self, p: int, k: int, heard: bool = True) -> None:
-        """A call asks an acceptor; without `heard` the reply is lost."""
-        frozen = self.calls[p]
-        at = frozen, self.frozen_acceptors[k]
-        if (found := self.memo.get(at)) is None:
+    def new_proposer(self, place: int, epoch: Epoch, version: int, value: bytes | None) -> Proposer:
+        """Return a new proposer of the replica at a place."""
+        calls = QuorumCallFactory(self.acceptor_at(place), 1)
+        calls.last_ballot_number = self.ballot_numbers[place]
+        proposer = calls.new_proposer(epoch, version, Operation(OperationKind.PROPOSE, version, value, 0, []))
+        self.ballot_numbers[place] = calls.last_ballot_number
+        return proposer
+
+    def set_call(self, task_index: int, call: Call | None, min_version: int | None = None) -> None:
+        """Replace the call of a task; without a call, its attempt has ended.
+
+        :param min_version: kept from the previous call if it is None.
+        """
+        if min_version is None:
+            min_version = self.calls[task_index][-1] if self.calls[task_index] else 0
+        self.calls[task_index] = None if call is None else freeze_call(call, min_version)
+
+    def ask_acceptor(self, task_index: int, place: int, receives_reply: bool = True) -> None:
+        """Send the request of a call to an acceptor; the reply is lost unless `receives_reply`."""
+        frozen = self.calls[task_index]
+        memo_key = frozen, self.frozen_acceptors[place]
+        if (result := self.memo.get(memo_key)) is None:
             if len(self.memo) >= MAX_MEMO_ENTRIES:
                 self.memo.clear()
-            found = self.memo[at] = exchange(*at)
-        self.frozen_acceptors[k], call, outcome, newer, took = found
-        if took is not None:
-            self.outcomes.append(took)
-        if not heard:
+            result = self.memo[memo_key] = exchange(*memo_key)
+        self.frozen_acceptors[place], call, outcome, newer_epoch, vote = result
+        if vote is not None:
+            self.outcomes.append(vote)
+        if not receives_reply:
             return
-        if newer is not None:
-            self.acceptor_at(self.scenario.tasks[p].place).on_epoch_announced(newer)
-        self.calls[p] = call
+        if newer_epoch is not None:
+            self.acceptor_at(self.scenario.tasks[task_index].place).on_epoch_announced(newer_epoch)
+        self.calls[task_index] = call
         if outcome is not None:
-            made = thaw_call(frozen)
-            assert made is not None
-            made.outcome = outcome
-            self.on_outcome(p, made)
-
-    def do_lost(self, p: int, k: int) -> None:
-        """A call asks an acceptor, and the reply is lost."""
-        self.do_ask(p, k, heard=False)
-
-    def on_outcome(self, p: int, call: Call) -> None:
-        """Goes on as a replica does; what it would begin again by itself is another attempt."""
-        task = self.scenario.tasks[p]
-        home = self.acceptor_at(task.place)
-        leaving = task.kind == "leave"
+            finished_call = thaw_call(frozen)
+            assert finished_call is not None
+            finished_call.outcome = outcome
+            self.on_outcome(task_index, finished_call)
+
+    def ask_and_lose_reply(self, task_index: int, place: int) -> None:
+        """Send the request of a call to an acceptor whose reply is lost."""
+        self.ask_acceptor(task_index, place, receives_reply=False)
+
+    def on_outcome(self, task_index: int, call: Call) -> None:
+        """Continue a task after its call's outcome as a replica does.
+
+        Where a replica would begin again by itself, the model takes another attempt.
+        """
+        task = self.scenario.tasks[task_index]
+        local = self.acceptor_at(task.place)
+        is_leaving = task.kind == "leave"
         match call.outcome:
             case Chosen(version, value):
                 self.chosen = tuple(sorted({*self.chosen, (call.epoch.number, version, value)}))
                 if version == MEMBERSHIP_VERSION:
                     next_epoch = Epoch(call.epoch.number + 1, decode_member_list(value))
-                    return self.set_call(p, Reconfiguration(call.epoch, next_epoch))
-                home.learn(version, value)
-                self.attempts_left[p] = self.attempts_left[p] if leaving else 0
+                    return self.set_call(task_index, Reconfiguration(call.epoch, next_epoch))
+                local.learn(version, value)
+                self.attempts_left[task_index] = self.attempts_left[task_index] if is_leaving else 0
             case Superseded(committed, history):
-                home.learn(committed.version, committed.value, history)
-                self.attempts_left[p] = self.attempts_left[p] if leaving else 0
+                local.learn(committed.version, committed.value, history)
+                self.attempts_left[task_index] = self.attempts_left[task_index] if is_leaving else 0
             case RetryWithHigherBallot(ballot):
                 self.ballot_numbers[task.place] = max(self.ballot_numbers[task.place], ballot.number)
-                return self.set_call(p, None)
+                return self.set_call(task_index, None)
             case EpochChanged(epoch, True):
-                return self.set_call(p, Reconfiguration(call.epoch, epoch))
+                return self.set_call(task_index, Reconfiguration(call.epoch, epoch))
             case EpochChanged(epoch, False):
-                home.on_epoch_announced(epoch)
+                local.on_epoch_announced(epoch)
                 if task.kind == "members" and isinstance(call, Reconfiguration):
-                    self.attempts_left[p] = 0
+                    self.attempts_left[task_index] = 0
             case QuorumReadResult():
-                return self.on_quorum_read(p, call, call.outcome)
-        return self.set_call(p, QuorumRead(home.newest_epoch()) if leaving else None)
+                return self.on_quorum_read(task_index, call, call.outcome)
+        return self.set_call(task_index, QuorumRead(local.newest_epoch()) if is_leaving else None)
 
-    def on_quorum_read(self, p: int, call: Call, result: QuorumReadResult) -> None:
-        """A reader is told; who leaves hands over, or learns first what it does not know."""
-        task = self.scenario.tasks[p]
-        home, floor = self.acceptor_at(task.place), self.calls[p][-1]
+    def on_quorum_read(self, task_index: int, call: Call, result: QuorumReadResult) -> None:
+        """Complete a read; for a leaving member, transfer its state or first learn the missing version."""
+        task = self.scenario.tasks[task_index]
+        local, min_version = self.acceptor_at(task.place), self.calls[task_index][-1]
         if task.kind == "read":
-            self.outcomes.append(("read", floor, result.highest_version))
-            self.attempts_left[p] = 0
-            return self.set_call(p, None)
-        if not call.epoch.has_member(home.member_id):
-            self.outcomes.append(("handed", floor, self.count_installed(call.epoch), call.epoch.majority))
-            self.finish_leaving(p, task.place)
-            return self.set_call(p, None)
+            self.outcomes.append(("read", min_version, result.highest_version))
+            self.attempts_left[task_index] = 0
+            return self.set_call(task_index, None)
+        if not call.epoch.has_member(local.member_id):
+            self.outcomes.append(
+                ("handed", min_version, self.count_installed(call.epoch), call.epoch.majority)
+            )
+            self.finish_leaving(task_index, task.place)
+            return self.set_call(task_index, None)
         if isinstance(call, StateTransfer):
-            least = min(call.epoch.majority, len(call.other_members))
-            self.outcomes.append(("handed", floor, self.count_knowing(floor, call), least))
-            self.finish_leaving(p, task.place)
-            return self.set_call(p, None)
-        epoch = home.newest_epoch()
-        if result.highest_version <= home.committed.version:
-            transfer = StateTransfer(epoch, home.member_id, home.committed, home.digest_history())
-            return self.set_call(p, transfer, max(floor, home.committed.version))
-        if result.committed_version > home.committed.version:
-            self.fetch_snapshot(home, int(result.address))
-            return self.set_call(p, QuorumRead(epoch))
-        return self.set_call(p, self.proposer(task.place, epoch, result.highest_version, None))
+            required_count = min(call.epoch.majority, len(call.other_members))
+            self.outcomes.append(
+                ("handed", min_version, self.count_up_to_date(min_version, call), required_count)
+            )
+            self.finish_leaving(task_index, task.place)
+            return self.set_call(task_index, None)
+        epoch = local.newest_epoch()
+        if result.highest_version <= local.committed.version:
+            transfer = StateTransfer(epoch, local.member_id, local.committed, local.digest_history())
+            return self.set_call(task_index, transfer, max(min_version, local.committed.version))
+        if result.committed_version > local.committed.version:
+            self.fetch_snapshot(local, int(result.address))
+            return self.set_call(task_index, QuorumRead(epoch))
+        return self.set_call(task_index, self.new_proposer(task.place, epoch, result.highest_version, None))
 
     def fetch_snapshot(self, acceptor: Acceptor, place: int) -> None:
-        """An acceptor learns what another place has committed, if that is there."""
+        """Copy the committed value of another place to an acceptor, if that machine still exists."""
         if self.frozen_acceptors[place] is None:
             return
         reply = self.acceptor_at(place).handle(SnapshotRequest(acceptor.newest_epoch().number))
@@ -245,65 +277,67 @@
         acceptor.learn(reply.committed.version, reply.committed.value, reply.history)
 
     def count_installed(self, epoch: Epoch) -> int:
-        """How many members of an epoch are installed in it, or in a later one."""
+        """Return how many members of an epoch are installed in it or in a later one."""
         return sum(
             frozen[EPOCH][0] >= epoch.number
             for frozen in self.frozen_acceptors
             if frozen and frozen[INSTALLED] and epoch.has_member(frozen[MEMBER_ID])
         )
 
-    def count_knowing(self, version: int, call: StateTransfer) -> int:
-        """How many members to which a transfer goes have committed a version, or a newer one."""
+    def count_up_to_date(self, version: int, call: StateTransfer) -> int:
+        """Return how many receivers of a state transfer have committed a version or a newer one."""
         others = {disk for disk, _ in call.other_members}
         return sum(
             frozen is not None
-            and self.acceptor_at(k).member_id in others
-            and self.acceptor_at(k).committed.version >= version
-            for k, frozen in enumerate(self.frozen_acceptors)
+            and self.acceptor_at(place).member_id in others
+            and self.acceptor_at(place).committed.version >= version
+            for place, frozen in enumerate(self.frozen_acceptors)
         )
 
-    def finish_leaving(self, p: int, home: int) -> None:
-        """Who leaves ends; its machine is taken away, with the disk."""
-        self.attempts_left[p] = 0
-        self.do_gone(home)
-
-    def end_calls(self, home: int) -> None:
-        """The calls of a place's process end."""
-        for p, task in enumerate(self.scenario.tasks):
-            if task.place == home:
-                self.delay_request(p)
-                self.calls[p] = None
-
-    def delay_request(self, p: int) -> None:
-        """Requests of a call that are on their way when it ends may come later."""
-        call = thaw_call(self.calls[p])
+    def finish_leaving(self, task_index: int, place: int) -> None:
+        """End a leave; the machine is removed with its disk."""
+        self.attempts_left[task_index] = 0
+        self.lose_machine(place)
+
+    def end_calls(self, place: int) -> None:
+        """End the calls of the process at a place."""
+        for task_index, task in enumerate(self.scenario.tasks):
+            if task.place == place:
+                self.delay_request(task_index)
+                self.calls[task_index] = None
+
+    def delay_request(self, task_index: int) -> None:
+        """Keep the unanswered requests of a call that ends, to be delivered later."""
+        call = thaw_call(self.calls[task_index])
         if self.scenario.requests_may_be_late and isinstance(call, Proposer | Reconfiguration):
-            to = tuple(int(address) for _, address in call.unanswered_members())
-            self.late_requests = tuple(sorted({*self.late_requests, (freeze_request(call.request()), to)}))
-
-    def do_late(self, place: int, k: int) -> None:
-        """A late request comes to an acceptor."""
-        request, to = self.late_requests[place]
-        rest = tuple(j for j in to if j != k)
-        left = [
-            *self.late_requests[:place],
-            *([(request, rest)] if rest else []),
-            *self.late_requests[place + 1 :],
+            destinations = tuple(int(address) for _, address in call.unanswered_members())
+            self.late_requests = tuple(
+                sorted({*self.late_requests, (freeze_request(call.request()), destinations)})
+            )
+
+    def deliver_late_request(self, index: int, place: int) -> None:
+        """Deliver a late request to an acceptor."""
+        frozen_request, destinations = self.late_requests[index]
+        remaining = tuple(other for other in destinations if other != place)
+        late_requests = [
+            *self.late_requests[:index],
+            *([(frozen_request, remaining)] if remaining else []),
+            *self.late_requests[index + 1 :],
         ]
-        self.late_requests = tuple(sorted(left))
-        other, asked = self.acceptor_at(k), thaw_request(request)
-        newest, votes = other.newest_epoch().number, may_vote_in(other, asked.epoch)
-        if isinstance(other.handle(asked), PromiseReply | AcceptedReply):
-            self.outcomes.append(("took", asked.epoch, newest, votes))
+        self.late_requests = tuple(sorted(late_requests))
+        acceptor, request = self.acceptor_at(place), thaw_request(frozen_request)
+        newest, may_vote = acceptor.newest_epoch().number, may_vote_in(acceptor, request.epoch)
+        if isinstance(acceptor.handle(request), PromiseReply | AcceptedReply):
+            self.outcomes.append(("took", request.epoch, newest, may_vote))
 
     # -- the world as a plain value
 
     def freeze(self) -> Any:
-        """The world as a plain value."""
+        """Return the scenario and the state as plain values."""
         return self.scenario, self.key()
 
     def key(self) -> Any:
-        """What tells this world from others."""
+        """Return the plain values that identify this state."""
         return (
             self.scenario.name,
             tuple(self.frozen_acceptors),
@@ -319,19 +353,19 @@
 
 
 def thaw_world(memo: Memo, state: Any) -> World:
-    """The world that was frozen."""
-    scenario, (_, frozen, numbers, calls, attempts, faults, cut, late, chosen, proposed) = state
+    """Return the world of a frozen state."""
+    scenario, (_, acceptors, ballot_numbers, calls, attempts, faults, is_cut, late, chosen, proposed) = state
     world = World.__new__(World)
     world.scenario, world.memo, world.outcomes, world.touched_acceptors = scenario, memo, [], {}
     world.frozen_acceptors, world.ballot_numbers, world.calls, world.attempts_left = (
-        list(frozen),
-        list(numbers),
+        list(acceptors),
+        list(ballot_numbers),
         list(calls),
         list(attempts),
     )
     world.faults_left, world.partition, world.late_requests = (
         faults,
-        scenario.partition if cut else NO_PAIRS,
+        scenario.partition if is_cut else NO_PAIRS,
         late,
     )
     world.chosen, world.proposed_members = chosen, proposed
