--- a/meadowworks/modelcheck/models/consensus/acceptors.py
+++ b/meadowworks/modelcheck/models/consensus/acceptors.py
@@ -28,9 +28,7 @@
 )
 from meadowworks.modelcheck.models.consensus.scenarios import Scenario, X
 
-MEMBERS_BALLOT = Ballot(1, 1, "b.0")
-CHOSEN_BALLOT = Ballot(1, 1, "a.0")
-FOUNDING_BALLOT = Ballot(0, 9, "a.0")
+MEMBERS_BALLOT, CHOSEN_BALLOT, FOUNDING_BALLOT = Ballot(1, 1, "b.0"), Ballot(1, 1, "a.0"), Ballot(0, 9, "a.0")
 
 
 def exchange(frozen_call: Any, frozen_acceptor: Any) -> Any:
