--- a/meadowworks/modelcheck/models/attempt/__init__.py
+++ b/meadowworks/modelcheck/models/attempt/__init__.py
@@ -1,12 +1,13 @@
-"""The model ``attempt``: calls at proxies, among backends, clients and a clock.
+"""The model ``attempt``: calls at proxies, with their backends, clients and a clock.
 
-It runs ``attempts.machine.AttemptMachine``. The world keeps the truth beside it: which attempts may run at a
-backend, what each request of a client was told. Time goes by in whole units; a reply may come before, in and
-after the unit in which an attempt's wait is over. Backends that are alike count as one: what tells them apart
-is their state and all attempts at them.
+It runs ``attempts.machine.AttemptMachine``. Beside the machines, the world records the actual state: which
+attempts may run at a backend and which replies each client received. Time advances in whole units; a reply
+can arrive before, in or after the unit in which an attempt times out. Backends are interchangeable if their
+state and all attempts at them are equal.
 
-When an attempt runs is not a step of its own: until there is proof that it never did it may run at any time.
-So a call that is not idempotent is held to one such attempt in all, which is the same as never running twice.
+The execution of an attempt is not a step: an attempt may run at any time until there is proof that it never
+ran. A call that is not idempotent may therefore have only one such attempt, which is equivalent to never
+running twice.
 """
 
 from __future__ import annotations
--- a/meadowworks/modelcheck/models/attempt/actors.py
+++ b/meadowworks/modelcheck/models/attempt/actors.py
@@ -1,4 +1,4 @@
-"""What stands around the machines: attempts as they are, clients' requests, and the host of a proxy."""
+"""The environment of the machines: the actual attempts, the clients' requests and the host of a proxy."""
 
 from __future__ import annotations
 
@@ -10,28 +10,28 @@
 
 IN_TABLE, DRAINED, CRASHED = range(3)  # states of a backend
 NOT_SENT, WAITING, REPLIED, CLIENT_GONE, PROXY_LOST = range(5)  # states of a request
-NO_REPLY = -1  # in place of what a proxy learns of an attempt
+NO_REPLY = -1  # the attempt's result has not reached the proxy
 
 
 class ChosenDrawMachine(AttemptMachine):
-    """A machine whose random numbers the explorer chooses, to try every choice.
+    """A machine whose random numbers the explorer chooses, so that it covers every choice.
 
-    Seeds can't stand for that: with zlib.crc32 the numbers of one seed depend on each other.
+    Exploring seeds instead would not: the numbers that zlib.crc32 yields for one seed depend on each other.
     """
 
     chosen_draw = 0.0
 
     def random(self) -> float:
-        """Return what was chosen for this step."""
+        """Return the number that the explorer chose for this step."""
         return self.chosen_draw
 
 
 @dataclass(slots=True)
 class ActualAttempt:
-    """An attempt as it really is, while its machine knows it.
+    """The actual state of an attempt that its machine still tracks.
 
-    :ivar reply: ANSWERED, NEVER_RAN or FAILED once the proxy was told.
-    :ivar is_cut_off: its backend crashed, so that no answer will come.
+    :ivar reply: ANSWERED, NEVER_RAN or FAILED once the result has reached the proxy, else NO_REPLY.
+    :ivar is_cut_off: whether the backend has crashed, so that no answer can come.
     """
 
     call_key: int
@@ -41,7 +41,7 @@
 
     @property
     def may_have_run(self) -> bool:
-        """Whether there is no proof that it never ran."""
+        """Whether there is no proof that the attempt never ran."""
         return self.reply != NEVER_RAN
 
 
@@ -49,8 +49,8 @@
 class ClientRequest:
     """A client's first request of a call, or a repeat.
 
-    :ivar replies: how often it was told something final.
-    :ivar may_come_back: it was told when to come back.
+    :ivar replies: number of final replies received.
+    :ivar may_come_back: whether the reply named a time to retry.
     """
 
     state: int = NOT_SENT
@@ -60,23 +60,23 @@
 
     @property
     def is_unresolved(self) -> bool:
-        """Whether it was sent and nothing final was told."""
+        """Whether the request was sent and has not received a final reply."""
         return self.state in (WAITING, CLIENT_GONE, PROXY_LOST)
 
     @property
     def may_be_repeated(self) -> bool:
-        """Whether its client may send the next request of the call."""
+        """Whether the client may send the next request of the call."""
         return self.is_unresolved or self.state == REPLIED and self.may_come_back
 
 
 class ProxyEvents(Protocol):
-    """What a proxy's machine does to the world."""
+    """The world's callbacks for the actions of a proxy's machine."""
 
     def on_attempt_sent(self, proxy: int, key: int, number: int, backend: int) -> None:
-        """An attempt leaves a proxy."""
+        """Record an attempt that a proxy sends."""
 
     def on_final_reply(self, proxy: int, key: int, waiter: int, reply: FinalReply) -> None:
-        """A client is told the outcome."""
+        """Record a final reply to a client."""
 
 
 class ProxyHost:
@@ -87,15 +87,15 @@
         self._proxy = proxy
 
     def send(self, key: int, number: int, backend: int) -> None:
-        """An attempt leaves."""
+        """Report a sent attempt to the world."""
         self._world.on_attempt_sent(self._proxy, key, number, backend)
 
     def reply(self, key: int, waiter: int, reply: FinalReply) -> None:
-        """A client is told the outcome."""
+        """Report a final reply to the world."""
         self._world.on_final_reply(self._proxy, key, waiter, reply)
 
     def cancel(self, number: int) -> None:
-        """Change nothing: the attempt may run all the same."""
+        """Ignore the cancellation: the attempt may run nevertheless."""
 
     def count(self, event: str) -> None:
-        """Count nothing: no outcome depends on it."""
+        """Ignore the event: no outcome depends on the counters."""
--- a/meadowworks/modelcheck/models/attempt/enabled.py
+++ b/meadowworks/modelcheck/models/attempt/enabled.py
@@ -1,4 +1,4 @@
-"""Which steps may come next in a world."""
+"""The steps that are enabled in a state."""
 
 from __future__ import annotations
 
@@ -24,36 +24,37 @@
 REPLIES_CUT_OFF = (NEVER_RAN, FAILED)
 ADMITTED, REJECTED = 1, 0
 FIRST_DRAW = 0
-BACKENDS_WITHOUT_CHOICE = 2  # of which a retry has one left to go to, whatever is drawn
+BACKENDS_WITHOUT_CHOICE = 2  # a retry has only one other backend, so its draw makes no difference
 
 
 def enabled_steps(world: World) -> list[Step]:
-    """Name the steps that can be taken now.
+    """Return the enabled steps.
 
-    Where no request can come any more and none waits, nobody will be told anything, and nothing else matters.
+    If no request waits for a reply and none can be sent, no further reply is possible and only client steps
+    are enabled.
     """
-    found = list(client_steps(world))
+    steps = list(client_steps(world))
     if not world.is_reply_pending() and not any(True for _ in sendable_requests(world)):
-        return found
+        return steps
     draws = range(draw_count(world) if world.scenario.backend_count > BACKENDS_WITHOUT_CHOICE else 1)
-    found += attempt_steps(world, draws)
-    found += backend_steps(world)
+    steps += attempt_steps(world, draws)
+    steps += backend_steps(world)
     if world.retry_policy and world.scenario.policy_may_change:
-        found.append(("strict",))
-    found += proxy_steps(world)
+        steps.append(("strict",))
+    steps += proxy_steps(world)
     if any(machine and machine.calls for machine in world.machines):
-        found += [("pass", draw) for draw in draws]
-    return found
+        steps += [("pass", draw) for draw in draws]
+    return steps
 
 
 def draw_count(world: World) -> int:
-    """Return how many random numbers lead to different backends."""
+    """Return how many draws select different backends."""
     states = world.backend_states
     return len(states) - states.count(DRAINED) or 1
 
 
 def client_steps(world: World) -> Iterator[Step]:
-    """Requests come, and clients go away."""
+    """Yield the arrivals of requests and the disconnections of clients."""
     for key, requests in enumerate(world.requests):
         for index, request in enumerate(requests):
             if request.state == WAITING:
@@ -63,7 +64,7 @@
 
 
 def sendable_requests(world: World) -> Iterator[tuple[int, int]]:
-    """Name the requests that may come, by call and index."""
+    """Yield call and index of the requests that may be sent."""
     for key, requests in enumerate(world.requests):
         for index in range(len(requests)):
             if is_sendable(requests, index):
@@ -71,14 +72,14 @@
 
 
 def is_sendable(requests: Sequence[ClientRequest], index: int) -> bool:
-    """Return whether a request may come: the first always, a repeat if the one before left it room."""
+    """Return whether a request may be sent: the first always, a repeat if the previous request permits it."""
     if requests[index].state != NOT_SENT:
         return False
     return index == 0 or requests[index - 1].may_be_repeated
 
 
 def request_steps(world: World, key: int, index: int) -> Iterator[Step]:
-    """A request comes to any of the proxies, with each random number that makes a difference there."""
+    """Yield the arrivals of a request at each proxy, with each draw that makes a difference there."""
     for proxy, machine in enumerate(world.machines):
         if machine is None:
             continue
@@ -92,7 +93,7 @@
 
 
 def attempt_steps(world: World, draws: range) -> Iterator[Step]:
-    """Proxies are told what became of attempts."""
+    """Yield the results of attempts that can reach proxies."""
     for (proxy, number), attempt in world.attempts.items():
         if attempt.reply == NO_REPLY:
             for reply in REPLIES_CUT_OFF if attempt.is_cut_off else REPLIES:
@@ -103,7 +104,7 @@
 
 
 def backend_steps(world: World) -> Iterator[Step]:
-    """Backends leave the table, come back to it, and crash."""
+    """Yield the drains, returns and crashes of backends."""
     for backend, state in enumerate(world.backend_states):
         if state == CRASHED:
             continue
@@ -113,7 +114,7 @@
 
 
 def proxy_steps(world: World) -> Iterator[Step]:
-    """Proxies crash and start again."""
+    """Yield the crashes and restarts of proxies."""
     for proxy, machine in enumerate(world.machines):
         if machine is None:
             yield "rise", proxy
--- a/meadowworks/modelcheck/models/attempt/frozen.py
+++ b/meadowworks/modelcheck/models/attempt/frozen.py
@@ -1,4 +1,4 @@
-"""Worlds that can't change, and the machines in them."""
+"""Immutable copies of worlds and of their machines."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class FrozenCall(NamedTuple):
-    """A `Call` and its key."""
+    """The immutable copy of a `Call`, with its key."""
 
     key: int
     route: int
@@ -32,10 +32,10 @@
 
 
 class FrozenMachine(NamedTuple):
-    """What changes of an `AttemptMachine`."""
+    """The mutable state of an `AttemptMachine`."""
 
     calls: tuple[FrozenCall, ...]
-    kept: tuple[int, ...]
+    finished_calls: tuple[int, ...]
     timers: tuple[tuple[int, int], ...]
     attempt_count: int
     weights: tuple[tuple[int, float], ...]
@@ -43,7 +43,7 @@
 
 
 class FrozenWorld(NamedTuple):
-    """A world, without its last step's outcomes."""
+    """The immutable copy of a world, without the outcomes of its last step."""
 
     scenario: Scenario
     now: int
@@ -57,7 +57,7 @@
 
 
 def freeze_world(world: World) -> FrozenWorld:
-    """Return the world as it is now."""
+    """Return an immutable copy of a world."""
     return FrozenWorld(
         world.scenario,
         world.now,
@@ -72,17 +72,17 @@
 
 
 def freeze_request(request: ClientRequest) -> FrozenRequest:
-    """Return a client's request as it is now."""
+    """Return an immutable copy of a client's request."""
     return request.state, request.proxy, request.replies, request.may_come_back
 
 
 def freeze_attempt(proxy: int, number: int, attempt: ActualAttempt) -> FrozenActualAttempt:
-    """Return an attempt as it really is now."""
+    """Return an immutable copy of an attempt's actual state."""
     return proxy, number, attempt.call_key, attempt.backend, attempt.reply, attempt.is_cut_off
 
 
 def freeze_machine(machine: AttemptMachine) -> FrozenMachine:
-    """Return a machine as it is now."""
+    """Return an immutable copy of a machine."""
     table = machine.tables[ROUTE]
     return FrozenMachine(
         tuple([freeze_call(key, call) for key, call in machine.calls.items()]),
@@ -95,29 +95,37 @@
 
 
 def freeze_call(key: int, call: Call) -> FrozenCall:
-    """Return a call as it is now."""
+    """Return an immutable copy of a call."""
     return FrozenCall(
         key,
         call.route,
         call.deadline_ns,
         tuple(call.waiters),
-        tuple([(n, a.backend, a.state, a.wait_until_ns) for n, a in call.attempts.items()]),
+        tuple(
+            [
+                (number, attempt.backend, attempt.state, attempt.wait_until_ns)
+                for number, attempt in call.attempts.items()
+            ]
+        ),
         call.outcome,
         call.keep_until_ns,
     )
 
 
 def thaw_machine(machine: AttemptMachine, frozen: FrozenMachine) -> None:
-    """Bring a new machine to where the frozen one was; all requests are admitted between steps."""
+    """Restore the state of a frozen machine in a new one.
+
+    The admission ratio is not part of the frozen state: between steps all requests are admitted.
+    """
     machine.calls = {call.key: thaw_call(call) for call in frozen.calls}
-    machine.finished_calls = dict.fromkeys(frozen.kept)
+    machine.finished_calls = dict.fromkeys(frozen.finished_calls)
     machine.timers = list(frozen.timers)
     machine.attempt_count = frozen.attempt_count
     machine.tables[ROUTE] = RouteTable(dict(frozen.weights), retry_policy=frozen.retry_policy)
 
 
 def thaw_call(frozen: FrozenCall) -> Call:
-    """Return the call that was frozen."""
+    """Return a call from its immutable copy."""
     return Call(
         frozen.route,
         frozen.deadline_ns,
--- a/meadowworks/modelcheck/models/attempt/outcomes.py
+++ b/meadowworks/modelcheck/models/attempt/outcomes.py
@@ -1,4 +1,4 @@
-"""What came of a step, for the properties that are checked on steps."""
+"""Records of what happened in a step, for the step properties."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 class RequestHandled(NamedTuple):
     """A client's request reached a proxy.
 
-    :ivar is_new_call: the proxy knew nothing of the call.
-    :ivar is_admitted: by what was drawn.
-    :ivar still_waits: the client was not told anything in this step.
+    :ivar is_new_call: whether the proxy had no state of the call.
+    :ivar is_admitted: whether the step's draw admits the request.
+    :ivar still_waits: whether the client got no reply in this step.
     """
 
     is_new_call: bool
@@ -21,12 +21,12 @@
 class AttemptSent(NamedTuple):
     """A proxy sent an attempt.
 
-    :ivar prior_attempts: of the same call by this proxy.
-    :ivar is_allowed: by the retry policy, the route and what is proved of the prior attempts.
-    :ivar is_in_table: the backend is in the route's table.
-    :ivar is_new_backend: none of the prior attempts went there.
-    :ivar remaining_units: to the call's deadline.
-    :ivar has_waiters: somebody waits for the call's outcome.
+    :ivar prior_attempts: number of earlier attempts of the same call by this proxy.
+    :ivar is_allowed: whether the retry policy, the route and the proof about the prior attempts allow it.
+    :ivar is_in_table: whether the backend is in the route's table.
+    :ivar is_new_backend: whether no prior attempt was sent to the backend.
+    :ivar remaining_units: time to the call's deadline.
+    :ivar has_waiters: whether a client waits for the call's outcome.
     """
 
     prior_attempts: int
@@ -38,15 +38,15 @@
 
 
 class ReplyDelivered(NamedTuple):
-    """A proxy told a client the final reply.
+    """A proxy sent the final reply to a client.
 
-    :ivar kind: `FinalReply.kind`, as are the next two.
-    :ivar names_retry_time: whether the client was told when to come back.
-    :ivar could_have_run: an attempt of the call has truly no proof that it never ran.
-    :ivar has_attempts: the proxy knows attempts of the call.
-    :ivar was_answered: one of them was answered.
-    :ivar is_early: one of them was cancelled before its wait was over.
-    :ivar was_waiting: the client waited for a reply.
+    :ivar kind: as in `FinalReply`, like `may_have_run`.
+    :ivar names_retry_time: whether the reply names a time to retry.
+    :ivar could_have_run: whether an attempt of the call actually lacks proof that it never ran.
+    :ivar has_attempts: whether the proxy has attempts of the call.
+    :ivar was_answered: whether one of these attempts was answered.
+    :ivar is_early: whether one of these attempts was cancelled before its timeout.
+    :ivar was_waiting: whether the client waited for a reply.
     """
 
     kind: str
@@ -60,5 +60,5 @@
 
     @property
     def is_answer(self) -> bool:
-        """Whether it was the backend's answer."""
+        """Whether the reply is the backend's answer."""
         return self.kind == "answered"
--- a/meadowworks/modelcheck/models/attempt/properties.py
+++ b/meadowworks/modelcheck/models/attempt/properties.py
@@ -1,4 +1,4 @@
-"""The properties by the names that reports give them."""
+"""The properties of the attempt model, by their names in reports."""
 
 from __future__ import annotations
 
@@ -9,116 +9,116 @@
 PROPERTIES = (
     Property(
         "mutating once",
-        "a mutating call never runs twice, whatever is tried again and by whom",
+        "a call that is not idempotent never runs twice, whether the proxy or the client retries",
         state_properties.mutating_call_runs_once,
     ),
     Property(
         "one final answer",
-        "an asking is told at most one final answer",
+        "a request gets at most one final reply",
         state_properties.one_final_reply,
     ),
     Property(
         "told while waiting",
-        "nobody is told who went away, was cut off or was told already",
-        step_properties.only_waiting_clients_are_told,
+        "no reply goes to a client that has disconnected, lost its proxy or got its reply",
+        step_properties.only_waiting_clients_get_replies,
         "step",
     ),
     Property(
         "two further tries",
-        "a call has at most as many further tries as the way allows, two at most",
+        "a call has at most as many retries as its policy allows, at most two",
         step_properties.retries_within_policy,
         "step",
     ),
     Property(
         "as ordered",
-        "a further try leaves only as the order, the route's kind and proof allow",
+        "a retry is sent only if the policy in force, the route and the proof allow it",
         step_properties.retries_are_allowed,
         "step",
     ),
     Property(
         "none to the drained",
-        "no try leaves for a backend that the table lacks",
+        "no attempt is sent to a backend that is not in the table",
         step_properties.none_to_drained_backend,
         "step",
     ),
     Property(
         "another backend",
-        "a further try goes to a backend that was not tried",
+        "a retry goes to a backend without an earlier attempt of the call",
         step_properties.retries_go_elsewhere,
         "step",
     ),
     Property(
         "in time",
-        "no further try leaves with less time left than one needs",
+        "no retry is sent with less than the minimum time left to the deadline",
         step_properties.retries_leave_in_time,
         "step",
     ),
     Property(
         "for somebody",
-        "no try leaves for a call that nobody waits for",
+        "no attempt is sent for a call without a waiting client",
         step_properties.attempts_have_waiters,
         "step",
     ),
     Property(
         "truthful",
-        "who is told answered has an answer; who is told it never ran, it never will",
-        step_properties.replies_are_true,
+        "an answer came from a backend; a call reported as never run has not run and never will",
+        step_properties.replies_are_correct,
         "step",
     ),
     Property(
         "precise",
-        "who is told that it may have run had a try without proof",
-        step_properties.doubts_are_founded,
+        "a call is reported as possibly run only if an attempt lacks proof that it never ran",
+        step_properties.uncertain_replies_lack_proof,
         "step",
     ),
     Property(
         "not given up early",
-        "nobody is told dropped while a try is waited for",
+        "no call is dropped while it waits for an attempt",
         step_properties.none_dropped_early,
         "step",
     ),
     Property(
         "come back",
-        "who is turned away is told when to come back, unless a repeat might run twice",
+        "a reply without an answer names a time to retry, unless a repeat might run twice",
         step_properties.retry_time_is_named,
         "step",
     ),
     Property(
         "throttled at once",
-        "what is not let in is told so in the same step",
+        "a request that is not admitted is rejected in the same step",
         step_properties.rejected_in_same_step,
         "step",
     ),
     Property(
         "nothing held",
-        "a call that waits has a try under way: what is given up is told at once",
+        "an open call has an attempt in flight: an abandoned call gets its reply at once",
         state_properties.open_calls_have_attempt_in_flight,
     ),
     Property(
         "within the limit",
-        "no call outlives its time limit",
+        "no call is open at its deadline",
         state_properties.open_calls_within_deadline,
     ),
     Property(
         "one at a time",
-        "a call has one try at a time that it waits for",
+        "a call waits for at most one attempt at a time",
         state_properties.one_attempt_waited_for,
     ),
     Property(
         "answers kept",
-        "an answer that came late is what a repeat is told",
+        "a repeat gets an answer that came late",
         state_properties.late_answers_are_kept,
     ),
     Property(
         "bounded",
-        "no more answers are kept than the bound",
+        "a proxy keeps no more replies than its bound",
         state_properties.kept_replies_are_bounded,
     ),
 )
 LIVENESS_PROPERTIES = (
     LivenessProperty(
         "answered at last",
-        "every asking that waits at a living proxy gets a final answer, if time goes on",
+        "every request that waits at a running proxy gets a final reply, if time advances",
         World.is_reply_pending,
         (steps_starting_with("pass"),),
     ),
--- a/meadowworks/modelcheck/models/attempt/scenarios.py
+++ b/meadowworks/modelcheck/models/attempt/scenarios.py
@@ -1,4 +1,4 @@
-"""What is given in each world of the model: a route, its backends and clients, and which faults may come."""
+"""The scenarios: a route, its backends and clients, and the faults that can happen."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 from meadowworks.attempts.retry_policy import RouteRetryPolicy
 
-# In units of the model's clock: as few as let an attempt be overdue and still be followed by another in time.
+# Units of the model's clock. The smallest values that leave time for a retry after an overdue attempt.
 TIMEOUT_UNITS = 3
 ATTEMPT_TIMEOUT_UNITS = 1
 MIN_REMAINING_UNITS = 2
 REPLY_RETENTION_UNITS = 1
 ADMISSION_INTERVAL_UNITS = 10
 
-# Stated here once more, so that the model notices if the product's own table of retry policies changes.
+# Repeats the product's table of retry policies, so that a change of that table breaks a property.
 MAX_RETRIES_BY_POLICY = (0, 1, 1, 2)
 NO_RETRIES = 0
 FIRST_POLICY_FOR_ANY_FAILURE = 2
@@ -24,13 +24,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """How a world begins, and what may happen in it.
+    """An initial state and the events that can follow it.
 
-    :ivar retry_policy: that the route's table orders.
-    :ivar requests_per_call: of each call, the client's first and its own repeats, `MAX_REQUESTS` at most.
-    :ivar max_crashes: of proxies.
-    :ivar policy_may_change: to no retries, while calls are in flight.
-    :ivar max_kept_replies: that a proxy keeps for repeats.
+    :ivar retry_policy: initial policy of the route's table, an index of `MAX_RETRIES_BY_POLICY`.
+    :ivar requests_per_call: for each call, the first request and its repeats, at most `MAX_REQUESTS`.
+    :ivar max_crashes: limit of proxy crashes.
+    :ivar policy_may_change: whether the policy can change to no retries while calls are in flight.
+    :ivar max_kept_replies: number of replies that a proxy keeps for repeats.
     """
 
     idempotent: bool
@@ -45,7 +45,7 @@
 
     @property
     def route_policy(self) -> RouteRetryPolicy:
-        """What the route says about attempts."""
+        """The route's configuration of attempts."""
         return RouteRetryPolicy(
             self.idempotent,
             TIMEOUT_UNITS,
@@ -56,15 +56,15 @@
 
 
 def scenarios(large: bool) -> tuple[Scenario, ...]:
-    """The scenarios to explore, by the indices that counterexamples name."""
-    chosen = [
+    """Return the scenarios to explore; counterexamples refer to them by index."""
+    table = [
         Scenario(idempotent, retry_policy)
         for idempotent in (False, True)
         for retry_policy in range(len(MAX_RETRIES_BY_POLICY))
     ]
-    chosen.append(Scenario(False, 1, max_kept_replies=0))
+    table.append(Scenario(False, 1, max_kept_replies=0))
     if large:
-        chosen = [replace(scenario, backend_count=3) for scenario in chosen]  # enough for two retries
+        table = [replace(scenario, backend_count=3) for scenario in table]  # enough for two retries
         two_calls = Scenario(
             False,
             1,
@@ -74,15 +74,15 @@
             policy_may_change=False,
             backends_may_crash=False,
         )
-        chosen += [two_calls, replace(two_calls, idempotent=True, max_crashes=0)]
-    return tuple(chosen)
+        table += [two_calls, replace(two_calls, idempotent=True, max_crashes=0)]
+    return tuple(table)
 
 
 def waiter_number(key: int, index: int) -> int:
-    """Return the number by which a machine knows a call's request."""
+    """Return the number that identifies a call's request at a machine."""
     return key * MAX_REQUESTS + index
 
 
 def request_index(waiter: int) -> int:
-    """Return the place of a request in its call, by the number that a machine knows."""
+    """Return the index of a request in its call from its waiter number."""
     return waiter % MAX_REQUESTS
--- a/meadowworks/modelcheck/models/attempt/state_key.py
+++ b/meadowworks/modelcheck/models/attempt/state_key.py
@@ -1,4 +1,4 @@
-"""What tells two worlds apart: times from now, backends by their state and the attempts at them."""
+"""Keys of states: times relative to now, backends by their state and the attempts at them."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
     from meadowworks.modelcheck.models.attempt.world import World
 
 Key = tuple[Hashable, ...]  # of numbers, strings and plain tuples alone, since the explorer marshals it
-IN_TABLE_OF_PROXY = -1  # in place of a call's key, where the proxy has the backend in its table
+IN_TABLE_OF_PROXY = -1  # replaces the call's key in the row of a proxy that has the backend in its table
 
 
 def state_key(world: World) -> Key:
-    """Return what tells a world's state from others."""
+    """Return the values that identify a world's state."""
     scenario = world.scenario
-    requests = [freeze_request(request) for of_call in world.requests for request in of_call]
+    requests = [freeze_request(request) for call_requests in world.requests for request in call_requests]
     return (
         scenario.idempotent,
         scenario.retry_policy,
@@ -35,8 +35,11 @@
 
 
 def backend_keys(world: World) -> Key:
-    """Return each backend's state with all that proxies have of it, sorted: alike ones change places."""
-    seen_by_proxies: list[list[Key]] = [[] for _ in world.backend_states]
+    """Return each backend's state and the proxies' entries about it.
+
+    They are sorted, so that exchanging two backends leaves the key unchanged.
+    """
+    proxy_entries: list[list[Key]] = [[] for _ in world.backend_states]
     for proxy, machine in enumerate(world.machines):
         if machine is None:
             continue
@@ -44,23 +47,23 @@
             for position, (number, attempt) in enumerate(call.attempts.items()):
                 actual = world.attempts[proxy, number]
                 remaining = attempt.wait_until_ns - world.now if attempt.state == SENT else 0
-                seen_by_proxies[attempt.backend].append(
+                proxy_entries[attempt.backend].append(
                     (proxy, key, position, attempt.state, actual.reply, actual.is_cut_off, remaining)
                 )
         for backend in machine.tables[ROUTE].weights:
-            seen_by_proxies[backend].append((proxy, IN_TABLE_OF_PROXY))
-    states = zip(world.backend_states, seen_by_proxies, strict=True)
-    return tuple(sorted([(state, tuple(seen)) for state, seen in states]))
+            proxy_entries[backend].append((proxy, IN_TABLE_OF_PROXY))
+    states = zip(world.backend_states, proxy_entries, strict=True)
+    return tuple(sorted([(state, tuple(entries)) for state, entries in states]))
 
 
 def machine_key(machine: AttemptMachine, now: int) -> Key:
-    """Return what a machine knows, but for attempts and its table."""
+    """Return the state of a machine without its attempts and its table."""
     calls = [call_key(key, call, now) for key, call in sorted(machine.calls.items())]
     return tuple(calls), tuple(machine.finished_calls), machine.tables[ROUTE].retry_policy
 
 
 def call_key(key: int, call: Call, now: int) -> Key:
-    """Return what a machine knows of a call, but for its attempts."""
+    """Return the state of a call at a machine without its attempts."""
     outcome = call.outcome
     if outcome is None:
         return key, tuple(call.waiters), call.deadline_ns - now, ()
--- a/meadowworks/modelcheck/models/attempt/state_properties.py
+++ b/meadowworks/modelcheck/models/attempt/state_properties.py
@@ -1,4 +1,4 @@
-"""What must hold in every world."""
+"""Properties that hold in every state."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def all_calls(world: World) -> Iterator[Call]:
-    """Yield the calls that the running proxies know."""
+    """Yield the calls of all running proxies."""
     for machine in world.machines:
         if machine:
             yield from machine.calls.values()
@@ -33,7 +33,7 @@
 
 
 def open_calls_have_attempt_in_flight(world: World) -> bool:
-    """An open call has an attempt that is waited for: what is given up is replied to at once."""
+    """An open call waits for an attempt; an abandoned call gets its reply at once."""
     return all(
         any(attempt.state == SENT and attempt.wait_until_ns > world.now for attempt in call.attempts.values())
         for call in open_calls(world)
@@ -46,14 +46,14 @@
 
 
 def one_attempt_waited_for(world: World) -> bool:
-    """A call has at most one attempt that it waits for."""
+    """A call waits for at most one attempt."""
     return all(
         sum(attempt.state == SENT for attempt in call.attempts.values()) <= 1 for call in all_calls(world)
     )
 
 
 def late_answers_are_kept(world: World) -> bool:
-    """A mutating call that was answered has that as its outcome, however late the answer came."""
+    """The outcome of a call that is not idempotent is its answer, even if the answer came late."""
     if world.scenario.idempotent:
         return True
     for call in all_calls(world):
@@ -64,7 +64,7 @@
 
 
 def kept_replies_are_bounded(world: World) -> bool:
-    """A proxy keeps no more outcomes than its bound, and no calls beside them and the open ones."""
+    """A proxy keeps no more replies than its bound, and no calls other than those and the open ones."""
     call_count = len(world.scenario.requests_per_call)
     return all(
         len(machine.finished_calls) <= machine.max_kept_replies
--- a/meadowworks/modelcheck/models/attempt/world.py
+++ b/meadowworks/modelcheck/models/attempt/world.py
@@ -1,4 +1,4 @@
-"""One world of the model: proxies with their machines, backends, clients, and attempts as they really are."""
+"""The state of the attempt model: proxies with their machines, backends, clients and the actual attempts."""
 
 from __future__ import annotations
 
@@ -35,17 +35,33 @@
 )
 from meadowworks.modelcheck.models.attempt.state_key import state_key
 
-MAX_COUNTED_RUNS = 2  # more than one is a violation, so more are not told apart
+MAX_COUNTED_RUNS = 2  # two runs already violate a property, so higher counts are not distinguished
 ADMIT_ALL = 1.0
 
+# Step kinds are stored in counterexample files.
+STEP_METHODS: dict[str, str] = {
+    "ask": "receive_request",
+    "leave": "disconnect_client",
+    "reply": "deliver_result",
+    "cut": "end_replied_connection",
+    "drain": "drain_backend",
+    "back": "return_backend",
+    "end": "crash_backend",
+    "strict": "forbid_retries",
+    "die": "crash_proxy",
+    "rise": "restart_proxy",
+    "pass": "advance_clock",
+}
+
 
 class World:
-    """The state that is explored; each step is taken by the method `do_` with its name.
+    """The state that the explorer changes by steps.
 
-    :ivar requests: of each call, in the order in which its client sends them.
-    :ivar untracked_runs: by call, attempts that may have run or may run yet, and that no machine knows.
-    :ivar attempts: those that a machine knows, by proxy and number.
-    :ivar machines: by proxy; none while it is down.
+    :ivar requests: the requests of each call, in the order in which its client sends them.
+    :ivar untracked_runs: for each call, the attempts that may have run or may still run and that no machine
+        tracks.
+    :ivar attempts: the attempts that a machine tracks, by proxy and number.
+    :ivar machines: the machine of each proxy, None while the proxy is down.
     """
 
     def __init__(self, scenario: Scenario) -> None:
@@ -64,12 +80,12 @@
     # -- proxies and their tables
 
     def start_proxy(self, proxy: int) -> None:
-        """Give a proxy a new machine and the table."""
+        """Start a proxy with a new machine, and send it the table."""
         self.machines[proxy] = self.new_machine(proxy)
         self._send_table(proxy)
 
     def new_machine(self, proxy: int) -> ChosenDrawMachine:
-        """Return a machine that knows no call."""
+        """Return a machine without calls."""
         return ChosenDrawMachine(
             ProxyHost(self, proxy),
             (self.scenario.route_policy,),
@@ -79,7 +95,7 @@
         )
 
     def table(self) -> dict[int, float]:
-        """Return the weights of the route's backends; one that crashed stays till it is drained."""
+        """Return the weights of the route's backends; a crashed backend stays until it is drained."""
         return {backend: 1.0 for backend, state in enumerate(self.backend_states) if state != DRAINED}
 
     def _send_table(self, proxy: int) -> None:
@@ -98,25 +114,25 @@
     # -- steps
 
     def enabled(self) -> Iterable[Step]:
-        """Name the steps that can be taken now."""
+        """Return the enabled steps."""
         return enabled_steps(self)
 
     def take_step(self, step: Step) -> None:
         """Take one of the enabled steps."""
         self.outcomes = []
         kind, *arguments = step
-        getattr(self, "do_" + kind)(*arguments)
-        self._release_unknown_attempts()
+        getattr(self, STEP_METHODS[kind])(*arguments)
+        self._release_dropped_attempts()
 
     def _choose_draw(self, draw: int) -> None:
-        """Let all random numbers of this step fall into one of the equal parts of their range."""
+        """Set all random numbers of this step to the middle of one of the equal parts of their range."""
         parts = draw_count(self)
         for machine in self.machines:
             if machine:
                 machine.chosen_draw = (draw + 0.5) / parts
 
-    def do_ask(self, key: int, index: int, proxy: int, draw: int, is_admitted: int) -> None:
-        """A client's request comes to a proxy."""
+    def receive_request(self, key: int, index: int, proxy: int, draw: int, is_admitted: int) -> None:
+        """Deliver a client's request to a proxy."""
         self._choose_draw(draw)
         is_repeat = index > 0 and self.requests[key][index - 1].is_unresolved
         request, machine = self.requests[key][index], self._running_machine(proxy)
@@ -127,49 +143,49 @@
         machine.tables[ROUTE].admission_ratio = ADMIT_ALL
         self.outcomes.append(RequestHandled(is_new_call, bool(is_admitted), request.state == WAITING))
 
-    def do_leave(self, key: int, index: int) -> None:
-        """A client goes away."""
+    def disconnect_client(self, key: int, index: int) -> None:
+        """Disconnect a client."""
         request = self.requests[key][index]
         request.state = CLIENT_GONE
         if machine := self.machines[request.proxy]:
             machine.on_client_gone(self.now, key, waiter_number(key, index))
 
-    def do_reply(self, proxy: int, number: int, reply: int, draw: int) -> None:
-        """A proxy is told what became of an attempt."""
+    def deliver_result(self, proxy: int, number: int, reply: int, draw: int) -> None:
+        """Deliver the result of an attempt to its proxy."""
         self._choose_draw(draw)
         attempt = self.attempts[proxy, number]
         attempt.reply = reply
         self._running_machine(proxy).on_attempt_ended(self.now, attempt.call_key, number, reply)
 
-    def do_cut(self, proxy: int, number: int) -> None:
-        """The connection of an attempt that was replied to ends too, and the transport says so."""
+    def end_replied_connection(self, proxy: int, number: int) -> None:
+        """End the connection of an attempt after its reply; the transport reports this as a failure."""
         key = self.attempts[proxy, number].call_key
         self._running_machine(proxy).on_attempt_ended(self.now, key, number, FAILED)
 
-    def do_drain(self, backend: int) -> None:
-        """A backend is taken out of the table."""
+    def drain_backend(self, backend: int) -> None:
+        """Remove a backend from the table."""
         self.backend_states[backend] = DRAINED
         self._send_tables()
 
-    def do_back(self, backend: int) -> None:
-        """A backend comes back to the table."""
+    def return_backend(self, backend: int) -> None:
+        """Return a drained backend to the table."""
         self.backend_states[backend] = IN_TABLE
         self._send_tables()
 
-    def do_end(self, backend: int) -> None:
-        """A backend crashes: what it had not answered is cut off, run or not."""
+    def crash_backend(self, backend: int) -> None:
+        """Crash a backend: its unanswered attempts are cut off, whether they ran or not."""
         self.backend_states[backend] = CRASHED
         for attempt in self.attempts.values():
             attempt.is_cut_off |= attempt.backend == backend
         self._send_tables()
 
-    def do_strict(self) -> None:
-        """The table orders no retries from now on."""
+    def forbid_retries(self) -> None:
+        """Change the table's policy to no retries."""
         self.retry_policy = NO_RETRIES
         self._send_tables()
 
-    def do_die(self, proxy: int) -> None:
-        """A proxy crashes, and its connections to clients with it."""
+    def crash_proxy(self, proxy: int) -> None:
+        """Crash a proxy, which ends its connections to clients."""
         self.crashes_left -= 1
         self.machines[proxy] = None
         for attempt_id in [attempt_id for attempt_id in self.attempts if attempt_id[0] == proxy]:
@@ -179,19 +195,19 @@
                 if request.state == WAITING and request.proxy == proxy:
                     request.state = PROXY_LOST
 
-    def do_rise(self, proxy: int) -> None:
-        """A proxy starts again, knowing nothing."""
+    def restart_proxy(self, proxy: int) -> None:
+        """Restart a proxy without state."""
         self.start_proxy(proxy)
 
-    def do_pass(self, draw: int) -> None:
-        """A unit of time goes by."""
+    def advance_clock(self, draw: int) -> None:
+        """Advance the clock by one unit."""
         self._choose_draw(draw)
         self.now += 1
         for machine in self.machines:
             if machine:
                 machine.tick(self.now)
 
-    # -- what is true of attempts
+    # -- actual state of attempts
 
     def _release_attempt(self, attempt_id: tuple[int, int]) -> None:
         attempt = self.attempts.pop(attempt_id)
@@ -199,8 +215,8 @@
             counted = self.untracked_runs[attempt.call_key] + 1
             self.untracked_runs[attempt.call_key] = min(MAX_COUNTED_RUNS, counted)
 
-    def _release_unknown_attempts(self) -> None:
-        """Count the attempts that no machine knows any more, whatever became of them."""
+    def _release_dropped_attempts(self) -> None:
+        """Release the attempts that their machines have dropped, whatever their result."""
         for attempt_id, attempt in list(self.attempts.items()):
             proxy, number = attempt_id
             machine = self.machines[proxy]
@@ -210,17 +226,19 @@
 
     def possible_runs(self, key: int) -> int:
         """Count the attempts of a call without proof that they never ran."""
-        known = self.attempts.values()
-        return self.untracked_runs[key] + sum(a.call_key == key and a.may_have_run for a in known)
+        tracked = self.attempts.values()
+        return self.untracked_runs[key] + sum(
+            attempt.call_key == key and attempt.may_have_run for attempt in tracked
+        )
 
     def is_reply_pending(self) -> bool:
         """Return whether a request waits for its final reply."""
         return any(request.state == WAITING for requests in self.requests for request in requests)
 
-    # -- what the machines do
+    # -- actions of the machines
 
     def on_attempt_sent(self, proxy: int, key: int, number: int, backend: int) -> None:
-        """Keep an attempt that left a proxy, and whether it was right to send it."""
+        """Track an attempt that a proxy sent, and record the conditions that its properties check."""
         call = self._running_machine(proxy).calls[key]
         prior = [self.attempts[proxy, other] for other in call.attempts if other != number]
         state = self.backend_states[backend]
@@ -244,21 +262,21 @@
         return self.scenario.idempotent and self.retry_policy >= FIRST_POLICY_FOR_ANY_FAILURE
 
     def on_final_reply(self, proxy: int, key: int, waiter: int, reply: FinalReply) -> None:
-        """Keep what a client was told, and what was true then."""
+        """Record a final reply to a client, with the actual state at that moment."""
         request = self.requests[key][request_index(waiter)]
         call = self._running_machine(proxy).calls.get(key)
         numbers = call.attempts if call else ()
-        known = [self.attempts[proxy, number] for number in numbers if (proxy, number) in self.attempts]
-        ran_elsewhere = not self.scenario.idempotent and self.possible_runs(key) > 0
+        attempts = [self.attempts[proxy, number] for number in numbers if (proxy, number) in self.attempts]
+        may_have_run = not self.scenario.idempotent and self.possible_runs(key) > 0
         names_retry_time = reply.retry_after_ns > 0
         self.outcomes.append(
             ReplyDelivered(
                 kind=reply.kind,
                 may_have_run=reply.may_have_run,
                 names_retry_time=names_retry_time,
-                could_have_run=ran_elsewhere or any(attempt.may_have_run for attempt in known),
-                has_attempts=bool(known),
-                was_answered=any(attempt.reply == ANSWERED for attempt in known),
+                could_have_run=may_have_run or any(attempt.may_have_run for attempt in attempts),
+                has_attempts=bool(attempts),
+                was_answered=any(attempt.reply == ANSWERED for attempt in attempts),
                 is_early=call is not None and self._was_cancelled_early(call),
                 was_waiting=request.state == WAITING,
             )
@@ -277,17 +295,17 @@
     # -- states
 
     def key(self) -> Any:
-        """Return what tells this state from others."""
+        """Return the values that identify this state."""
         return state_key(self)
 
     def freeze(self) -> FrozenWorld:
-        """Return what `thaw_world` makes the same world of, without the last step's outcomes."""
+        """Return an immutable copy for `thaw_world`, without the outcomes of the last step."""
         return freeze_world(self)
 
 
 def thaw_world(frozen: FrozenWorld) -> World:
-    """Return the world that was frozen."""
-    world = World.__new__(World)  # starts no machines that would be replaced here
+    """Return a world from its immutable copy."""
+    world = World.__new__(World)  # avoids starting machines that are replaced below
     world.scenario = frozen.scenario
     world.outcomes = []
     world.now = frozen.now
