--- a/meadowworks/modelcheck/models/connection/__init__.py
+++ b/meadowworks/modelcheck/models/connection/__init__.py
@@ -1,10 +1,10 @@
-"""The model of the fleet controller's connections.
+"""The model ``connection``: the fleet controller's connections.
 
-What is real here: `ConnectionState`, `ConnectionLimit`, `ProxyStreams`, `TableUpdates` and `Mailbox`, among
-peers that say and read what they like, in every order. Two connections say that they are the same proxy, an
-older and a newer one; a third never says who it is. Both actors' mailboxes and the controller's are queues
-that are taken from whenever the explorer likes, so that whatever is in flight may be overtaken. The policy
-here only assigns tables to who joins, and changes weights.
+It runs the product's `ConnectionState`, `ConnectionLimit`, `ProxyStreams`, `TableUpdates` and `Mailbox` with
+remote ends that send messages and stop reading in every order. An older and a newer connection identify as
+the same proxy; others never identify themselves. The mailboxes of the actors and of the controller are queues
+from which the explorer takes an item at any time, so that messages in flight can be overtaken. The model's
+policy only assigns a table to a proxy that joins, and changes its weight.
 """
 
 from __future__ import annotations
--- a/meadowworks/modelcheck/models/connection/connection.py
+++ b/meadowworks/modelcheck/models/connection/connection.py
@@ -1,4 +1,4 @@
-"""One connection of a world: the host of the controller's end, and what the remote end does."""
+"""One connection of a world: the host of the controller's end, and the remote end."""
 
 from __future__ import annotations
 
@@ -17,33 +17,33 @@
     ProxyLeft,
 )
 from meadowworks.modelcheck.models.connection.outcomes import ChangeWithoutTable, Published, Written
-from meadowworks.modelcheck.models.connection.scenarios import LIMITS, MAX_REPORTS, Budget, Scenario
+from meadowworks.modelcheck.models.connection.scenarios import LIMITS, MAX_REPORTS, Scenario, SendBudget
 from meadowworks.runtime.connection_limit import ConnectionLimit
 
 PROXY = 0
 HELLO = ProxyHello(PROXY, "z", 1.0, True)
-NOT_CONNECTED, READING, NOT_READING, CLOSED = range(4)  # the remote end; plain numbers, as states keep them
-UNKNOWN, JOINED, LEFT = range(3)  # a stream, as the controller has been told
+NOT_CONNECTED, READING, NOT_READING, CLOSED = range(4)  # states of a remote end, ints so that they can freeze
+UNKNOWN, JOINED, LEFT = range(3)  # states of a stream, by the events that the controller has taken
 
 
 def is_known_peer(hello: ProxyHello | CollectorHello) -> bool:
-    """Whether the settings have such a peer."""
+    """Return whether the settings contain this peer."""
     return isinstance(hello, ProxyHello) and hello.proxy == PROXY
 
 
 @dataclass(slots=True)
 class StreamRecord:
-    """What the controller has been told of a connection, and the nonces that were sent on it."""
+    """The status of a connection's stream at the controller, and the nonces that were sent on it."""
 
     status: int = UNKNOWN
     sent_nonces: list[int] = field(default_factory=list)
 
 
-class Shared:
-    """What the connections of a world share.
+class SharedState:
+    """The state that the connections of a world share.
 
-    :ivar outcomes: of the last step.
-    :ivar controller_mailbox: the events that the controller has still to take.
+    :ivar outcomes: the outcomes of the last step.
+    :ivar controller_mailbox: the events that the controller has not handled yet.
     """
 
     def __init__(self, scenario: Scenario) -> None:
@@ -53,20 +53,23 @@
         self.connection_limit: ConnectionLimit[int] = ConnectionLimit(scenario.descriptors, 0)
 
 
-class Connection:
+class ModelConnection:
     """The host of a connection's state machine, and its remote end.
 
-    :ivar is_open: whether the transport is open, as the controller sees it.
-    :ivar is_lost: whether the state machine has been told of the connection's end.
-    :ivar has_actor: whether an actor was asked for; `is_actor_running` once it has started.
-    :ivar unread: messages that were written and that the remote end has not read.
-    :ivar has_table: whether the remote end has been told a table.
-    :ivar weights: of that table, by the backends' names.
-    :ivar nonces: that came with what the remote end has read.
-    :ivar heartbeats_owed: heartbeats that were sent and not replied to.
+    :ivar place: index of the connection in its world.
+    :ivar is_open: whether the transport is open at the controller's end.
+    :ivar is_lost: whether the state machine has handled the connection's end.
+    :ivar has_actor: whether the state machine has requested an actor.
+    :ivar is_actor_running: whether that actor has started.
+    :ivar unread: number of messages that were written and that the remote end has not read.
+    :ivar has_table: whether the remote end has received a table.
+    :ivar weights: the weights of that table, by name of the backend.
+    :ivar nonces: the nonces that the remote end has read.
+    :ivar budget: the messages that the remote end may still send.
+    :ivar heartbeats_owed: number of heartbeats without a reply.
     """
 
-    def __init__(self, shared: Shared, place: int) -> None:
+    def __init__(self, shared: SharedState, place: int) -> None:
         self.shared, self.place = shared, place
         self.state = ConnectionState(self, is_known_peer, LIMITS)
         self.mailbox: Mailbox[ConnectionItem] = Mailbox(MAX_REPORTS)
@@ -78,12 +81,12 @@
         self.has_table = False
         self.weights: dict[str, float] = {}
         self.nonces: list[int] = []
-        self.budget = Budget.of(shared.scenario)
+        self.budget = SendBudget.of(shared.scenario)
         self.heartbeats_owed = 0
 
     @property
     def is_identified(self) -> bool:
-        """Whether its peer has said who it is."""
+        """Whether the peer has identified itself."""
         return self.state.peer is not None
 
     @property
@@ -94,7 +97,7 @@
     # -- the remote end
 
     def read(self, text: str) -> None:
-        """Reads a message as a proxy does: a table in the place of the old one, or a change to it."""
+        """Apply an update as a proxy does: a full table replaces the old one, a change modifies it."""
         for line in text.split("\r\n")[:-1]:
             self._read_line(dict(_split_pair(word, "=") for word in line.split()[1:]))
 
@@ -112,7 +115,7 @@
     # -- the state machine's host
 
     def write(self, data: bytes) -> None:
-        """Writes; a remote end that reads takes in tables at once."""
+        """Write data; a remote end that reads applies tables at once."""
         self.shared.outcomes.append(Written(self.place, self.is_open))
         if data == HEARTBEAT_REPLY:
             self.heartbeats_owed -= 1
@@ -122,44 +125,44 @@
             self.read(data.decode())
 
     def unsent_bytes(self) -> int:
-        """How many messages have not been read."""
+        """Return the number of unread messages, which stands for the unsent bytes."""
         return self.unread
 
     def close(self) -> None:
-        """Closes the connection."""
+        """Close the transport."""
         self.is_open = False
 
     def abort(self) -> None:
-        """Closes the connection."""
+        """Close the transport."""
         self.is_open = False
 
     def mark_identified(self) -> None:
-        """Keeps the connection from being evicted."""
+        """Protect the connection from eviction."""
         self.shared.connection_limit.protect(self.place)
 
     def start_peer(self, _first: ProxyHello | CollectorHello) -> None:
-        """Asks for the peer's actor, which the step `begin` starts."""
+        """Request the peer's actor, which the step `begin` starts."""
         self.has_actor = True
 
     def enqueue(self, item: ConnectionItem, report: bool) -> None:
-        """Puts an item into the actor's mailbox."""
+        """Put an item into the actor's mailbox."""
         self.mailbox.put(item, report)
 
     def joined_event(self, first: ProxyHello) -> ProxyJoined:
-        """The event that this proxy has joined by this connection."""
+        """Return the event that the proxy has joined on this connection."""
         return ProxyJoined(first, self.mailbox)
 
     def left_event(self, first: ProxyHello) -> ProxyLeft:
-        """The event that this proxy has left by this connection."""
+        """Return the event that the proxy has left on this connection."""
         return ProxyLeft(first.proxy, self.mailbox)
 
     def publish(self, item: ControllerEvent, report: bool) -> None:
-        """Puts an event into the controller's mailbox."""
+        """Put an event into the controller's mailbox."""
         self.shared.outcomes.append(Published(self.place, self.is_identified))
         self.shared.controller_mailbox.put(item, report)
 
-    def count(self, _what: str) -> None:
-        """Drops a count for the log."""
+    def count(self, _event: str) -> None:
+        """Ignore a count for the log."""
 
 
 def _split_pair(text: str, separator: str) -> tuple[str, str]:
--- a/meadowworks/modelcheck/models/connection/frozen.py
+++ b/meadowworks/modelcheck/models/connection/frozen.py
@@ -1,4 +1,7 @@
-"""States as plain values, and back: numbers, strings and tuples alone, since the explorer marshals them."""
+"""Conversion of states to plain values and back.
+
+Plain values are numbers, strings and tuples, since the explorer marshals them.
+"""
 
 from __future__ import annotations
 
@@ -19,21 +22,27 @@
     UpdateMessage,
 )
 from meadowworks.fleet.streams import MAX_OUTSTANDING_NONCES
-from meadowworks.modelcheck.models.connection.connection import CLOSED, HELLO, PROXY, Connection, StreamRecord
-from meadowworks.modelcheck.models.connection.scenarios import Budget, Scenario, freeze_scenario
+from meadowworks.modelcheck.models.connection.connection import (
+    CLOSED,
+    HELLO,
+    PROXY,
+    ModelConnection,
+    StreamRecord,
+)
+from meadowworks.modelcheck.models.connection.scenarios import Scenario, SendBudget, freeze_scenario
 from meadowworks.modelcheck.models.connection.state import BACKEND, DEMAND_REPORT, TABLE, WorldState
 
 Frozen = tuple[Any, ...]
 FrozenState = tuple[Any, ...]
 FrozenWorld = tuple[Scenario, int, FrozenState]
-# Where the parts of a frozen connection stand, unless it is over.
+# Indices of the parts of a frozen connection that has not ended.
 TRANSPORT, REMOTE, STATE, MAILBOX, RECORD = slice(0, 5), slice(5, 11), slice(11, 15), 15, slice(16, 18)
-FROZEN_END_SIZE = 3  # of a connection that is over
+ENDED_CONNECTION_SIZE = 3  # number of values of a frozen connection that has ended
 EMPTY_MAILBOX: Frozen = (0,)
 
 
 def freeze_state(world: WorldState) -> FrozenState:
-    """What tells a state from others."""
+    """Return the values that identify a state."""
     return (
         freeze_scenario(world.scenario),
         tuple([_freeze_connection(world, connection) for connection in world.connections]),
@@ -49,9 +58,9 @@
 
 
 def restore_state(world: WorldState, frozen: FrozenState) -> None:
-    """Brings a new world of the scenario into the state that was frozen."""
-    _, connections, controller_mailbox, streams, *rest = frozen
-    world.last_nonce, world.weight_changes_left, world.weight, world.bound, *limit = rest
+    """Restore a frozen state in a new world of its scenario."""
+    _, connections, controller_mailbox, streams, *scalars = frozen
+    world.last_nonce, world.weight_changes_left, world.weight, world.bound, *limit = scalars
     world.connection_limit.open_count, evictable = limit
     world.connection_limit.evictable = dict.fromkeys(evictable, 0)
     for connection, values in zip(world.connections, connections, strict=True):
@@ -85,11 +94,11 @@
 # -- connections
 
 
-def _freeze_connection(world: WorldState, connection: Connection) -> Frozen:
+def _freeze_connection(world: WorldState, connection: ModelConnection) -> Frozen:
     state, record = connection.state, connection.record
     if connection.is_lost and (state.finish_reason or not connection.has_actor):
         nonces = tuple(record.sent_nonces) if world.bound == connection.place else ()
-        return CLOSED, record.status, nonces  # what it was makes no difference any more
+        return CLOSED, record.status, nonces  # the other values have no effect any more
     return (
         *_freeze_transport(connection),
         *_freeze_remote(connection),
@@ -100,8 +109,8 @@
     )
 
 
-def _restore_connection(world: WorldState, connection: Connection, frozen: Frozen) -> None:
-    if len(frozen) == FROZEN_END_SIZE:
+def _restore_connection(world: WorldState, connection: ModelConnection, frozen: Frozen) -> None:
+    if len(frozen) == ENDED_CONNECTION_SIZE:
         connection.remote, status, nonces = frozen
         connection.is_lost = True
         connection.state.close_reason = connection.state.finish_reason = "closed"
@@ -116,7 +125,7 @@
     connection.record = StreamRecord(status, list(nonces))
 
 
-def _freeze_transport(connection: Connection) -> Frozen:
+def _freeze_transport(connection: ModelConnection) -> Frozen:
     return (
         connection.remote,
         connection.is_open,
@@ -126,12 +135,12 @@
     )
 
 
-def _restore_transport(connection: Connection, frozen: Frozen) -> None:
+def _restore_transport(connection: ModelConnection, frozen: Frozen) -> None:
     connection.remote, connection.is_open, connection.is_lost, *actor = frozen
     connection.has_actor, connection.is_actor_running = actor
 
 
-def _freeze_remote(connection: Connection) -> Frozen:
+def _freeze_remote(connection: ModelConnection) -> Frozen:
     return (
         connection.unread,
         connection.has_table,
@@ -142,10 +151,10 @@
     )
 
 
-def _restore_remote(connection: Connection, frozen: Frozen) -> None:
+def _restore_remote(connection: ModelConnection, frozen: Frozen) -> None:
     connection.unread, connection.has_table, weights, nonces, budget, connection.heartbeats_owed = frozen
     connection.weights, connection.nonces = dict(weights), list(nonces)
-    connection.budget = Budget(*budget)
+    connection.budget = SendBudget(*budget)
 
 
 def _freeze_connection_state(state: ConnectionState) -> Frozen:
@@ -161,7 +170,7 @@
 
 
 def _freeze_mailbox(world: WorldState, mailbox: Mailbox[ConnectionItem] | Mailbox[ControllerEvent]) -> Frozen:
-    """A mailbox's own count of its reports goes along: whether it is right is a property."""
+    """Freeze a mailbox with its own count of reports, which a property checks."""
     return (mailbox.report_count, *((report, *_freeze_item(world, item)) for report, item in mailbox.items))
 
 
@@ -171,7 +180,7 @@
 
 
 def _freeze_item(world: WorldState, item: ConnectionItem | ControllerEvent) -> Frozen:
-    """An item of a mailbox, without the mailboxes that it names."""
+    """Freeze an item of a mailbox; a mailbox in it becomes the place of its connection."""
     match item:
         case ProxyJoined(_, stream):
             return "joined", world.connection_of(stream).place
--- a/meadowworks/modelcheck/models/connection/outcomes.py
+++ b/meadowworks/modelcheck/models/connection/outcomes.py
@@ -1,6 +1,7 @@
-"""What came of a step, for the properties that are checked on steps.
+"""Records of what happened in a step, for the step properties.
 
-Connections go by their place in the world. Reasons are those of `ConnectionState`, empty where there is none.
+Connections are given by their place in the world. Reasons are those of `ConnectionState`, empty if there is
+none.
 """
 
 from __future__ import annotations
@@ -9,33 +10,33 @@
 
 
 class Written(NamedTuple):
-    """Something was written to a connection."""
+    """Data was written to a connection."""
 
     connection: int
     was_open: bool
 
 
 class Published(NamedTuple):
-    """An event of a connection went to the controller."""
+    """A connection published an event to the controller."""
 
     connection: int
     is_identified: bool
 
 
 class ChangeWithoutTable(NamedTuple):
-    """A remote end was told a change of a table that it does not have."""
+    """A remote end received a change of a table that it does not have."""
 
     connection: int
 
 
 class Evicted(NamedTuple):
-    """A connection was closed so that another could come in."""
+    """A connection was closed to free its descriptor for another."""
 
     is_identified: bool
 
 
 class UnreadableLine(NamedTuple):
-    """A line that is no message, the `line_count`-th in a row."""
+    """A connection received the `line_count`-th line in a row that is not a message."""
 
     connection: int
     line_count: int
@@ -45,14 +46,14 @@
 
 
 class PartialLine(NamedTuple):
-    """A line without an end, longer than the limit."""
+    """A connection received part of a line without an end, longer than the limit."""
 
     connection: int
     close_reason: str
 
 
 class MalformedMessage(NamedTuple):
-    """A message with a field that makes no sense."""
+    """A connection received a message with a malformed field."""
 
     connection: int
     former_reason: str
@@ -61,28 +62,28 @@
 
 
 class Joined(NamedTuple):
-    """The controller took the joining of a stream that had a status before."""
+    """The controller handled the joining of a stream; `former_status` is the stream's status before it."""
 
     connection: int
     former_status: int
 
 
 class Left(NamedTuple):
-    """The controller took the end of a stream that had a status before."""
+    """The controller handled the leaving of a stream; `former_status` is the stream's status before it."""
 
     connection: int
     former_status: int
 
 
 class Unbound(NamedTuple):
-    """By the end of a connection the proxy has left; it was taken to be on the `bound` one."""
+    """The end of a connection unbound the proxy, which was bound to `former_connection`."""
 
     connection: int
-    bound: int
+    former_connection: int
 
 
 class Acknowledged(NamedTuple):
-    """An acknowledgement came, of a nonce that was or was not sent on the proxy's stream."""
+    """The controller handled an acknowledgement; `was_sent` if its nonce was sent on the proxy's stream."""
 
     is_counted: bool
     was_sent: bool
--- a/meadowworks/modelcheck/models/connection/properties.py
+++ b/meadowworks/modelcheck/models/connection/properties.py
@@ -1,4 +1,4 @@
-"""The properties that hold of each state, or of each step's outcomes."""
+"""Properties of every state, or of the outcomes of every step."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def outcomes_of(world: World, kind: type[OutcomeT]) -> list[OutcomeT]:
-    """The last step's outcomes of a type."""
+    """Return the outcomes of a type in the last step."""
     return [outcome for outcome in world.outcomes if isinstance(outcome, kind)]
 
 
@@ -40,7 +40,7 @@
 
 
 def newest_stream_used(world: World) -> bool:
-    """While the controller takes a connection to be the proxy's, messages go to it."""
+    """Messages go to the connection that the proxy joined last, until the proxy leaves."""
     stream = world.streams.by_proxy.get(PROXY)
     if stream is None:
         return world.bound == UNBOUND
@@ -48,22 +48,22 @@
 
 
 def replaced_end_ignored(world: World) -> bool:
-    """A proxy leaves by the end of its newest stream alone."""
-    return all(unbound.connection == unbound.bound for unbound in outcomes_of(world, Unbound))
+    """Only the end of its newest stream unbinds a proxy."""
+    return all(unbound.connection == unbound.former_connection for unbound in outcomes_of(world, Unbound))
 
 
 def no_write_after_end(world: World) -> bool:
-    """Whatever is written is written to an open connection."""
+    """Data is written only to open connections."""
     return all(written.was_open for written in outcomes_of(world, Written))
 
 
-def unidentified_unheard(world: World) -> bool:
-    """The controller hears of identified peers alone."""
+def only_identified_publish(world: World) -> bool:
+    """Only identified peers publish events to the controller."""
     return all(published.is_identified for published in outcomes_of(world, Published))
 
 
-def malformed_costs_itself(world: World) -> bool:
-    """A malformed message closes an unidentified connection, and no other."""
+def malformed_message_ends_unidentified(world: World) -> bool:
+    """A malformed message closes an unidentified connection, but not an identified one."""
     return all(
         bool(message.former_reason) == bool(message.close_reason)
         if message.is_identified
@@ -73,7 +73,7 @@
 
 
 def unreadable_lines_end(world: World) -> bool:
-    """Unreadable lines close a connection at their limit, which for an unidentified one is the first."""
+    """Unreadable lines close a connection at their limit; for an unidentified one, the first closes it."""
     for line in outcomes_of(world, UnreadableLine):
         is_over_limit = not line.is_identified or line.line_count >= LIMITS.unreadable_lines
         if not line.former_reason and bool(line.close_reason) != is_over_limit:
@@ -82,12 +82,12 @@
 
 
 def unread_bounded(world: World) -> bool:
-    """No more stays unread than the limit, and the message that goes beyond it."""
+    """The unread messages exceed the limit by at most one."""
     return all(connection.unread <= LIMITS.unsent_bytes + 1 for connection in world.connections)
 
 
 def descriptors_counted(world: World) -> bool:
-    """The count of open connections is right, and within the descriptors."""
+    """The count of open connections is correct and within the number of descriptors."""
     open_count = sum(
         connection.remote != NOT_CONNECTED and not connection.is_lost for connection in world.connections
     )
@@ -100,17 +100,19 @@
 
 
 def acknowledgements_matched(world: World) -> bool:
-    """An acknowledgement of what was never sent on this stream does not count."""
-    return all(answer.was_sent for answer in outcomes_of(world, Acknowledged) if answer.is_counted)
+    """An acknowledgement of a nonce that was not sent on the stream does not count."""
+    return all(
+        acknowledged.was_sent for acknowledged in outcomes_of(world, Acknowledged) if acknowledged.is_counted
+    )
 
 
 def changes_follow_table(world: World) -> bool:
-    """A remote end has a table before it is told a change."""
+    """A remote end receives a table before any change of it."""
     return not outcomes_of(world, ChangeWithoutTable)
 
 
 def mailboxes_bounded(world: World) -> bool:
-    """No mailbox holds more reports than its limit, nor counts them wrong."""
+    """No mailbox holds more reports than its limit, and each counts its reports correctly."""
     mailboxes: list[Mailbox[Any]] = [
         world.controller_mailbox,
         *(connection.mailbox for connection in world.connections),
@@ -123,7 +125,7 @@
 
 
 def is_settled(world: World) -> bool:
-    """Whether nothing is under way to the proxy's stream."""
+    """Return whether no message to the bound stream is in flight."""
     if world.bound == UNBOUND or world.controller_mailbox.items:
         return False
     connection = world.connections[world.bound]
@@ -131,63 +133,61 @@
 
 
 def tables_agree(world: World) -> bool:
-    """Once all is settled, the proxy holds the table that it is bound to."""
+    """When no message is in flight, the proxy has the table that it is bound to."""
     return not is_settled(world) or world.connections[world.bound].weights == {BACKEND_NAME: world.weight}
 
 
 PROPERTIES = (
     Property(
         "in order",
-        "the module hears of a stream's joining once, then of its leaving once",
+        "the controller handles one joining of a stream, then one leaving",
         published_in_order,
         "step",
     ),
-    Property("newest", "orders go to the stream that the proxy joined by last", newest_stream_used),
-    Property(
-        "stays", "the end of a stream that was replaced takes nobody's table", replaced_end_ignored, "step"
-    ),
+    Property("newest", "updates go to the stream that the proxy joined last", newest_stream_used),
+    Property("stays", "the end of a replaced stream does not unbind the proxy", replaced_end_ignored, "step"),
     Property(
         "nothing after the end",
-        "nothing is written to a connection that is over",
+        "nothing is written to a connection that has ended",
         no_write_after_end,
         "step",
     ),
     Property(
         "nothing from strangers",
-        "nothing is passed on of who has not said who it is",
-        unidentified_unheard,
+        "no event of an unidentified peer reaches the controller",
+        only_identified_publish,
         "step",
     ),
     Property(
         "spoilt alone",
-        "a spoilt message costs a peer that message, a stranger its connection",
-        malformed_costs_itself,
+        "a malformed message closes the connection only if the peer is unidentified",
+        malformed_message_ends_unidentified,
         "step",
     ),
     Property(
         "rubbish ends",
-        "what goes on with what cannot be read is ended, and not before",
+        "a connection is closed when its unreadable lines reach their limit, and not before",
         unreadable_lines_end,
         "step",
     ),
-    Property("unread bounded", "who reads nothing is ended within the bound", unread_bounded),
+    Property("unread bounded", "a connection that is not read is closed within the limit", unread_bounded),
     Property(
         "descriptors",
-        "no more connections are open than there are descriptors, and all are counted",
+        "the open connections are counted, and not more than the descriptors",
         descriptors_counted,
     ),
-    Property("peers stay", "no peer is sent away for another's descriptor", peers_not_evicted, "step"),
+    Property("peers stay", "no identified peer is evicted", peers_not_evicted, "step"),
     Property(
         "marks count",
-        "an answer counts only for a mark that was sent on that very stream",
+        "an acknowledgement counts only if its nonce was sent on the same stream",
         acknowledgements_matched,
         "step",
     ),
     Property(
-        "changes fit", "a change never comes to a stream before its table", changes_follow_table, "step"
+        "changes fit", "a stream receives its table before any change of it", changes_follow_table, "step"
     ),
-    Property("mailboxes", "no mailbox holds more reports than its bound", mailboxes_bounded),
+    Property("mailboxes", "no mailbox holds more reports than its limit", mailboxes_bounded),
     Property(
-        "tables agree", "with nothing under way, a proxy holds just the table it is bound to", tables_agree
+        "tables agree", "when no message is in flight, a proxy has the table it is bound to", tables_agree
     ),
 )
--- a/meadowworks/modelcheck/models/connection/scenarios.py
+++ b/meadowworks/modelcheck/models/connection/scenarios.py
@@ -1,4 +1,4 @@
-"""Which connections a world has, what their remote ends may do, and how often."""
+"""The scenarios: the connections of a world, and the actions of their remote ends with their limits."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 
 from meadowworks.fleet.connection_state import ConnectionLimits
 
-LIMITS = ConnectionLimits(
-    unsent_bytes=1, unreadable_lines=2, unknown_bytes=1
-)  # messages, lines and bytes that a world has room for
-MAX_REPORTS = 1  # in a mailbox
+LIMITS = ConnectionLimits(unsent_bytes=1, unreadable_lines=2, unknown_bytes=1)  # unsent_bytes counts messages
+MAX_REPORTS = 1  # reports in a mailbox
 
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """The connections of a world, those of the proxy first, and what may happen.
-
-    :ivar descriptors: connections that may be open at once.
-    :ivar heartbeats: that each connection may send; so for `unreadable_lines` and `malformed_messages`.
-    :ivar reports: acknowledgements and demand reports that each connection may send.
-    :ivar weight_changes: of the policy, beside the tables that come with a joining.
-    :ivar may_stop_reading: whether a remote end may cease to read.
+    """The connections of a world, those of the proxy first, and the events that can happen.
+
+    :ivar descriptors: number of connections that may be open at the same time.
+    :ivar heartbeats: number of heartbeats that each connection may send.
+    :ivar unreadable_lines: number of unreadable or overlong lines that each connection may send.
+    :ivar malformed_messages: number of malformed messages that each connection may send.
+    :ivar reports: number of acknowledgements and demand reports that each connection may send.
+    :ivar weight_changes: number of weight changes by the policy, apart from the tables sent at a joining.
+    :ivar may_stop_reading: whether a remote end may stop reading.
     """
 
     proxy_connections: int = 2
@@ -36,8 +36,8 @@
 
 
 @dataclass(slots=True)
-class Budget:
-    """What a connection's remote end may still send."""
+class SendBudget:
+    """The messages that a connection's remote end may still send."""
 
     heartbeats: int
     unreadable_lines: int
@@ -45,25 +45,28 @@
     reports: int
 
     @classmethod
-    def of(cls, scenario: Scenario) -> Budget:
-        """What it may send in all."""
+    def of(cls, scenario: Scenario) -> SendBudget:
+        """Return the full budget of a connection in a scenario."""
         return cls(
             scenario.heartbeats, scenario.unreadable_lines, scenario.malformed_messages, scenario.reports
         )
 
     def freeze(self) -> tuple[int, ...]:
-        """The arguments that make the same budget again."""
+        """Return the arguments that construct an equal budget."""
         return self.heartbeats, self.unreadable_lines, self.malformed_messages, self.reports
 
 
 @cache
 def freeze_scenario(scenario: Scenario) -> tuple[int, ...]:
-    """What tells a scenario from others."""
+    """Return the values that identify a scenario."""
     return tuple(int(getattr(scenario, field.name)) for field in fields(scenario))
 
 
 def scenarios(large: bool) -> tuple[Scenario, ...]:
-    """A proxy's two streams, and a stream beside two unidentified connections, short of descriptors."""
+    """Return scenarios of a proxy's two streams, and of a stream with two unidentified connections.
+
+    The latter have fewer descriptors than connections.
+    """
     silent = Scenario(
         heartbeats=0,
         unreadable_lines=0,
@@ -75,11 +78,12 @@
     small = (
         Scenario(
             proxy_connections=1, descriptors=1, malformed_messages=0, reports=0
-        ),  # one, and all it may do
-        replace(silent, reports=1),  # two streams, and acknowledgements of either's messages
+        ),  # one connection, with all actions but malformed messages and reports
+        replace(silent, reports=1),  # two streams, each may acknowledge messages of the other
         replace(silent, malformed_messages=1, heartbeats=1),
         replace(silent, may_stop_reading=True, weight_changes=1),
-        replace(silent, proxy_connections=1, unidentified_connections=2, heartbeats=1),  # for two descriptors
+        # three connections for two descriptors
+        replace(silent, proxy_connections=1, unidentified_connections=2, heartbeats=1),
     )
     if not large:
         return small
--- a/meadowworks/modelcheck/models/connection/world.py
+++ b/meadowworks/modelcheck/models/connection/world.py
@@ -1,4 +1,4 @@
-"""One world of the model: the connections, the controller's streams, and the steps that may come."""
+"""The state of the connection model: connections, the controller's streams, and the steps between states."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     NOT_READING,
     PROXY,
     READING,
-    Connection,
+    ModelConnection,
 )
 from meadowworks.modelcheck.models.connection.frozen import (
     FrozenState,
@@ -45,7 +45,28 @@
 from meadowworks.modelcheck.models.connection.state import BACKEND, DEMAND_REPORT, TABLE, UNBOUND, WorldState
 
 T = TypeVar("T")
-WEIGHT_SUM = 3.0  # of two weights that follow each other: 1 and 2
+WEIGHT_SUM = 3.0  # sum of the weights 1 and 2, between which `change_weight` alternates
+
+# Step kinds are stored in counterexample files.
+STEP_METHODS: dict[str, str] = {
+    "dial": "accept_connection",
+    "crowd": "wait_for_descriptor",
+    "attach": "send_hello",
+    "beat": "send_heartbeat",
+    "rubbish": "send_unreadable_line",
+    "long": "send_partial_line",
+    "spoilt": "send_malformed_message",
+    "mark": "acknowledge_nonce",
+    "usage": "report_demand",
+    "deafen": "stop_reading",
+    "shut": "close_remote_end",
+    "late": "time_out_handshake",
+    "lost": "lose_connection",
+    "begin": "start_actor",
+    "act": "run_actor",
+    "module": "run_controller",
+    "order": "change_weight",
+}
 
 
 class World(WorldState):
@@ -54,19 +75,19 @@
     # -- steps
 
     def enabled(self) -> Iterable[Step]:
-        """The steps that may come next."""
-        found: list[Step] = []
+        """Return the enabled steps."""
+        steps: list[Step] = []
         for connection in self.connections:
             if connection.remote == NOT_CONNECTED:
-                found += self._connect_steps(connection.place)
+                steps += self._connect_steps(connection.place)
             else:
-                found += self._remote_steps(connection)
-                found += self._local_steps(connection)
+                steps += self._remote_steps(connection)
+                steps += self._local_steps(connection)
         if self.controller_mailbox.items:
-            found.append(("module",))
+            steps.append(("module",))
         if self.weight_changes_left and self.bound != UNBOUND:
-            found.append(("order",))
-        return found
+            steps.append(("order",))
+        return steps
 
     def _connect_steps(self, place: int) -> Iterable[Step]:
         if not self.connection_limit.is_full():
@@ -74,7 +95,7 @@
         elif self.connection_limit.evictable:
             yield "crowd", place
 
-    def _remote_steps(self, connection: Connection) -> Iterable[Step]:
+    def _remote_steps(self, connection: ModelConnection) -> Iterable[Step]:
         if connection.is_remote_open:
             yield "shut", connection.place
             if connection.is_open:
@@ -82,7 +103,7 @@
         if connection.remote == READING and self.scenario.may_stop_reading:
             yield "deafen", connection.place
 
-    def _message_steps(self, connection: Connection) -> Iterable[Step]:
+    def _message_steps(self, connection: ModelConnection) -> Iterable[Step]:
         place, budget = connection.place, connection.budget
         if place < self.scenario.proxy_connections and not connection.is_identified:
             yield "attach", place
@@ -99,7 +120,7 @@
             if not connection.is_identified:
                 yield "usage", place
 
-    def _local_steps(self, connection: Connection) -> Iterable[Step]:
+    def _local_steps(self, connection: ModelConnection) -> Iterable[Step]:
         place, state = connection.place, connection.state
         if connection.is_open and not connection.is_identified and not state.close_reason:
             yield "late", place
@@ -111,58 +132,58 @@
             yield "act", place
 
     def take_step(self, step: Step) -> None:
-        """Takes one of the enabled steps."""
+        """Take one of the enabled steps."""
         self.outcomes = []
         kind, *arguments = step
-        getattr(self, "do_" + kind)(*arguments)
+        getattr(self, STEP_METHODS[kind])(*arguments)
 
     # -- the remote ends
 
-    def do_dial(self, place: int) -> None:
-        """A connection is accepted."""
+    def accept_connection(self, place: int) -> None:
+        """Accept a connection."""
         connection = self.connections[place]
         connection.remote, connection.is_open = READING, True
         self.connection_limit.on_open(self.now_ns, place)
 
-    def do_crowd(self, _place: int) -> None:
-        """A connection waits for a descriptor, and there is none."""
+    def wait_for_descriptor(self, _place: int) -> None:
+        """Let a connection wait for a descriptor while none is free, which may evict another connection."""
         self.now_ns += 1
         evicted, _ = self.connection_limit.next_eviction(self.now_ns)
         if evicted is not None:
             self.outcomes.append(Evicted(self.connections[evicted].is_identified))
             self.connections[evicted].state.on_evicted()
 
-    def do_attach(self, place: int) -> None:
-        """A remote end says that it is the proxy."""
+    def send_hello(self, place: int) -> None:
+        """Send the message that identifies a remote end as the proxy."""
         self.connections[place].state.on_message(HELLO)
 
-    def do_beat(self, place: int) -> None:
-        """A remote end sends a heartbeat."""
+    def send_heartbeat(self, place: int) -> None:
+        """Send a heartbeat from a remote end."""
         connection = self.connections[place]
         connection.budget.heartbeats -= 1
         connection.heartbeats_owed += 1
         connection.state.on_message(Heartbeat())
 
-    def do_rubbish(self, place: int) -> None:
-        """A remote end sends a line that is no message."""
+    def send_unreadable_line(self, place: int) -> None:
+        """Send a line that is not a message from a remote end."""
         connection = self.connections[place]
         connection.budget.unreadable_lines -= 1
         state = connection.state
-        lines, former_reason = state.unreadable_lines + 1, state.close_reason
+        line_count, former_reason = state.unreadable_lines + 1, state.close_reason
         state.on_unreadable_line()
         self.outcomes.append(
-            UnreadableLine(place, lines, former_reason, state.close_reason, connection.is_identified)
+            UnreadableLine(place, line_count, former_reason, state.close_reason, connection.is_identified)
         )
 
-    def do_long(self, place: int) -> None:
-        """A remote end sends more of a line than the limit allows, and no end."""
+    def send_partial_line(self, place: int) -> None:
+        """Send a line from a remote end that exceeds the limit and has no end."""
         connection = self.connections[place]
         connection.budget.unreadable_lines -= 1
         connection.state.on_partial_line(LIMITS.unknown_bytes + 1, True)
         self.outcomes.append(PartialLine(place, connection.state.close_reason))
 
-    def do_spoilt(self, place: int) -> None:
-        """A remote end sends a message with a field that makes no sense."""
+    def send_malformed_message(self, place: int) -> None:
+        """Send a message with a malformed field from a remote end."""
         connection = self.connections[place]
         connection.budget.malformed_messages -= 1
         state, former_reason = connection.state, connection.state.close_reason
@@ -171,51 +192,51 @@
             MalformedMessage(place, former_reason, state.close_reason, connection.is_identified)
         )
 
-    def do_mark(self, place: int, nonce: int) -> None:
-        """A remote end acknowledges a nonce, its own or another's."""
+    def acknowledge_nonce(self, place: int, nonce: int) -> None:
+        """Acknowledge a nonce that this or another remote end has received."""
         self.connections[place].budget.reports -= 1
         self.connections[place].state.on_message(UpdateApplied(PROXY, nonce))
 
-    def do_usage(self, place: int) -> None:
-        """A remote end reports its demand."""
+    def report_demand(self, place: int) -> None:
+        """Send a demand report from a remote end."""
         self.connections[place].budget.reports -= 1
         self.connections[place].state.on_message(DEMAND_REPORT)
 
-    def do_deafen(self, place: int) -> None:
-        """A remote end ceases to read."""
+    def stop_reading(self, place: int) -> None:
+        """Make a remote end stop reading."""
         self.connections[place].remote = NOT_READING
 
-    def do_shut(self, place: int) -> None:
-        """A remote end closes."""
+    def close_remote_end(self, place: int) -> None:
+        """Close a connection at its remote end."""
         self.connections[place].remote = CLOSED
 
     # -- the controller
 
-    def do_late(self, place: int) -> None:
-        """The time to say who it is has gone by."""
+    def time_out_handshake(self, place: int) -> None:
+        """Let the handshake of an unidentified connection time out."""
         self.connections[place].state.on_handshake_timeout()
 
-    def do_lost(self, place: int) -> None:
-        """The controller sees the connection's end."""
+    def lose_connection(self, place: int) -> None:
+        """Let the controller detect the end of a connection."""
         connection = self.connections[place]
         connection.is_open, connection.is_lost = False, True
         self.connection_limit.on_close(place)
         connection.state.on_connection_lost("closed")
 
-    def do_begin(self, place: int) -> None:
-        """The peer's actor starts."""
+    def start_actor(self, place: int) -> None:
+        """Start the peer's actor."""
         self.connections[place].is_actor_running = True
         self.connections[place].state.on_actor_started()
 
-    def do_act(self, place: int) -> None:
-        """The peer's actor takes an item; whatever ends it, it ends its connection."""
+    def run_actor(self, place: int) -> None:
+        """Let the peer's actor handle an item; when the actor ends, it ends its connection."""
         state = self.connections[place].state
         state.on_mailbox_item(take_item(self.connections[place].mailbox))
         if state.finish_reason:
             state.finish("its actor ended")
 
-    def do_module(self) -> None:
-        """The controller takes an event."""
+    def run_controller(self) -> None:
+        """Let the controller handle an event."""
         match take_item(self.controller_mailbox):
             case ProxyJoined(hello, stream):
                 self._on_joined(hello.proxy, stream)
@@ -244,8 +265,8 @@
             self.outcomes.append(Unbound(connection.place, self.bound))
             self.bound = UNBOUND
 
-    def do_order(self) -> None:
-        """The policy changes the weight."""
+    def change_weight(self) -> None:
+        """Change the weight as the policy does."""
         self.weight_changes_left -= 1
         self.weight = WEIGHT_SUM - self.weight
         self.table_updates.set_weight(TABLE, BACKEND, self.weight)
@@ -261,16 +282,16 @@
     # -- states
 
     def key(self) -> FrozenState:
-        """What tells this state from others."""
+        """Return the values that identify this state."""
         return freeze_state(self)
 
     def freeze(self) -> FrozenWorld:
-        """What `thaw` makes the same world of, without the last step's outcomes."""
+        """Return plain values for `thaw`, without the outcomes of the last step."""
         return self.scenario, self.now_ns, self.key()
 
 
 def initial_world(scenario: Scenario) -> World:
-    """The world of a scenario, in which nobody has connected."""
+    """Return the initial world of a scenario, without connections."""
     world = World(scenario)
     world.table_updates.set_weight(TABLE, BACKEND, world.weight)
     for _ in world.streams.send_updates():
@@ -279,7 +300,7 @@
 
 
 def thaw(frozen: FrozenWorld) -> World:
-    """The world that was frozen."""
+    """Return the world of a frozen state."""
     scenario, now_ns, state = frozen
     world = World(scenario)
     world.now_ns = now_ns
@@ -288,7 +309,7 @@
 
 
 def take_item(mailbox: Mailbox[T]) -> T:
-    """Takes the first item out of a mailbox."""
+    """Remove and return the first item of a mailbox."""
     report, item = mailbox.items.popleft()
     mailbox.report_count -= report
     return item
