--- a/meadowworks/modelcheck/models/quota/__init__.py
+++ b/meadowworks/modelcheck/models/quota/__init__.py
@@ -1,10 +1,10 @@
-"""The model ``grants``: one quota, dealt out to holders in leased shares.
+"""The model ``grants``: one quota, divided among holders into leased shares.
 
-It runs ``quota.machine.QuotaBudget`` and its ``QuotaHolder``s, with a network between them that delays, loses
-and reorders, calls that start and end, holders that come, leave and crash, and clocks that differ a little.
+It runs ``quota.machine.QuotaBudget`` and its ``QuotaHolder``s. The network between them delays, loses and
+reorders messages; calls start and end; holders join, leave and crash; and clocks differ slightly.
 
-With acknowledged handoff all calls in flight stay within the estimate at every moment. Without it they do
-not: the metric ``overshoot`` is the most calls in flight as a multiple of the estimate, over all states.
+With acknowledged handoff, the calls in flight never exceed the estimate. Without it they can: the metric
+``overshoot`` is the largest number of calls in flight over all states, as a multiple of the estimate.
 """
 
 from __future__ import annotations
--- a/meadowworks/modelcheck/models/quota/model.py
+++ b/meadowworks/modelcheck/models/quota/model.py
@@ -1,4 +1,4 @@
-"""The model as the explorer takes it, and its steps in words."""
+"""The quota model for the explorer, and the descriptions of its steps."""
 
 from __future__ import annotations
 
@@ -9,37 +9,37 @@
 from meadowworks.modelcheck.models.quota.scenarios import Scenario, scenarios
 from meadowworks.modelcheck.models.quota.world import World, thaw_world
 
-HOLDERS_WITH_FAIR_STEPS = 2  # all of every scenario
+HOLDERS_WITH_FAIR_STEPS = 2  # the number of holders in every scenario
 STEP_DESCRIPTIONS = {
-    "come": "holder {0} comes",
-    "beat": "holder {0} reports",
-    "begin": "a call wants to begin at holder {0}",
+    "come": "holder {0} joins",
+    "beat": "holder {0} sends a report",
+    "begin": "a call tries to start at holder {0}",
     "end": "a call ends at holder {0}",
-    "leave": "holder {0} leaves, with nothing under way",
-    "die": "holder {0} dies, and its calls with it",
-    "view": "holder {0} now holds that {1} calls can be borne",
-    "deliver": "message {1} of holder {0}'s on the wire arrives",
-    "lose": "message {1} of holder {0}'s is lost",
-    "pass": "a unit of time goes by",
+    "leave": "holder {0} leaves without calls in flight",
+    "die": "holder {0} crashes and its calls end",
+    "view": "the estimate of holder {0} becomes {1} calls",
+    "deliver": "message {1} in transit for or from holder {0} arrives",
+    "lose": "message {1} in transit for or from holder {0} is lost",
+    "pass": "a unit of time passes",
 }
 
 
 def describe_step(step: Step) -> str:
-    """Return a step in plain words."""
+    """Return the description of a step for printed paths."""
     kind, *arguments = step
     return STEP_DESCRIPTIONS[kind].format(*arguments)
 
 
-def initial_worlds(chosen: tuple[Scenario, ...]) -> list[World]:
+def initial_worlds(model_scenarios: tuple[Scenario, ...]) -> list[World]:
     """Return a world for each scenario."""
-    return [World(scenario) for scenario in chosen]
+    return [World(scenario) for scenario in model_scenarios]
 
 
 def model(large: bool = False) -> Model:
-    """Return the model, with the larger scenarios too if they are asked for."""
+    """Return the model, with the larger scenarios if `large`."""
     return Model(
         "grants",
-        "grants under one budget, while reports are late and holders come and go",
+        "grants of one quota, while reports are late and holders join and leave",
         partial(initial_worlds, scenarios(large)),
         thaw_world,
         describe_step,
--- a/meadowworks/modelcheck/models/quota/outcomes.py
+++ b/meadowworks/modelcheck/models/quota/outcomes.py
@@ -1,4 +1,4 @@
-"""What came of a step, for the properties that are checked on steps."""
+"""Records of what happened in a step, for the step properties."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class CallAttempted(NamedTuple):
-    """A call wanted to start at a holder, as the holder was at that moment."""
+    """A call tried to start at a holder; the other fields are the holder's state at that moment."""
 
     started: bool
     in_flight_before: int
@@ -15,7 +15,7 @@
 
 
 class GrantReceived(NamedTuple):
-    """A grant reached a holder: its number, and that of the grant that the holder went and goes by."""
+    """A grant reached a holder: its number, and the holder's grant numbers before and after it."""
 
     number_before: int
     grant_number: int
--- a/meadowworks/modelcheck/models/quota/scenarios.py
+++ b/meadowworks/modelcheck/models/quota/scenarios.py
@@ -1,10 +1,10 @@
-"""What is given in each world of the model: holders, the quota, and how often each fault may come."""
+"""The scenarios: holders, the quota, and the limits of each fault."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, replace
 
-TICKS_PER_UNIT = 2  # so that clocks can differ by less than the margin, which is a unit
+TICKS_PER_UNIT = 2  # lets clocks differ by less than the margin, which is one unit
 LEASE_TICKS = 2 * TICKS_PER_UNIT
 MARGIN_TICKS = 1 * TICKS_PER_UNIT
 ENDLESS_LEASE_TICKS = 1 << 20  # longer than any path
@@ -12,13 +12,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """How a world begins, and what may happen in it.
+    """An initial state and the events that can follow it.
 
-    :ivar estimate: calls at once that every holder holds the backends able to bear, unless there are choices.
-    :ivar estimate_choices: what a holder's estimate may become; empty: it stays.
-    :ivar leases_end: else time only orders what is sent.
-    :ivar max_in_transit: messages of each holder at once; with two of them one may overtake the other.
-    :ivar is_clock_skewed: the last holder's clock is behind by a tick, less than the margin.
+    :ivar estimate: each holder's estimate of the backends' concurrent calls, if there are no choices.
+    :ivar estimate_choices: the values to which a holder's estimate can change; if empty, it stays.
+    :ivar leases_end: whether leases can expire; otherwise time only orders the messages.
+    :ivar max_in_transit: limit of messages in transit for each holder; two can overtake each other.
+    :ivar is_clock_skewed: whether the last holder's clock is one tick behind, which is less than the margin.
     """
 
     acknowledged_handoff: bool
@@ -33,17 +33,17 @@
 
     @property
     def lease_ticks(self) -> int:
-        """How long a grant's lease is."""
+        """Duration of a grant's lease."""
         return LEASE_TICKS if self.leases_end else ENDLESS_LEASE_TICKS
 
     @property
     def highest_estimate(self) -> int:
-        """The most that any holder may hold the backends able to bear."""
+        """The highest estimate that any holder can have."""
         return max(self.estimate_choices, default=self.estimate)
 
 
 def scenarios(large: bool) -> tuple[Scenario, ...]:
-    """The scenarios to explore, by the indices that counterexamples name."""
+    """Return the scenarios to explore; counterexamples refer to them by index."""
     endless = Scenario(True, max_crashes=0, max_losses=0)
     leased = Scenario(True, leases_end=True, max_losses=0)
     small = (
--- a/meadowworks/modelcheck/models/quota/state_key.py
+++ b/meadowworks/modelcheck/models/quota/state_key.py
@@ -1,4 +1,4 @@
-"""What tells two worlds apart: times from now, and grants by the order of their numbers."""
+"""Keys of states: times relative to now, and grants by the rank of their numbers."""
 
 from __future__ import annotations
 
@@ -11,34 +11,36 @@
     from meadowworks.modelcheck.models.quota.world import World
 
 Key = tuple[Hashable, ...]  # of numbers and plain tuples alone, since the explorer marshals it
-Ranks = dict[int, int]  # the place of each grant number among those that anybody knows
-LEASE_OVER = -1
+Ranks = dict[int, int]  # the rank of each grant number among those in use
+LEASE_EXPIRED = -1
 
 
 class SendTimes:
-    """Makes a time of sending comparable between worlds.
+    """Converts send times into values that are comparable between states.
 
-    Where leases end it counts from now; else only the order of what each holder has sent matters.
+    If leases can expire, a send time is relative to now; otherwise it is its rank among those of its holder.
     """
 
     def __init__(self, world: World) -> None:
         self._now = world.now
-        self._sent: set[tuple[int, int]] | None = None
+        self._send_times: set[tuple[int, int]] | None = None
         if not world.scenario.leases_end:
             lease_ticks = world.scenario.lease_ticks
             accounts = world.budget.accounts.items()
-            self._sent = {(message.holder_id, message.sent_ns) for message in world.messages}
-            self._sent |= {(holder_id, account.expires_ns - lease_ticks) for holder_id, account in accounts}
+            self._send_times = {(message.holder_id, message.sent_ns) for message in world.messages}
+            self._send_times |= {
+                (holder_id, account.expires_ns - lease_ticks) for holder_id, account in accounts
+            }
 
     def relative(self, holder_id: int, sent_ns: int) -> int:
-        """Return the time of sending from now, or its place among those of the holder."""
-        if self._sent is None:
+        """Return a send time relative to now, or its rank among those of the holder."""
+        if self._send_times is None:
             return sent_ns - self._now
-        return sum([sender == holder_id and other_ns < sent_ns for sender, other_ns in self._sent])
+        return sum([sender == holder_id and other_ns < sent_ns for sender, other_ns in self._send_times])
 
 
 def state_key(world: World) -> Key:
-    """Return what tells a world's state from others."""
+    """Return the values that identify a world's state."""
     scenario = world.scenario
     ranks, send_times = grant_ranks(world), SendTimes(world)
     return (
@@ -57,7 +59,7 @@
 
 
 def grant_ranks(world: World) -> Ranks:
-    """Rank the numbers of all grants that a holder, an account or a message names."""
+    """Rank the grant numbers of all holders, accounts and messages."""
     numbers = {0}
     numbers.update([holder.grant_number for holder in world.holders])
     numbers.update([message.grant_number for message in world.messages])
@@ -67,7 +69,7 @@
 
 
 def account_keys(world: World, ranks: Ranks, send_times: SendTimes) -> Key:
-    """Return what the budget knows of each holder."""
+    """Return the budget's account of each holder."""
     lease_ticks = world.scenario.lease_ticks
     return tuple(
         [
@@ -84,19 +86,19 @@
 
 
 def holder_keys(world: World, ranks: Ranks) -> Key:
-    """Return what each holder goes by; a share whose lease is over counts as none."""
+    """Return the state of each holder; a share with an expired lease counts as 0."""
     keys = []
     for holder in world.holders:
         remaining = 0
         if world.scenario.leases_end:
-            remaining = max(holder.lease_until_ns - world.now, LEASE_OVER)
-        share = holder.share if remaining != LEASE_OVER else 0
+            remaining = max(holder.lease_until_ns - world.now, LEASE_EXPIRED)
+        share = holder.share if remaining != LEASE_EXPIRED else 0
         keys.append((share, ranks[holder.grant_number], holder.in_flight, remaining))
     return tuple(keys)
 
 
 def message_key(message: UsageReport | QuotaGrant, ranks: Ranks, send_times: SendTimes) -> Key:
-    """Return what a message in transit says."""
+    """Return the contents of a message in transit."""
     header = (
         message.holder_id,
         send_times.relative(message.holder_id, message.sent_ns),
--- a/meadowworks/modelcheck/models/quota/world.py
+++ b/meadowworks/modelcheck/models/quota/world.py
@@ -1,4 +1,4 @@
-"""One world of the model: the budget, its holders, and the messages between them."""
+"""The state of the quota model: the budget, its holders, and the messages between them."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class FrozenAccount(NamedTuple):
-    """A `QuotaAccount` that can't change."""
+    """The immutable copy of a `QuotaAccount`."""
 
     holder_id: int
     estimate: int
@@ -23,7 +23,7 @@
 
 
 class FrozenHolder(NamedTuple):
-    """What changes of a `QuotaHolder`."""
+    """The mutable state of a `QuotaHolder`."""
 
     share: int
     grant_number: int
@@ -32,7 +32,7 @@
 
 
 class FrozenWorld(NamedTuple):
-    """A world that can't change."""
+    """The immutable copy of a world."""
 
     scenario: Scenario
     now: int
@@ -46,13 +46,28 @@
     holders: tuple[FrozenHolder, ...]
 
 
+# Step kinds are stored in counterexample files.
+STEP_METHODS: dict[str, str] = {
+    "come": "join",
+    "beat": "send_report",
+    "begin": "start_call",
+    "end": "end_call",
+    "leave": "leave",
+    "die": "crash",
+    "view": "change_estimate",
+    "deliver": "deliver_message",
+    "lose": "lose_message",
+    "pass": "advance_clock",
+}
+
+
 class World:
-    """The state that is explored; each step is taken by the method `do_` with its name.
+    """The state that the explorer changes by steps.
 
-    :ivar now: ticks, by the budget's clock.
-    :ivar is_present: by holder; one that is absent has left, has crashed or never came.
-    :ivar estimates: by holder, what it holds the backends able to bear.
-    :ivar messages: in transit; by holder its reports first, then its grants, each in the order of sending.
+    :ivar now: the time of the budget's clock, in ticks.
+    :ivar is_present: for each holder; an absent one has left, has crashed or has not joined yet.
+    :ivar estimates: for each holder, its estimate of the backends' concurrent calls.
+    :ivar messages: messages in transit, by holder: reports before grants, each in the order of sending.
     """
 
     def __init__(self, scenario: Scenario) -> None:
@@ -71,25 +86,25 @@
         return QuotaHolder(holder_id, self.scenario.lease_ticks, MARGIN_TICKS)
 
     def clock(self, holder_id: int) -> int:
-        """The time by a holder's clock, in ticks."""
+        """Return the time of a holder's clock, in ticks."""
         is_last = holder_id == self.scenario.holder_count - 1
         return self.now - (self.scenario.is_clock_skewed and is_last)
 
     def in_flight(self) -> int:
-        """Calls in flight at all holders."""
+        """Return the number of calls in flight at all holders."""
         return sum(holder.in_flight for holder in self.holders)
 
     # -- steps
 
     def enabled(self) -> Iterable[Step]:
-        """Name the steps that can be taken now."""
-        found: list[Step] = []
+        """Return the enabled steps."""
+        steps: list[Step] = []
         for holder_id in range(len(self.holders)):
-            found += self._holder_steps(holder_id)
-        found += self._network_steps()
+            steps += self._holder_steps(holder_id)
+        steps += self._network_steps()
         if self.scenario.leases_end and (any(self.is_present) or self.budget.accounts):
-            found.append(("pass",))
-        return found
+            steps.append(("pass",))
+        return steps
 
     def _holder_steps(self, holder_id: int) -> Iterator[Step]:
         if not self.is_present[holder_id]:
@@ -124,51 +139,51 @@
         """Take one of the enabled steps."""
         self.outcomes = []
         kind, *arguments = step
-        getattr(self, "do_" + kind)(*arguments)
-        self.budget.expire(self.now)  # nothing is read of it before this would be done anyway
+        getattr(self, STEP_METHODS[kind])(*arguments)
+        self.budget.expire(self.now)  # the budget would do so before its next use; merges equivalent states
         self.messages.sort(key=lambda message: (message.holder_id, isinstance(message, QuotaGrant)))
 
-    def do_come(self, holder_id: int) -> None:
-        """A holder comes, knowing nothing."""
+    def join(self, holder_id: int) -> None:
+        """Let a holder join without state."""
         self.is_present[holder_id] = True
         self.holders[holder_id] = self._new_holder(holder_id)
 
-    def do_beat(self, holder_id: int) -> None:
-        """A holder sends a report."""
+    def send_report(self, holder_id: int) -> None:
+        """Send a report of a holder."""
         self.now += not self.scenario.leases_end
         holder = self.holders[holder_id]
         self.messages.append(holder.build_report(self.clock(holder_id), self.estimates[holder_id]))
 
-    def do_begin(self, holder_id: int) -> None:
-        """A call wants to start at a holder."""
+    def start_call(self, holder_id: int) -> None:
+        """Try to start a call at a holder."""
         holder, now = self.holders[holder_id], self.clock(holder_id)
         in_flight_before = holder.in_flight
         started = holder.try_start(now)
         is_leased = now < holder.lease_until_ns
         self.outcomes.append(CallAttempted(started, in_flight_before, holder.share, is_leased))
 
-    def do_end(self, holder_id: int) -> None:
-        """A call ends at a holder."""
+    def end_call(self, holder_id: int) -> None:
+        """End a call at a holder."""
         self.holders[holder_id].on_call_ended()
 
-    def do_leave(self, holder_id: int) -> None:
-        """A holder leaves, with nothing in flight."""
+    def leave(self, holder_id: int) -> None:
+        """Let a holder without calls in flight leave."""
         self.is_present[holder_id] = False
         self.budget.on_holder_left(holder_id)
         self.holders[holder_id] = self._new_holder(holder_id)
 
-    def do_die(self, holder_id: int) -> None:
-        """A holder crashes, and its calls with it; its messages stay in transit."""
+    def crash(self, holder_id: int) -> None:
+        """Crash a holder, which ends its calls; its messages stay in transit."""
         self.crashes_left -= 1
         self.is_present[holder_id] = False
         self.holders[holder_id] = self._new_holder(holder_id)
 
-    def do_view(self, holder_id: int, estimate: int) -> None:
-        """A holder's estimate changes."""
+    def change_estimate(self, holder_id: int, estimate: int) -> None:
+        """Change a holder's estimate."""
         self.estimates[holder_id] = estimate
 
-    def do_deliver(self, holder_id: int, index: int) -> None:
-        """A message arrives; a report is answered by a grant."""
+    def deliver_message(self, holder_id: int, index: int) -> None:
+        """Deliver a message; the budget may answer a report with a grant."""
         message = self.messages.pop(self._message_position(holder_id, index))
         if isinstance(message, UsageReport):
             if grant := self.budget.on_report(self.now, message):
@@ -179,32 +194,34 @@
             holder.on_grant(message)
             self.outcomes.append(GrantReceived(number_before, message.grant_number, holder.grant_number))
 
-    def do_lose(self, holder_id: int, index: int) -> None:
-        """A message is lost."""
+    def lose_message(self, holder_id: int, index: int) -> None:
+        """Lose a message."""
         self.losses_left -= 1
         del self.messages[self._message_position(holder_id, index)]
 
-    def do_pass(self) -> None:
-        """A unit of time goes by."""
+    def advance_clock(self) -> None:
+        """Advance the clock by one unit."""
         self.now += TICKS_PER_UNIT
         for holder_id, holder in enumerate(self.holders):
             holder.fence(self.clock(holder_id))
-        # Older messages are not taken in by anybody, now or later.
+        # Receivers ignore older messages, so dropping them changes no outcome.
         lease_ticks = self.scenario.lease_ticks
         self.messages = [message for message in self.messages if message.sent_ns + lease_ticks > self.now]
 
     def _message_position(self, holder_id: int, index: int) -> int:
-        own = [at for at, message in enumerate(self.messages) if message.holder_id == holder_id]
-        return own[index]
+        positions = [
+            position for position, message in enumerate(self.messages) if message.holder_id == holder_id
+        ]
+        return positions[index]
 
     # -- states
 
     def key(self) -> Any:
-        """Return what tells this state from others."""
+        """Return the values that identify this state."""
         return state_key(self)
 
     def freeze(self) -> FrozenWorld:
-        """Return what `thaw_world` makes the same world of, without the last step's outcomes."""
+        """Return an immutable copy for `thaw_world`, without the outcomes of the last step."""
         accounts = [
             FrozenAccount(
                 holder_id,
@@ -234,7 +251,7 @@
 
 
 def thaw_world(frozen: FrozenWorld) -> World:
-    """Return the world that was frozen."""
+    """Return a world from its immutable copy."""
     world = World(frozen.scenario)
     world.now = frozen.now
     world.is_present, world.estimates = list(frozen.is_present), list(frozen.estimates)
