--- a/meadowworks/modelcheck/models/forwarding.py
+++ b/meadowworks/modelcheck/models/forwarding.py
@@ -1,4 +1,4 @@
-"""Model `carriage` of the command line: a client's request, and the connections that it goes over."""
+"""The model `carriage`: a client's request and the connections that carry it."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 
 
 def initial_worlds(large: bool) -> list[Any]:
-    """A world for each scenario, and those of connections."""
+    """Return a world for each forwarding scenario, followed by the worlds of HTTP connections."""
     requests = [forwarding_world.ForwardingWorld(scenario) for scenario in scenarios(large)]
     return [*requests, *http_connections.initial_worlds(large)]
 
 
 def thaw(state: Any) -> Any:
-    """The world that `freeze` has kept, of either kind."""
+    """Rebuild a world of either kind from the result of its `freeze`."""
     return forwarding_world.thaw(state) if isinstance(state, bytes) else http_connections.thaw(state)
 
 
 def model(large: bool) -> Model:
-    """The model, as the checker runs it."""
+    """Return the model as the checker explores it."""
     return Model(
         "carriage",
-        "a request through a junction",
+        "a request through a proxy",
         lambda: initial_worlds(large),
         thaw,
         describe_step,
--- a/meadowworks/modelcheck/models/forwarding_properties.py
+++ b/meadowworks/modelcheck/models/forwarding_properties.py
@@ -1,4 +1,4 @@
-"""What must hold of a client's request, and of the connections that it goes over."""
+"""Properties of a client's request and of the connections that carry it."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 
 def not_violated(name: str) -> Any:
-    """A property that the worlds watch themselves."""
+    """Return the predicate of a property whose violations the world records itself."""
     return lambda world: name not in world.violations
 
 
-def only_for(kind: type, holds: Callable[[Any], bool]) -> Callable[[Any], bool]:
-    """A property of worlds of one kind alone."""
-    return lambda world: not isinstance(world, kind) or holds(world)
+def only_for_worlds_of(world_class: type, holds: Callable[[Any], bool]) -> Callable[[Any], bool]:
+    """Return a predicate that holds for all worlds but those of one class that violate it."""
+    return lambda world: not isinstance(world, world_class) or holds(world)
 
 
-def connections_lead_home(world: ForwardingWorld) -> bool:
-    """An idle connection leads to the instance that it is kept for."""
+def idle_connections_match_instance(world: ForwardingWorld) -> bool:
+    """Return whether every idle connection is open to the instance in whose pool it is."""
     return all(
         connection.instance == instance
         for instance, pool in world.pool.endpoints.items()
@@ -31,64 +31,76 @@
 
 
 def attempts_bounded(world: ForwardingWorld) -> bool:
-    """No more attempts than the operator allows."""
-    return all(len(one.attempts.attempts) <= max(1, world.scenario.max_attempts) for one in world.requests)
+    """Return whether no request has more attempts than configured."""
+    return all(
+        len(request.attempts.attempts) <= max(1, world.scenario.max_attempts) for request in world.requests
+    )
 
 
-def answered_at_once(world: ForwardingWorld) -> bool:
-    """A request with no try under way, and none to come, has its answer."""
+def all_requests_answered(world: ForwardingWorld) -> bool:
+    """Return whether every request without an attempt in flight has its response."""
     return all(
-        one.status or any(f.request == r and f.awaited for f in world.in_flight)
-        for r, one in enumerate(world.requests)
+        request.status or any(attempt.request == r and attempt.awaited for attempt in world.in_flight)
+        for r, request in enumerate(world.requests)
     )
 
 
 PROPERTIES = (
     Property(
         "at most once",
-        "an unsafe request runs once at most, whatever is tried again",
+        "an unsafe request runs at most once, also with retries",
         not_violated("at most once"),
     ),
     Property(
         "promises kept",
-        "an unsafe request that was told 503 or the like has not run and never will",
+        "an unsafe request that was answered with 503 or a similar status has not run and never will",
         not_violated("promises kept"),
     ),
     Property(
-        "own answer", "a success that goes to a client is its own request's", not_violated("own answer")
+        "own answer",
+        "a successful response that a client receives belongs to its own request",
+        not_violated("own answer"),
     ),
     Property(
         "drains kept",
-        "no try begins at a life that is known to drain or to be gone",
+        "no attempt starts at an instance that is known to be draining or gone",
         not_violated("drains kept"),
     ),
     Property(
         "own lines",
-        "a kept line leads to the life that it is kept for",
-        only_for(ForwardingWorld, connections_lead_home),
+        "an idle connection leads to the instance in whose pool it is",
+        only_for_worlds_of(ForwardingWorld, idle_connections_match_instance),
     ),
     Property(
-        "tries bounded", "no more tries than the operator allows", only_for(ForwardingWorld, attempts_bounded)
+        "tries bounded",
+        "no request has more attempts than configured",
+        only_for_worlds_of(ForwardingWorld, attempts_bounded),
     ),
     Property(
         "told at once",
-        "with no try under way its client has its answer",
-        lambda world: http_connections.answered(world)
+        "a client whose request has no attempt in flight has its response",
+        lambda world: http_connections.all_callers_answered(world)
         if isinstance(world, http_connections.ConnectionWorld)
-        else answered_at_once(world),
+        else all_requests_answered(world),
+    ),
+    Property(
+        "wrong caller",
+        "a caller receives only its own, complete successful response",
+        not_violated("wrong caller"),
     ),
     Property(
-        "wrong caller", "no caller is told a success that is not its own, whole", not_violated("wrong caller")
+        "ran twice",
+        "no unsafe call runs twice, or after the guarantee that it has not run",
+        not_violated("ran twice"),
     ),
-    Property("ran twice", "no unsafe call runs twice, or after a promise not to", not_violated("ran twice")),
     Property(
         "clean lines",
-        "no call goes where bytes of another may come",
-        only_for(http_connections.ConnectionWorld, http_connections.no_foreign_bytes),
+        "no call uses a connection on which bytes of another call may arrive",
+        only_for_worlds_of(http_connections.ConnectionWorld, http_connections.no_unread_bytes),
     ),
     Property(
         "no line left",
-        "a line that nobody reads is kept or ended",
-        only_for(http_connections.ConnectionWorld, http_connections.no_connection_left),
+        "a connection that no task reads is idle in a pool or closed",
+        only_for_worlds_of(http_connections.ConnectionWorld, http_connections.no_leaked_connections),
     ),
 )
--- a/meadowworks/modelcheck/models/forwarding_world.py
+++ b/meadowworks/modelcheck/models/forwarding_world.py
@@ -1,12 +1,12 @@
-"""Model of one client's request through a proxy, among two backends of a service.
+"""Model of a client's request through a proxy to two backends of a service.
 
-It drives `RequestAttempts`, `check_response`, the connection pool and the directory of backends. Responses
-are lost, late, or those of another request; a backend drains, or ends, and its address goes to another
-service's.
+It runs `RequestAttempts`, `check_response`, the connection pool and the directory of backends. Responses may
+be lost, late, or belong to another request. A backend may drain, or stop and lose its address to a backend of
+another service.
 
-An attempt's run and its response are steps of their own, so that an attempt which was given up may run
-afterwards: a promise that a request has not run is held to that. The client sends anew, under another id, as
-the protocol allows.
+Running an attempt and answering it are separate steps, so a backend may run an attempt that the proxy has
+abandoned. This checks every statement that a request has not run. The client may repeat its request under
+another id, as the protocol allows.
 """
 
 from __future__ import annotations
@@ -37,17 +37,28 @@
 from meadowworks.forwarding.retry_budget import RetryBudget
 from meadowworks.gossip.updates import KeyUpdate
 from meadowworks.modelcheck.model import Step
-from meadowworks.modelcheck.models.forwarding_scenarios import ADDRESSES, INSTANCES, Scenario
+from meadowworks.modelcheck.models.forwarding_scenarios import ADDRESSES, INSTANCES, ForwardingScenario
 from meadowworks.registry.backends import BackendDirectory
 
-OTHER_INSTANCE = "c"  # another service's, which takes the address of an instance that has ended
+OTHER_INSTANCE = "c"  # of another service; takes the address of a stopped instance
+# The method of `ForwardingWorld` that takes a step, by the kind of the step.
+ACTION_METHODS: dict[str, str] = {
+    "run": "run_attempt",
+    "answer": "answer_attempt",
+    "surplus": "send_surplus_response",
+    "reset": "reset_connection",
+    "due": "expire_timer",
+    "repeat": "repeat_request",
+    "drain": "drain_instance",
+    "reuse": "reuse_address",
+}
 SERVICE, OTHER_SERVICE = "s", "t"
 DEADLINE_MS, TARGET_MS = 1000, 200
 
 
 @dataclass(eq=False)
 class ModelConnection:
-    """A connection to an address: to the instance that was there when it was opened."""
+    """A connection to the instance that had the address when the connection was opened."""
 
     number: int
     instance: str
@@ -55,41 +66,41 @@
     request_count: int = 0
 
     def usable(self) -> bool:
-        """Whether it may carry another request."""
+        """Return whether the connection may carry another request."""
         return self.is_open
 
     def close(self) -> None:
-        """End it."""
+        """Close the connection."""
         self.is_open = False
 
 
 @dataclass
 class AttemptInFlight:
-    """An attempt: of which request, its own number, its instance, and how often it has run there."""
+    """An attempt of a request, and how often its instance has run it."""
 
     request: int
     number: int
     instance: str
     connection: ModelConnection
     run_count: int = 0
-    awaited: bool = True  # the proxy still waits for its response
-    promised_not_run: bool = False  # its backend has said so
+    awaited: bool = True  # whether the proxy is waiting for the response
+    promised_not_run: bool = False  # whether the backend guaranteed that it will not run
 
 
 @dataclass
 class ClientRequest:
-    """A request, and what its client has been answered."""
+    """A request and the response that its client received."""
 
     attempts: RequestAttempts
-    status: int = 0  # 0: no response so far
-    response_owner: str = ""  # whose response it was
+    status: int = 0  # 0: no response yet
+    response_owner: str = ""  # id of the request that the response belongs to
 
 
 @dataclass
 class ForwardingWorld:
-    """One proxy, two backends, and a client."""
+    """A proxy, two backends and a client."""
 
-    scenario: Scenario
+    scenario: ForwardingScenario
     outcomes: list[tuple[Any, ...]] = field(default_factory=list)
 
     def __post_init__(self) -> None:
@@ -103,8 +114,8 @@
         self.connection_count = 0
         self.client_retries = self.scenario.client_retries
         self.surplus_responses = self.scenario.surplus_responses
-        self.draining: tuple[str, ...] = ()  # as the proxy knows
-        self.violations: tuple[str, ...] = ()  # what went wrong, by property
+        self.draining: tuple[str, ...] = ()  # the instances that the proxy was told are draining
+        self.violations: tuple[str, ...] = ()  # names of the violated properties
         for instance, address in zip(INSTANCES, ADDRESSES, strict=True):
             self.publish(instance, address, "up")
         if self.scenario.idle_connection:
@@ -116,44 +127,44 @@
         self.start_request()
 
     def source_silence_ns(self, source: str) -> int:  # noqa: ARG002
-        """No source is silent."""
+        """Return 0: no source is silent."""
         return 0
 
     def clock(self) -> int:
-        """The world's time."""
+        """Return the world's time."""
         return self.now
 
     def publish(self, instance: str, address: str, state: str, service: str = SERVICE) -> None:
-        """Let the proxy know of an instance."""
+        """Apply an update about an instance to the proxy's directory."""
         self.backends.on_update(
             KeyUpdate("box", f"b/{instance}", [service, address, "home", 2.0, state, 1, 0, 0])
         )
 
     def open_connection(self, instance: str) -> ModelConnection:
-        """A new connection to an instance."""
+        """Open a connection to an instance."""
         self.connection_count += 1
         return ModelConnection(self.connection_count, instance)
 
-    # -- the proxy, as `Forwarder` does it
+    # -- the proxy, wired as in `Forwarder`
 
     def choices(self) -> EndpointChoices:
-        """The endpoints that a request may go to."""
-        lines = {
+        """Return the endpoints that a request may go to."""
+        weights = {
             endpoint: 1.0
             for endpoint, instance in enumerate(INSTANCES)
-            if (known := self.backends.instances.get(instance))
-            and known.accepts_requests
+            if (backend := self.backends.instances.get(instance))
+            and backend.accepts_requests
             and not self.is_avoided(instance)
         }
-        return EndpointChoices(lines, {endpoint: 100.0 * MS for endpoint in lines})
+        return EndpointChoices(weights, {endpoint: 100.0 * MS for endpoint in weights})
 
     def is_avoided(self, instance: str) -> bool:
-        """Whether an instance could not be reached a moment ago."""
+        """Return whether an instance was recently unreachable."""
         load = self.pool.find_load(instance)
         return load is not None and load.is_avoided(self.now)
 
     def start_request(self) -> None:
-        """Let the client send a request."""
+        """Start a request of the client."""
         safe = self.scenario.safe
         deadline_ns = self.now + DEADLINE_MS * MS
         attempts = RequestAttempts(
@@ -167,11 +178,11 @@
         self.run_command(len(self.requests) - 1, self.handle_event(attempts, RequestReceived()))
 
     def handle_event(self, attempts: RequestAttempts, event: Event) -> Command:
-        """Hand an event to a request's attempts."""
+        """Pass an event to a request's attempts and return their command."""
         return attempts.handle_event(event, self.now, self.choices(), 0.0)
 
     def run_command(self, r: int, command: Command) -> None:
-        """Carry out what the attempts command."""
+        """Execute a command of `RequestAttempts`."""
         request = self.requests[r]
         match command:
             case SendAttempt(number, endpoint):
@@ -188,23 +199,23 @@
     responses: dict[tuple[int, int], tuple[int, str]] = field(default_factory=dict)
 
     def answer_client(self, r: int, status: int, owner: str) -> None:
-        """Record a client's response, and what is wrong with it."""
+        """Record a client's response and the properties that it violates."""
         self.requests[r].status, self.requests[r].response_owner = status, owner
-        ran = any(f.request == r and f.run_count for f in self.in_flight)
+        ran = any(attempt.request == r and attempt.run_count for attempt in self.in_flight)
         if status == 200 and owner != f"r{r}":
             self.violations += ("own answer",)
         if not self.scenario.safe and status in NOT_RUN_STATUSES and ran:
             self.violations += ("promises kept",)
 
     def send_attempt(self, r: int, number: int, instance: str) -> None:
-        """Send an attempt, as far as a connection comes up."""
+        """Send an attempt, or end it at once if no connection can be opened."""
         if instance in self.draining:
             self.violations += ("drains kept",)
         self.pool.load(instance).in_flight += 1
         connection = self.pool.acquire(self.now, instance)
         if connection is None:
             address = ADDRESSES[INSTANCES.index(instance)]
-            if address not in self.instance_by_address:  # nobody there: the connection never comes up
+            if address not in self.instance_by_address:  # no instance has the address: connecting fails
                 self.pool.load(instance).mark_unreachable(self.now)
                 self.pool.load(instance).in_flight -= 1
                 self.on_attempt_ended(r, number, NEVER_RAN, 0)
@@ -214,77 +225,86 @@
         self.in_flight.append(AttemptInFlight(r, number, instance, connection))
 
     def on_attempt_ended(self, r: int, number: int, outcome: int, status: int) -> None:
-        """Tell a request's attempts how one has ended."""
+        """Report the result of an attempt to its request."""
         event = AttemptEnded(number, outcome, status)
         self.run_command(r, self.handle_event(self.requests[r].attempts, event))
 
     def finish_attempt(self, attempt: AttemptInFlight) -> None:
-        """The attempt is over for the proxy."""
-        self.in_flight = [f if f is not attempt else replace(f, awaited=False) for f in self.in_flight]
+        """End an attempt on the proxy's side."""
+        self.in_flight = [
+            other if other is not attempt else replace(other, awaited=False) for other in self.in_flight
+        ]
         self.pool.load(attempt.instance).in_flight -= 1
 
     # -- steps
 
     def enabled(self) -> Iterable[Step]:
-        """The steps that may be taken now."""
-        found: list[Step] = []
-        for k, f in enumerate(self.in_flight):
-            alive = f.connection.instance in self.instance_by_address.values()
-            if alive and not f.run_count and not f.promised_not_run:
-                found.append(("run", k))
-            if f.awaited:
-                found.append(("reset", k))
+        """Return the steps that can be taken in this state."""
+        steps: list[Step] = []
+        for k, attempt in enumerate(self.in_flight):
+            alive = attempt.connection.instance in self.instance_by_address.values()
+            if alive and not attempt.run_count and not attempt.promised_not_run:
+                steps.append(("run", k))
+            if attempt.awaited:
+                steps.append(("reset", k))
                 if alive:
-                    found += [("answer", k, status) for status in self.possible_statuses(f)]
-                if self.surplus_responses and f.connection.is_open:
-                    found += [("surplus", k, status, 1) for status in (200, 421)]
-                    if f.connection.request_count > 1:
-                        found.append(("surplus", k, 503, 0))
-        for r, one in enumerate(self.requests):
-            if not one.status and any(f.request == r and f.awaited for f in self.in_flight):
-                found.append(("due", r))
+                    steps += [("answer", k, status) for status in self.possible_statuses(attempt)]
+                if self.surplus_responses and attempt.connection.is_open:
+                    steps += [("surplus", k, status, 1) for status in (200, 421)]
+                    if attempt.connection.request_count > 1:
+                        steps.append(("surplus", k, 503, 0))
+        for r, request in enumerate(self.requests):
+            if not request.status and any(other.request == r and other.awaited for other in self.in_flight):
+                steps.append(("due", r))
         last = self.requests[-1]
         if (
             self.client_retries
             and last.status
             and (last.status in NOT_RUN_STATUSES or self.scenario.safe and last.status >= 500)
         ):
-            found.append(("repeat",))
+            steps.append(("repeat",))
         if self.scenario.may_drain:
-            found += [("drain", instance) for instance in INSTANCES if instance not in self.draining]
+            steps += [("drain", instance) for instance in INSTANCES if instance not in self.draining]
         if self.scenario.reuses_address and OTHER_INSTANCE not in self.instance_by_address.values():
-            found += [("reuse", endpoint) for endpoint in range(len(INSTANCES))]
-        return found
+            steps += [("reuse", endpoint) for endpoint in range(len(INSTANCES))]
+        return steps
 
-    def possible_statuses(self, f: AttemptInFlight) -> tuple[int, ...]:
-        """The statuses that a backend may answer with; 0 stands for a 503 that states that it did not run."""
-        if f.connection.instance != f.instance:
+    def possible_statuses(self, attempt: AttemptInFlight) -> tuple[int, ...]:
+        """Return the statuses that a backend may answer with.
+
+        0 stands for a 503 which states that the request did not run.
+        """
+        if attempt.connection.instance != attempt.instance:
             return (421,)
-        return (200, 500, 503) if f.run_count else (0,)
+        return (200, 500, 503) if attempt.run_count else (0,)
 
     def take_step(self, step: Step) -> None:
-        """Take one of the steps that `enabled` has named."""
+        """Take one of the enabled steps."""
         self.outcomes = [step]
-        kind, *what = step
-        getattr(self, "do_" + kind)(*what)
-
-    def do_run(self, k: int) -> None:
-        """A backend runs an attempt."""
-        f = self.in_flight[k]
-        if f.connection.instance != f.instance:
-            return  # it answers 421 and does not run it
-        f.run_count += 1
-        one = self.requests[f.request]
+        kind, *args = step
+        getattr(self, ACTION_METHODS[kind])(*args)
+
+    def run_attempt(self, k: int) -> None:
+        """Let a backend run an attempt."""
+        attempt = self.in_flight[k]
+        if attempt.connection.instance != attempt.instance:
+            return  # the other service's backend answers 421 without running it
+        attempt.run_count += 1
+        request = self.requests[attempt.request]
         if not self.scenario.safe:
-            if sum(g.run_count for g in self.in_flight if g.request == f.request) > 1:
+            if sum(other.run_count for other in self.in_flight if other.request == attempt.request) > 1:
                 self.violations += ("at most once",)
-            if one.status in NOT_RUN_STATUSES:
+            if request.status in NOT_RUN_STATUSES:
                 self.violations += ("promises kept",)
 
-    def do_answer(self, k: int, status: int, owner: str = "", other: bool = False) -> None:
-        """A backend answers an attempt."""
-        f = self.in_flight[k]
-        request_id, connection = owner or f"r{f.request}", f.connection
+    def answer_attempt(self, k: int, status: int, owner: str = "", is_surplus: bool = False) -> None:
+        """Deliver a response to an attempt.
+
+        :param owner: id of the request that the response names; "" for the attempt's own, "nobody" for none
+        :param is_surplus: whether the response belongs to an earlier request on the connection
+        """
+        attempt = self.in_flight[k]
+        request_id, connection = owner or f"r{attempt.request}", attempt.connection
         headers = {} if owner == "nobody" else {b"x-request-id": request_id.encode()}
         if status == 200:
             headers[b"x-backend-seal"] = b"seal"
@@ -292,62 +312,64 @@
             headers[b"x-backend-id"] = connection.instance.encode()
         if not status:
             headers[b"x-not-run"] = b"full"
-        mine, want = f"r{f.request}".encode(), f.instance.encode()
-        verdict = check_response(mine, want, status or 503, headers.get, connection.request_count == 1)
-        if verdict.connection_reusable and not other:
-            self.pool.release(self.now, f.instance, connection, 60)
+        own_id, expected_instance = f"r{attempt.request}".encode(), attempt.instance.encode()
+        verdict = check_response(
+            own_id, expected_instance, status or 503, headers.get, connection.request_count == 1
+        )
+        if verdict.connection_reusable and not is_surplus:
+            self.pool.release(self.now, attempt.instance, connection, 60)
         else:
             connection.close()
-        if not other and status in (0, 421):
-            f.promised_not_run = True
-        self.finish_attempt(f)
+        if not is_surplus and status in (0, 421):
+            attempt.promised_not_run = True
+        self.finish_attempt(attempt)
         if verdict.instance_superseded:
-            self.backends.mark_superseded(f.instance)
-        self.responses = {**self.responses, (f.request, f.number): (status or 503, request_id)}
+            self.backends.mark_superseded(attempt.instance)
+        self.responses = {**self.responses, (attempt.request, attempt.number): (status or 503, request_id)}
         self.on_attempt_ended(
-            f.request, f.number, verdict.outcome, (status or 503) if verdict.is_valid else 0
+            attempt.request, attempt.number, verdict.outcome, (status or 503) if verdict.is_valid else 0
         )
 
-    def do_surplus(self, k: int, status: int, named: int) -> None:
-        """A response to an earlier request comes in this one's place; its own is still to come.
+    def send_surplus_response(self, k: int, status: int, has_id: int) -> None:
+        """Deliver a late response to an earlier request in place of the attempt's own.
 
-        A 503 stands for one that says that it did not run, and does not say which request.
+        A 503 states that a request did not run, without naming the request.
         """
         self.surplus_responses -= 1
-        self.do_answer(k, 0 if status == 503 else status, "r-before" if named else "nobody", True)
+        self.answer_attempt(k, 0 if status == 503 else status, "r-before" if has_id else "nobody", True)
 
-    def do_reset(self, k: int) -> None:
-        """The connection of an attempt is reset."""
-        f = self.in_flight[k]
-        f.connection.close()
-        self.finish_attempt(f)
-        self.on_attempt_ended(f.request, f.number, FAILED, 0)
+    def reset_connection(self, k: int) -> None:
+        """Reset the connection of an attempt."""
+        attempt = self.in_flight[k]
+        attempt.connection.close()
+        self.finish_attempt(attempt)
+        self.on_attempt_ended(attempt.request, attempt.number, FAILED, 0)
 
-    def do_due(self, r: int) -> None:
-        """A request's timer expires."""
+    def expire_timer(self, r: int) -> None:
+        """Advance the time to a request's next timer and let it expire."""
         attempts = self.requests[r].attempts
         self.now = max(self.now, attempts.next_timer_ns(self.now))
         self.run_command(r, self.handle_event(attempts, TimerExpired()))
 
-    def do_repeat(self) -> None:
-        """The client sends its request anew."""
+    def repeat_request(self) -> None:
+        """Let the client repeat its request under another id."""
         self.client_retries -= 1
         self.now += 100 * MS
         self.start_request()
 
-    def do_drain(self, instance: str) -> None:
-        """The proxy learns that an instance drains."""
+    def drain_instance(self, instance: str) -> None:
+        """Deliver to the proxy the update that an instance is draining."""
         self.draining += (instance,)
         self.publish(instance, ADDRESSES[INSTANCES.index(instance)], "draining")
 
-    def do_reuse(self, endpoint: int) -> None:
-        """The backend ends without a word; its connections with it."""
+    def reuse_address(self, endpoint: int) -> None:
+        """Stop a backend without notice and give its address to another service's backend."""
         self.instance_by_address[ADDRESSES[endpoint]] = OTHER_INSTANCE
 
     # -- states
 
     def freeze(self) -> bytes:
-        """What the world can be made of again."""
+        """Return the pickled world, without the last outcomes and the bound methods of its directory."""
         outcomes, self.outcomes = self.outcomes, []
         silence_ns, clock = self.backends.source_silence_ns, self.backends.clock
         self.backends.source_silence_ns = self.backends.clock = None  # type: ignore[assignment]
@@ -358,7 +380,7 @@
             self.backends.source_silence_ns, self.backends.clock = silence_ns, clock
 
     def key(self) -> Any:
-        """What tells states apart."""
+        """Return a value that is equal for worlds in the same state."""
         return (
             self.scenario.name,
             self.now,
@@ -376,20 +398,22 @@
 
 
 def request_key(request: ClientRequest) -> tuple[Any, ...]:
-    """What tells the states of a request apart."""
+    """Return a value that identifies the state of a request."""
     attempts = request.attempts
-    states = [(n, one.backend, one.state, one.wait_until_ns) for n, one in attempts.attempts.items()]
+    states = [
+        (n, attempt.backend, attempt.state, attempt.wait_until_ns) for n, attempt in attempts.attempts.items()
+    ]
     failures = tuple(attempts.backend_failures.items())
     return request.status, request.response_owner, attempts.latest_hedge_ns, tuple(states), failures
 
 
 def connection_key(connection: ModelConnection) -> tuple[Any, ...]:
-    """What tells the states of a connection apart."""
+    """Return a value that identifies the state of a connection."""
     return connection.number, connection.instance, connection.is_open, connection.request_count
 
 
 def attempt_key(attempt: AttemptInFlight) -> tuple[Any, ...]:
-    """What tells the states of an attempt apart."""
+    """Return a value that identifies the state of an attempt."""
     return (
         attempt.request,
         attempt.number,
@@ -402,13 +426,13 @@
 
 
 def pool_key(pool: EndpointPool[ModelConnection]) -> tuple[Any, ...]:
-    """What tells the states of an endpoint's pool apart."""
+    """Return a value that identifies the state of an endpoint's pool."""
     idle = tuple([(until_ns, *connection_key(connection)) for until_ns, connection in pool.idle])
     return pool.load.in_flight, pool.load.avoided_until_ns, idle
 
 
 def thaw(state: bytes) -> ForwardingWorld:
-    """The world that `freeze` has kept."""
+    """Rebuild a world from the result of `freeze`."""
     world: ForwardingWorld = pickle.loads(state)
     world.backends.source_silence_ns, world.backends.clock = world.source_silence_ns, world.clock
     return world
--- a/meadowworks/modelcheck/models/http_connection_scenarios.py
+++ b/meadowworks/modelcheck/models/http_connection_scenarios.py
@@ -1,4 +1,4 @@
-"""Where the worlds of `http_connections` begin, and what their steps are called."""
+"""Scenarios of the model of HTTP connections, and descriptions of its steps."""
 
 from __future__ import annotations
 
@@ -10,25 +10,25 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionScenario:
-    """What may happen in a world.
+    """The events that may occur in a world.
 
     :param calls: `unsafe` or `safe` requests to a backend, or `controllers`: calls between control-plane
-        nodes. Of unsafe requests it matters when they run.
+        nodes. Only for unsafe requests the model tracks when they run.
     """
 
     name: str
     calls: str = "unsafe"
-    idle_connections: int = 0  # to the first instance; each has carried a call before
-    max_faults: int = 0  # resets, silences and answers without a length
-    surplus_responses: int = 0  # responses to the earlier call that still come
-    client_timeouts: int = 0  # callers that wait no longer
+    idle_connections: int = 0  # to the first instance; each has carried an earlier call
+    max_faults: int = 0  # resets, stalled responses and responses without a length
+    surplus_responses: int = 0  # late responses to the earlier call
+    client_timeouts: int = 0  # callers that time out
     has_ids: bool = True  # whether requests have ids
     cut_places: tuple[int, ...] = (0, 1, 3, 4)  # indices into CUT_PLACES
 
 
 def scenarios(large: bool) -> list[ConnectionScenario]:
-    """The scenarios that are explored; with `large` also those that take long."""
-    found = [
+    """Return the scenarios to explore; with `large` also those that take long."""
+    selected = [
         ConnectionScenario("two unsafe calls, lines that break", max_faults=1),
         ConnectionScenario("two unsafe calls on lines of before", idle_connections=1, surplus_responses=1),
         ConnectionScenario("two safe calls, lines that break", "safe", max_faults=1),
@@ -44,7 +44,7 @@
         ),
     ]
     if large:
-        found += [
+        selected += [
             ConnectionScenario(
                 "unsafe, all of it", idle_connections=1, max_faults=1, surplus_responses=1, client_timeouts=1
             ),
@@ -61,34 +61,37 @@
                 client_timeouts=1,
             ),
         ]
-    return found
+    return selected
 
 
 def describe_step(step: Step) -> str:
-    """A step in plain words."""
-    kind, *rest = step
-    match kind, rest:
+    """Describe a step in words.
+
+    :raises ValueError: for an unknown step.
+    """
+    kind, *args = step
+    match kind, args:
         case "ask", []:
-            return "the other caller asks"
+            return "the second caller starts"
         case "run", [k]:
-            return f"the far side of line {k} begins to work on its newest call"
+            return f"the remote end of connection {k} starts to process its newest request"
         case "say", [k]:
-            return f"it answers on line {k}"
-        case "reset", [k, where]:
-            return f"line {k} is reset {CUT_PLACES[where]}"
-        case "silence", [k, where]:
-            return f"line {k} falls silent {CUT_PLACES[where]}"
+            return f"the response arrives on connection {k}"
+        case "reset", [k, cut_place]:
+            return f"connection {k} is reset {CUT_PLACES[cut_place]}"
+        case "silence", [k, cut_place]:
+            return f"the response on connection {k} stalls {CUT_PLACES[cut_place]}"
         case "rest", [k]:
-            return f"the rest of that answer comes on line {k} after all"
-        case "endless", [k, whole]:
-            end = "in order, at its end" if whole else "by a reset, in the midst of its body"
-            return f"on line {k} an answer without a length ends with its connection {end}"
-        case "extra", [k, status, named]:
-            name = "" if named else ", without a name,"
-            return f"an answer {status!r} to the call before{name} comes on line {k}"
-        case "behind", [k, status, named]:
-            name = "" if named else ", without a name,"
-            return f"it answers on line {k}, and behind that {status!r} to the call before{name}"
+            return f"the rest of the stalled response arrives on connection {k}"
+        case "endless", [k, ends_cleanly]:
+            end = "cleanly, at its end" if ends_cleanly else "by a reset, within its body"
+            return f"a response without a length ends with connection {k} {end}"
+        case "extra", [k, status, has_id]:
+            suffix = "" if has_id else " without an id"
+            return f"a response {status!r} to the earlier call{suffix} arrives on connection {k}"
+        case "behind", [k, status, has_id]:
+            suffix = "" if has_id else " without an id"
+            return f"the response arrives on connection {k}, then {status!r} to the earlier call{suffix}"
         case "leave", [r]:
-            return f"caller {r} waits no longer"
-    raise ValueError(f"no such step: {step!r}")
+            return f"caller {r} times out"
+    raise ValueError(f"unknown step: {step!r}")
--- a/meadowworks/modelcheck/models/http_connections.py
+++ b/meadowworks/modelcheck/models/http_connections.py
@@ -1,12 +1,12 @@
-"""Model of two callers on two connections, byte by byte.
+"""Byte-level model of two callers on two connections.
 
-It drives `send_attempt`, `ClientConnection` with its parsers, `PeerClient` and `RequestAttempts`, over
-transports of its own. A response may break off or fall silent before its head, in it, at its end, in the body
-and after it; bytes of an earlier call may come while a connection is idle, in the place of a response, and
-behind one. What is late may still come. A backend may run what it has read although its caller has gone.
+It runs `send_attempt`, `ClientConnection` with its parsers, `PeerClient` and `RequestAttempts` over simulated
+transports. A response may be cut off or stall before, in or at the end of its head, in its body, or after it,
+and a stalled response may resume. Bytes of an earlier call may arrive on an idle connection, in place of a
+response, or after one. A backend may process a request that it has read after the caller has gone.
 
-A world is kept as the steps that lead to it, and is made anew by taking them: parsers and tasks can't be
-copied. One world of a process has tasks at a time.
+Parsers and tasks cannot be copied, so a world is stored as its list of steps and restored by replaying them.
+At most one world in a process has running tasks.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
     ModelTransport,
     build_response,
     event_loop_of,
-    unread_bytes,
+    unread_byte_count,
 )
 from meadowworks.proxy import upstream_attempt
 from meadowworks.proxy.upstream_attempt import AttemptResult, UpstreamRequest
@@ -59,36 +59,50 @@
 INSTANCES = ("a", "b")
 CHOICES = EndpointChoices({endpoint: 1.0 for endpoint in range(len(INSTANCES))}, {})
 DEADLINE_NS = 1000 * MS
-# After so many turns of the loop every task must wait for bytes.
-MAX_LOOP_TURNS = 60
-EARLIER_CALL = "before"  # the id of the call that an idle connection has carried
+# Every task must be waiting for bytes after this many iterations of the event loop.
+MAX_LOOP_ITERATIONS = 60
+EARLIER_CALL = "before"  # id of the call that an idle connection carried earlier
+# The method of `ConnectionWorld` that takes a step, by the kind of the step.
+ACTION_METHODS: dict[str, str] = {
+    "ask": "start_second_caller",
+    "run": "run_request",
+    "say": "send_response",
+    "reset": "reset_connection",
+    "silence": "stall_response",
+    "rest": "resume_response",
+    "endless": "send_unframed_response",
+    "extra": "send_surplus_response",
+    "behind": "send_response_and_surplus",
+    "leave": "time_out_caller",
+}
 
 
 class RetriesAllowed:
     """A retry budget that is never exhausted."""
 
     def take_retry(self, now: int) -> bool:  # noqa: ARG002
-        """Allow it."""
+        """Allow every retry."""
         return True
 
 
 @dataclass
 class Caller:
-    """One request or call, its attempts in flight, and what it has been answered."""
+    """One request or call with its attempts in flight and its response."""
 
     attempts: RequestAttempts
     tasks: dict[int, asyncio.Task[Any]] = field(default_factory=dict)
     responses: dict[int, Any] = field(default_factory=dict)
-    status: int = 0  # 0: no response so far
+    status: int = 0  # 0: no response yet
     timed_out: bool = False
 
 
-active_world: ConnectionWorld | None = None  # the world that has its tasks
+active_world: ConnectionWorld | None = None  # the world whose tasks are running
+# Worlds created before a fork, referenced here so that their tasks are not garbage-collected.
 inherited_worlds: list[ConnectionWorld] = []
 
 
 class ConnectionWorld:
-    """A backend or node at the far side of each connection, and two callers."""
+    """Two callers, and a backend or control-plane node at the remote end of each connection."""
 
     def __init__(self, scenario: ConnectionScenario, steps: Iterable[Step] = ()) -> None:
         self.scenario = scenario
@@ -98,7 +112,7 @@
         self.activate()
 
     def activate(self) -> None:
-        """Make the world as it was after its steps, unless it is the one that has its tasks."""
+        """Rebuild the world by replaying its steps, unless its tasks are already running."""
         global active_world
         if active_world is self and self.process == os.getpid():
             return
@@ -116,29 +130,29 @@
         self.surplus_left = self.scenario.surplus_responses
         self.timeouts_left = self.scenario.client_timeouts
         self.earlier_calls: list[asyncio.Task[Any]] = []
-        self.run_inside(self.start_earlier_calls)
-        self.run_inside(self.answer_earlier_calls)
+        self.run_in_loop(self.start_earlier_calls)
+        self.run_in_loop(self.answer_earlier_calls)
         for transport in self.transports:
             transport.newest_ran = False
-        self.run_inside(self.start_caller)
+        self.run_in_loop(self.start_caller)
         for step in self.steps:
             self.apply_step(step)
 
     def deactivate(self) -> None:
-        """End the world's tasks."""
+        """Cancel the world's tasks."""
         tasks = [task for caller in self.callers for task in caller.tasks.values()]
         if self.process != os.getpid():
-            # Made before the fork: its tasks are of a loop that does not turn here.
+            # Created before the fork: its tasks belong to an event loop that does not run in this process.
             inherited_worlds.append(self)
         elif tasks:
             for task in tasks:
                 task.cancel()
             event_loop_of(self.process).run_until_complete(asyncio.gather(*tasks, return_exceptions=True))
 
-    # -- the programs' side
+    # -- the product's code, run in the event loop
 
-    def run_inside(self, action: Any, *args: Any) -> None:
-        """Act within the loop, with this world's transports and clock, until every task waits for bytes."""
+    def run_in_loop(self, action: Any, *args: Any) -> None:
+        """Call `action` in the event loop with this world's transports and clock, until all tasks wait."""
         loop = event_loop_of(os.getpid())
         patches = [
             (upstream_attempt, "connect", self.connect),
@@ -155,9 +169,12 @@
                 setattr(module, name, value)
 
     async def run_until_idle(self, action: Any, args: tuple[Any, ...]) -> None:
-        """Act, and turn the loop until every task waits for bytes."""
+        """Call `action` and iterate the event loop until every task is waiting for bytes.
+
+        :raises AssertionError: if a task is still running after `MAX_LOOP_ITERATIONS`.
+        """
         action(*args)
-        for _ in range(MAX_LOOP_TURNS):
+        for _ in range(MAX_LOOP_ITERATIONS):
             await asyncio.sleep(0)
             for r, caller in enumerate(self.callers):
                 for number, task in list(caller.tasks.items()):
@@ -169,7 +186,7 @@
             )
             if tasks == sum(transport.is_awaited() for transport in self.transports):
                 return
-        raise AssertionError("a task goes on and on")
+        raise AssertionError(f"tasks are still running after {MAX_LOOP_ITERATIONS} event loop iterations")
 
     async def connect(
         self,
@@ -178,24 +195,24 @@
         wait_s: float,  # noqa: ARG002
         silent_ms: int = 0,  # noqa: ARG002
     ) -> ClientConnection:
-        """Stand in for `http_connection.connect`."""
+        """Replace `http_connection.connect`: return a connection over a simulated transport."""
         transport = ModelTransport(self, len(self.transports), host)
         self.transports.append(transport)
         return transport.connection
 
     def next_call_id(self, size: int) -> str:  # noqa: ARG002
-        """Stand in for `secrets.token_hex`."""
-        return f"q{sum(len(w.requests) for w in self.transports)}.{len(self.callers) - 1}"
+        """Replace `secrets.token_hex` by deterministic, unique call ids."""
+        return f"q{sum(len(transport.requests) for transport in self.transports)}.{len(self.callers) - 1}"
 
-    def call_of(self, data: bytes) -> str:
-        """The id of the call whose request these bytes are: between nodes it is the question's."""
+    def call_id_of(self, data: bytes) -> str:
+        """Return the id of the call that sent these request bytes."""
         for name in (b"x-question: ", b"x-request-id: ", b"x-of: "):
             if name in data:
                 return data.split(name)[1].split(b"\r\n")[0].decode()
         return EARLIER_CALL
 
     def start_earlier_calls(self) -> None:
-        """Begin the calls that leave connections idle."""
+        """Start the calls that later leave idle connections."""
         for _ in range(self.scenario.idle_connections):
             call = (
                 self.peer.call(b"/pull", b"", 1e6)
@@ -205,24 +222,24 @@
             self.earlier_calls.append(asyncio.get_running_loop().create_task(call))
 
     def answer_earlier_calls(self) -> None:
-        """Answer them."""
+        """Send the responses to the earlier calls."""
         for transport in self.transports:
             transport.feed(self.respond(transport)[0])
 
     def is_between_nodes(self) -> bool:
-        """Whether the calls are between control-plane nodes."""
+        """Return whether the calls are between control-plane nodes."""
         return self.scenario.calls == "controllers"
 
     def send_attempt(self, call_id: str, endpoint: int, deadline_ns: int) -> Any:
-        """A request to a backend, as the proxy sends it."""
-        named = self.scenario.has_ids
-        names = [(b"host", b"h"), (b"x-request-id" if named else b"x-of", call_id.encode())]
-        request = UpstreamRequest(b"POST", b"/", names, b"", call_id.encode() if named else None)
+        """Return the coroutine that sends a request to a backend, as the proxy does."""
+        has_id = self.scenario.has_ids
+        names = [(b"host", b"h"), (b"x-request-id" if has_id else b"x-of", call_id.encode())]
+        request = UpstreamRequest(b"POST", b"/", names, b"", call_id.encode() if has_id else None)
         backend = BackendInstance(INSTANCES[endpoint], "s", INSTANCES[endpoint], 80, "home", 2, "up", 0, 0)
         return upstream_attempt.send_attempt(self.pool, backend, request, deadline_ns)
 
     def start_caller(self) -> None:
-        """Begin a request or call."""
+        """Start a request or call."""
         r, scenario = len(self.callers), self.scenario
         safe = scenario.calls == "safe"
         attempts = RequestAttempts(
@@ -238,11 +255,11 @@
             self.run_command(r, attempts.handle_event(RequestReceived(), self.now, CHOICES, 0.0))
 
     def start_task(self, r: int, number: int, coroutine: Coroutine[Any, Any, Any]) -> None:
-        """Run an attempt or call."""
+        """Run an attempt or call as a task."""
         self.callers[r].tasks[number] = asyncio.get_running_loop().create_task(coroutine)
 
     def run_command(self, r: int, command: Command) -> None:
-        """Carry out what the attempts command."""
+        """Execute a command of `RequestAttempts`."""
         caller = self.callers[r]
         match command:
             case SendAttempt(number, endpoint):
@@ -254,7 +271,7 @@
                 self.answer_caller(r, response.status, response.body)
 
     def on_task_done(self, r: int, number: int, task: asyncio.Task[Any]) -> None:
-        """Take in how an attempt or call has ended."""
+        """Handle the result of an attempt or call."""
         caller = self.callers[r]
         if self.is_between_nodes():
             self.on_call_done(r, task)
@@ -266,7 +283,7 @@
             self.run_command(r, caller.attempts.handle_event(event, self.now, CHOICES, 0.0))
 
     def on_call_done(self, r: int, task: asyncio.Task[Any]) -> None:
-        """Take in how a call between nodes has ended."""
+        """Handle the result of a call between nodes."""
         if task.cancelled():
             self.answer_caller(r, 504)
             return
@@ -279,18 +296,18 @@
             raise error
 
     def answer_caller(self, r: int, status: int, body: bytes = b"") -> None:
-        """Record a caller's response, and what is wrong with it."""
+        """Record a caller's response and the properties that it violates."""
         caller = self.callers[r]
         if caller.status:
             return
         caller.status = status
-        if status == 200 and body not in [f"of {call}".encode() for call in self.calls_of(r)]:
+        if status == 200 and body not in [f"of {call}".encode() for call in self.call_ids_of(r)]:
             self.violations.add("wrong caller")
         if status in NOT_RUN_STATUSES and self.scenario.calls == "unsafe" and self.run_counts.get(f"r{r}", 0):
             self.violations.add("ran twice")
 
-    def calls_of(self, r: int) -> list[str]:
-        """The ids under which a caller's requests go."""
+    def call_ids_of(self, r: int) -> list[str]:
+        """Return the ids of a caller's requests."""
         if not self.is_between_nodes():
             return [f"r{r}"]
         return [
@@ -300,55 +317,60 @@
     # -- steps
 
     def enabled(self) -> Iterable[Step]:
-        """The steps that may be taken now."""
+        """Return the steps that can be taken in this state."""
         self.activate()
-        found: list[Step] = []
+        steps: list[Step] = []
         if len(self.callers) < 2:
-            found.append(("ask",))
-        # Then nobody asks any more, and what may still run is all that matters.
-        is_over = not found and all(caller.status for caller in self.callers)
+            steps.append(("ask",))
+        # Once all callers have a response, only requests that a backend may still run can violate a property.
+        is_over = not steps and all(caller.status for caller in self.callers)
         for k, transport in enumerate(self.transports):
-            if self.may_run(transport):
-                found.append(("run", k))
+            if self.can_start_processing(transport):
+                steps.append(("run", k))
             if not is_over:
-                found += self.transport_steps(k, transport)
+                steps += self.transport_steps(k, transport)
         if self.timeouts_left:
-            found += [("leave", r) for r, caller in enumerate(self.callers) if not caller.status]
-        return found
+            steps += [("leave", r) for r, caller in enumerate(self.callers) if not caller.status]
+        return steps
+
+    def can_start_processing(self, transport: ModelTransport) -> bool:
+        """Return whether the remote end may start to process its newest request.
 
-    def may_run(self, transport: ModelTransport) -> bool:
-        """Whether the far side may begin to work on its newest request, where that matters."""
+        Only modelled for unsafe requests, as it makes no difference for others.
+        """
         if self.scenario.calls != "unsafe" or not transport.pending_request():
             return False
         return not transport.newest_ran and not transport.newest_promised_not_run
 
     def transport_steps(self, k: int, transport: ModelTransport) -> list[Step]:
-        """What the far side of a connection may say, and how the connection may break."""
+        """Return the responses and faults that are possible on a connection."""
         if not transport.is_open:
             return []
         if transport.unsent:
             return [("rest", k)]
-        found: list[Step] = []
+        steps: list[Step] = []
         if transport.pending_request():
-            found.append(("say", k))
+            steps.append(("say", k))
             if self.faults_left:
-                found += [("reset", k, where) for where in self.scenario.cut_places]
-                found += [("silence", k, where) for where in self.scenario.cut_places if 0 < where < 4]
-                found += [("endless", k, whole) for whole in (0, 1)]
+                steps += [("reset", k, cut_place) for cut_place in self.scenario.cut_places]
+                steps += [
+                    ("silence", k, cut_place) for cut_place in self.scenario.cut_places if 0 < cut_place < 4
+                ]
+                steps += [("endless", k, ends_cleanly) for ends_cleanly in (0, 1)]
         if self.surplus_left and len(transport.requests) > bool(transport.pending_request()):
-            found += self.surplus_steps(k, transport)
-        return found
+            steps += self.surplus_steps(k, transport)
+        return steps
 
     def surplus_steps(self, k: int, transport: ModelTransport) -> list[Step]:
-        """The responses to an earlier call that may come."""
+        """Return the responses to an earlier call that may arrive."""
         surplus = SURPLUS_RESPONSES if self.scenario.has_ids else SURPLUS_WITHOUT_ID
-        found: list[Step] = [("extra", k, status, named) for status, named in surplus]
+        steps: list[Step] = [("extra", k, status, has_id) for status, has_id in surplus]
         if transport.pending_request():
-            found += [("behind", k, status, named) for status, named in surplus if status != MISDIRECTED]
-        return found
+            steps += [("behind", k, status, has_id) for status, has_id in surplus if status != MISDIRECTED]
+        return steps
 
     def take_step(self, step: Step) -> None:
-        """Take one of the steps that `enabled` has named."""
+        """Take one of the enabled steps."""
         self.activate()
         self.outcomes = [step]
         self.steps.append(step)
@@ -357,14 +379,14 @@
     def apply_step(self, step: Step) -> None:
         """Take a step without recording it."""
         kind, *args = step
-        self.run_inside(getattr(self, "do_" + kind), *args)
+        self.run_in_loop(getattr(self, ACTION_METHODS[kind]), *args)
 
-    def do_ask(self) -> None:
-        """The other caller begins."""
+    def start_second_caller(self) -> None:
+        """Start the second caller."""
         self.start_caller()
 
-    def do_run(self, k: int) -> None:
-        """The far side begins to work on its newest request."""
+    def run_request(self, k: int) -> None:
+        """Let the remote end start to process its newest request."""
         transport = self.transports[k]
         transport.newest_ran = True
         call_id = transport.requests[-1]
@@ -376,78 +398,81 @@
                 self.violations.add("ran twice")
 
     def respond(self, transport: ModelTransport, framed: bool = True) -> tuple[bytes, int]:
-        """The response to the newest request: a success if it has run, else a promise that it will not."""
-        call_id, named = transport.requests[-1], self.scenario.has_ids
+        """Return the response to the newest request and the length of its head.
+
+        An unsafe request that has not run is rejected with the guarantee that it will not run.
+        """
+        call_id, has_id = transport.requests[-1], self.scenario.has_ids
         transport.answered_count = len(transport.requests)
         if self.scenario.calls == "unsafe" and not transport.newest_ran and call_id != EARLIER_CALL:
             transport.newest_promised_not_run = True
-            return build_response(call_id, NOT_RUN, named)
-        return build_response(call_id, OK, named, framed)
+            return build_response(call_id, NOT_RUN, has_id)
+        return build_response(call_id, OK, has_id, framed)
 
-    def do_say(self, k: int) -> None:
-        """The far side answers its newest request."""
+    def send_response(self, k: int) -> None:
+        """Send the response to the newest request."""
         self.transports[k].feed(self.respond(self.transports[k])[0])
 
-    def split_response(self, transport: ModelTransport, where: int) -> tuple[bytes, bytes]:
-        """The two parts of a response that is cut at one of CUT_PLACES."""
+    def split_response(self, transport: ModelTransport, cut_place: int) -> tuple[bytes, bytes]:
+        """Split a response at one of `CUT_PLACES`."""
         data, head = self.respond(transport)
-        at = (0, head // 2, head, head + 3, len(data))[where]
+        at = (0, head // 2, head, head + 3, len(data))[cut_place]
         return data[:at], data[at:]
 
-    def do_reset(self, k: int, where: int) -> None:
-        """The connection is reset in the midst of a response."""
+    def reset_connection(self, k: int, cut_place: int) -> None:
+        """Reset the connection at one of `CUT_PLACES` of a response."""
         self.faults_left -= 1
         transport = self.transports[k]
-        promised, first = transport.newest_promised_not_run, self.split_response(transport, where)[0]
+        promised, first = transport.newest_promised_not_run, self.split_response(transport, cut_place)[0]
         transport.feed(first)
-        if where < len(CUT_PLACES) - 1:  # nothing has been stated: it may run yet
+        if cut_place < len(CUT_PLACES) - 1:  # no complete response was sent: the request may still run
             transport.newest_promised_not_run = promised
             transport.answered_count -= 1
         transport.is_open = False
         transport.stream.connection_lost(ConnectionResetError("reset"))
 
-    def do_silence(self, k: int, where: int) -> None:
-        """A response stops in its midst."""
+    def stall_response(self, k: int, cut_place: int) -> None:
+        """Send the first part of a response and hold back the rest."""
         self.faults_left -= 1
         transport = self.transports[k]
-        first, transport.unsent = self.split_response(transport, where)
+        first, transport.unsent = self.split_response(transport, cut_place)
         transport.feed(first)
 
-    def do_rest(self, k: int) -> None:
-        """The rest of a response comes after all."""
+    def resume_response(self, k: int) -> None:
+        """Send the part of a stalled response that was held back."""
         transport = self.transports[k]
-        rest, transport.unsent = transport.unsent, b""
-        transport.feed(rest)
+        remainder, transport.unsent = transport.unsent, b""
+        transport.feed(remainder)
 
-    def do_endless(self, k: int, whole: int) -> None:
-        """A response without a length ends with its connection: in order, or by a reset in its body."""
+    def send_unframed_response(self, k: int, ends_cleanly: int) -> None:
+        """Send a response without a length and end the connection: by EOF, or by a reset in the body."""
         self.faults_left -= 1
         transport = self.transports[k]
         data, head = self.respond(transport, framed=False)
-        transport.feed(data if whole else data[: head + 3])
+        transport.feed(data if ends_cleanly else data[: head + 3])
         transport.is_open = False
-        transport.stream.connection_lost(None if whole else ConnectionResetError("reset"))
+        transport.stream.connection_lost(None if ends_cleanly else ConnectionResetError("reset"))
 
-    def do_extra(self, k: int, status: str, named: int) -> None:
-        """A response to an earlier call comes."""
+    def send_surplus_response(self, k: int, status: str, has_id: int) -> None:
+        """Send a response to an earlier call."""
         self.surplus_left -= 1
         transport = self.transports[k]
         transport.feed(
             build_response(
-                transport.requests[-2 if transport.pending_request() else -1], status, bool(named)
+                transport.requests[-2 if transport.pending_request() else -1], status, bool(has_id)
             )[0]
         )
 
-    def do_behind(self, k: int, status: str, named: int) -> None:
-        """A response to an earlier call comes behind the right one."""
+    def send_response_and_surplus(self, k: int, status: str, has_id: int) -> None:
+        """Send the correct response followed by a response to an earlier call."""
         self.surplus_left -= 1
         transport = self.transports[k]
         transport.feed(
-            self.respond(transport)[0] + build_response(transport.requests[-2], status, bool(named))[0]
+            self.respond(transport)[0] + build_response(transport.requests[-2], status, bool(has_id))[0]
         )
 
-    def do_leave(self, r: int) -> None:
-        """Its time is over: its attempts are cancelled, and it is told what that proves."""
+    def time_out_caller(self, r: int) -> None:
+        """Cancel a caller's attempts at its timeout and answer it with 504."""
         self.timeouts_left -= 1
         caller = self.callers[r]
         caller.timed_out = True
@@ -459,11 +484,11 @@
     # -- states
 
     def freeze(self) -> tuple[ConnectionScenario, tuple[Step, ...]]:
-        """What the world can be made of again."""
+        """Return the scenario and steps from which `thaw` rebuilds the world."""
         return self.scenario, tuple(self.steps)
 
     def key(self) -> Any:
-        """What tells states apart."""
+        """Return a value that is equal for worlds in the same state."""
         self.activate()
         return (
             "wired",
@@ -479,7 +504,7 @@
         )
 
     def idle_connections(self) -> list[tuple[str, ClientConnection]]:
-        """Connections that are kept for another call, and for which instance."""
+        """Return the idle connections that may be reused, each with its instance."""
         backends = [
             (instance, connection)
             for instance, pool in self.pool.endpoints.items()
@@ -488,18 +513,18 @@
         return backends + [("a", connection) for connection in self.peer.idle_connections]
 
     def transport_number(self, connection: ClientConnection) -> int:
-        """The number of a connection's transport."""
+        """Return the number of a connection's transport."""
         return next(transport.number for transport in self.transports if transport.connection is connection)
 
 
 def caller_key(caller: Caller) -> tuple[Any, ...]:
-    """What tells the states of a caller apart."""
-    attempts = tuple([(n, one.backend, one.state) for n, one in caller.attempts.attempts.items()])
+    """Return a value that identifies the state of a caller."""
+    attempts = tuple([(n, attempt.backend, attempt.state) for n, attempt in caller.attempts.attempts.items()])
     return caller.status, caller.timed_out, attempts, tuple(sorted(caller.tasks))
 
 
 def transport_key(transport: ModelTransport) -> tuple[Any, ...]:
-    """What tells the states of a transport and its connection apart."""
+    """Return a value that identifies the state of a transport and its connection."""
     return (
         transport.host,
         transport.is_open,
@@ -512,23 +537,23 @@
         transport.stream.at_eof,
         transport.connection.reusable,
         transport.connection.http11.is_idle(),
-        unread_bytes(transport.connection),
+        unread_byte_count(transport.connection),
     )
 
 
 def thaw(state: tuple[ConnectionScenario, tuple[Step, ...]]) -> ConnectionWorld:
-    """The world that `freeze` has kept."""
+    """Rebuild a world from the result of `freeze`."""
     scenario, steps = state
     return ConnectionWorld(scenario, steps)
 
 
 def not_violated(name: str) -> Any:
-    """A property that the worlds watch themselves."""
+    """Return the predicate of a property whose violations the world records itself."""
     return lambda world: name not in world.violations
 
 
-def no_foreign_bytes(world: ConnectionWorld) -> bool:
-    """No request goes on a connection with foreign bytes, and none is kept with bytes or a request on it."""
+def no_unread_bytes(world: ConnectionWorld) -> bool:
+    """Return whether no request met unread bytes, and idle connections have no unread bytes or requests."""
     world.activate()
     if "clean lines" in world.violations:
         return False
@@ -538,23 +563,30 @@
         if connection.usable()
     ]
     return not any(
-        w.pending_request() or w.unsent or w.stream.buffer or unread_bytes(w.connection) for w in idle
+        transport.pending_request()
+        or transport.unsent
+        or transport.stream.buffer
+        or unread_byte_count(transport.connection)
+        for transport in idle
     )
 
 
-def no_connection_left(world: ConnectionWorld) -> bool:
-    """A connection that nobody reads and that is not kept is ended."""
+def no_leaked_connections(world: ConnectionWorld) -> bool:
+    """Return whether every open connection is either being read or idle in a pool."""
     world.activate()
     idle = [world.transport_number(connection) for _, connection in world.idle_connections()]
-    return all(not w.is_open or w.is_awaited() or w.number in idle for w in world.transports)
+    return all(
+        not transport.is_open or transport.is_awaited() or transport.number in idle
+        for transport in world.transports
+    )
 
 
-def answered(world: ConnectionWorld) -> bool:
-    """A caller without a task has its response."""
+def all_callers_answered(world: ConnectionWorld) -> bool:
+    """Return whether every caller without a running task has its response."""
     world.activate()
     return all(caller.status or caller.tasks for caller in world.callers)
 
 
 def initial_worlds(large: bool) -> list[ConnectionWorld]:
-    """A world for each scenario."""
+    """Return a world for each scenario."""
     return [ConnectionWorld(scenario) for scenario in scenarios(large)]
