--- a/meadowworks/modelcheck/models/registry_node.py
+++ b/meadowworks/modelcheck/models/registry_node.py
@@ -1,7 +1,7 @@
-"""The part of a control-plane node that knows of backends, wired as in ``controlplane.server``.
+"""The backend registry of a control-plane node, wired as in ``controlplane.server``.
 
 The models of gossip and of the registry, and the tests of the drain log, run it without a clock, a network
-or a disk: time stands still, and the caller carries deltas and writes.
+or a disk: time does not advance, and the caller transfers deltas and performs writes.
 """
 
 from __future__ import annotations
@@ -18,16 +18,16 @@
 
 
 def heartbeat_document(state: str, sequence: int) -> dict[str, Any]:
-    """Returns a heartbeat as a backend sends it."""
+    """Return a heartbeat as a backend sends it."""
     status = {"state": state, "calls": sequence, "warmupMs": 0}
     return {"addr": "h:1", "details": BACKEND_DETAILS, "status": status}
 
 
 class RegistryNode:
-    """What one process holds of updates, backends and drains.
+    """The updates, backends and drains of one process.
 
-    :ivar source_id: its incarnation, and the source under which it publishes.
-    :ivar now_ns: its clock, as far as the drain log is concerned.
+    :ivar source_id: the incarnation, which is also the source id of its updates.
+    :ivar now_ns: the time that the drain log receives.
     """
 
     def __init__(
@@ -48,17 +48,17 @@
         )
 
     def is_known(self, instance_id: str) -> bool:
-        """Returns whether any node has reported an instance."""
+        """Return whether any node has reported an instance, or the drain log has a record of it."""
         return self.directory.is_reported(instance_id) or instance_id in self.drain_log.records
 
     def deltas_for(self, requester: RegistryNode) -> tuple[SourceDelta, ...]:
-        """Returns what another node lacks, as the reply to its pull carries it."""
+        """Return the deltas that another node lacks, as in the reply to its pull."""
         return tuple(
             self.updates.deltas_since(requester.updates.remote_version_vector(), requester.source_id)
         )
 
     def acknowledge_drains(self, host: str, source: str, to: RegistryNode) -> None:
-        """Tells another node, with a pull, which drains of one of its incarnations are on this disk."""
+        """Acknowledge to another node the drains of one of its incarnations that are on this disk."""
         to.drain_log.on_acknowledgement(host, *self.drain_log.acknowledgement(source))
 
     def _on_update(self, update: KeyUpdate) -> None:
@@ -66,5 +66,5 @@
 
 
 def _zero(*_: Any) -> int:
-    """Stands for the clock and for every source's silence: no time goes by."""
+    """Replace the clock and the silence of every source: time does not advance."""
     return 0
--- a/meadowworks/modelcheck/models/registry_world.py
+++ b/meadowworks/modelcheck/models/registry_world.py
@@ -1,8 +1,8 @@
-"""The world of the model ``roster``: two control-plane nodes with slow disks, one of which may be lost.
+"""The world of the model ``roster``: two control-plane nodes with slow disks.
 
-It runs ``DrainLog``, ``HeartbeatRegistry``, ``BackendDirectory``, ``UpdateStore``. Two backends drain at the
-first node. Writes begin and end in steps of their own, pulls carry acknowledgements as in
-``controlplane.server``, replies come late or never, and either node may lose its power at any moment.
+It runs ``DrainLog``, ``HeartbeatRegistry``, ``BackendDirectory`` and ``UpdateStore``. Two backends drain at
+the first node. The start and the completion of a write are separate steps, pulls carry acknowledgements as in
+``controlplane.server``, replies may arrive late or never, and either node may lose power at any time.
 """
 
 from __future__ import annotations
@@ -19,29 +19,46 @@
 from meadowworks.registry.heartbeats import CallAccepted
 
 BACKENDS = ("i", "j")
+# The method of ``RegistryWorld`` that takes a step, by the kind of the step.
+ACTION_METHODS: dict[str, str] = {
+    "drain": "drain_backend",
+    "word": "publish_unrelated_update",
+    "write": "start_write",
+    "written": "complete_write",
+    "refused": "fail_write",
+    "pull": "pull_updates",
+    "ask": "start_slow_pull",
+    "come": "deliver_reply",
+    "lost": "drop_reply",
+    "loss": "restart_after_power_loss",
+    "ack": "acknowledge_drain",
+}
 
 
 @dataclass(frozen=True, slots=True)
-class Budget:
-    """How often each event may happen.
+class RegistryBudget:
+    """How often each event may occur.
 
-    :ivar losses: of a node's power.
-    :ivar late: replies that come later, or never.
-    :ivar words: updates of the first node that are of no backend, so that its versions go on.
-    :ivar refusals: of a write, by a disk.
+    :ivar power_losses: losses of power, at either node.
+    :ivar delayed_replies: replies that arrive late or never.
+    :ivar unrelated_updates: updates of the first node that concern no backend but increase its version.
+    :ivar write_failures: failed disk writes, at either node.
     """
 
     name: str
     drains: int = 1
-    losses: int = 1
+    power_losses: int = 1
     pulls: int = 3
-    late: int = 0
-    words: int = 0
-    refusals: int = 0
+    delayed_replies: int = 0
+    unrelated_updates: int = 0
+    write_failures: int = 0
 
 
-class Node(RegistryNode):
-    """One control-plane node; ``replied`` is the incarnation of the other that replied last."""
+class PeerNode(RegistryNode):
+    """A control-plane node.
+
+    :ivar replied: the incarnation of the other node that sent the latest reply.
+    """
 
     def __init__(self, host: int, incarnation: int) -> None:
         super().__init__(f"{host}.{incarnation}")
@@ -50,8 +67,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DelayedReply:
-    """A reply on its way to a node, and the incarnation that sent it."""
+class DelayedPullReply:
+    """A reply in flight to a node, and the incarnation that sent it."""
 
     host: int
     sender: str
@@ -62,118 +79,118 @@
     """The state that is explored.
 
     :ivar disks: by node, the rows of its drain log.
-    :ivar unacknowledged: drains that the first node's present incarnation took, with the version of each.
+    :ivar unacknowledged: the drains that the first node's current incarnation accepted, with their versions.
     """
 
-    def __init__(self, budget: Budget) -> None:
+    def __init__(self, budget: RegistryBudget) -> None:
         self.left = budget
         self.outcomes: list[tuple[Any, ...]] = []
-        self.nodes = [Node(0, 1), Node(1, 1)]
+        self.nodes = [PeerNode(0, 1), PeerNode(1, 1)]
         self.disks: list[dict[str, Any]] = [{}, {}]
         self.unacknowledged: dict[str, int] = {}
         self.acknowledged: frozenset[str] = frozenset()
-        self.delayed: DelayedReply | None = None
+        self.delayed: DelayedPullReply | None = None
         for backend in BACKENDS[: budget.drains]:
             self.nodes[0].heartbeats.record_heartbeat(0, backend, heartbeat_document(UP, 1))
         for host in (1, 0):
-            self._take(self._reply(host))
+            self._apply_reply(self._build_reply(host))
 
     # -- steps
 
     def enabled(self) -> Iterable[Step]:
-        """Returns the steps that may be taken now."""
-        found = list[Step]()
+        """Return the steps that may be taken now."""
+        steps = list[Step]()
         if self.left.drains:
-            found.append(("drain", BACKENDS[self.left.drains - 1]))
-        if self.left.words:
-            found.append(("word",))
+            steps.append(("drain", BACKENDS[self.left.drains - 1]))
+        if self.left.unrelated_updates:
+            steps.append(("word",))
         for host in range(len(self.nodes)):
-            found += self._enabled_at(host)
+            steps += self._enabled_at(host)
         if self.delayed is not None:
-            found += [("come",), ("lost",)]
+            steps += [("come",), ("lost",)]
         is_replicated = self.nodes[0].drain_log.is_replicated
-        found += [
+        steps += [
             ("ack", backend)
             for backend, version in sorted(self.unacknowledged.items())
             if is_replicated(version, ["h1"], 1, True)
         ]
-        return found
+        return steps
 
     def _enabled_at(self, host: int) -> Iterable[Step]:
         left, drain_log = self.left, self.nodes[host].drain_log
         if drain_log.write_in_flight is not None:
             yield "written", host
-            if left.refusals:
+            if left.write_failures:
                 yield "refused", host
         elif drain_log.unsynced:
             yield "write", host
         if left.pulls:
             yield "pull", host
-            if left.late and self.delayed is None:
+            if left.delayed_replies and self.delayed is None:
                 yield "ask", host
-        if left.losses:
+        if left.power_losses:
             yield "loss", host
 
     def take_step(self, step: Step) -> None:
-        """Takes one of the enabled steps."""
+        """Take one of the enabled steps."""
         kind, *arguments = step
-        getattr(self, "do_" + kind)(*arguments)
+        getattr(self, ACTION_METHODS[kind])(*arguments)
 
-    def do_drain(self, backend: str) -> None:
-        """A backend drains, and calls the first node."""
-        self._spend("drains")
+    def drain_backend(self, backend: str) -> None:
+        """A backend drains and reports this to the first node."""
+        self._use_budget("drains")
         outcome = self.nodes[0].heartbeats.record_heartbeat(0, backend, heartbeat_document(DRAINING, 2))
         assert isinstance(outcome, CallAccepted)
         self.unacknowledged[backend] = outcome.version
 
-    def do_word(self) -> None:
-        """The first node publishes something else."""
-        self._spend("words")
-        self.nodes[0].updates.publish("pulse", self.left.words)
+    def publish_unrelated_update(self) -> None:
+        """The first node publishes an update that concerns no backend."""
+        self._use_budget("unrelated_updates")
+        self.nodes[0].updates.publish("pulse", self.left.unrelated_updates)
 
-    def do_pull(self, host: int) -> None:
-        """A node pulls from the other, and gets the reply at once."""
-        self._spend("pulls")
-        self._take(self._reply(host))
+    def pull_updates(self, host: int) -> None:
+        """A node pulls from the other and receives the reply at once."""
+        self._use_budget("pulls")
+        self._apply_reply(self._build_reply(host))
 
-    def do_ask(self, host: int) -> None:
-        """A node pulls, and the reply is on its way."""
-        self._spend("late")
-        self.delayed = self._reply(host)
+    def start_slow_pull(self, host: int) -> None:
+        """A node pulls, and the reply is delayed."""
+        self._use_budget("delayed_replies")
+        self.delayed = self._build_reply(host)
 
-    def do_come(self) -> None:
-        """The reply comes."""
+    def deliver_reply(self) -> None:
+        """The delayed reply arrives."""
         assert self.delayed is not None
-        self._take(self.delayed)
+        self._apply_reply(self.delayed)
         self.delayed = None
 
-    def do_lost(self) -> None:
-        """The reply is lost."""
+    def drop_reply(self) -> None:
+        """The delayed reply is lost."""
         self.delayed = None
 
-    def do_write(self, host: int) -> None:
-        """A write of what the node has learnt begins."""
+    def start_write(self, host: int) -> None:
+        """A node starts to write its unsynced drains."""
         self.nodes[host].drain_log.next_batch()
 
-    def do_written(self, host: int) -> None:
-        """The write in flight is on disk."""
+    def complete_write(self, host: int) -> None:
+        """The write in flight completes."""
         drain_log = self.nodes[host].drain_log
         assert drain_log.write_in_flight is not None
         self.disks[host] = {**self.disks[host], **drain_log.write_in_flight.rows}
         drain_log.on_written()
 
-    def do_refused(self, host: int) -> None:
-        """The disk refuses the write in flight."""
-        self._spend("refusals")
+    def fail_write(self, host: int) -> None:
+        """The write in flight fails."""
+        self._use_budget("write_failures")
         self.nodes[host].drain_log.on_write_failed()
 
-    def do_loss(self, host: int) -> None:
-        """A node loses its power: what is not on its disk is gone, and so is a write in flight.
+    def restart_after_power_loss(self, host: int) -> None:
+        """A node loses power, and with it all unsynced state and a write in flight.
 
-        The backends go on calling, and old heartbeats come late.
+        It restarts as a new incarnation. Old heartbeats of the backends arrive late at the first node.
         """
-        self._spend("losses")
-        node = self.nodes[host] = Node(host, self.nodes[host].incarnation + 1)
+        self._use_budget("power_losses")
+        node = self.nodes[host] = PeerNode(host, self.nodes[host].incarnation + 1)
         node.drain_log.restore(0, self.disks[host])
         hints = {backend: as_first_registered(value) for backend, value in self.disks[host].items()}
         node.heartbeats.restore(0, hints)
@@ -183,20 +200,20 @@
         if self.delayed is not None and self.delayed.host == host:
             self.delayed = None
 
-    def do_ack(self, backend: str) -> None:
+    def acknowledge_drain(self, backend: str) -> None:
         """A drain is acknowledged to its caller."""
         del self.unacknowledged[backend]
         self.acknowledged |= {backend}
 
-    def _spend(self, event: str) -> None:
+    def _use_budget(self, event: str) -> None:
         self.left = replace(self.left, **{event: getattr(self.left, event) - 1})
 
-    def _reply(self, host: int) -> DelayedReply:
-        asking, asked = self.nodes[host], self.nodes[1 - host]
-        asking.acknowledge_drains(f"h{host}", asking.replied, asked)
-        return DelayedReply(host, asked.source_id, asked.deltas_for(asking))
+    def _build_reply(self, host: int) -> DelayedPullReply:
+        client, server = self.nodes[host], self.nodes[1 - host]
+        client.acknowledge_drains(f"h{host}", client.replied, server)
+        return DelayedPullReply(host, server.source_id, server.deltas_for(client))
 
-    def _take(self, reply: DelayedReply) -> None:
+    def _apply_reply(self, reply: DelayedPullReply) -> None:
         node = self.nodes[reply.host]
         node.replied = reply.sender
         for delta in reply.deltas:
@@ -205,16 +222,18 @@
     # -- states
 
     def freeze(self) -> bytes:
-        """Returns what ``thaw`` makes the same world of."""
+        """Return the pickled world."""
         return pickle.dumps(self, pickle.HIGHEST_PROTOCOL)
 
     def key(self) -> Any:
-        """Returns what tells this state from others."""
-        rest = repr((self.left, sorted(self.unacknowledged.items()), sorted(self.acknowledged), self.delayed))
+        """Return a value that is equal for worlds in the same state."""
+        shared_state = repr(
+            (self.left, sorted(self.unacknowledged.items()), sorted(self.acknowledged), self.delayed)
+        )
         disks = tuple([repr(sorted(disk.items())) for disk in self.disks])
-        return rest, disks, tuple([self._key_of(node) for node in self.nodes])
+        return shared_state, disks, tuple([self._key_of(node) for node in self.nodes])
 
-    def _key_of(self, node: Node) -> Any:
+    def _key_of(self, node: PeerNode) -> Any:
         drain_log, write = node.drain_log, node.drain_log.write_in_flight
         return repr(
             (
@@ -235,11 +254,11 @@
 
 
 def as_first_registered(value: BackendValue) -> list[Any]:
-    """Returns a drain's value as it was while the instance was up."""
+    """Return the value that a drained instance had while it was up."""
     return list(value._replace(state=UP))
 
 
 def thaw(state: bytes) -> RegistryWorld:
-    """Returns the world that was frozen."""
+    """Rebuild a world from the result of ``freeze``."""
     world: RegistryWorld = pickle.loads(state)
     return world
