--- a/meadowworks/modelcheck/models/replica/__init__.py
+++ b/meadowworks/modelcheck/models/replica/__init__.py
@@ -1,9 +1,9 @@
-"""The model of the order of writes and sends: `consensus.replica.Replica`s, each with a disk.
+"""Model of the order of writes and sends: instances of `consensus.replica.Replica`, each with a disk.
 
-A write is made at a step of its own, or lost with the power, and leaves the disk as it was; what a replica
-holds in memory and what is on its disk are two things here. Requests come at any time, also from an
-incarnation that is over. Time stands still: nothing is sent again, and what would back off waits for good. A
-reply is heard when it leaves, if the process that asked still runs.
+A replica's memory and disk are separate. The completion of a write is a step of its own; a write in flight
+during a loss of power is lost and leaves the disk unchanged. Requests arrive at any time, also from an
+earlier incarnation. Time does not advance: nothing is retransmitted, and an operation in backoff waits for
+ever. A reply is delivered when it is sent, if the requesting process is still running.
 """
 
 from __future__ import annotations
--- a/meadowworks/modelcheck/models/replica/disk.py
+++ b/meadowworks/modelcheck/models/replica/disk.py
@@ -1,4 +1,4 @@
-"""A disk of the model, and requests on their way."""
+"""The simulated disk, and requests in flight."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True)
 class Disk:
-    """What is there after a loss of power, and the write that is on its way."""
+    """The durable state of a replica, and the write in flight."""
 
     metadata: dict[str, Any] | None = None
     committed: CommittedValue = NOTHING_COMMITTED
@@ -32,16 +32,16 @@
     write_in_flight: Persist | None = None
 
     def save(self, update: StateUpdate) -> None:
-        """Makes what a write holds the state of the disk."""
+        """Apply a write to the durable state."""
         self.history, self.slots = self.history or {}, self.slots or {}
         if update.metadata is not None:
             self.metadata = dict(update.metadata)
         if update.committed is not None:
             self.committed = update.committed
             self.history = {
-                v: d
-                for v, d in {**self.history, **update.history}.items()
-                if v >= update.oldest_history_version
+                version: data
+                for version, data in {**self.history, **update.history}.items()
+                if version >= update.oldest_history_version
             }
         for version, slot in update.slots.items():
             if slot is None:
@@ -50,7 +50,7 @@
                 self.slots[version] = AcceptorSlot(slot.promised, slot.accepted, slot.value)
 
     def acceptor(self, address: str) -> Acceptor:
-        """The acceptor that a process would start with."""
+        """Return the acceptor that a process loads from the disk at its start."""
         return load_acceptor(
             self.metadata,
             new_member_id="",
@@ -60,15 +60,21 @@
             voting=True,
             committed=self.committed,
             history=self.history,
-            slots={v: AcceptorSlot(s.promised, s.accepted, s.value) for v, s in (self.slots or {}).items()},
+            slots={
+                version: AcceptorSlot(slot.promised, slot.accepted, slot.value)
+                for version, slot in (self.slots or {}).items()
+            },
         )
 
 
 @dataclass(frozen=True, slots=True)
 class RequestInFlight:
-    """A request that is on its way."""
+    """A request in flight.
 
-    place: int
+    `source` and `destination` are replica indices; `incarnation` is that of the source.
+    """
+
+    source: int
     incarnation: int
     request_id: int
     destination: int
--- a/meadowworks/modelcheck/models/replica/plain_values.py
+++ b/meadowworks/modelcheck/models/replica/plain_values.py
@@ -1,4 +1,4 @@
-"""Replicas and disks as plain values, by which worlds are told apart."""
+"""Conversion of replicas and disks into plain values for the comparison of worlds."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 from enum import Enum
 from typing import Any
 
-# Fields that time alone would use, or that are looked at elsewhere.
+# Fields that only matter when time advances, or whose value is part of the key elsewhere.
 IGNORED_FIELDS = {
     "random_fraction",
-    "_acceptor",  # is the replica's, which is looked at
+    "_acceptor",  # the replica's acceptor, which the key contains
     "_lease",
     "effects",
     "pending_requests",
@@ -23,14 +23,14 @@
 
 
 def to_plain(value: Any) -> Any:
-    """A value as numbers, strings and tuples, without `IGNORED_FIELDS`."""
+    """Convert a value into numbers, strings and tuples, without `IGNORED_FIELDS`."""
     match value:
         case Enum():
             return to_plain(value.value)
         case None | bool() | int() | str() | bytes():
             return value
         case list() | deque() | tuple():
-            return tuple([to_plain(one) for one in value])
+            return tuple([to_plain(item) for item in value])
         case dict():
             rows = [(k, to_plain(v)) for k, v in value.items() if k not in IGNORED_FIELDS]
             return tuple(sorted(rows, key=repr))
--- a/meadowworks/modelcheck/models/replica/properties.py
+++ b/meadowworks/modelcheck/models/replica/properties.py
@@ -1,4 +1,4 @@
-"""What must hold in every world, or of every step."""
+"""Properties of the states and steps of the model `replica`."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 from meadowworks.modelcheck.model import Property
 from meadowworks.modelcheck.models.consensus.frozen import freeze_acceptor
 from meadowworks.modelcheck.models.consensus.properties import is_not_older
-from meadowworks.modelcheck.models.replica.world import World
+from meadowworks.modelcheck.models.replica.world import ReplicaWorld
 
 
-def one_value_acknowledged(world: World) -> bool:
-    """Of two values of a version one at most was acknowledged."""
+def one_value_acknowledged(world: ReplicaWorld) -> bool:
+    """Return whether at most one value was acknowledged for each version."""
     versions = [version for version, _ in world.acknowledged]
     return len(versions) == len(set(versions))
 
 
-def acknowledged_is_found(world: World) -> bool:
-    """What was acknowledged is on a majority of the disks of its epoch's members, written."""
+def acknowledged_values_are_durable(world: ReplicaWorld) -> bool:
+    """Return whether any majority of the members' disks contains every acknowledged value."""
     if not world.acknowledged:
         return True
     disks = [disk.acceptor("") for disk in world.disks]
@@ -37,90 +37,99 @@
         group = [d for d in disks if d.installed and any(d.member_id == n for n, _ in world.scenario.members)]
         newest = Epoch(1, world.scenario.members)
     return all(
-        any(holds_value(one, version, content) for one in some)
+        any(holds_value(disk, version, content) for disk in majority)
         for version, content in world.acknowledged
-        for some in combinations(group, newest.majority)
+        for majority in combinations(group, newest.majority)
     )
 
 
-def holds_value(one: Acceptor, version: int, content: bytes) -> bool:
-    """Whether an acceptor has accepted a value for a version, or committed a later version."""
-    slot = one.slots.get(version)
+def holds_value(acceptor: Acceptor, version: int, content: bytes) -> bool:
+    """Return whether an acceptor has accepted or committed the value, or committed a later version."""
+    slot = acceptor.slots.get(version)
     return (
-        one.committed.version > version
-        or one.committed == CommittedValue(version, content)
+        acceptor.committed.version > version
+        or acceptor.committed == CommittedValue(version, content)
         or slot is not None
         and slot.accepted > NO_BALLOT
         and slot.value == content
     )
 
 
-def one_value_per_ballot(world: World) -> bool:
-    """No ballot stands for two values, in memory, on a disk or on its way."""
-    found: dict[Any, bytes] = {}
-    taken = [
+def one_value_per_ballot(world: ReplicaWorld) -> bool:
+    """Return whether no ballot has two values, in memory, on disks or in requests in flight."""
+    value_by_ballot: dict[Any, bytes] = {}
+    proposals = [
         (version, slot.accepted, slot.value)
-        for replica in (*(b.acceptor for b in world.replicas), *(d.acceptor("") for d in world.disks))
-        for version, slot in replica.slots.items()
+        for acceptor in (
+            *(replica.acceptor for replica in world.replicas),
+            *(disk.acceptor("") for disk in world.disks),
+        )
+        for version, slot in acceptor.slots.items()
         if slot.accepted > NO_BALLOT
     ]
-    taken += [
-        (s.request.version, s.request.ballot, s.request.value)
-        for s in world.requests_in_flight
-        if isinstance(s.request, AcceptRequest)
+    proposals += [
+        (message.request.version, message.request.ballot, message.request.value)
+        for message in world.requests_in_flight
+        if isinstance(message.request, AcceptRequest)
     ]
-    return all(found.setdefault((version, ballot), content) == content for version, ballot, content in taken)
+    return all(
+        value_by_ballot.setdefault((version, ballot), content) == content
+        for version, ballot, content in proposals
+    )
 
 
-def replies_rest_on_disk(world: World) -> bool:
-    """What a reply says was on its disk when it left."""
+def replies_are_durable(world: ReplicaWorld) -> bool:
+    """Return whether the state in each reply was on the sender's disk when the reply was sent."""
     return all(row[1] for row in world.outcomes if row[0] == "told")
 
 
-def own_votes_rest_on_disk(world: World) -> bool:
-    """What an operation counts of the own acceptor's replies is on its disk."""
+def own_votes_are_durable(world: ReplicaWorld) -> bool:
+    """Return whether the own acceptor's replies that an operation counts are on its disk."""
     for replica, disk in zip(world.replicas, world.disks, strict=True):
-        one, me = disk.acceptor(""), replica.acceptor.member_id
+        durable, own_id = disk.acceptor(""), replica.acceptor.member_id
         for operation in replica.operations.values():
             match operation.quorum_call:
                 case Proposer() as call:
-                    slot = one.slots.get(call.version) or AcceptorSlot()
-                    past = one.committed.version >= call.version > 0 or one.epoch.number > call.epoch.number
-                    if me in call.acceptances and slot.accepted < call.ballot and not past:
+                    slot = durable.slots.get(call.version) or AcceptorSlot()
+                    is_superseded = (
+                        durable.committed.version >= call.version > 0
+                        or durable.epoch.number > call.epoch.number
+                    )
+                    if own_id in call.acceptances and slot.accepted < call.ballot and not is_superseded:
                         return False
-                    if me in call.promises and slot.promised < call.ballot and not past:
+                    if own_id in call.promises and slot.promised < call.ballot and not is_superseded:
                         return False
                 case Reconfiguration() as call:
                     if (
-                        me in call.sealed_states
-                        and one.sealed_by is None
-                        and one.epoch.number < call.next_epoch.number
+                        own_id in call.sealed_states
+                        and durable.sealed_by is None
+                        and durable.epoch.number < call.next_epoch.number
                     ):
                         return False
-                    if me in call.installed_members and one.epoch.number < call.next_epoch.number:
+                    if own_id in call.installed_members and durable.epoch.number < call.next_epoch.number:
                         return False
     return True
 
 
-def incarnation_first(world: World) -> bool:
-    """No request left before its incarnation was on the disk."""
+def incarnation_is_durable_before_sending(world: ReplicaWorld) -> bool:
+    """Return whether no request was sent before its incarnation was on the disk."""
     return all(row[2] >= row[1] for row in world.outcomes if row[0] == "asked")
 
 
-def disk_never_regresses(world: World) -> bool:
-    """No step takes a disk back."""
+def disk_never_regresses(world: ReplicaWorld) -> bool:
+    """Return whether no step replaced the state of a disk by an older one."""
     return all(is_not_older(row[1], row[2]) for row in world.outcomes if row[0] == "kept")
 
 
-def disk_equals_memory(world: World) -> bool:
-    """A disk on which everything is written holds what the memory does."""
+def disk_equals_memory(world: ReplicaWorld) -> bool:
+    """Return whether each disk without pending writes equals the replica's memory."""
     for replica, disk in zip(world.replicas, world.disks, strict=True):
         if disk.write_in_flight is None and not replica.acceptor.has_unwritten_changes():
-            memory, there = (
+            in_memory, on_disk = (
                 freeze_acceptor(replica.acceptor),
                 freeze_acceptor(disk.acceptor(replica.acceptor.address)),
             )
-            if memory[:3] + memory[4:11] != there[:3] + there[4:11]:
+            if in_memory[:3] + in_memory[4:11] != on_disk[:3] + on_disk[4:11]:
                 return False
     return True
 
@@ -128,32 +137,39 @@
 PROPERTIES = (
     Property(
         "one content",
-        "of two contents under one number one at most is ever acknowledged",
+        "at most one value is acknowledged for each version",
         one_value_acknowledged,
     ),
     Property(
-        "lasts", "what was acknowledged is found on the written disks of any majority", acknowledged_is_found
+        "lasts", "the disks of any majority contain every acknowledged value", acknowledged_values_are_durable
     ),
     Property(
         "one ballot",
-        "no ballot stands for two contents, in memory, on disks or on the way",
+        "no ballot has two values, in memory, on disks or in requests in flight",
         one_value_per_ballot,
     ),
     Property(
         "told rests on the disk",
-        "what a reply says is on its disk when it leaves",
-        replies_rest_on_disk,
+        "the state in a reply is on the sender's disk when the reply is sent",
+        replies_are_durable,
         "step",
     ),
     Property(
-        "own rests on the disk", "what a box counts of its own answers is on its disk", own_votes_rest_on_disk
+        "own rests on the disk",
+        "the own replies that a replica counts are on its disk",
+        own_votes_are_durable,
+    ),
+    Property(
+        "life first",
+        "no request is sent before its incarnation is on the disk",
+        incarnation_is_durable_before_sending,
+        "step",
     ),
-    Property("life first", "no request leaves before its life is on the disk", incarnation_first, "step"),
     Property(
         "never back",
-        "a disk goes back in no version, promise, epoch, seal or life",
+        "the version, promises, epoch, seal and incarnation on a disk never regress",
         disk_never_regresses,
         "step",
     ),
-    Property("whole", "with nothing left to write, the disk holds what the memory does", disk_equals_memory),
+    Property("whole", "a disk without pending writes equals the replica's memory", disk_equals_memory),
 )
--- a/meadowworks/modelcheck/models/replica/world.py
+++ b/meadowworks/modelcheck/models/replica/world.py
@@ -1,4 +1,4 @@
-"""One world of the model: replicas with their disks, and the steps that may come."""
+"""The world of the model: replicas with their disks, and the possible steps."""
 
 from __future__ import annotations
 
@@ -35,96 +35,110 @@
 from meadowworks.modelcheck.models.replica.disk import Disk, RequestInFlight
 from meadowworks.modelcheck.models.replica.plain_values import to_plain
 
-# Time stands still; no deadline is ever reached.
+# Time does not advance, so no deadline is reached.
 NOW, FAR = 10 * SECOND_NS, 99 * SECOND_NS
 
 
 Members = tuple[tuple[str, str], ...]
 
+# The method of `ReplicaWorld` that takes a step, by the kind of the step.
+ACTION_METHODS: dict[str, str] = {
+    "order": "propose_value",
+    "ask": "deliver_request",
+    "written": "complete_write",
+    "crash": "restart_after_power_loss",
+    "change": "propose_members",
+    "leave": "shut_down_replica",
+}
+
 
 def one_half() -> float:
-    """In place of a random number."""
+    """Return 0.5 in place of a random number."""
     return 0.5
 
 
 @dataclass(frozen=True, slots=True)
-class Scenario:
-    """How a world begins, and what may happen in it.
+class ReplicaScenario:
+    """The initial state of a world, and the events that may occur in it.
 
-    `proposals`: place, version and value, each given once. `reconfiguring_places` propose `next_members`,
-    `leaving_places` are told to shut down, `crash_places` lose power, each once.
+    `proposals` are tuples of replica index, version and value. The replicas at `reconfiguring_indices`
+    propose `next_members`, those at `leaving_indices` are told to shut down, and those at `crash_indices`
+    lose power. Each event occurs at most once.
     """
 
     name: str
     proposals: tuple[tuple[int, int, bytes], ...] = ()
-    crash_places: tuple[int, ...] = ()
-    place_count: int = 3
+    crash_indices: tuple[int, ...] = ()
+    replica_count: int = 3
     members: Members = ABC
     next_members: Members = ()
-    reconfiguring_places: tuple[int, ...] = ()
-    leaving_places: tuple[int, ...] = ()
+    reconfiguring_indices: tuple[int, ...] = ()
+    leaving_indices: tuple[int, ...] = ()
 
 
-class World:
-    """Replicas, their disks, and the requests between them."""
+class ReplicaWorld:
+    """Replicas with their disks, and the requests in flight between them."""
 
-    def __init__(self, scenario: Scenario) -> None:
+    def __init__(self, scenario: ReplicaScenario) -> None:
         self.scenario = scenario
         self.outcomes: list[tuple[Any, ...]] = []
-        self.disks = [Disk() for _ in range(scenario.place_count)]
+        self.disks = [Disk() for _ in range(scenario.replica_count)]
         self.replicas: list[Replica] = []
         self.requests_in_flight: list[RequestInFlight] = []
         self.proposals_left, self.reconfigurations_left, self.leaves_left = (
             scenario.proposals,
-            scenario.reconfiguring_places,
-            scenario.leaving_places,
+            scenario.reconfiguring_indices,
+            scenario.leaving_indices,
         )
-        self.crashes_left = scenario.crash_places
+        self.crashes_left = scenario.crash_indices
         self.acknowledged: tuple[tuple[int, bytes], ...] = ()
         for k, disk in enumerate(self.disks):
-            made = Acceptor(
+            acceptor = Acceptor(
                 chr(ord("a") + k), str(k), epoch=Epoch(1, scenario.members), metadata_changed=True
             )
-            made.installed = made.epoch.has_member(made.member_id)
-            disk.save(WriteQueue(made).collect_update())
+            acceptor.installed = acceptor.epoch.has_member(acceptor.member_id)
+            disk.save(WriteQueue(acceptor).collect_update())
             assert disk.metadata is not None
-            disk.metadata |= {"installed": made.installed, "life": 1}  # as it was written before any fault
+            disk.metadata |= {"installed": acceptor.installed, "life": 1}  # as written before any fault
             self.replicas.append(Replica(disk.acceptor(str(k)), 1, one_half))
             self.replicas[k].start(NOW)
             self.run_effects(k)
 
     def enabled(self) -> Iterable[Step]:
-        """The steps that may come next."""
-        found: list[Step] = [("order", place) for place in range(len(self.proposals_left))]
-        found += [("ask", s.place, s.incarnation, s.request_id) for s in self.requests_in_flight]
-        found += [("written", k) for k, disk in enumerate(self.disks) if disk.write_in_flight]
-        found += [("crash", k) for k in self.crashes_left]
-        found += [("change", k) for k in self.reconfigurations_left]
-        found += [("leave", k) for k in self.leaves_left]
-        return found
+        """Return the steps that can be taken in this state."""
+        steps: list[Step] = [("order", index) for index in range(len(self.proposals_left))]
+        steps += [
+            ("ask", message.source, message.incarnation, message.request_id)
+            for message in self.requests_in_flight
+        ]
+        steps += [("written", k) for k, disk in enumerate(self.disks) if disk.write_in_flight]
+        steps += [("crash", k) for k in self.crashes_left]
+        steps += [("change", k) for k in self.reconfigurations_left]
+        steps += [("leave", k) for k in self.leaves_left]
+        return steps
 
     def take_step(self, step: Step) -> None:
-        """Takes a step."""
-        kind, *what = step
+        """Take one of the enabled steps."""
+        kind, *args = step
         self.outcomes = []
         before = [freeze_acceptor(disk.acceptor("")) for disk in self.disks]
-        getattr(self, "do_" + kind)(*what)
-        for was, disk in zip(before, self.disks, strict=True):
-            self.outcomes.append(("kept", was, freeze_acceptor(disk.acceptor(""))))
+        getattr(self, ACTION_METHODS[kind])(*args)
+        for old_state, disk in zip(before, self.disks, strict=True):
+            self.outcomes.append(("kept", old_state, freeze_acceptor(disk.acceptor(""))))
 
-    def do_order(self, place: int) -> None:
-        """A client's value is proposed at a replica that has its lease."""
-        k, version, content = self.proposals_left[place]
-        self.proposals_left = (*self.proposals_left[:place], *self.proposals_left[place + 1 :])
+    def propose_value(self, index: int) -> None:
+        """Propose a client's value at a replica that holds the lease."""
+        k, version, content = self.proposals_left[index]
+        self.proposals_left = (*self.proposals_left[:index], *self.proposals_left[index + 1 :])
         replica = self.replicas[k]
         for j, other in enumerate(self.replicas):
-            if j != k:  # it has its lease
+            if j != k:  # the replies give the replica its lease
                 replica.on_query_reply(NOW, NOW, other.acceptor.query_reply())
         replica.propose(NOW, version * 1000 + content[0], version, content, FAR)
         self.run_effects(k)
 
-    def do_change(self, k: int) -> None:
-        """A replica proposes other members."""
+    def propose_members(self, k: int) -> None:
+        """Let a replica propose the next members."""
         self.reconfigurations_left = tuple(j for j in self.reconfigurations_left if j != k)
         replica = self.replicas[k]
         if replica.started and replica.acceptor.may_vote():
@@ -141,25 +155,25 @@
             replica.flush(NOW)
         self.run_effects(k)
 
-    def do_leave(self, k: int) -> None:
-        """A replica is told to shut down."""
+    def shut_down_replica(self, k: int) -> None:
+        """Tell a replica to shut down."""
         self.leaves_left = tuple(j for j in self.leaves_left if j != k)
         self.replicas[k].leave(NOW, FAR)
         self.run_effects(k)
 
-    def do_ask(self, place: int, incarnation: int, request_id: int) -> None:
-        """A request comes to its destination."""
-        found = next(
-            s
-            for s in self.requests_in_flight
-            if (s.place, s.incarnation, s.request_id) == (place, incarnation, request_id)
+    def deliver_request(self, source: int, incarnation: int, request_id: int) -> None:
+        """Deliver a request to its destination."""
+        message = next(
+            other
+            for other in self.requests_in_flight
+            if (other.source, other.incarnation, other.request_id) == (source, incarnation, request_id)
         )
-        self.requests_in_flight.remove(found)
-        self.replicas[found.destination].on_request(NOW, (place, incarnation, request_id), found.request)
-        self.run_effects(found.destination)
+        self.requests_in_flight.remove(message)
+        self.replicas[message.destination].on_request(NOW, (source, incarnation, request_id), message.request)
+        self.run_effects(message.destination)
 
-    def do_written(self, k: int) -> None:
-        """A write is on the disk."""
+    def complete_write(self, k: int) -> None:
+        """Complete the write in flight of a disk."""
         disk = self.disks[k]
         write, disk.write_in_flight = disk.write_in_flight, None
         assert write is not None
@@ -167,8 +181,8 @@
         self.replicas[k].on_persisted(NOW, write.write_id)
         self.run_effects(k)
 
-    def do_crash(self, k: int) -> None:
-        """A machine loses power, with the write that is under way, and its process starts again."""
+    def restart_after_power_loss(self, k: int) -> None:
+        """Let a replica lose power with its write in flight, and restart it from its disk."""
         self.crashes_left = tuple(j for j in self.crashes_left if j != k)
         self.disks[k].write_in_flight = None
         self.replicas[k] = Replica(self.disks[k].acceptor(str(k)), 1, one_half)
@@ -176,7 +190,7 @@
         self.run_effects(k)
 
     def run_effects(self, k: int) -> None:
-        """Carries out a replica's effects, and what the replies lead to in turn."""
+        """Execute a replica's effects, and those that the replies cause at other replicas."""
         waiting = deque([k])
         while waiting:
             k = waiting.popleft()
@@ -193,37 +207,37 @@
                         self.requests_in_flight.append(
                             RequestInFlight(k, incarnation, request_id, int(address), request)
                         )
-                    case SendReply((place, incarnation, request_id), member_id, reply):
+                    case SendReply((source, incarnation, request_id), member_id, reply):
                         self.outcomes.append(("told", self.is_on_disk(k, reply)))
-                        if self.replicas[place].acceptor.incarnation == incarnation:
-                            self.replicas[place].on_reply(NOW, request_id, member_id, reply)
-                            waiting.append(place)
-                    case CompleteOperation(order, Committed()) if order >= 1000:
+                        if self.replicas[source].acceptor.incarnation == incarnation:
+                            self.replicas[source].on_reply(NOW, request_id, member_id, reply)
+                            waiting.append(source)
+                    case CompleteOperation(operation_id, Committed()) if operation_id >= 1000:
                         self.acknowledged = tuple(
-                            sorted({*self.acknowledged, (order // 1000, bytes([order % 1000]))})
+                            sorted({*self.acknowledged, (operation_id // 1000, bytes([operation_id % 1000]))})
                         )
 
     def is_on_disk(self, k: int, reply: Any) -> bool:
-        """Whether what a reply says is on the disk of who says it."""
-        one = self.disks[k].acceptor("")
+        """Return whether the state in a reply is on the disk of its sender."""
+        durable = self.disks[k].acceptor("")
         match reply:
             case PromiseReply(ballot) | AcceptedReply(ballot):
-                return one.epoch.number > ballot.epoch or any(
-                    (s.accepted if isinstance(reply, AcceptedReply) else s.promised) >= ballot
-                    or one.committed.version >= version > 0
-                    for version, s in [*one.slots.items(), (one.committed.version, AcceptorSlot())]
+                return durable.epoch.number > ballot.epoch or any(
+                    (slot.accepted if isinstance(reply, AcceptedReply) else slot.promised) >= ballot
+                    or durable.committed.version >= version > 0
+                    for version, slot in [*durable.slots.items(), (durable.committed.version, AcceptorSlot())]
                 )
-            case SealedReply(after):
-                return one.epoch.number >= after.number or one.sealed_by == after
+            case SealedReply(next_epoch):
+                return durable.epoch.number >= next_epoch.number or durable.sealed_by == next_epoch
             case InstalledReply(number):
-                return one.epoch.number >= number and one.installed
+                return durable.epoch.number >= number and durable.installed
             case QueryReply():
-                return reply.committed_version <= one.committed.version
+                return reply.committed_version <= durable.committed.version
         return True
 
     def freeze(self) -> Any:
-        """The world as bytes."""
-        rest = (
+        """Return the pickled world, without the last step's outcomes."""
+        events_left = (
             self.proposals_left,
             self.reconfigurations_left,
             self.leaves_left,
@@ -231,16 +245,17 @@
             self.acknowledged,
         )
         return pickle.dumps(
-            (self.scenario, self.disks, self.replicas, self.requests_in_flight, rest), pickle.HIGHEST_PROTOCOL
+            (self.scenario, self.disks, self.replicas, self.requests_in_flight, events_left),
+            pickle.HIGHEST_PROTOCOL,
         )
 
     def key(self) -> Any:
-        """What tells this world from others."""
+        """Return a value that is equal for worlds in the same state."""
         return (
             self.scenario.name,
             to_plain(self.disks),
             tuple([to_plain(vars(replica)) for replica in self.replicas]),
-            tuple(sorted([to_plain(s) for s in self.requests_in_flight], key=repr)),
+            tuple(sorted([to_plain(message) for message in self.requests_in_flight], key=repr)),
             self.proposals_left,
             self.reconfigurations_left,
             self.leaves_left,
@@ -249,16 +264,16 @@
         )
 
 
-def thaw_world(state: Any) -> World:
-    """The world that was frozen."""
-    world = World.__new__(World)
+def thaw_world(state: Any) -> ReplicaWorld:
+    """Rebuild a world from the result of `freeze`."""
+    world = ReplicaWorld.__new__(ReplicaWorld)
     world.outcomes = []
-    world.scenario, world.disks, world.replicas, world.requests_in_flight, rest = pickle.loads(state)
+    world.scenario, world.disks, world.replicas, world.requests_in_flight, events_left = pickle.loads(state)
     (
         world.proposals_left,
         world.reconfigurations_left,
         world.leaves_left,
         world.crashes_left,
         world.acknowledged,
-    ) = rest
+    ) = events_left
     return world
