--- a/meadowworks/modelcheck/models/gossip.py
+++ b/meadowworks/modelcheck/models/gossip.py
@@ -1,4 +1,4 @@
-"""The model ``telegraph``: what must hold of updates between two control-plane nodes and a proxy."""
+"""The model ``telegraph``: gossip of updates between two control-plane nodes and a proxy."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from meadowworks.gossip.updates import SourceLog
 from meadowworks.modelcheck.model import Model, Property, Step
 from meadowworks.modelcheck.models.gossip_node import CONTROL_PLANE, DRAINED_BACKEND
-from meadowworks.modelcheck.models.gossip_world import Budget, GossipWorld, thaw
+from meadowworks.modelcheck.models.gossip_world import GossipBudget, GossipWorld, thaw
 from meadowworks.registry.backend_state import (
     BACKEND_KEY_PREFIX,
     GONE,
@@ -19,23 +19,23 @@
 DRAINED_KEY = BACKEND_KEY_PREFIX + DRAINED_BACKEND
 
 
-def state_never_goes_back(world: GossipWorld) -> bool:
-    """In no process does an instance go back from draining or gone."""
+def drained_state_never_reverts(world: GossipWorld) -> bool:
+    """Return whether no process took an instance back from draining or gone."""
     return all(after >= before for kind, before, after in world.outcomes if kind == "rank" and before >= 1)
 
 
-def peer_records_advance(world: GossipWorld) -> bool:
-    """No record of a peer is replaced by an older one."""
+def peer_records_never_regress(world: GossipWorld) -> bool:
+    """Return whether no record of a peer was replaced by an older one."""
     return all(after >= before for kind, before, after in world.outcomes if kind == "peer")
 
 
-def acknowledged_drain_is_known(world: GossipWorld) -> bool:
-    """An acknowledged drain is known at each node, whatever power was lost since."""
+def acknowledged_drain_is_in_directories(world: GossipWorld) -> bool:
+    """Return whether each node has an acknowledged drain, also after restarts."""
     return all(world.nodes[host].rank() >= 1 for host in world.acknowledged)
 
 
 def replicas_are_complete(world: GossipWorld) -> bool:
-    """Who holds a source's newest version holds all its values, and no others."""
+    """Return whether each process at a source's latest version has exactly the source's values."""
     for holder in world.nodes:
         for source in world.nodes:
             original = source.updates.sources[source.source_id]
@@ -48,12 +48,12 @@
 
 
 def live_values(log: SourceLog) -> dict[str, Any]:
-    """Returns the values of a source's keys, tombstones left out."""
+    """Return the values of a source's keys, without tombstones."""
     return {key: value for key, (_, value) in log.entries.items() if value is not None}
 
 
 def same_versions_give_same_state(world: GossipWorld) -> bool:
-    """Two processes with the same versions merge the same state."""
+    """Return whether processes with equal version vectors derive the same state."""
     ranks_by_versions: dict[str, set[int]] = {}
     for node in world.nodes:
         vector = {name: version for name, version in node.updates.version_vector().items() if version}
@@ -62,7 +62,7 @@
 
 
 def suspect_only_by_all_reports(world: GossipWorld) -> bool:
-    """An instance is suspect only where no source that knows it says otherwise."""
+    """Return whether an instance is suspect only where every source that reports it does so."""
     for node in world.nodes:
         instance = node.directory.instances.get(DRAINED_BACKEND)
         if instance is None or instance.state != SUSPECT:
@@ -75,14 +75,17 @@
 
 
 def gone_only_after_leaving(world: GossipWorld) -> bool:
-    """Neither silence nor the end of a node makes an instance gone."""
+    """Return whether no instance is gone before it has left.
+
+    Neither missing heartbeats nor the end of a node makes an instance gone.
+    """
     return world.state == GONE or all(node.rank() < STATE_RANK[GONE] for node in world.nodes)
 
 
-def directory_keeps_up_with_calls(world: GossipWorld) -> bool:
-    """A node's directory is never behind what an instance has told the node itself.
+def directory_reflects_own_heartbeats(world: GossipWorld) -> bool:
+    """Return whether each node's directory reflects the heartbeats that the node received itself.
 
-    An instance that left where nothing was known of it has no address there yet.
+    An instance that left at a node where it was unknown has no address there yet.
     """
     for host in CONTROL_PLANE:
         node = world.nodes[host]
@@ -97,95 +100,103 @@
 PROPERTIES = (
     Property(
         "never back",
-        "in no process does a life go from draining or gone back to up",
-        state_never_goes_back,
+        "in no process does an instance go from draining or gone back to up",
+        drained_state_never_reverts,
         "step",
     ),
-    Property("cards rise", "a card is never replaced by an older one", peer_records_advance, "step"),
+    Property(
+        "cards rise", "a peer's record is never replaced by an older one", peer_records_never_regress, "step"
+    ),
     Property(
         "acknowledged",
-        "a drain that was acknowledged is known at each signalbox, on its disk",
-        acknowledged_drain_is_known,
+        "an acknowledged drain is in the directory of each control-plane node",
+        acknowledged_drain_is_in_directories,
     ),
     Property(
         "copies whole",
-        "who is at a source's newest version holds just what it says",
+        "a process at a source's latest version has exactly the source's values",
         replicas_are_complete,
     ),
-    Property("same list", "who holds the same news folds the same list", same_versions_give_same_state),
+    Property(
+        "same list",
+        "processes with equal version vectors derive the same state",
+        same_versions_give_same_state,
+    ),
     Property(
         "quiet by all",
-        "a life is quiet only where all that know it say so",
+        "an instance is suspect only where every source that reports it does so",
         suspect_only_by_all_reports,
     ),
     Property(
         "none buried alive",
-        "a backend is gone for a process only once it has left",
+        "a backend is gone in a process only after it has left",
         gone_only_after_leaving,
     ),
     Property(
         "own words",
-        "a signalbox's list is never behind what it was told itself",
-        directory_keeps_up_with_calls,
+        "a control-plane node's directory reflects the heartbeats that it received itself",
+        directory_reflects_own_heartbeats,
     ),
 )
 
 STEP_DESCRIPTIONS = {
-    "drain": "the backend drains, and says so at {0}",
-    "leave": "the backend leaves, and says so at {0}",
-    "late": "an old beat comes to {0}",
-    "silence": "{0} has not heard the backend for long",
-    "restart": "{0} loses its power and starts again",
-    "forget": "signalbox 0 forgets the other backend",
+    "drain": "the backend drains and reports this to {0}",
+    "leave": "the backend leaves and reports this to {0}",
+    "late": "an old heartbeat arrives at {0}",
+    "silence": "the backend's heartbeats to {0} time out",
+    "restart": "{0} loses power and restarts",
+    "forget": "node 0 deletes the key of the second backend",
     "pull": "{0} pulls from {1}",
-    "ask": "{0} asks {1}, whose answer is on its way",
-    "come": "that answer comes",
-    "lost": "that answer is lost, or was the last of it",
+    "ask": "{0} pulls from {1}, and the reply is delayed",
+    "come": "the delayed reply arrives",
+    "lost": "the delayed reply is lost, or does not arrive again",
     "ack": "the drain is acknowledged",
-    "cut": "the signalboxes are cut off from each other, or joined again",
+    "cut": "the control-plane nodes are partitioned, or the partition heals",
 }
-HOST_DESCRIPTIONS = ("signalbox 0", "signalbox 1", "the junction")
+HOST_DESCRIPTIONS = ("node 0", "node 1", "the proxy")
 
 
 def describe_step(step: Step) -> str:
-    """Returns a step in plain words."""
+    """Describe a step in words."""
     kind, *hosts = step
     return STEP_DESCRIPTIONS[kind].format(*[HOST_DESCRIPTIONS[host] for host in hosts])
 
 
 def initial_worlds(large: bool) -> list[GossipWorld]:
-    """Returns the worlds to explore from."""
+    """Return the worlds to explore from."""
     budgets = [
-        Budget("a drain, a late heartbeat, a partition", drains=1, late=1, cuts=1, pulls=3),
-        Budget("a drain, a departure, a restart", drains=1, leaves=1, restarts=1, pulls=3),
-        Budget("forgotten while replies are slow", forgets=1, slow=2, pulls=2),
-        Budget("silent at one node", silences=2, late=1, pulls=3),
-        Budget("a restart, slow replies", drains=1, restarts=1, slow=1, pulls=2),
+        GossipBudget(
+            "a drain, a late heartbeat, a partition", drains=1, late_heartbeats=1, partitions=1, pulls=3
+        ),
+        GossipBudget("a drain, a departure, a restart", drains=1, leaves=1, restarts=1, pulls=3),
+        GossipBudget("forgotten while replies are slow", key_deletions=1, slow_replies=2, pulls=2),
+        GossipBudget("silent at one node", heartbeat_timeouts=2, late_heartbeats=1, pulls=3),
+        GossipBudget("a restart, slow replies", drains=1, restarts=1, slow_replies=1, pulls=2),
     ]
     if large:
         budgets += [
-            Budget(
+            GossipBudget(
                 "all of it",
                 drains=1,
                 leaves=1,
-                late=1,
-                silences=1,
+                late_heartbeats=1,
+                heartbeat_timeouts=1,
                 restarts=1,
-                forgets=1,
-                slow=1,
-                cuts=1,
+                key_deletions=1,
+                slow_replies=1,
+                partitions=1,
                 pulls=4,
             ),
-            Budget("two restarts", drains=1, late=1, restarts=2, slow=2, pulls=4),
+            GossipBudget("two restarts", drains=1, late_heartbeats=1, restarts=2, slow_replies=2, pulls=4),
         ]
     return [GossipWorld(budget) for budget in budgets]
 
 
 def model(large: bool) -> Model:
-    """Returns the model as the checker explores it."""
+    """Return the model as the checker explores it."""
     return Model(
         "telegraph",
-        "news of backends between controllers",
+        "updates about backends between control-plane nodes",
         lambda: initial_worlds(large),
         thaw,
         describe_step,
--- a/meadowworks/modelcheck/models/gossip_node.py
+++ b/meadowworks/modelcheck/models/gossip_node.py
@@ -1,4 +1,4 @@
-"""One process of the model ``telegraph``: what it holds, and the peers that it knows."""
+"""A process of the model ``telegraph``, with its view of its peers."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 from meadowworks.modelcheck.models.registry_node import RegistryNode
 from meadowworks.registry.backend_state import DRAINING, GONE, SUSPECT, UP
 
-CONTROL_PLANE, PROXY = (0, 1), 2  # hosts
-DRAINED_BACKEND = "x"  # the one that drains and leaves
+CONTROL_PLANE, PROXY = (0, 1), 2  # host numbers
+DRAINED_BACKEND = "x"  # the backend that drains and leaves
 RANK_OF_STATE = {UP: 0, SUSPECT: 0, DRAINING: 1, GONE: 2}
 UNKNOWN_RANK = -1
 
 
-class Node(RegistryNode):
-    """One process on a host, and the peers that it knows.
+class GossipNode(RegistryNode):
+    """A process on a host, with its view of its peers.
 
-    :ivar replied: by host, the incarnation that replied last.
+    :ivar replied: by host, the incarnation that sent the latest reply.
     """
 
     def __init__(self, host: int, incarnation: int) -> None:
@@ -29,9 +29,9 @@
         self.view = PartialView(record, 1)
 
     def rank(self) -> int:
-        """Returns how far it takes the drained backend to be gone.
+        """Return the rank of the drained backend's state in this process.
 
-        A backend whose address is not known yet has a state all the same.
+        Reports of a backend whose address is still missing have a state too.
         """
         instance = self.directory.instances.get(DRAINED_BACKEND)
         if instance is not None:
@@ -41,5 +41,5 @@
         return UNKNOWN_RANK
 
     def peer_heartbeats(self) -> dict[str, int]:
-        """Returns the heartbeat counter of each peer in its view, by host."""
+        """Return the heartbeat counter of each peer in the view, by host."""
         return {host: entry.record.heartbeat for host, entry in self.view.peers.items()}
--- a/meadowworks/modelcheck/models/registry_world.py
+++ b/meadowworks/modelcheck/models/registry_world.py
@@ -137,57 +137,57 @@
         getattr(self, ACTION_METHODS[kind])(*arguments)
 
     def drain_backend(self, backend: str) -> None:
-        """A backend drains and reports this to the first node."""
+        """Let a backend drain and report this to the first node."""
         self._use_budget("drains")
         outcome = self.nodes[0].heartbeats.record_heartbeat(0, backend, heartbeat_document(DRAINING, 2))
         assert isinstance(outcome, CallAccepted)
         self.unacknowledged[backend] = outcome.version
 
     def publish_unrelated_update(self) -> None:
-        """The first node publishes an update that concerns no backend."""
+        """Publish an update at the first node that concerns no backend."""
         self._use_budget("unrelated_updates")
         self.nodes[0].updates.publish("pulse", self.left.unrelated_updates)
 
     def pull_updates(self, host: int) -> None:
-        """A node pulls from the other and receives the reply at once."""
+        """Let a node pull from the other and receive the reply at once."""
         self._use_budget("pulls")
         self._apply_reply(self._build_reply(host))
 
     def start_slow_pull(self, host: int) -> None:
-        """A node pulls, and the reply is delayed."""
+        """Let a node pull, and delay the reply."""
         self._use_budget("delayed_replies")
         self.delayed = self._build_reply(host)
 
     def deliver_reply(self) -> None:
-        """The delayed reply arrives."""
+        """Deliver the delayed reply."""
         assert self.delayed is not None
         self._apply_reply(self.delayed)
         self.delayed = None
 
     def drop_reply(self) -> None:
-        """The delayed reply is lost."""
+        """Drop the delayed reply."""
         self.delayed = None
 
     def start_write(self, host: int) -> None:
-        """A node starts to write its unsynced drains."""
+        """Start the write of a node's unsynced drains."""
         self.nodes[host].drain_log.next_batch()
 
     def complete_write(self, host: int) -> None:
-        """The write in flight completes."""
+        """Complete the write in flight of a node."""
         drain_log = self.nodes[host].drain_log
         assert drain_log.write_in_flight is not None
         self.disks[host] = {**self.disks[host], **drain_log.write_in_flight.rows}
         drain_log.on_written()
 
     def fail_write(self, host: int) -> None:
-        """The write in flight fails."""
+        """Let the write in flight of a node fail."""
         self._use_budget("write_failures")
         self.nodes[host].drain_log.on_write_failed()
 
     def restart_after_power_loss(self, host: int) -> None:
-        """A node loses power, and with it all unsynced state and a write in flight.
+        """Restart a node after a loss of power, without its unsynced state and write in flight.
 
-        It restarts as a new incarnation. Old heartbeats of the backends arrive late at the first node.
+        The node has a new incarnation. Old heartbeats of the backends arrive late at the first node.
         """
         self._use_budget("power_losses")
         node = self.nodes[host] = PeerNode(host, self.nodes[host].incarnation + 1)
@@ -201,7 +201,7 @@
             self.delayed = None
 
     def acknowledge_drain(self, backend: str) -> None:
-        """A drain is acknowledged to its caller."""
+        """Acknowledge a drain to the backend."""
         del self.unacknowledged[backend]
         self.acknowledged |= {backend}
 
