--- a/meadowworks/modelcheck/models/priority_admission.py
+++ b/meadowworks/modelcheck/models/priority_admission.py
@@ -1,4 +1,4 @@
-"""The model `priorities`: one admission ratio, shared out over the priorities of a service's routes."""
+"""The model `priorities`: an admission ratio distributed over the priorities of a service's routes."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 PRIORITIES = (0, 1, 2)
 SERVICE_RATIOS = (1.0, 0.9, 0.5, 0.1)
-MAX_REQUESTS = 2  # of each priority
+MAX_REQUESTS = 2  # per priority
 MAX_TICKS = 2
 TOLERANCE = 1e-9
 
 
 class AdmissionWorld:
-    """Requests of three priorities at one proxy, under a ratio that changes."""
+    """Requests of three priorities at a proxy, with a changing admission ratio."""
 
     def __init__(self) -> None:
         self.admission = PriorityAdmission()
@@ -25,7 +25,7 @@
         self.outcomes: list[tuple[Any, ...]] = []
 
     def enabled(self) -> Iterable[Step]:
-        """Requests come, the policy orders another ratio, and time passes."""
+        """Return the enabled steps: requests, changes of the service's ratio, and ticks."""
         for priority in PRIORITIES:
             if self.admission.counts.get(priority, 0) < MAX_REQUESTS:
                 yield "request", priority
@@ -36,7 +36,7 @@
             yield ("tick",)
 
     def take_step(self, step: Step) -> None:
-        """Take one of the steps that `enabled` named."""
+        """Take one of the enabled steps."""
         match step:
             case ("request", priority):
                 self.admission.record_request(priority)
@@ -47,37 +47,37 @@
                 self.admission.decay()
 
     def freeze(self) -> Any:
-        """A copy of what changes."""
+        """Return a copy of the mutable state."""
         return dict(self.admission.counts), self.service_ratio, self.ticks_left
 
     def key(self) -> Hashable:
-        """The state as numbers."""
+        """Return a value that is equal for worlds in the same state."""
         counts = tuple(sorted((p, round(count, 6)) for p, count in self.admission.counts.items()))
         return counts, self.service_ratio, self.ticks_left
 
     def ratios(self) -> dict[int, float]:
-        """The ratio of each priority that has been asked for."""
+        """Return the ratio of each priority that has had requests."""
         return {
             priority: self.admission.ratio(priority, self.service_ratio) for priority in self.admission.counts
         }
 
 
 def thaw(state: Any) -> AdmissionWorld:
-    """The world that `freeze` has kept."""
+    """Rebuild a world from the result of `freeze`."""
     world = AdmissionWorld()
     counts, world.service_ratio, world.ticks_left = state
     world.admission.counts = dict(counts)
     return world
 
 
-def urgent_first(world: AdmissionWorld) -> bool:
-    """A priority is granted no less than any that is less urgent."""
+def urgent_priorities_first(world: AdmissionWorld) -> bool:
+    """Return whether no priority is granted less than a less urgent one."""
     granted = [ratio for _, ratio in sorted(world.ratios().items())]
     return all(granted[k] >= granted[k + 1] - TOLERANCE for k in range(len(granted) - 1))
 
 
-def one_budget(world: AdmissionWorld) -> bool:
-    """What all priorities are granted together is the service's ratio."""
+def ratios_add_up_to_service_ratio(world: AdmissionWorld) -> bool:
+    """Return whether the priorities together are granted the service's ratio."""
     counts = world.admission.counts
     if not counts:
         return True
@@ -85,31 +85,35 @@
     return abs(granted / sum(counts.values()) - world.service_ratio) < TOLERANCE
 
 
-def none_starved(world: AdmissionWorld) -> bool:
-    """Each priority is granted its reserved part, and none more than all of its requests."""
-    least = RESERVED_SHARE * world.service_ratio - TOLERANCE
-    return all(least <= ratio <= 1 + TOLERANCE for ratio in world.ratios().values())
+def reserved_share_granted(world: AdmissionWorld) -> bool:
+    """Return whether each priority is granted its reserved share, and at most all of its requests."""
+    min_ratio = RESERVED_SHARE * world.service_ratio - TOLERANCE
+    return all(min_ratio <= ratio <= 1 + TOLERANCE for ratio in world.ratios().values())
 
 
 PROPERTIES = (
-    Property("urgent first", "a more urgent request is admitted no less often", urgent_first),
-    Property("one budget", "all priorities together are granted the service's ratio", one_budget),
-    Property("none starved", "each priority is granted its reserved part", none_starved),
+    Property("urgent first", "a more urgent request is admitted at least as often", urgent_priorities_first),
+    Property(
+        "one budget",
+        "all priorities together are granted the service's ratio",
+        ratios_add_up_to_service_ratio,
+    ),
+    Property("none starved", "each priority is granted its reserved share", reserved_share_granted),
 )
 
 
 def describe_step(step: Step) -> str:
-    """A step in plain words."""
+    """Describe a step in words."""
     match step:
         case ("request", priority):
-            return f"a request of priority {priority} comes"
+            return f"a request of priority {priority} arrives"
         case ("order", number):
             return f"the policy admits {SERVICE_RATIOS[number]:.0%} of the service's requests"
     return "an interval passes"
 
 
-def model(large: bool) -> Model:  # noqa: ARG001  # one size: it is small
-    """The model, as the checker runs it."""
+def model(large: bool) -> Model:  # noqa: ARG001  # there is no larger model
+    """Return the model as the checker explores it."""
     return Model(
         "priorities",
         "an admission ratio by priority",
