--- a/meadowworks/modelcheck/models/policy/__init__.py
+++ b/meadowworks/modelcheck/models/policy/__init__.py
@@ -1,11 +1,12 @@
-"""The model of the policy: `Controller` with the fleet controller's real `TableUpdates`, in a small world.
+"""Model of the load-balancing policy: `Controller` with the fleet controller's own `TableUpdates`.
 
-Three backends, two zones, a proxy in each; the endpoint list changes, proxies join and leave, reports come or
-do not, the channel acknowledges or stalls, time goes by or jumps, in every order to a stated depth.
+There are three backends and two zones with a proxy in each. The endpoint list changes, proxies join and
+leave, reports arrive or are missing, the channel acknowledges or stalls, and time passes or jumps, in every
+order up to a fixed depth.
 
-The states have no end (there are clocks and decaying sums), so worlds are told apart byte by byte and the
-exploration is bounded by depth, from starts that lie far apart. A world is kept as what `pickle` makes of it,
-with the settings left out: see docs/design/state-checks.md for the ways that were weighed.
+The state space is infinite because of clocks and decaying sums. Worlds are therefore compared byte by byte as
+pickled, without the settings, and the exploration is bounded by depth from several distant initial worlds.
+docs/design/state-checks.md describes the alternatives.
 """
 
 from __future__ import annotations
--- a/meadowworks/modelcheck/models/policy/channel.py
+++ b/meadowworks/modelcheck/models/policy/channel.py
@@ -1,4 +1,4 @@
-"""The control channel, and the proxies at its other end."""
+"""A simulated control channel and the proxies that it reaches."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 
 class ProxyState:
-    """What a proxy that has joined holds.
+    """The state of a proxy that has joined.
 
-    :ivar tables: by route, the weights by the backends' names.
+    :ivar tables: by route, the weights by backend name.
     :ivar admissions: by route.
-    :ivar message_times_ns: when it was sent messages, within the window of the limit on them.
-    :ivar without_backend_since_ns: since when it lacks a weight that it might have; None if it does not.
+    :ivar message_times_ns: the send times of its messages within the window of the message limit.
+    :ivar without_backend_since_ns: since when a table is empty although a backend is available, or None.
     """
 
     def __init__(self) -> None:
@@ -30,7 +30,7 @@
         self.without_backend_since_ns: int | None = None
 
     def apply(self, updates: list[TableUpdate]) -> None:
-        """Takes in a message, as a proxy does."""
+        """Apply a message as a proxy does."""
         for update in updates:
             for route, name in enumerate(ROUTE_NAMES):
                 if not update.routes or name in update.routes:
@@ -48,17 +48,17 @@
             self.admissions[route] = update.admission
 
     def has_backend_in(self, names: set[str]) -> bool:
-        """Whether a table names one of these backends."""
+        """Return whether a table contains one of these backends."""
         return any(names & set(table) for table in self.tables)
 
 
-class ControlChannel:
-    """The channel to the proxies: it delivers at once, and may stall with its acknowledgements.
+class SimulatedChannel:
+    """A channel that delivers to the proxies at once and whose acknowledgements may stall.
 
-    :ivar proxies: those that have joined.
-    :ivar backlog_lines: lines that waited in the channel at `backlog_ns`.
-    :ivar pending_nonces: acknowledgements that are on their way.
-    :ivar last_stalled_ns: when the channel last acknowledged nothing.
+    :ivar proxies: the proxies that have joined.
+    :ivar backlog_lines: the number of lines that were queued in the channel at `backlog_ns`.
+    :ivar pending_nonces: the nonces of acknowledgements in flight.
+    :ivar last_stalled_ns: the latest time at which the channel was stalled.
     """
 
     def __init__(self, now_ns: int) -> None:
@@ -69,7 +69,7 @@
         self.last_stalled_ns = -DRAIN_GRACE_NS
 
     def send(self, now_ns: int, updates: TableUpdates) -> None:
-        """Sends all changes of a step, one message a proxy; the proxies take them in at once."""
+        """Send all changes of a step, one message per proxy; the proxies apply them at once."""
         self._drain(now_ns)
         for proxies, message in updates.take_messages():
             for number in proxies:
@@ -86,9 +86,9 @@
         self.backlog_lines, self.backlog_ns = max(0.0, self.backlog_lines - sent_lines), now_ns
 
     def observe(self, now_ns: int, expects_backend: bool) -> None:
-        """Notes since when a proxy has nothing to pick.
+        """Record since when each proxy has had an empty table.
 
-        :param expects_backend: whether the controller knows of a backend that each proxy might have.
+        :param expects_backend: whether the controller has a backend that it could assign to each proxy.
         """
         for proxy in self.proxies.values():
             if not expects_backend or all(proxy.tables):
@@ -98,8 +98,11 @@
         if self.is_stalled:
             self.last_stalled_ns = now_ns
 
-    def has_no_room(self, now_ns: int, proxy: int) -> bool:
-        """Whether the caps leave no room for one more urgent message: a tenth of them is reserved."""
+    def is_at_capacity(self, now_ns: int, proxy: int) -> bool:
+        """Return whether the limits on messages or lines leave no room for another urgent message.
+
+        Half of the queue and two messages are reserved. A stalled channel has no room either.
+        """
         messages = len(self.proxies[proxy].message_times_ns)
         return (
             messages >= SETTINGS.message_limit - 2
--- a/meadowworks/modelcheck/models/policy/deployment.py
+++ b/meadowworks/modelcheck/models/policy/deployment.py
@@ -39,25 +39,26 @@
 )
 START_NS = 1000 * NS_PER_S  # the clock of a new world
 TICK_NS = SETTINGS.report_interval_ns // 2
-BATCH_NS = NS_PER_S // 1000  # between two batches: each step is a batch of its own
-DRAIN_GRACE_NS = 5 * NS_PER_S // 2  # for weights of what drains: what the settings would state
-NO_BACKEND_LIMIT_NS = DRAIN_GRACE_NS  # for a proxy without a backend
-STALL_TICKS = 6  # longer than the grace
+BATCH_NS = NS_PER_S // 1000  # between two batches; each step is one batch
+DRAIN_GRACE_NS = 5 * NS_PER_S // 2  # how long a draining backend may keep a weight
+NO_BACKEND_LIMIT_NS = DRAIN_GRACE_NS  # how long a proxy may be without a backend
+STALL_TICKS = 6  # longer than the drain grace period
 
 READY, DRAINING, GONE = "ready", "draining", "gone"
 BACKEND_ZONES = (0, 1, 0)
 BACKENDS = range(len(BACKEND_ZONES))
-LISTED_STATES = ((READY, DRAINING, GONE), (READY, GONE), (READY, DRAINING))  # that the list names, by backend
-UNANNOUNCED_BACKEND = 2  # may be gone without a change of the list that says so
+# By backend, the states that the list may report.
+LISTED_STATES = ((READY, DRAINING, GONE), (READY, GONE), (READY, DRAINING))
+UNANNOUNCED_BACKEND = 2  # may be gone without a change of the list
 BACKEND_WEIGHT = 2.0
-ROUNDING_ERROR = 1e-9  # for sums of floats
+ROUNDING_ERROR = 1e-9  # tolerance for sums of floats
 
 
 def backend_name(backend: int) -> str:
-    """A backend's name in the tables of proxies."""
+    """Return a backend's name in the tables of proxies."""
     return f"s-{backend}"
 
 
 def backend_index(name: str) -> int:
-    """The backend that a proxy's table names."""
+    """Return the index of a backend from its name in a proxy's table."""
     return int(name.removeprefix("s-"))
--- a/meadowworks/modelcheck/models/policy/initial_worlds.py
+++ b/meadowworks/modelcheck/models/policy/initial_worlds.py
@@ -1,4 +1,4 @@
-"""The worlds that an exploration starts from."""
+"""The worlds from which an exploration starts."""
 
 from __future__ import annotations
 
@@ -6,7 +6,13 @@
 
 from meadowworks.modelcheck.model import Step
 from meadowworks.modelcheck.models.policy.deployment import DRAINING, GONE, READY
-from meadowworks.modelcheck.models.policy.world import ALL_FAIL, FEW_CALLS, MANY_CALLS, NO_FAILURES, World
+from meadowworks.modelcheck.models.policy.world import (
+    ALL_FAIL,
+    FEW_CALLS,
+    MANY_CALLS,
+    NO_FAILURES,
+    PolicyWorld,
+)
 
 QUIET_SECONDS, OVERLOAD_SECONDS = 9, 4
 TICK: Step = ("tick",)
@@ -14,62 +20,62 @@
 OVERLOAD_SECOND: tuple[Step, ...] = (("ask", MANY_CALLS), ("report", ALL_FAIL), TICK, TICK)
 
 
-def take_steps(world: World, *steps: Step) -> None:
-    """Takes one step after the other."""
+def take_steps(world: PolicyWorld, *steps: Step) -> None:
+    """Take the steps in order."""
     for step in steps:
         world.take_step(step)
 
 
-def fresh() -> World:
-    """A controller that has just read its list from disk."""
-    return World()
+def fresh() -> PolicyWorld:
+    """Return a world whose controller has just read its endpoint list from disk."""
+    return PolicyWorld()
 
 
-def quiet() -> World:
-    """Both proxies joined, nine seconds into a quiet day."""
-    world = World()
+def quiet() -> PolicyWorld:
+    """Return a world with both proxies joined, after nine seconds without failures."""
+    world = PolicyWorld()
     take_steps(world, ("join", 0), ("join", 1), ("whole",), *QUIET_SECOND * QUIET_SECONDS)
     return world
 
 
-def overloaded() -> World:
-    """All attempts fail, calls are throttled."""
+def overloaded() -> PolicyWorld:
+    """Return a world in which all attempts fail and requests are rejected by admission control."""
     world = quiet()
     take_steps(world, *OVERLOAD_SECOND * OVERLOAD_SECONDS)
     return world
 
 
-def one_backend_left() -> World:
-    """One backend left in all, one just started."""
+def one_backend_left() -> PolicyWorld:
+    """Return a world in which one backend is left and another has just started."""
     world = quiet()
     take_steps(world, ("list", 0, GONE), TICK, ("list", 1, GONE), TICK, ("start", 0), TICK)
     return world
 
 
-def channel_stalled() -> World:
-    """The channel stalls with messages in it."""
+def channel_stalled() -> PolicyWorld:
+    """Return a world in which the channel stalls with messages in flight."""
     world = quiet()
     take_steps(world, ("channel",), ("list", 0, DRAINING), TICK, ("leave", 0), ("join", 0), TICK)
     return world
 
 
-def without_list() -> World:
-    """Both proxies joined, and no list so far."""
-    world = World(listed=False)
+def without_list() -> PolicyWorld:
+    """Return a world with both proxies joined and no endpoint list yet."""
+    world = PolicyWorld(listed=False)
     take_steps(world, ("join", 0), ("join", 1), TICK)
     return world
 
 
-def near_message_limit() -> World:
-    """Nearly as many messages as the window allows have been sent."""
+def near_message_limit() -> PolicyWorld:
+    """Return a world in which the message limit is almost reached."""
     world = quiet()
     take_steps(world, *[TICK] * 8, ("list", 0, DRAINING), TICK, ("list", 0, READY), TICK)
     take_steps(world, TICK, ("list", 0, DRAINING), TICK, ("list", 2, DRAINING), TICK)
     return world
 
 
-# Seeded faults name them by their place.
-INITIAL_WORLDS: tuple[Callable[[], World], ...] = (
+# Seeded faults refer to these by index; append only.
+INITIAL_WORLDS: tuple[Callable[[], PolicyWorld], ...] = (
     fresh,
     quiet,
     overloaded,
@@ -80,6 +86,6 @@
 )
 
 
-def initial_worlds() -> list[World]:
-    """The worlds, made anew."""
+def initial_worlds() -> list[PolicyWorld]:
+    """Return a new instance of each initial world."""
     return [make_world() for make_world in INITIAL_WORLDS]
--- a/meadowworks/modelcheck/models/policy/world.py
+++ b/meadowworks/modelcheck/models/policy/world.py
@@ -1,4 +1,4 @@
-"""One world of the model: the controller, its host, the channel, and the steps that may come."""
+"""The world of the model: the controller with its host, the channel, and the possible steps."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from meadowworks.fleet.table_updates import TableUpdates
 from meadowworks.modelcheck.model import Step
-from meadowworks.modelcheck.models.policy.channel import ControlChannel, ProxyState
+from meadowworks.modelcheck.models.policy.channel import ProxyState, SimulatedChannel
 from meadowworks.modelcheck.models.policy.deployment import (
     BACKEND_WEIGHT,
     BACKEND_ZONES,
@@ -31,33 +31,47 @@
 from meadowworks.policy.interface import AttemptReport, EndpointEntry
 
 CONTROLLER_SEED = 7
-USUAL_RATE = 10.0  # calls a second that a proxy says it has when it joins
-ATTEMPTS = 20  # of a report
-NO_FAILURES, ALL_FAIL = -1, -2  # reports of no backend's failures alone
-FEW_CALLS, MANY_CALLS = 2, 200  # of a demand report
+INITIAL_REQUEST_RATE = 10.0  # requests per second that a proxy states when it joins
+ATTEMPTS_PER_REPORT = 20
+NO_FAILURES, ALL_FAIL = -1, -2  # values for `deliver_backend_reports` in place of a backend
+FEW_CALLS, MANY_CALLS = 2, 200  # request counts of a demand report
+# The method of `PolicyWorld` that takes a step, by the kind of the step.
+ACTION_METHODS: dict[str, str] = {
+    "tick": "advance_time",
+    "stall": "stall_controller",
+    "miss": "remove_backend_unannounced",
+    "whole": "deliver_full_list",
+    "list": "change_backend_state",
+    "start": "start_backend",
+    "report": "deliver_backend_reports",
+    "ask": "deliver_demand_reports",
+    "join": "join_proxy",
+    "leave": "remove_proxy",
+    "channel": "toggle_channel_stall",
+}
 
 
 class ListedBackend(NamedTuple):
-    """A backend as the endpoint list has it."""
+    """A backend in the endpoint list."""
 
     state: str
     since_ns: int
 
 
 class AdmissionSet(NamedTuple):
-    """An outcome of a step: the controller has set an admission."""
+    """A step outcome: an admission that the controller set."""
 
     limit: float
     retry_policy: int
 
 
-class World:
-    """The controller's host, the channel and the proxies behind it.
+class PolicyWorld:
+    """The controller, its host, the channel and the proxies.
 
-    :ivar outcomes: the admissions that the last step has set.
-    :ivar listed: the backends as they are.
-    :ivar removed_since_ns: since when the controller knows that a backend is not ready.
-    :ivar has_list: whether the controller has been given the list.
+    :ivar outcomes: the admissions that the last step set.
+    :ivar listed: the actual state of the backends.
+    :ivar removed_since_ns: by backend, when the controller was told that it is not ready.
+    :ivar has_list: whether the controller has received the endpoint list.
     """
 
     def __init__(self, listed: bool = True) -> None:
@@ -68,7 +82,7 @@
         self.listed = dict.fromkeys(BACKENDS, initial)
         self.removed_since_ns: dict[int, int] = {}
         self.updates = TableUpdates(ROUTE_NAMES, {backend: backend_name(backend) for backend in BACKENDS})
-        self.channel = ControlChannel(self.now_ns)
+        self.channel = SimulatedChannel(self.now_ns)
         self.has_list = listed
         self.controller = Controller(self, SETTINGS, CONTROLLER_SEED, self.now_ns)
         if listed:
@@ -84,87 +98,89 @@
     # -- the controller's host
 
     def log(self, _line: str) -> None:
-        """Drops a line of the log."""
+        """Discard a log line."""
 
     def watch_list(self, _on: bool) -> None:
-        """Does nothing: steps say what the list names."""
+        """Do nothing: steps deliver the changes of the list."""
 
     def check_health(self, _backend: int) -> None:
-        """Refuses a health check.
+        """Reject a health check.
 
-        :raises AssertionError: always, as the settings allow none.
+        :raises AssertionError: always, because the settings disable health checks.
         """
-        raise AssertionError("no probe is asked for where none is allowed")
+        raise AssertionError("the controller requested a health check although health checks are disabled")
 
     def release_backend(self, backend: int) -> None:
-        """Checks that no table names a released backend any more."""
+        """Assert that no table contains a released backend."""
         tables = self.updates.tables.values()
-        assert not any(backend in table.weights for table in tables), "a name still in use"
+        assert not any(
+            backend in table.weights for table in tables
+        ), f"a table has released backend {backend}"
 
     def request_ack(self, nonce: int) -> None:
-        """Gives this step's messages a nonce, whose acknowledgement is then on its way."""
+        """Set the nonce of this step's messages and queue its acknowledgement."""
         self.updates.nonce = nonce
         self.channel.pending_nonces.append(nonce)
 
     def set_timer(self, wait_ns: int) -> None:
-        """Checks the wait: `do_tick` is the timer."""
+        """Assert that the wait is one tick, as `advance_time` is the timer."""
         assert wait_ns == TICK_NS
 
     def set_weight(self, table: int, backend: int, weight: float) -> None:
-        """Sets a backend's weight in a table."""
+        """Set a backend's weight in a table."""
         assert weight >= 0
         self.updates.set_weight(table, backend, weight)
 
     def assign_table(self, routes: int, proxy: int, table: int) -> None:
-        """Makes a proxy use a table."""
+        """Assign a table to a proxy."""
         self.updates.assign_table(routes, proxy, table)
 
     def set_admission(self, table: int, routes: int, limit: float, retry_policy: int) -> None:
-        """Sets the admission of a table's routes."""
+        """Set the admission of a table's routes."""
         self.outcomes.append(AdmissionSet(limit, retry_policy))
         self.updates.set_admission(table, routes, limit, retry_policy)
 
     # -- steps
 
     def enabled(self) -> Iterable[Step]:
-        """The steps that may come next."""
-        found: list[Step] = [("tick",), ("stall",), ("whole",)]
+        """Return the steps that can be taken in this state."""
+        steps: list[Step] = [("tick",), ("stall",), ("whole",)]
         if self.listed[UNANNOUNCED_BACKEND].state != GONE:
-            found.append(("miss", UNANNOUNCED_BACKEND))
+            steps.append(("miss", UNANNOUNCED_BACKEND))
         for backend, (state, _) in self.listed.items():
-            found += [("list", backend, to) for to in LISTED_STATES[backend] if to != state]
-        found += [("start", 0), ("start", 1)]
-        found += [("report", 0), ("report", NO_FAILURES), ("report", ALL_FAIL)]
-        found += [("ask", FEW_CALLS), ("ask", MANY_CALLS)]
+            steps += [("list", backend, to) for to in LISTED_STATES[backend] if to != state]
+        steps += [("start", 0), ("start", 1)]
+        steps += [("report", 0), ("report", NO_FAILURES), ("report", ALL_FAIL)]
+        steps += [("ask", FEW_CALLS), ("ask", MANY_CALLS)]
         for proxy in range(SETTINGS.proxy_count):
-            found.append(("leave", proxy) if proxy in self.channel.proxies else ("join", proxy))
-        found.append(("channel",))
-        return found
+            steps.append(("leave", proxy) if proxy in self.channel.proxies else ("join", proxy))
+        steps.append(("channel",))
+        return steps
 
     def take_step(self, step: Step) -> None:
-        """Takes a step, and sends what the controller has ordered."""
+        """Take a step and send the resulting updates of the controller."""
         self.outcomes, self.frozen = [], b""
         self.now_ns += BATCH_NS
         kind, *arguments = step
-        getattr(self, "do_" + kind)(*arguments)
+        getattr(self, ACTION_METHODS[kind])(*arguments)
         self._send_updates()
 
-    def do_tick(self, ticks: int = 1) -> None:
-        """Time goes by, and the timer ends."""
+    def advance_time(self, ticks: int = 1) -> None:
+        """Advance the time and run the controller's timer."""
         self.now_ns += TICK_NS * ticks
         self._deliver_acks()
         self.controller.tick(self.now_ns)
 
-    def do_stall(self) -> None:
-        """The controller does not run for several ticks."""
-        self.do_tick(STALL_TICKS)
+    def stall_controller(self) -> None:
+        """Advance the time by several ticks, then run the controller's timer once."""
+        self.advance_time(STALL_TICKS)
 
-    def do_miss(self, backend: int) -> None:
-        """A backend is gone, and the change does not come: the next whole list lacks it."""
+    def remove_backend_unannounced(self, backend: int) -> None:
+        """Remove a backend without an announced change; the next full list omits it."""
         self.listed[backend] = ListedBackend(GONE, self.listed[backend].since_ns)
 
-    def do_whole(self) -> None:
-        """The whole list comes."""
+    def deliver_full_list(self) -> None:
+        """Deliver the full endpoint list."""
         self.has_list = True
         for backend, (state, _) in self.listed.items():
             if state == GONE:
@@ -172,16 +188,16 @@
         present = [backend for backend, (state, _) in self.listed.items() if state != GONE]
         self.controller.on_endpoints(self.now_ns, "whole", self._entries(present))
 
-    def do_list(self, backend: int, state: str) -> None:
-        """The list changes a backend's state."""
-        self._list_change(backend, state, self.listed[backend].since_ns)
+    def change_backend_state(self, backend: int, state: str) -> None:
+        """Deliver a change of a backend's state."""
+        self._deliver_change(backend, state, self.listed[backend].since_ns)
 
-    def do_start(self, backend: int) -> None:
-        """A backend has just been started, under its name: cold."""
-        self._list_change(backend, READY, self.now_ns)
+    def start_backend(self, backend: int) -> None:
+        """Deliver the change that a backend has just restarted and is cold."""
+        self._deliver_change(backend, READY, self.now_ns)
 
-    def do_report(self, failing: int) -> None:
-        """A period in which every proxy tried the backends that it holds.
+    def deliver_backend_reports(self, failing: int) -> None:
+        """Deliver the reports of an interval in which every proxy used all of its backends.
 
         :param failing: the backend at which all attempts fail, `NO_FAILURES` or `ALL_FAIL`.
         """
@@ -189,33 +205,33 @@
         for number, proxy in self.channel.proxies.items():
             for name in proxy.tables[0]:
                 backend = backend_index(name)
-                failures = ATTEMPTS if failing in (backend, ALL_FAIL) else 0
-                report = AttemptReport(ATTEMPTS, failures, NS_PER_S // 10, NS_PER_S, dict(load))
+                failures = ATTEMPTS_PER_REPORT if failing in (backend, ALL_FAIL) else 0
+                report = AttemptReport(ATTEMPTS_PER_REPORT, failures, NS_PER_S // 10, NS_PER_S, dict(load))
                 self.controller.on_backend_report(self.now_ns, number, backend, report)
 
-    def do_ask(self, calls: int) -> None:
-        """Calls of each route come to each proxy."""
+    def deliver_demand_reports(self, calls: int) -> None:
+        """Deliver a demand report for each route of each proxy."""
         for proxy in self.channel.proxies:
             for route in range(len(ROUTE_NAMES)):
                 self.controller.on_demand_report(self.now_ns, proxy, route, calls, NS_PER_S)
 
-    def do_join(self, proxy: int) -> None:
-        """A proxy joins, in the zone of its number."""
+    def join_proxy(self, proxy: int) -> None:
+        """Let a proxy join in the zone that has its number."""
         self.channel.proxies[proxy] = ProxyState()
         self.updates.add_proxy(proxy)
-        self.controller.on_proxy_joined(self.now_ns, proxy, proxy, USUAL_RATE)
+        self.controller.on_proxy_joined(self.now_ns, proxy, proxy, INITIAL_REQUEST_RATE)
 
-    def do_leave(self, proxy: int) -> None:
-        """A proxy leaves."""
+    def remove_proxy(self, proxy: int) -> None:
+        """Let a proxy leave."""
         del self.channel.proxies[proxy]
         self.updates.remove_proxy(proxy)
         self.controller.on_proxy_left(self.now_ns, proxy)
 
-    def do_channel(self) -> None:
-        """The channel stalls, or goes on."""
+    def toggle_channel_stall(self) -> None:
+        """Let the channel stall or resume."""
         self.channel.is_stalled = not self.channel.is_stalled
 
-    def _list_change(self, backend: int, state: str, since_ns: int) -> None:
+    def _deliver_change(self, backend: int, state: str, since_ns: int) -> None:
         self.listed[backend] = ListedBackend(state, since_ns)
         if state == READY:
             self.removed_since_ns.pop(backend, None)
@@ -243,7 +259,7 @@
     # -- states
 
     def freeze(self) -> bytes:
-        """What `thaw` makes the same world of, without the settings and the last step's outcomes."""
+        """Return the pickled world, without the settings and the last step's outcomes."""
         if self.frozen:
             return self.frozen
         outcomes, self.outcomes = self.outcomes, []
@@ -255,12 +271,12 @@
             self.controller.settings, self.outcomes = SETTINGS, outcomes
 
     def key(self) -> bytes:
-        """What tells this state from others."""
+        """Return a value that is equal for worlds in the same state."""
         return self.freeze()
 
 
-def thaw(state: bytes) -> World:
-    """The world that was frozen."""
-    world: World = pickle.loads(state)
+def thaw(state: bytes) -> PolicyWorld:
+    """Rebuild a world from the result of `freeze`."""
+    world: PolicyWorld = pickle.loads(state)
     world.controller.settings = SETTINGS
     return world
--- a/tests/modelcheck/test_policy_model.py
+++ b/tests/modelcheck/test_policy_model.py
@@ -1,4 +1,4 @@
-"""Paths through the model of the decision logic that only larger worlds reach, each with its guard."""
+"""Paths of the policy model that are longer than its exploration depth, each with the guard that it needs."""
 
 from __future__ import annotations
 
@@ -8,49 +8,51 @@
 
 from meadowworks.modelcheck.model import Step
 from meadowworks.modelcheck.models.policy.initial_worlds import INITIAL_WORLDS, quiet, take_steps
-from meadowworks.modelcheck.models.policy.properties import cold_spared, drains_first
+from meadowworks.modelcheck.models.policy.properties import drained_at_once, slow_start_respected
 from meadowworks.modelcheck.seeded_fault import SeededFault, injected_fault
 from meadowworks.modelcheck.seeded_faults.policy import RULES
 
-# Two paths that only four steps reach, each with the guard that keeps it.
-NEAR = (
+# Initial world, steps, property, and the (method, original, replacement) that removes the guard.
+FOUR_STEP_PATHS = (
     (
         6,
         (("list", 0, "ready"), ("list", 0, "draining"), ("leave", 0), ("join", 0)),
-        drains_first,
+        drained_at_once,
         ("on_proxy_joined", "not b.ready or ", ""),
     ),
     (
         6,
         (("list", 0, "ready"), ("start", 0), ("leave", 0), ("join", 0)),
-        cold_spared,
+        slow_start_respected,
         ("on_proxy_joined", "or self.exceeds_slow_start_weight(now, b, w)", ""),
     ),
     (
         3,
         (("leave", 1), ("list", 1, "ready"), ("start", 1), ("tick",)),
-        cold_spared,
+        slow_start_respected,
         ("target_weights", "(min(1.0, factor) if self.is_warming(now, b) else factor)", "factor"),
     ),
 )
 
 
-@pytest.mark.parametrize(("start", "steps", "holds", "guard"), NEAR, ids=["drains", "restarted", "abroad"])
-def test_paths_of_four_steps_keep_the_rules_and_break_them_without_their_guard(
+@pytest.mark.parametrize(
+    ("start", "steps", "holds", "guard"), FOUR_STEP_PATHS, ids=["drains", "restarted", "abroad"]
+)
+def test_four_step_paths_satisfy_their_property_and_violate_it_without_the_guard(
     start: int, steps: tuple[Step, ...], holds: Any, guard: tuple[str, str, str]
 ) -> None:
-    def held() -> bool:
+    def property_holds() -> bool:
         world = INITIAL_WORLDS[start]()
         take_steps(world, *steps)
         return bool(holds(world))
 
-    at, was, now = guard
-    assert held()
-    with injected_fault(SeededFault("", "module", RULES + at, was, now, ())):
-        assert not held()
+    method, original, replacement = guard
+    assert property_holds()
+    with injected_fault(SeededFault("", "module", RULES + method, original, replacement, ())):
+        assert not property_holds()
 
 
-def test_what_is_forgotten_before_it_is_looked_at_again_stops_nobody() -> None:
+def test_a_timer_for_a_removed_backend_does_nothing() -> None:
     world = quiet()
     world.controller.timers.schedule(world.now_ns, lambda: world.controller.retain_missing(99, True))
     world.take_step(("tick",))
