--- a/meadowworks/attempts/machine.py
+++ b/meadowworks/attempts/machine.py
@@ -23,8 +23,8 @@
     RouteRetryPolicy,
     attempt_wait_ns,
     decide_retry,
-    none_ran,
     pick_by_weight,
+    proven_not_run,
     retry_after_ns,
 )
 
@@ -167,7 +167,7 @@
             return
         call.waiters.remove(waiter)
         if not call.waiters and self.route_policies[call.route].idempotent:
-            may_have_run = not none_ran([*call.attempts.values()])
+            may_have_run = not proven_not_run([*call.attempts.values()])
             self.finish(now, key, call, FinalReply("dropped", may_have_run, self.retry_delay_ns()))
 
     # -- backends
@@ -197,7 +197,7 @@
             return
         if state == ANSWERED:
             call.outcome = FinalReply("answered", True, NO_RETRY_NS)
-        elif none_ran([*call.attempts.values()]):
+        elif proven_not_run([*call.attempts.values()]):
             call.outcome = FinalReply("dropped", False, self.retry_delay_ns())
 
     def tick(self, now: int) -> None:
@@ -246,7 +246,7 @@
 
     def give_up(self, now: int, key: int, call: Call) -> None:
         """Drop a call at once, without waiting for its deadline; the reply says whether and when to retry."""
-        may_have_run = not none_ran([*call.attempts.values()])
+        may_have_run = not proven_not_run([*call.attempts.values()])
         no_repeat = may_have_run and not self.route_policies[call.route].idempotent
         delay_ns = NO_RETRY_NS if no_repeat else self.retry_delay_ns()
         self.finish(now, key, call, FinalReply("dropped", may_have_run, delay_ns))
--- a/meadowworks/attempts/retry_policy.py
+++ b/meadowworks/attempts/retry_policy.py
@@ -99,8 +99,8 @@
     return pick_by_weight(fastest, (), random_fraction)
 
 
-def none_ran(attempts: Sequence[Attempt]) -> bool:
-    """Return whether there is proof that none of the attempts ran."""
+def proven_not_run(attempts: Sequence[Attempt]) -> bool:
+    """Return whether there is proof that no attempt was executed."""
     return all(attempt.state == NEVER_RAN for attempt in attempts)
 
 
@@ -110,7 +110,7 @@
     """Return why the ended attempts forbid a retry, apart from time and backends; None if they do not."""
     if len(attempts) > MAX_RETRIES[retry_policy]:
         return RETRIES_EXHAUSTED
-    if not none_ran(attempts) and not (route_policy.idempotent and retry_policy >= RETRY_ANY_FAILURE):
+    if not proven_not_run(attempts) and not (route_policy.idempotent and retry_policy >= RETRY_ANY_FAILURE):
         return MAY_HAVE_RUN
     return None
 
--- a/meadowworks/consensus/lease.py
+++ b/meadowworks/consensus/lease.py
@@ -34,7 +34,7 @@
         """Record a reply to a request sent at `sent_ns` that names versions up to `highest_version`."""
         self.unconfirmed = [*self.unconfirmed, (highest_version, sent_ns)][-MAX_UNCONFIRMED:]
 
-    def confirm(self, committed_version: int) -> None:
+    def confirm_up_to(self, committed_version: int) -> None:
         """Confirm the requests whose replies name no version above the version committed here."""
         if not self.unconfirmed:
             return
@@ -66,17 +66,17 @@
         peer.last_reply, peer.last_reply_ns = reply, now_ns
         if reply.may_vote and reply.epoch == self._acceptor.newest_epoch().number:
             peer.on_reply(reply.highest_version, sent_ns)
-            peer.confirm(self._acceptor.committed.version)
+            peer.confirm_up_to(self._acceptor.committed.version)
 
     def query_self(self, now_ns: int) -> None:
         """Record the state of the own acceptor as a reply to a request sent now."""
         self.own_state.on_reply(self._acceptor.highest_undecided_version(), now_ns)
-        self.own_state.confirm(self._acceptor.committed.version)
+        self.own_state.confirm_up_to(self._acceptor.committed.version)
 
     def on_value_committed(self) -> None:
         """Confirm the requests that waited for a version which is now committed."""
         for peer in (self.own_state, *self.peers.values()):
-            peer.confirm(self._acceptor.committed.version)
+            peer.confirm_up_to(self._acceptor.committed.version)
 
     def on_new_epoch(self) -> None:
         """Discard the replies that members gave in an earlier epoch."""
--- a/meadowworks/fleet/connection_state.py
+++ b/meadowworks/fleet/connection_state.py
@@ -172,8 +172,8 @@
 
     # -- from the actor
 
-    def on_actor_started(self) -> None:
-        """Publish that a proxy has joined, now that its actor runs."""
+    def publish_proxy_joined(self) -> None:
+        """Publish that the proxy has joined. Called when its actor starts; collectors are not published."""
         if isinstance(self.peer, ProxyHello):
             self.host.publish(self.host.joined_event(self.peer), False)
 
--- a/meadowworks/fleet/peers.py
+++ b/meadowworks/fleet/peers.py
@@ -20,7 +20,7 @@
     """Process the mailbox until the connection ends. Afterwards a proxy has left, whatever ended it."""
     if isinstance(state.peer, CollectorHello):
         logger.info("collector of {}: joined", state.peer.zone)
-    state.on_actor_started()
+    state.publish_proxy_joined()
     try:
         async for item in mailbox.iterate():
             state.on_mailbox_item(item)
--- a/meadowworks/forwarding/request_attempts.py
+++ b/meadowworks/forwarding/request_attempts.py
@@ -254,7 +254,7 @@
         return self._reject(now, random_value)
 
     def _reject(self, now: int, random_value: float) -> RejectRequest:
-        if retries.none_ran([*self.attempts.values()]):
+        if retries.proven_not_run([*self.attempts.values()]):
             return RejectRequest(503, retries.retry_after_ns(RETRY_AFTER_BASE_NS, 1.0, random_value))
         return RejectRequest(504 if now >= self.deadline_ns else 502)
 
--- a/meadowworks/modelcheck/models/connection/world.py
+++ b/meadowworks/modelcheck/models/connection/world.py
@@ -226,7 +226,7 @@
     def start_actor(self, place: int) -> None:
         """Start the peer's actor."""
         self.connections[place].is_actor_running = True
-        self.connections[place].state.on_actor_started()
+        self.connections[place].state.publish_proxy_joined()
 
     def run_actor(self, place: int) -> None:
         """Let the peer's actor handle an item; when the actor ends, it ends its connection."""
--- a/meadowworks/modelcheck/models/policy/initial_worlds.py
+++ b/meadowworks/modelcheck/models/policy/initial_worlds.py
@@ -20,8 +20,8 @@
 OVERLOAD_SECOND: tuple[Step, ...] = (("ask", MANY_CALLS), ("report", ALL_FAIL), TICK, TICK)
 
 
-def take_steps(world: PolicyWorld, *steps: Step) -> None:
-    """Take the steps in order."""
+def apply_steps(world: PolicyWorld, *steps: Step) -> None:
+    """Apply the steps to a world, in order."""
     for step in steps:
         world.take_step(step)
 
@@ -34,43 +34,43 @@
 def quiet() -> PolicyWorld:
     """Return a world with both proxies joined, after nine seconds without failures."""
     world = PolicyWorld()
-    take_steps(world, ("join", 0), ("join", 1), ("whole",), *QUIET_SECOND * QUIET_SECONDS)
+    apply_steps(world, ("join", 0), ("join", 1), ("whole",), *QUIET_SECOND * QUIET_SECONDS)
     return world
 
 
 def overloaded() -> PolicyWorld:
     """Return a world in which all attempts fail and requests are rejected by admission control."""
     world = quiet()
-    take_steps(world, *OVERLOAD_SECOND * OVERLOAD_SECONDS)
+    apply_steps(world, *OVERLOAD_SECOND * OVERLOAD_SECONDS)
     return world
 
 
 def one_backend_left() -> PolicyWorld:
     """Return a world in which one backend is left and another has just started."""
     world = quiet()
-    take_steps(world, ("list", 0, GONE), TICK, ("list", 1, GONE), TICK, ("start", 0), TICK)
+    apply_steps(world, ("list", 0, GONE), TICK, ("list", 1, GONE), TICK, ("start", 0), TICK)
     return world
 
 
 def channel_stalled() -> PolicyWorld:
     """Return a world in which the channel stalls with messages in flight."""
     world = quiet()
-    take_steps(world, ("channel",), ("list", 0, DRAINING), TICK, ("leave", 0), ("join", 0), TICK)
+    apply_steps(world, ("channel",), ("list", 0, DRAINING), TICK, ("leave", 0), ("join", 0), TICK)
     return world
 
 
 def without_list() -> PolicyWorld:
     """Return a world with both proxies joined and no endpoint list yet."""
     world = PolicyWorld(listed=False)
-    take_steps(world, ("join", 0), ("join", 1), TICK)
+    apply_steps(world, ("join", 0), ("join", 1), TICK)
     return world
 
 
 def near_message_limit() -> PolicyWorld:
     """Return a world in which the message limit is almost reached."""
     world = quiet()
-    take_steps(world, *[TICK] * 8, ("list", 0, DRAINING), TICK, ("list", 0, READY), TICK)
-    take_steps(world, TICK, ("list", 0, DRAINING), TICK, ("list", 2, DRAINING), TICK)
+    apply_steps(world, *[TICK] * 8, ("list", 0, DRAINING), TICK, ("list", 0, READY), TICK)
+    apply_steps(world, TICK, ("list", 0, DRAINING), TICK, ("list", 2, DRAINING), TICK)
     return world
 
 
--- a/meadowworks/modelcheck/seeded_faults/attempt.py
+++ b/meadowworks/modelcheck/seeded_faults/attempt.py
@@ -13,8 +13,9 @@
         "a mutating call is tried again after any failure",
         "attempt",
         RETRY_POLICY + "retry_obstacle",
-        "if not none_ran(attempts) and not (route_policy.idempotent and retry_policy >= RETRY_ANY_FAILURE):",
-        "if not none_ran(attempts) and retry_policy < RETRY_ANY_FAILURE:",
+        "if not proven_not_run(attempts) and not "
+        "(route_policy.idempotent and retry_policy >= RETRY_ANY_FAILURE):",
+        "if not proven_not_run(attempts) and retry_policy < RETRY_ANY_FAILURE:",
         ("mutating once",),
     ),
     SeededFault(
@@ -58,7 +59,7 @@
         ("another backend",),
     ),
     SeededFault(
-        "any proof is proof of all", "attempt", RETRY_POLICY + "none_ran", "all(", "any(", ("truthful",)
+        "any proof is proof of all", "attempt", RETRY_POLICY + "proven_not_run", "all(", "any(", ("truthful",)
     ),
     SeededFault(
         "a drained backend's line is kept",
@@ -136,8 +137,8 @@
         "what may have run is told as never run",
         "attempt",
         ATTEMPT_MACHINE + "give_up",
-        "may_have_run = not none_ran(",
-        "may_have_run = False and not none_ran(",
+        "may_have_run = not proven_not_run(",
+        "may_have_run = False and not proven_not_run(",
         ("truthful",),
     ),
     SeededFault(
@@ -152,7 +153,7 @@
         "proof that comes late is not kept",
         "attempt",
         ATTEMPT_MACHINE + "on_late_result",
-        "elif none_ran([*call.attempts.values()]):",
+        "elif proven_not_run([*call.attempts.values()]):",
         "elif False:",
         ("precise",),
     ),
--- a/meadowworks/modelcheck/seeded_faults/connection.py
+++ b/meadowworks/modelcheck/seeded_faults/connection.py
@@ -226,7 +226,7 @@
     SeededFault(
         "a joining is not told to the module",
         "connection",
-        CONNECTION_STATE + "on_actor_started",
+        CONNECTION_STATE + "publish_proxy_joined",
         "self.host.publish(self.host.joined_event(self.peer), False)",
         "pass",
         ("bound at last",),
--- a/meadowworks/modelcheck/seeded_faults/forwarding.py
+++ b/meadowworks/modelcheck/seeded_faults/forwarding.py
@@ -57,7 +57,7 @@
             (
                 "an unsafe request has another try beside it",
                 RETRY_POLICY + "retry_obstacle",
-                "if not none_ran(attempts) and not "
+                "if not proven_not_run(attempts) and not "
                 "(route_policy.idempotent and retry_policy >= RETRY_ANY_FAILURE):",
                 "if False:",
                 ("at most once",),
@@ -65,7 +65,7 @@
             (
                 "what was given up is told 503",
                 ATTEMPTS + "_reject",
-                "if retries.none_ran([*self.attempts.values()]):",
+                "if retries.proven_not_run([*self.attempts.values()]):",
                 "if True:",
                 ("promises kept",),
             ),
--- a/meadowworks/policy/control_channel.py
+++ b/meadowworks/policy/control_channel.py
@@ -20,9 +20,9 @@
         # Detects a channel slower than stated: all lines sent since an overdue nonce count as queued.
         self.pending_nonces = deque(m for m in self.pending_nonces if m[1] >= now - WINDOW_NS)
         overdue = (self.sent_lines - before for _, due, before, _ in self.pending_nonces if due < now)
-        stuck = max(overdue, default=0.0)
+        overdue_lines = max(overdue, default=0.0)
         shares = zip(self.queued_lines, RATE_SHARES, strict=True)
-        self.queued_lines = [max(stuck, queued - drained * share) for queued, share in shares]
+        self.queued_lines = [max(overdue_lines, queued - drained * share) for queued, share in shares]
         targets = [p for p in users if not p.message_times or p.message_times[-1] != now]  # no message yet
         for proxy in targets:
             times = proxy.message_times
@@ -39,7 +39,7 @@
         if reserve == RESERVE_ROUTINE and outstanding and outstanding + overhead > interval_lines:
             return 0
         if users:
-            wait = stuck > 0 and now - self.nonce_sent_ns < SETTLING_NS  # a newer nonce may be acknowledged
+            wait = overdue_lines > 0 and now - self.nonce_sent_ns < SETTLING_NS  # a newer nonce may be acked
             caps = zip((reserve, max(wait, RESERVE_ROUTINE)), self.queued_lines, strict=True)
             room, usual = (int((settings.queue_limit * (1 - k) - q - overhead) / len(users)) for k, q in caps)
             extra = min(extra, max(0, usual - lines)) if lines <= room else room - lines
--- a/meadowworks/policy/weights.py
+++ b/meadowworks/policy/weights.py
@@ -91,8 +91,8 @@
         attempts = rate / max(1, backends) * self.settings.slow_start_ns / SECOND_NS * chance
         return attempts / (attempts + until_ejection)
 
-    def is_poor_link(self, zone: int, remote: int) -> bool:
-        """Return whether the link to another zone is slow or lossy; full backends do not count."""
+    def is_path_degraded(self, zone: int, remote: int) -> bool:
+        """Return whether the path to another zone is slow or lossy; full backends do not count."""
         stats = self.views[zone].stats_by_zone
         here, there = stats.get(zone, AttemptStats()), stats.get(remote, AttemptStats())
         if min(here.attempts, there.attempts) < MIN_ATTEMPTS or self.views[remote].mean_queue >= MIN_QUEUE:
@@ -102,7 +102,7 @@
         return excess > UNHEALTHY_RATIO or remote_ns - local_ns > SLO_SHARE * self.slo_ns
 
     def candidate_pool(self, now: int, zone: int, own_zone_only: bool) -> CandidatePool:
-        poor = {z for z in range(self.settings.zone_count) if z != zone and self.is_poor_link(zone, z)}
+        poor = {z for z in range(self.settings.zone_count) if z != zone and self.is_path_degraded(zone, z)}
         usable = {i: b for i, b in self.backends.items() if b.ready and (b.zone == zone or not own_zone_only)}
         ready = {i: b for i, b in usable.items() if b.zone not in poor} or usable
         weights = {i: max(b.weight, 1e-3) * self.weight_factor(now, b) for i, b in ready.items()}
--- a/tests/modelcheck/test_policy_model.py
+++ b/tests/modelcheck/test_policy_model.py
@@ -7,7 +7,7 @@
 import pytest
 
 from meadowworks.modelcheck.model import Step
-from meadowworks.modelcheck.models.policy.initial_worlds import INITIAL_WORLDS, quiet, take_steps
+from meadowworks.modelcheck.models.policy.initial_worlds import INITIAL_WORLDS, apply_steps, quiet
 from meadowworks.modelcheck.models.policy.properties import drained_at_once, slow_start_respected
 from meadowworks.modelcheck.seeded_fault import SeededFault, injected_fault
 from meadowworks.modelcheck.seeded_faults.policy import CONTROLLER
@@ -43,7 +43,7 @@
 ) -> None:
     def property_holds() -> bool:
         world = INITIAL_WORLDS[start]()
-        take_steps(world, *steps)
+        apply_steps(world, *steps)
         return bool(holds(world))
 
     method, original, replacement = guard
--- a/tests/simulation/test_fleet_rules.py
+++ b/tests/simulation/test_fleet_rules.py
@@ -16,7 +16,7 @@
 from meadowworks.simulation.fleet import SimulatedFleet
 from tests.policy.harness import SECOND, SETTINGS
 
-RULES = "meadowworks.policy:Controller."
+CONTROLLER = "meadowworks.policy:Controller."
 ZONES, ROUTES = ("east", "west"), ("look", "book")
 FLEET = replace(
     SETTINGS,
@@ -225,5 +225,5 @@
     original: str,
     replacement: str,
 ) -> None:
-    with injected_fault(SeededFault(name, "fleet", RULES + function, original, replacement, (breaks,))):
+    with injected_fault(SeededFault(name, "fleet", CONTROLLER + function, original, replacement, (breaks,))):
         assert breaks in broken_rules(scenario())
