--- a/meadowworks/modelcheck/models/attempt/world.py
+++ b/meadowworks/modelcheck/models/attempt/world.py
@@ -38,7 +38,7 @@
 MAX_COUNTED_RUNS = 2  # two runs already violate a property, so higher counts are not distinguished
 ADMIT_ALL = 1.0
 
-# Step kinds are stored in counterexample files.
+# Maps the kind of a step, which counterexample files store, to the method that carries it out.
 STEP_METHODS: dict[str, str] = {
     "ask": "receive_request",
     "leave": "disconnect_client",
--- a/meadowworks/modelcheck/models/connection/world.py
+++ b/meadowworks/modelcheck/models/connection/world.py
@@ -47,7 +47,7 @@
 T = TypeVar("T")
 WEIGHT_SUM = 3.0  # sum of the weights 1 and 2, between which `change_weight` alternates
 
-# Step kinds are stored in counterexample files.
+# Maps the kind of a step, which counterexample files store, to the method that carries it out.
 STEP_METHODS: dict[str, str] = {
     "dial": "accept_connection",
     "crowd": "wait_for_descriptor",
--- a/meadowworks/modelcheck/models/consensus/world.py
+++ b/meadowworks/modelcheck/models/consensus/world.py
@@ -54,7 +54,7 @@
 
 MAX_MEMO_ENTRIES = 1 << 18
 
-# Step kinds are stored in counterexample files.
+# Maps the kind of a step, which counterexample files store, to the method that carries it out.
 STEP_METHODS: dict[str, str] = {
     "begin": "begin_attempt",
     "ask": "ask_acceptor",
--- a/meadowworks/modelcheck/models/forwarding_world.py
+++ b/meadowworks/modelcheck/models/forwarding_world.py
@@ -41,8 +41,8 @@
 from meadowworks.registry.backends import BackendDirectory
 
 OTHER_INSTANCE = "c"  # of another service; takes the address of a stopped instance
-# The method of `ForwardingWorld` that takes a step, by the kind of the step.
-ACTION_METHODS: dict[str, str] = {
+# Maps the kind of a step, which counterexample files store, to the method that carries it out.
+STEP_METHODS: dict[str, str] = {
     "run": "run_attempt",
     "answer": "answer_attempt",
     "surplus": "send_surplus_response",
@@ -282,7 +282,7 @@
         """Take one of the enabled steps."""
         self.outcomes = [step]
         kind, *args = step
-        getattr(self, ACTION_METHODS[kind])(*args)
+        getattr(self, STEP_METHODS[kind])(*args)
 
     def run_attempt(self, k: int) -> None:
         """Let a backend run an attempt."""
--- a/meadowworks/modelcheck/models/gossip_world.py
+++ b/meadowworks/modelcheck/models/gossip_world.py
@@ -26,8 +26,8 @@
 
 PULLS = ((0, 1), (1, 0), (PROXY, 0), (PROXY, 1))  # (requester, host)
 DELETED_BACKEND = "y"  # the backend whose key is deleted
-# The method of ``GossipWorld`` that takes a step, by the kind of the step.
-ACTION_METHODS: dict[str, str] = {
+# Maps the kind of a step, which counterexample files store, to the method that carries it out.
+STEP_METHODS: dict[str, str] = {
     "drain": "drain_backend",
     "leave": "remove_backend",
     "late": "deliver_late_heartbeat",
@@ -147,7 +147,7 @@
         """Take one of the enabled steps."""
         kind, *arguments = step
         before = [(node.source_id, node.rank(), node.peer_heartbeats()) for node in self.nodes]
-        getattr(self, ACTION_METHODS[kind])(*arguments)
+        getattr(self, STEP_METHODS[kind])(*arguments)
         self._write_drains()
         self.outcomes = []
         for node, (source_id, rank, heartbeats) in zip(self.nodes, before, strict=True):
--- a/meadowworks/modelcheck/models/http_connections.py
+++ b/meadowworks/modelcheck/models/http_connections.py
@@ -62,8 +62,8 @@
 # Every task must be waiting for bytes after this many iterations of the event loop.
 MAX_LOOP_ITERATIONS = 60
 EARLIER_CALL = "before"  # id of the call that an idle connection carried earlier
-# The method of `ConnectionWorld` that takes a step, by the kind of the step.
-ACTION_METHODS: dict[str, str] = {
+# Maps the kind of a step, which counterexample files store, to the method that carries it out.
+STEP_METHODS: dict[str, str] = {
     "ask": "start_second_caller",
     "run": "run_request",
     "say": "send_response",
@@ -379,7 +379,7 @@
     def apply_step(self, step: Step) -> None:
         """Take a step without recording it."""
         kind, *args = step
-        self.run_in_loop(getattr(self, ACTION_METHODS[kind]), *args)
+        self.run_in_loop(getattr(self, STEP_METHODS[kind]), *args)
 
     def start_second_caller(self) -> None:
         """Start the second caller."""
--- a/meadowworks/modelcheck/models/policy/world.py
+++ b/meadowworks/modelcheck/models/policy/world.py
@@ -35,8 +35,8 @@
 ATTEMPTS_PER_REPORT = 20
 NO_FAILURES, ALL_FAIL = -1, -2  # values for `deliver_backend_reports` in place of a backend
 FEW_CALLS, MANY_CALLS = 2, 200  # request counts of a demand report
-# The method of `PolicyWorld` that takes a step, by the kind of the step.
-ACTION_METHODS: dict[str, str] = {
+# Maps the kind of a step, which counterexample files store, to the method that carries it out.
+STEP_METHODS: dict[str, str] = {
     "tick": "advance_time",
     "stall": "stall_controller",
     "miss": "remove_backend_unannounced",
@@ -162,7 +162,7 @@
         self.outcomes, self.frozen = [], b""
         self.now_ns += BATCH_NS
         kind, *arguments = step
-        getattr(self, ACTION_METHODS[kind])(*arguments)
+        getattr(self, STEP_METHODS[kind])(*arguments)
         self._send_updates()
 
     def advance_time(self, ticks: int = 1) -> None:
--- a/meadowworks/modelcheck/models/quota/world.py
+++ b/meadowworks/modelcheck/models/quota/world.py
@@ -46,7 +46,7 @@
     holders: tuple[FrozenHolder, ...]
 
 
-# Step kinds are stored in counterexample files.
+# Maps the kind of a step, which counterexample files store, to the method that carries it out.
 STEP_METHODS: dict[str, str] = {
     "come": "join",
     "beat": "send_report",
--- a/meadowworks/modelcheck/models/registry_world.py
+++ b/meadowworks/modelcheck/models/registry_world.py
@@ -19,8 +19,8 @@
 from meadowworks.registry.heartbeats import CallAccepted
 
 BACKENDS = ("i", "j")
-# The method of ``RegistryWorld`` that takes a step, by the kind of the step.
-ACTION_METHODS: dict[str, str] = {
+# Maps the kind of a step, which counterexample files store, to the method that carries it out.
+STEP_METHODS: dict[str, str] = {
     "drain": "drain_backend",
     "word": "publish_unrelated_update",
     "write": "start_write",
@@ -134,7 +134,7 @@
     def take_step(self, step: Step) -> None:
         """Take one of the enabled steps."""
         kind, *arguments = step
-        getattr(self, ACTION_METHODS[kind])(*arguments)
+        getattr(self, STEP_METHODS[kind])(*arguments)
 
     def drain_backend(self, backend: str) -> None:
         """Let a backend drain and report this to the first node."""
--- a/meadowworks/modelcheck/models/replica/world.py
+++ b/meadowworks/modelcheck/models/replica/world.py
@@ -41,8 +41,8 @@
 
 Members = tuple[tuple[str, str], ...]
 
-# The method of `ReplicaWorld` that takes a step, by the kind of the step.
-ACTION_METHODS: dict[str, str] = {
+# Maps the kind of a step, which counterexample files store, to the method that carries it out.
+STEP_METHODS: dict[str, str] = {
     "order": "propose_value",
     "ask": "deliver_request",
     "written": "complete_write",
@@ -122,7 +122,7 @@
         kind, *args = step
         self.outcomes = []
         before = [freeze_acceptor(disk.acceptor("")) for disk in self.disks]
-        getattr(self, ACTION_METHODS[kind])(*args)
+        getattr(self, STEP_METHODS[kind])(*args)
         for old_state, disk in zip(before, self.disks, strict=True):
             self.outcomes.append(("kept", old_state, freeze_acceptor(disk.acceptor(""))))
 
