--- a/meadowworks/modelcheck/models/connection/connection.py
+++ b/meadowworks/modelcheck/models/connection/connection.py
@@ -56,7 +56,7 @@
 class ModelConnection:
     """The host of a connection's state machine, and its remote end.
 
-    :ivar place: index of the connection in its world.
+    :ivar index: position of the connection in its world's `connections`.
     :ivar is_open: whether the transport is open at the controller's end.
     :ivar is_lost: whether the state machine has handled the connection's end.
     :ivar has_actor: whether the state machine has requested an actor.
@@ -69,8 +69,8 @@
     :ivar heartbeats_owed: number of heartbeats without a reply.
     """
 
-    def __init__(self, shared: SharedState, place: int) -> None:
-        self.shared, self.place = shared, place
+    def __init__(self, shared: SharedState, index: int) -> None:
+        self.shared, self.index = shared, index
         self.state = ConnectionState(self, is_known_peer, LIMITS)
         self.mailbox: Mailbox[ConnectionItem] = Mailbox(MAX_REPORTS)
         self.record = StreamRecord()
@@ -105,7 +105,7 @@
         if "full" in values:
             self.weights, self.has_table = {}, True
         elif "endpoints" in values and not self.has_table:
-            self.shared.outcomes.append(ChangeWithoutTable(self.place))
+            self.shared.outcomes.append(ChangeWithoutTable(self.index))
         for pair in filter(None, values.get("endpoints", "").split(",")):
             name, weight = _split_pair(pair, ":")
             self.weights[name] = float(weight)
@@ -116,7 +116,7 @@
 
     def write(self, data: bytes) -> None:
         """Write data; a remote end that reads applies tables at once."""
-        self.shared.outcomes.append(Written(self.place, self.is_open))
+        self.shared.outcomes.append(Written(self.index, self.is_open))
         if data == HEARTBEAT_REPLY:
             self.heartbeats_owed -= 1
         if self.remote == NOT_READING:
@@ -138,7 +138,7 @@
 
     def mark_identified(self) -> None:
         """Protect the connection from eviction."""
-        self.shared.connection_limit.protect(self.place)
+        self.shared.connection_limit.protect(self.index)
 
     def start_peer(self, _hello: ProxyHello | CollectorHello) -> None:
         """Request the peer's actor, which the step `begin` starts."""
@@ -158,7 +158,7 @@
 
     def publish(self, item: ControllerEvent, is_report: bool) -> None:
         """Put an event into the controller's mailbox."""
-        self.shared.outcomes.append(Published(self.place, self.is_identified))
+        self.shared.outcomes.append(Published(self.index, self.is_identified))
         self.shared.controller_mailbox.put(item, is_report)
 
     def count(self, _event: str) -> None:
--- a/meadowworks/modelcheck/models/connection/frozen.py
+++ b/meadowworks/modelcheck/models/connection/frozen.py
@@ -75,7 +75,7 @@
 def _freeze_streams(world: WorldState) -> Frozen:
     return tuple(
         [
-            (proxy, world.connection_of(stream).place, tuple(world.streams.outstanding_nonces[proxy]))
+            (proxy, world.connection_of(stream).index, tuple(world.streams.outstanding_nonces[proxy]))
             for proxy, stream in world.streams.by_proxy.items()
         ]
     )
@@ -84,8 +84,8 @@
 def _restore_streams(world: WorldState, frozen: Frozen) -> None:
     table = world.table_updates.table(TABLE)
     table.weights[BACKEND] = world.weight
-    for proxy, place, nonces in frozen:
-        world.streams.by_proxy[proxy] = world.connections[place].mailbox
+    for proxy, index, nonces in frozen:
+        world.streams.by_proxy[proxy] = world.connections[index].mailbox
         world.streams.outstanding_nonces[proxy] = deque(nonces, maxlen=MAX_OUTSTANDING_NONCES)
         world.table_updates.assignments[proxy] = (TABLE,)
         table.proxies.add(proxy)
@@ -97,7 +97,7 @@
 def _freeze_connection(world: WorldState, connection: ModelConnection) -> Frozen:
     state, record = connection.state, connection.record
     if connection.is_lost and (state.finish_reason or not connection.has_actor):
-        nonces = tuple(record.sent_nonces) if world.bound == connection.place else ()
+        nonces = tuple(record.sent_nonces) if world.bound == connection.index else ()
         return CLOSED, record.status, nonces  # the other values have no effect any more
     return (
         *_freeze_transport(connection),
@@ -180,12 +180,12 @@
 
 
 def _freeze_item(world: WorldState, item: ConnectionItem | ControllerEvent) -> Frozen:
-    """Freeze an item of a mailbox; a mailbox in it becomes the place of its connection."""
+    """Freeze an item of a mailbox; a mailbox in it is replaced by the index of its connection."""
     match item:
         case ProxyJoined(_, stream):
-            return "joined", world.connection_of(stream).place
+            return "joined", world.connection_of(stream).index
         case ProxyLeft(_, stream):
-            return "left", world.connection_of(stream).place
+            return "left", world.connection_of(stream).index
         case UpdateMessage(data, part_count):
             return "message", data, part_count
         case UpdateApplied(_, nonce):
@@ -202,10 +202,10 @@
 
 def _thaw_item(world: WorldState, frozen: Frozen) -> ConnectionItem | ControllerEvent:
     match frozen:
-        case "joined", place:
-            return ProxyJoined(HELLO, world.connections[place].mailbox)
-        case "left", place:
-            return ProxyLeft(PROXY, world.connections[place].mailbox)
+        case "joined", index:
+            return ProxyJoined(HELLO, world.connections[index].mailbox)
+        case "left", index:
+            return ProxyLeft(PROXY, world.connections[index].mailbox)
         case "message", data, part_count:
             return UpdateMessage(data, part_count)
         case "done", nonce:
--- a/meadowworks/modelcheck/models/connection/liveness.py
+++ b/meadowworks/modelcheck/models/connection/liveness.py
@@ -11,9 +11,9 @@
 FAIR_STEPS = (
     steps_starting_with("module"),
     *(
-        steps_starting_with(name, place)
+        steps_starting_with(name, index)
         for name in ("late", "lost", "begin", "act")
-        for place in range(MAX_CONNECTIONS)
+        for index in range(MAX_CONNECTIONS)
     ),
 )
 
@@ -29,7 +29,7 @@
 def is_replaced_open(world: World) -> bool:
     """Return whether a connection of the proxy that was replaced by a newer one is still open."""
     return any(
-        connection.record.status == JOINED and connection.place != world.bound and connection.is_open
+        connection.record.status == JOINED and connection.index != world.bound and connection.is_open
         for connection in world.connections
     )
 
--- a/meadowworks/modelcheck/models/connection/outcomes.py
+++ b/meadowworks/modelcheck/models/connection/outcomes.py
@@ -1,6 +1,6 @@
 """Records of what happened in a step, for the step properties.
 
-Connections are given by their place in the world. Reasons are those of `ConnectionState`, empty if there is
+Connections are given by their index in the world. Reasons are those of `ConnectionState`, empty if there is
 none.
 """
 
--- a/meadowworks/modelcheck/models/connection/state.py
+++ b/meadowworks/modelcheck/models/connection/state.py
@@ -20,7 +20,7 @@
 
     :ivar last_nonce: the nonce of the newest message.
     :ivar weight: the weight of the only backend in the only table.
-    :ivar bound: place of the connection to which the controller has bound the proxy, or `UNBOUND`.
+    :ivar bound: index of the connection to which the controller has bound the proxy, or `UNBOUND`.
     """
 
     def __init__(self, scenario: Scenario) -> None:
@@ -29,7 +29,7 @@
         self.table_updates = TableUpdates((ROUTE,), {BACKEND: BACKEND_NAME})
         self.streams = ProxyStreams(self.table_updates)
         count = scenario.proxy_connections + scenario.unidentified_connections
-        self.connections = [ModelConnection(self, place) for place in range(count)]
+        self.connections = [ModelConnection(self, index) for index in range(count)]
         self.weight_changes_left = scenario.weight_changes
         self.weight = INITIAL_WEIGHT
         self.last_nonce = 0
--- a/meadowworks/modelcheck/models/connection/world.py
+++ b/meadowworks/modelcheck/models/connection/world.py
@@ -79,7 +79,7 @@
         steps: list[Step] = []
         for connection in self.connections:
             if connection.remote == NOT_CONNECTED:
-                steps += self._connect_steps(connection.place)
+                steps += self._connect_steps(connection.index)
             else:
                 steps += self._remote_steps(connection)
                 steps += self._local_steps(connection)
@@ -89,47 +89,47 @@
             steps.append(("order",))
         return steps
 
-    def _connect_steps(self, place: int) -> Iterable[Step]:
+    def _connect_steps(self, index: int) -> Iterable[Step]:
         if not self.connection_limit.is_full():
-            yield "dial", place
+            yield "dial", index
         elif self.connection_limit.evictable:
-            yield "crowd", place
+            yield "crowd", index
 
     def _remote_steps(self, connection: ModelConnection) -> Iterable[Step]:
         if connection.is_remote_open:
-            yield "shut", connection.place
+            yield "shut", connection.index
             if connection.is_open:
                 yield from self._message_steps(connection)
         if connection.remote == READING and self.scenario.may_stop_reading:
-            yield "deafen", connection.place
+            yield "deafen", connection.index
 
     def _message_steps(self, connection: ModelConnection) -> Iterable[Step]:
-        place, budget = connection.place, connection.budget
-        if place < self.scenario.proxy_connections and not connection.is_identified:
-            yield "attach", place
+        index, budget = connection.index, connection.budget
+        if index < self.scenario.proxy_connections and not connection.is_identified:
+            yield "attach", index
         if budget.heartbeats:
-            yield "beat", place
+            yield "beat", index
         if budget.unreadable_lines:
-            yield "rubbish", place
-            yield "long", place
+            yield "rubbish", index
+            yield "long", index
         if budget.malformed_messages:
-            yield "spoilt", place
+            yield "spoilt", index
         if budget.reports:
             for nonce in sorted({max(other.nonces, default=0) for other in self.connections}):
-                yield "mark", place, nonce
+                yield "mark", index, nonce
             if not connection.is_identified:
-                yield "usage", place
+                yield "usage", index
 
     def _local_steps(self, connection: ModelConnection) -> Iterable[Step]:
-        place, state = connection.place, connection.state
+        index, state = connection.index, connection.state
         if connection.is_open and not connection.is_identified and not state.close_reason:
-            yield "late", place
+            yield "late", index
         if not connection.is_lost and (not connection.is_open or connection.remote == CLOSED):
-            yield "lost", place
+            yield "lost", index
         if connection.has_actor and not connection.is_actor_running:
-            yield "begin", place
+            yield "begin", index
         elif connection.is_actor_running and connection.mailbox.items and not state.finish_reason:
-            yield "act", place
+            yield "act", index
 
     def take_step(self, step: Step) -> None:
         """Take one of the enabled steps."""
@@ -139,13 +139,13 @@
 
     # -- the remote ends
 
-    def accept_connection(self, place: int) -> None:
+    def accept_connection(self, index: int) -> None:
         """Accept a connection."""
-        connection = self.connections[place]
+        connection = self.connections[index]
         connection.remote, connection.is_open = READING, True
-        self.connection_limit.on_open(self.now_ns, place)
+        self.connection_limit.on_open(self.now_ns, index)
 
-    def wait_for_descriptor(self, _place: int) -> None:
+    def wait_for_descriptor(self, _index: int) -> None:
         """Let a connection wait for a descriptor while none is free, which may evict another connection."""
         self.now_ns += 1
         evicted, _ = self.connection_limit.next_eviction(self.now_ns)
@@ -153,85 +153,85 @@
             self.outcomes.append(Evicted(self.connections[evicted].is_identified))
             self.connections[evicted].state.on_evicted()
 
-    def send_hello(self, place: int) -> None:
+    def send_hello(self, index: int) -> None:
         """Send the message that identifies a remote end as the proxy."""
-        self.connections[place].state.on_message(HELLO)
+        self.connections[index].state.on_message(HELLO)
 
-    def send_heartbeat(self, place: int) -> None:
+    def send_heartbeat(self, index: int) -> None:
         """Send a heartbeat from a remote end."""
-        connection = self.connections[place]
+        connection = self.connections[index]
         connection.budget.heartbeats -= 1
         connection.heartbeats_owed += 1
         connection.state.on_message(Heartbeat())
 
-    def send_unreadable_line(self, place: int) -> None:
+    def send_unreadable_line(self, index: int) -> None:
         """Send a line that is not a message from a remote end."""
-        connection = self.connections[place]
+        connection = self.connections[index]
         connection.budget.unreadable_lines -= 1
         state = connection.state
         line_count, former_reason = state.unreadable_lines + 1, state.close_reason
         state.on_unreadable_line()
         self.outcomes.append(
-            UnreadableLine(place, line_count, former_reason, state.close_reason, connection.is_identified)
+            UnreadableLine(index, line_count, former_reason, state.close_reason, connection.is_identified)
         )
 
-    def send_partial_line(self, place: int) -> None:
+    def send_partial_line(self, index: int) -> None:
         """Send a line from a remote end that exceeds the limit and has no end."""
-        connection = self.connections[place]
+        connection = self.connections[index]
         connection.budget.unreadable_lines -= 1
         connection.state.on_partial_line(LIMITS.max_unrecognized_bytes + 1, True)
-        self.outcomes.append(PartialLine(place, connection.state.close_reason))
+        self.outcomes.append(PartialLine(index, connection.state.close_reason))
 
-    def send_malformed_message(self, place: int) -> None:
+    def send_malformed_message(self, index: int) -> None:
         """Send a message with a malformed field from a remote end."""
-        connection = self.connections[place]
+        connection = self.connections[index]
         connection.budget.malformed_messages -= 1
         state, former_reason = connection.state, connection.state.close_reason
         state.on_malformed_message()
         self.outcomes.append(
-            MalformedMessage(place, former_reason, state.close_reason, connection.is_identified)
+            MalformedMessage(index, former_reason, state.close_reason, connection.is_identified)
         )
 
-    def acknowledge_nonce(self, place: int, nonce: int) -> None:
+    def acknowledge_nonce(self, index: int, nonce: int) -> None:
         """Acknowledge a nonce that this or another remote end has received."""
-        self.connections[place].budget.reports -= 1
-        self.connections[place].state.on_message(UpdateApplied(PROXY, nonce))
+        self.connections[index].budget.reports -= 1
+        self.connections[index].state.on_message(UpdateApplied(PROXY, nonce))
 
-    def report_demand(self, place: int) -> None:
+    def report_demand(self, index: int) -> None:
         """Send a demand report from a remote end."""
-        self.connections[place].budget.reports -= 1
-        self.connections[place].state.on_message(DEMAND_REPORT)
+        self.connections[index].budget.reports -= 1
+        self.connections[index].state.on_message(DEMAND_REPORT)
 
-    def stop_reading(self, place: int) -> None:
+    def stop_reading(self, index: int) -> None:
         """Make a remote end stop reading."""
-        self.connections[place].remote = NOT_READING
+        self.connections[index].remote = NOT_READING
 
-    def close_remote_end(self, place: int) -> None:
+    def close_remote_end(self, index: int) -> None:
         """Close a connection at its remote end."""
-        self.connections[place].remote = CLOSED
+        self.connections[index].remote = CLOSED
 
     # -- the controller
 
-    def time_out_handshake(self, place: int) -> None:
+    def time_out_handshake(self, index: int) -> None:
         """Let the handshake of an unidentified connection time out."""
-        self.connections[place].state.on_handshake_timeout()
+        self.connections[index].state.on_handshake_timeout()
 
-    def lose_connection(self, place: int) -> None:
+    def lose_connection(self, index: int) -> None:
         """Let the controller detect the end of a connection."""
-        connection = self.connections[place]
+        connection = self.connections[index]
         connection.is_open, connection.is_lost = False, True
-        self.connection_limit.on_close(place)
+        self.connection_limit.on_close(index)
         connection.state.on_connection_lost("closed")
 
-    def start_actor(self, place: int) -> None:
+    def start_actor(self, index: int) -> None:
         """Start the peer's actor."""
-        self.connections[place].is_actor_running = True
-        self.connections[place].state.publish_proxy_joined()
+        self.connections[index].is_actor_running = True
+        self.connections[index].state.publish_proxy_joined()
 
-    def run_actor(self, place: int) -> None:
+    def run_actor(self, index: int) -> None:
         """Let the peer's actor handle an item; when the actor ends, it ends its connection."""
-        state = self.connections[place].state
-        state.on_mailbox_item(take_item(self.connections[place].mailbox))
+        state = self.connections[index].state
+        state.on_mailbox_item(take_item(self.connections[index].mailbox))
         if state.finish_reason:
             state.finish("its actor ended")
 
@@ -250,19 +250,19 @@
 
     def _on_joined(self, proxy: int, stream: Mailbox[ConnectionItem]) -> None:
         connection = self.connection_of(stream)
-        self.outcomes.append(Joined(connection.place, connection.record.status))
+        self.outcomes.append(Joined(connection.index, connection.record.status))
         connection.record.status = JOINED
         self.streams.on_joined(proxy, stream)
-        self.bound = connection.place
+        self.bound = connection.index
         self.table_updates.assign_table(0, proxy, TABLE)
         self._send_updates()
 
     def _on_left(self, proxy: int, stream: Mailbox[ConnectionItem]) -> None:
         connection = self.connection_of(stream)
-        self.outcomes.append(Left(connection.place, connection.record.status))
+        self.outcomes.append(Left(connection.index, connection.record.status))
         connection.record.status = LEFT
         if self.streams.on_left(proxy, stream):
-            self.outcomes.append(Unbound(connection.place, self.bound))
+            self.outcomes.append(Unbound(connection.index, self.bound))
             self.bound = UNBOUND
 
     def change_weight(self) -> None:
--- a/meadowworks/modelcheck/models/consensus/acceptors.py
+++ b/meadowworks/modelcheck/models/consensus/acceptors.py
@@ -68,29 +68,29 @@
     return is_ready and any(disk == acceptor.id_in_epoch(epoch) for disk, _ in acceptor.epoch.members)
 
 
-def initial_acceptor(scenario: Scenario, place: int) -> Acceptor:
-    """Return the acceptor of a place in the initial state of a scenario."""
-    disk = chr(ord("a") + place)
+def initial_acceptor(scenario: Scenario, machine: int) -> Acceptor:
+    """Return the acceptor of a machine in the initial state of a scenario."""
+    disk = chr(ord("a") + machine)
     seeds = tuple(address for _, address in scenario.members) if scenario.founding else ()
-    is_founder = scenario.founding and str(place) in seeds
+    is_founder = scenario.founding and str(machine) in seeds
     acceptor = start_acceptor(
         load_acceptor(
-            None, new_member_id=disk, address=str(place), seeds=seeds, bootstrap=is_founder, voting=True
+            None, new_member_id=disk, address=str(machine), seeds=seeds, bootstrap=is_founder, voting=True
         )
     )
-    if not scenario.founding and (disk, str(place)) in scenario.members:
+    if not scenario.founding and (disk, str(machine)) in scenario.members:
         acceptor.epoch, acceptor.installed = thaw_epoch(1, scenario.members), True
-        if scenario.next_members and place < acceptor.epoch.majority:
+        if scenario.next_members and machine < acceptor.epoch.majority:
             acceptor.slots[MEMBERSHIP_VERSION] = AcceptorSlot(
                 MEMBERS_BALLOT, MEMBERS_BALLOT, encode_member_list(scenario.next_members)
             )
-        if place in scenario.chosen_at:
+        if machine in scenario.chosen_at:
             acceptor.slots[1] = AcceptorSlot(CHOSEN_BALLOT, CHOSEN_BALLOT, X)
-        if place in scenario.accepted_before:
+        if machine in scenario.accepted_before:
             acceptor.slots[1] = AcceptorSlot(FOUNDING_BALLOT, FOUNDING_BALLOT, X)
-        if place in scenario.sealed_at:
+        if machine in scenario.sealed_at:
             acceptor.sealed_by = thaw_epoch(2, scenario.next_members)
-    if place in scenario.installed_at:
+    if machine in scenario.installed_at:
         acceptor.handle(InstallRequest(2, thaw_epoch(2, scenario.next_members), Acceptor("").export_state()))
         acceptor.changed_slots, acceptor.metadata_changed = set(), False
     return acceptor
--- a/meadowworks/modelcheck/models/consensus/enabled.py
+++ b/meadowworks/modelcheck/models/consensus/enabled.py
@@ -31,48 +31,48 @@
     """Yield the beginnings of tasks, the requests of calls and the arrivals of late requests."""
     scenario = world.scenario
     for index, task in enumerate(scenario.tasks):
-        if world.frozen_acceptors[task.place] is None:
+        if world.frozen_acceptors[task.machine] is None:
             continue
         if world.attempts_left[index] and may_begin(world, task):
             yield "begin", index
         if world.calls[index] is None:
             continue
         for _, address in world.unanswered_members(index):
-            place = int(address)
-            if world.is_reachable(task.place, place):
-                yield "ask", index, place
-                if scenario.replies_may_be_lost and place != task.place:
-                    yield "lost", index, place
+            machine = int(address)
+            if world.is_reachable(task.machine, machine):
+                yield "ask", index, machine
+                if scenario.replies_may_be_lost and machine != task.machine:
+                    yield "lost", index, machine
     for index, (_, destinations) in enumerate(world.late_requests):
-        for place in destinations:
-            if world.frozen_acceptors[place] is not None:
-                yield "late", index, place
+        for machine in destinations:
+            if world.frozen_acceptors[machine] is not None:
+                yield "late", index, machine
 
 
 def fault_steps(world: World) -> Iterator[Step]:
     """Yield losses of disks and machines, and restarts of processes."""
-    for kind, places in zip(("wipe", "gone", "crash", "off"), world.faults_left, strict=True):
-        for place in places:
-            if world.frozen_acceptors[place] is not None:
-                yield kind, place
-    for place, frozen in enumerate(world.frozen_acceptors):
-        if place in world.scenario.restart_places and frozen is not None and not frozen[WANTS_MEMBERSHIP]:
-            yield "on", place
+    for kind, machines in zip(("wipe", "gone", "crash", "off"), world.faults_left, strict=True):
+        for machine in machines:
+            if world.frozen_acceptors[machine] is not None:
+                yield kind, machine
+    for machine, frozen in enumerate(world.frozen_acceptors):
+        if machine in world.scenario.restart_machines and frozen is not None and not frozen[WANTS_MEMBERSHIP]:
+            yield "on", machine
 
 
 def peer_steps(world: World) -> Iterator[Step]:
     """Yield messages between acceptors outside of any call, and the start of the partition."""
     scenario = world.scenario
     if scenario.acceptors_learn or scenario.members_install or scenario.acceptors_announce:
-        for (place, acceptor), (other_place, other) in permutations(enumerate(world.frozen_acceptors), 2):
-            if acceptor is None or other is None or not world.is_reachable(place, other_place):
+        for (machine, acceptor), (other_machine, other) in permutations(enumerate(world.frozen_acceptors), 2):
+            if acceptor is None or other is None or not world.is_reachable(machine, other_machine):
                 continue
             if scenario.acceptors_learn and other[COMMITTED][0] < acceptor[COMMITTED][0]:
-                yield "tell", place, other_place
+                yield "tell", machine, other_machine
             if scenario.acceptors_announce and other[EPOCH][0] > 0:
-                yield "hear", place, other_place
+                yield "hear", machine, other_machine
             if scenario.members_install and may_install(acceptor, other):
-                yield "bring", place, other_place
+                yield "bring", machine, other_machine
     if scenario.partition and not world.partition:
         yield ("cut",)
 
@@ -80,7 +80,8 @@
 def may_begin(world: World, task: Task) -> bool:
     """Return whether a task may begin its next attempt."""
     epoch, is_installed, sealed_by, announced_epoch = (
-        world.frozen_acceptors[task.place][field] for field in (EPOCH, INSTALLED, SEALED_BY, ANNOUNCED_EPOCH)
+        world.frozen_acceptors[task.machine][field]
+        for field in (EPOCH, INSTALLED, SEALED_BY, ANNOUNCED_EPOCH)
     )
     newest = max(epoch[0], announced_epoch[0])
     if task.epoch not in (-1, newest):
@@ -93,7 +94,7 @@
         return bool(is_installed and sealed_by is None and epoch[0] == newest)
     if task.kind == "put" and world.scenario.partition and not world.partition:
         return False  # scenarios without a partition cover the states before it
-    if task.kind in ("put", "finish") and task.version <= world.frozen_acceptors[task.place][COMMITTED][0]:
+    if task.kind in ("put", "finish") and task.version <= world.frozen_acceptors[task.machine][COMMITTED][0]:
         return False
     return bool(newest >= 0)
 
--- a/meadowworks/modelcheck/models/consensus/machines.py
+++ b/meadowworks/modelcheck/models/consensus/machines.py
@@ -20,7 +20,7 @@
 
 
 class Machines:
-    """The acceptors by place.
+    """The acceptors by number of their machine.
 
     `frozen_acceptors` holds plain values, None where the machine is lost. `touched_acceptors` holds the
     thawed acceptors that the current step may change.
@@ -29,81 +29,81 @@
     def __init__(self, scenario: Scenario) -> None:
         self.scenario = scenario
         self.frozen_acceptors: list[Any] = [
-            freeze_acceptor(initial_acceptor(scenario, place)) for place in range(scenario.place_count)
+            freeze_acceptor(initial_acceptor(scenario, machine)) for machine in range(scenario.machine_count)
         ]
         self.touched_acceptors: dict[int, Acceptor] = {}
-        self.ballot_numbers = [0] * scenario.place_count  # kept in memory only, lost at a restart
+        self.ballot_numbers = [0] * scenario.machine_count  # kept in memory only, lost at a restart
         self.faults_left = (
             scenario.replaceable_disks,
             scenario.losable_machines,
-            scenario.crash_places,
-            scenario.restart_places,
+            scenario.crash_machines,
+            scenario.restart_machines,
         )
         self.partition = NO_PAIRS
 
-    def end_calls(self, place: int) -> None:
-        """End the calls of the process at a place."""
+    def end_calls(self, machine: int) -> None:
+        """End the calls of the process on a machine."""
         raise NotImplementedError
 
-    def is_reachable(self, from_place: int, to_place: int) -> bool:
+    def is_reachable(self, from_machine: int, to_machine: int) -> bool:
         """Return whether a machine exists and no partition separates it from another."""
-        return self.frozen_acceptors[to_place] is not None and not (
-            self.partition and frozenset((from_place, to_place)) in self.partition
+        return self.frozen_acceptors[to_machine] is not None and not (
+            self.partition and frozenset((from_machine, to_machine)) in self.partition
         )
 
-    def acceptor_at(self, place: int) -> Acceptor:
-        """Return the acceptor of a place, thawed so that this step can change it."""
-        if place not in self.touched_acceptors:
-            self.touched_acceptors[place] = thaw_acceptor(self.frozen_acceptors[place])
-        return self.touched_acceptors[place]
+    def acceptor_at(self, machine: int) -> Acceptor:
+        """Return the acceptor of a machine, thawed so that this step can change it."""
+        if machine not in self.touched_acceptors:
+            self.touched_acceptors[machine] = thaw_acceptor(self.frozen_acceptors[machine])
+        return self.touched_acceptors[machine]
 
-    def replace_disk(self, place: int) -> None:
+    def replace_disk(self, machine: int) -> None:
         """Replace the disk by an empty one; the settings say that this is not the cluster's first start."""
         replaceable, *others = self.faults_left
-        self.faults_left = (tuple(p for p in replaceable if p != place), *others)  # type: ignore[assignment]
-        self.end_calls(place)
-        self.ballot_numbers[place] = 0
-        member_id = self.acceptor_at(place).member_id[0] + "2"
+        self.faults_left = (tuple(m for m in replaceable if m != machine), *others)  # type: ignore[assignment]
+        self.end_calls(machine)
+        self.ballot_numbers[machine] = 0
+        member_id = self.acceptor_at(machine).member_id[0] + "2"
         seeds = tuple(address for _, address in self.scenario.members)
-        self.touched_acceptors[place] = start_acceptor(
+        self.touched_acceptors[machine] = start_acceptor(
             load_acceptor(
-                None, new_member_id=member_id, address=str(place), seeds=seeds, bootstrap=False, voting=True
+                None, new_member_id=member_id, address=str(machine), seeds=seeds, bootstrap=False, voting=True
             )
         )
 
-    def lose_machine(self, place: int) -> None:
+    def lose_machine(self, machine: int) -> None:
         """Remove the machine and its disk."""
         replaceable, losable, crashes, restarts = self.faults_left
-        self.faults_left = (replaceable, tuple(p for p in losable if p != place), crashes, restarts)
-        self.end_calls(place)
-        self.ballot_numbers[place] = 0
-        self.touched_acceptors.pop(place, None)
-        self.frozen_acceptors[place] = None
+        self.faults_left = (replaceable, tuple(m for m in losable if m != machine), crashes, restarts)
+        self.end_calls(machine)
+        self.ballot_numbers[machine] = 0
+        self.touched_acceptors.pop(machine, None)
+        self.frozen_acceptors[machine] = None
 
-    def lose_power(self, place: int) -> None:
+    def lose_power(self, machine: int) -> None:
         """Interrupt the power; the process starts again."""
         replaceable, losable, crashes, restarts = self.faults_left
-        self.faults_left = (replaceable, losable, tuple(p for p in crashes if p != place), restarts)
-        self.restart(place, True)
+        self.faults_left = (replaceable, losable, tuple(m for m in crashes if m != machine), restarts)
+        self.restart(machine, True)
 
-    def restart_without_vote(self, place: int) -> None:
+    def restart_without_vote(self, machine: int) -> None:
         """Restart the process with settings that exclude it from voting."""
         replaceable, losable, crashes, restarts = self.faults_left
-        self.faults_left = (replaceable, losable, crashes, tuple(p for p in restarts if p != place))
-        self.restart(place, False)
+        self.faults_left = (replaceable, losable, crashes, tuple(m for m in restarts if m != machine))
+        self.restart(machine, False)
 
-    def restart_with_vote(self, place: int) -> None:
+    def restart_with_vote(self, machine: int) -> None:
         """Restart the process with settings that let it vote."""
-        self.restart(place, True)
+        self.restart(machine, True)
 
-    def restart(self, place: int, voting: bool) -> None:
+    def restart(self, machine: int, voting: bool) -> None:
         """Restart the process: the state on the disk is kept, the state in memory is lost."""
-        self.end_calls(place)
-        self.ballot_numbers[place] = 0
-        old = self.acceptor_at(place)
+        self.end_calls(machine)
+        self.ballot_numbers[machine] = 0
+        old = self.acceptor_at(machine)
         old.metadata_changed = True
         metadata = WriteQueue(old).collect_update().metadata
-        self.touched_acceptors[place] = start_acceptor(
+        self.touched_acceptors[machine] = start_acceptor(
             load_acceptor(
                 metadata,
                 new_member_id="",
@@ -117,23 +117,23 @@
             )
         )
 
-    def send_committed_value(self, from_place: int, to_place: int) -> None:
+    def send_committed_value(self, from_machine: int, to_machine: int) -> None:
         """Send the committed value and its history from one acceptor to another."""
-        sender = self.acceptor_at(from_place)
-        self.acceptor_at(to_place).handle(
+        sender = self.acceptor_at(from_machine)
+        self.acceptor_at(to_machine).handle(
             LearnRequest(sender.epoch.number, sender.committed, sender.digest_history())
         )
 
-    def install_member(self, from_place: int, to_place: int) -> None:
+    def install_member(self, from_machine: int, to_machine: int) -> None:
         """Let one acceptor install another in its epoch."""
-        sender = self.acceptor_at(from_place)
-        self.acceptor_at(to_place).handle(
+        sender = self.acceptor_at(from_machine)
+        self.acceptor_at(to_machine).handle(
             InstallRequest(sender.epoch.number, sender.epoch, sender.export_state())
         )
 
-    def announce_epoch(self, to_place: int, from_place: int) -> None:
+    def announce_epoch(self, to_machine: int, from_machine: int) -> None:
         """Announce the epoch of one acceptor to another."""
-        self.acceptor_at(to_place).on_epoch_announced(self.acceptor_at(from_place).epoch)
+        self.acceptor_at(to_machine).on_epoch_announced(self.acceptor_at(from_machine).epoch)
 
     def start_partition(self) -> None:
         """Start the scenario's network partition."""
--- a/meadowworks/modelcheck/models/consensus/scenario_table.py
+++ b/meadowworks/modelcheck/models/consensus/scenario_table.py
@@ -25,7 +25,7 @@
 def scenarios(large: bool) -> list[Scenario]:
     """Return all scenarios. Seeded faults refer to them by index, so add new ones at the end."""
     race, change = (propose(0, X), propose(1, Y)), Task(1, "change")
-    cut_in_halves, cut_off_place_0 = pairs_between((0, 2), (1, 3)), pairs_between((0,), (1, 2, 3))
+    cut_in_halves, cut_off_machine_0 = pairs_between((0, 2), (1, 3)), pairs_between((0,), (1, 2, 3))
     found_with_abc, found_with_ab, complete_epoch = (
         propose_members(0, ABC, 0),
         propose_members(1, AB, 0),
@@ -52,7 +52,7 @@
             replaceable_disks=(4,),
             replies_may_be_lost=True,
         ),
-        Scenario("power is lost", race, (2, 1), crash_places=(0,)),
+        Scenario("power is lost", race, (2, 1), crash_machines=(0,)),
         Scenario("held up", race, (1, 1), requests_may_be_late=True),
         Scenario("a reader", (propose(0), read), (1, 1)),
         Scenario("two versions are read", (propose(0), propose(1, Y, 2), Task(2, "read")), (1, 1, 1)),
@@ -98,9 +98,9 @@
             4,
             ABC,
             ABCD,
-            partition=cut_off_place_0,
+            partition=cut_off_machine_0,
         ),
-        Scenario("left half-way", (change, complete_epoch), (1, 1), 4, ABC, BCD, crash_places=(1,)),
+        Scenario("left half-way", (change, complete_epoch), (1, 1), 4, ABC, BCD, crash_machines=(1,)),
         Scenario("left half-way, a version too", (complete_epoch, propose(2)), (1, 1), 4, ABC, BCD, (0,)),
         Scenario(
             "installed at one",
@@ -142,7 +142,7 @@
             4,
             ABC,
             ABCD,
-            restart_places=(0,),
+            restart_machines=(0,),
             members_install=True,
             acceptors_announce=True,
         ),
@@ -152,7 +152,7 @@
             (1,),
             4,
             next_members=ABD,
-            restart_places=(0,),
+            restart_machines=(0,),
         ),
         Scenario("heard of the newer", (propose(1),), (1,), 4, ABC, BCD, (0,), (3,), acceptors_announce=True),
         Scenario("one for another", (change, propose(0)), (1, 1), 4, ABC, BCD),
@@ -172,7 +172,7 @@
                 4,
                 ABC,
                 BCD,
-                crash_places=(1,),
+                crash_machines=(1,),
             ),
             Scenario(
                 "not to vote, and a version",
@@ -181,7 +181,7 @@
                 4,
                 ABC,
                 ABCD,
-                restart_places=(0,),
+                restart_machines=(0,),
                 members_install=True,
             ),
         ]
--- a/meadowworks/modelcheck/models/consensus/world.py
+++ b/meadowworks/modelcheck/models/consensus/world.py
@@ -116,13 +116,13 @@
         kind, *arguments = step
         self.outcomes, before = [], list(self.frozen_acceptors)
         getattr(self, STEP_METHODS[kind])(*arguments)
-        for place, acceptor in self.touched_acceptors.items():  # written before the reply is sent
+        for machine, acceptor in self.touched_acceptors.items():  # written before the reply is sent
             acceptor.changed_slots, acceptor.metadata_changed, acceptor.committed_changed = (
                 set(),
                 False,
                 False,
             )
-            self.frozen_acceptors[place] = freeze_acceptor(acceptor)
+            self.frozen_acceptors[machine] = freeze_acceptor(acceptor)
         self.touched_acceptors = {}
         self.outcomes += [
             ("kept", old, new)
@@ -135,7 +135,7 @@
         task = self.scenario.tasks[task_index]
         self.attempts_left[task_index] -= 1
         self.delay_request(task_index)
-        local = self.acceptor_at(task.place)
+        local = self.acceptor_at(task.machine)
         epoch = local.newest_epoch()
         if task.kind == "change":
             self.set_call(
@@ -153,9 +153,9 @@
             value = encode_member_list(members) if members else None
             if value is not None:
                 self.proposed_members = tuple(sorted({*self.proposed_members, (epoch.number, value)}))
-            self.set_call(task_index, self.new_proposer(task.place, epoch, MEMBERSHIP_VERSION, value))
+            self.set_call(task_index, self.new_proposer(task.machine, epoch, MEMBERSHIP_VERSION, value))
         elif task.kind in ("put", "finish"):
-            self.set_call(task_index, self.new_proposer(task.place, epoch, task.version, task.value))
+            self.set_call(task_index, self.new_proposer(task.machine, epoch, task.version, task.value))
         else:
             self.set_call(task_index, QuorumRead(epoch), self.highest_chosen_version())
 
@@ -163,12 +163,12 @@
         """Return the highest version that may have been acknowledged, 0 if there is none."""
         return max((version for _, version, _ in self.chosen), default=0)
 
-    def new_proposer(self, place: int, epoch: Epoch, version: int, value: bytes | None) -> Proposer:
-        """Return a new proposer of the replica at a place."""
-        calls = QuorumCallFactory(self.acceptor_at(place), 1)
-        calls.last_ballot_number = self.ballot_numbers[place]
+    def new_proposer(self, machine: int, epoch: Epoch, version: int, value: bytes | None) -> Proposer:
+        """Return a new proposer of the replica on a machine."""
+        calls = QuorumCallFactory(self.acceptor_at(machine), 1)
+        calls.last_ballot_number = self.ballot_numbers[machine]
         proposer = calls.new_proposer(epoch, version, Operation(OperationKind.PROPOSE, version, value, 0, []))
-        self.ballot_numbers[place] = calls.last_ballot_number
+        self.ballot_numbers[machine] = calls.last_ballot_number
         return proposer
 
     def set_call(self, task_index: int, call: Call | None, min_version: int | None = None) -> None:
@@ -180,21 +180,21 @@
             min_version = self.calls[task_index][-1] if self.calls[task_index] else 0
         self.calls[task_index] = None if call is None else freeze_call(call, min_version)
 
-    def ask_acceptor(self, task_index: int, place: int, receives_reply: bool = True) -> None:
+    def ask_acceptor(self, task_index: int, machine: int, receives_reply: bool = True) -> None:
         """Send the request of a call to an acceptor; the reply is lost unless `receives_reply`."""
         frozen = self.calls[task_index]
-        memo_key = frozen, self.frozen_acceptors[place]
+        memo_key = frozen, self.frozen_acceptors[machine]
         if (result := self.memo.get(memo_key)) is None:
             if len(self.memo) >= MAX_MEMO_ENTRIES:
                 self.memo.clear()
             result = self.memo[memo_key] = exchange(*memo_key)
-        self.frozen_acceptors[place], call, outcome, newer_epoch, vote = result
+        self.frozen_acceptors[machine], call, outcome, newer_epoch, vote = result
         if vote is not None:
             self.outcomes.append(vote)
         if not receives_reply:
             return
         if newer_epoch is not None:
-            self.acceptor_at(self.scenario.tasks[task_index].place).on_epoch_announced(newer_epoch)
+            self.acceptor_at(self.scenario.tasks[task_index].machine).on_epoch_announced(newer_epoch)
         self.calls[task_index] = call
         if outcome is not None:
             finished_call = thaw_call(frozen)
@@ -202,9 +202,9 @@
             finished_call.outcome = outcome
             self.on_outcome(task_index, finished_call)
 
-    def ask_and_lose_reply(self, task_index: int, place: int) -> None:
+    def ask_and_lose_reply(self, task_index: int, machine: int) -> None:
         """Send the request of a call to an acceptor whose reply is lost."""
-        self.ask_acceptor(task_index, place, receives_reply=False)
+        self.ask_acceptor(task_index, machine, receives_reply=False)
 
     def on_outcome(self, task_index: int, call: Call) -> None:
         """Continue a task after its call's outcome as a replica does.
@@ -212,7 +212,7 @@
         Where a replica would begin again by itself, the model takes another attempt.
         """
         task = self.scenario.tasks[task_index]
-        local = self.acceptor_at(task.place)
+        local = self.acceptor_at(task.machine)
         is_leaving = task.kind == "leave"
         match call.outcome:
             case Chosen(version, value):
@@ -226,7 +226,7 @@
                 local.learn(committed.version, committed.value, history)
                 self.attempts_left[task_index] = self.attempts_left[task_index] if is_leaving else 0
             case RetryWithHigherBallot(ballot):
-                self.ballot_numbers[task.place] = max(self.ballot_numbers[task.place], ballot.number)
+                self.ballot_numbers[task.machine] = max(self.ballot_numbers[task.machine], ballot.number)
                 return self.set_call(task_index, None)
             case EpochChanged(epoch, True):
                 return self.set_call(task_index, Reconfiguration(call.epoch, epoch))
@@ -241,7 +241,7 @@
     def on_quorum_read(self, task_index: int, call: Call, result: QuorumReadResult) -> None:
         """Complete a read; for a leaving member, transfer its state or first learn the missing version."""
         task = self.scenario.tasks[task_index]
-        local, min_version = self.acceptor_at(task.place), self.calls[task_index][-1]
+        local, min_version = self.acceptor_at(task.machine), self.calls[task_index][-1]
         if task.kind == "read":
             self.outcomes.append(("read", min_version, result.highest_version))
             self.attempts_left[task_index] = 0
@@ -250,14 +250,14 @@
             self.outcomes.append(
                 ("handed", min_version, self.count_installed(call.epoch), call.epoch.majority)
             )
-            self.finish_leaving(task_index, task.place)
+            self.finish_leaving(task_index, task.machine)
             return self.set_call(task_index, None)
         if isinstance(call, StateTransfer):
             required_count = min(call.epoch.majority, len(call.other_members))
             self.outcomes.append(
                 ("handed", min_version, self.count_up_to_date(min_version, call), required_count)
             )
-            self.finish_leaving(task_index, task.place)
+            self.finish_leaving(task_index, task.machine)
             return self.set_call(task_index, None)
         epoch = local.newest_epoch()
         if result.highest_version <= local.committed.version:
@@ -266,13 +266,13 @@
         if result.committed_version > local.committed.version:
             self.fetch_snapshot(local, int(result.address))
             return self.set_call(task_index, QuorumRead(epoch))
-        return self.set_call(task_index, self.new_proposer(task.place, epoch, result.highest_version, None))
+        return self.set_call(task_index, self.new_proposer(task.machine, epoch, result.highest_version, None))
 
-    def fetch_snapshot(self, acceptor: Acceptor, place: int) -> None:
-        """Copy the committed value of another place to an acceptor, if that machine still exists."""
-        if self.frozen_acceptors[place] is None:
+    def fetch_snapshot(self, acceptor: Acceptor, machine: int) -> None:
+        """Copy the committed value of another machine to an acceptor, if that machine still exists."""
+        if self.frozen_acceptors[machine] is None:
             return
-        reply = self.acceptor_at(place).handle(SnapshotRequest(acceptor.newest_epoch().number))
+        reply = self.acceptor_at(machine).handle(SnapshotRequest(acceptor.newest_epoch().number))
         assert isinstance(reply, SnapshotReply)
         acceptor.learn(reply.committed.version, reply.committed.value, reply.history)
 
@@ -289,20 +289,20 @@
         others = {disk for disk, _ in call.other_members}
         return sum(
             frozen is not None
-            and self.acceptor_at(place).member_id in others
-            and self.acceptor_at(place).committed.version >= version
-            for place, frozen in enumerate(self.frozen_acceptors)
+            and self.acceptor_at(machine).member_id in others
+            and self.acceptor_at(machine).committed.version >= version
+            for machine, frozen in enumerate(self.frozen_acceptors)
         )
 
-    def finish_leaving(self, task_index: int, place: int) -> None:
+    def finish_leaving(self, task_index: int, machine: int) -> None:
         """End a leave; the machine is removed with its disk."""
         self.attempts_left[task_index] = 0
-        self.lose_machine(place)
+        self.lose_machine(machine)
 
-    def end_calls(self, place: int) -> None:
-        """End the calls of the process at a place."""
+    def end_calls(self, machine: int) -> None:
+        """End the calls of the process on a machine."""
         for task_index, task in enumerate(self.scenario.tasks):
-            if task.place == place:
+            if task.machine == machine:
                 self.delay_request(task_index)
                 self.calls[task_index] = None
 
@@ -315,17 +315,17 @@
                 sorted({*self.late_requests, (freeze_request(call.request()), destinations)})
             )
 
-    def deliver_late_request(self, index: int, place: int) -> None:
+    def deliver_late_request(self, index: int, machine: int) -> None:
         """Deliver a late request to an acceptor."""
         frozen_request, destinations = self.late_requests[index]
-        remaining = tuple(other for other in destinations if other != place)
+        remaining = tuple(other for other in destinations if other != machine)
         late_requests = [
             *self.late_requests[:index],
             *([(frozen_request, remaining)] if remaining else []),
             *self.late_requests[index + 1 :],
         ]
         self.late_requests = tuple(sorted(late_requests))
-        acceptor, request = self.acceptor_at(place), thaw_request(frozen_request)
+        acceptor, request = self.acceptor_at(machine), thaw_request(frozen_request)
         newest, may_vote = acceptor.newest_epoch().number, may_vote_in(acceptor, request.epoch)
         if isinstance(acceptor.handle(request), PromiseReply | AcceptedReply):
             self.outcomes.append(("took", request.epoch, newest, may_vote))
