--- a/meadowworks/fleet/messages.py
+++ b/meadowworks/fleet/messages.py
@@ -260,13 +260,13 @@
     return period_ns
 
 
-def parse_fields(words: Sequence[str], separator: str) -> dict[str, str]:
-    """Parse words of the form `name<separator>value`.
+def parse_fields(tokens: Sequence[str], separator: str) -> dict[str, str]:
+    """Parse tokens of the form `name<separator>value`.
 
-    :raises ValueError: for a word without separator, and for a duplicate name, which is ambiguous.
+    :raises ValueError: for a token without separator, and for a duplicate name, which is ambiguous.
     """
-    fields = dict(word.partition(separator)[::2] for word in words)
-    if len(fields) < len(words) or not all(separator in word for word in words):
+    fields = dict(token.partition(separator)[::2] for token in tokens)
+    if len(fields) < len(tokens) or not all(separator in token for token in tokens):
         raise ValueError(f"a field without {separator!r}, or a duplicate field name")
     return fields
 
@@ -284,8 +284,8 @@
     """
     if is_unknown_message(line):
         raise UnknownMessageError(f"unknown message {line[:40]!r}")
-    kind, *words = line.decode("utf-8").rstrip("\r").split(" ")
-    fields = parse_fields(words, "=")
+    kind, *tokens = line.decode("utf-8").rstrip("\r").split(" ")
+    fields = parse_fields(tokens, "=")
     try:
         match kind:
             case "hb":
@@ -346,22 +346,22 @@
     """
     lines = []
     for number, update in enumerate(updates, 1):
-        words = ["assign"]
+        tokens = ["assign"]
         if update.routes:
-            words.append("routes=" + "+".join(update.routes))
+            tokens.append("routes=" + "+".join(update.routes))
         if update.replaces:
-            words.append("full=1")
+            tokens.append("full=1")
         if update.weights:
             weights = ",".join(f"{name}:{format_decimal(weight)}" for name, weight in update.weights)
-            words.append("endpoints=" + weights)
+            tokens.append("endpoints=" + weights)
         if update.admission:
             limit, retry_policy = update.admission
-            words.append(f"admit={format_decimal(limit)} policy={retry_policy}")
+            tokens.append(f"admit={format_decimal(limit)} policy={retry_policy}")
         if update.nonce is not None:
-            words.append(f"nonce_out={update.nonce}")
+            tokens.append(f"nonce_out={update.nonce}")
         if number < len(updates):
-            words.append("continued=1")
-        lines.append(" ".join(words) + "\r\n")
+            tokens.append("continued=1")
+        lines.append(" ".join(tokens) + "\r\n")
     return "".join(lines).encode()
 
 
--- a/meadowworks/policy/admission.py
+++ b/meadowworks/policy/admission.py
@@ -48,7 +48,7 @@
         """Admit routes by importance: each is cut to the least limit before a more important one is cut."""
         routes = self.settings.routes
         rates = [[p.demand.get(k, (0.0, 0))[0] for p in self.proxies.values()] for k in range(len(routes))]
-        demands = [sum(each) + 1e-9 for each in rates]
+        demands = [sum(route_rates) + 1e-9 for route_rates in rates]
         self.demand = sum(demands)
         self.slo_ns = sum(d * r.slo_ns for d, r in zip(demands, routes, strict=True)) / self.demand
         budgets = self.estimate_capacity(now)
--- a/meadowworks/simulation/control/simulated_disk.py
+++ b/meadowworks/simulation/control/simulated_disk.py
@@ -120,9 +120,11 @@
         files = {}
         for name in sorted(self.files.keys() | self._durable_files.keys()):
             current, durable_file = self.files.get(name), self._durable_files.get(name)
-            kept = current if current is durable_file or self._random.random() < kept_rate else durable_file
-            if kept is not None:
-                files[name] = kept
+            surviving_file = (
+                current if current is durable_file or self._random.random() < kept_rate else durable_file
+            )
+            if surviving_file is not None:
+                files[name] = surviving_file
         for file in files.values():
             file.lose_power(self._random, kept_rate)
         self.files, self._durable_files = files, dict(files)
--- a/meadowworks/simulation/proxies.py
+++ b/meadowworks/simulation/proxies.py
@@ -41,11 +41,11 @@
         """
         nonce = None
         for line in text.decode().split("\r\n")[:-1]:
-            kind, *words = line.split(" ")
-            fields = dict(word.split("=", 1) for word in words)
-            if kind != "assign" or len(fields) < len(words):
+            kind, *tokens = line.split(" ")
+            fields = dict(token.split("=", 1) for token in tokens)
+            if kind != "assign" or len(fields) < len(tokens):
                 raise ValueError(f"not a valid assignment: {line!r}")
-            weights = [word.rsplit(":", 1) for word in fields.get("endpoints", "").split(",") if word]
+            weights = [entry.rsplit(":", 1) for entry in fields.get("endpoints", "").split(",") if entry]
             route_names = fields["routes"].split("+") if "routes" in fields else self.routes
             for k in map(self.routes.index, route_names):
                 if "full" in fields:
--- a/meadowworks/simulation/scale/command.py
+++ b/meadowworks/simulation/scale/command.py
@@ -31,10 +31,10 @@
     processes: int
 
 
-def run_scale(settings: ScaleSettings, plan: SeriesSettings, keep: Path | None, as_json: bool) -> int:
+def run_scale(settings: ScaleSettings, plan: SeriesSettings, results_file: Path | None, as_json: bool) -> int:
     """Run one simulation or a series and print the results.
 
-    :param keep: a file to which each result is appended as a line of JSON.
+    :param results_file: a file to which each result is appended as a line of JSON.
     :returns: an exit code, `EXIT_INTERRUPTED` if a run was not completed.
     :raises CommandError: for invalid settings.
     """
@@ -42,14 +42,14 @@
     if plan.runs < 1 or not 1 <= plan.processes <= MAX_PROCESSES:
         raise CommandError(f"--runs must be 1 or more, --processes from 1 to {MAX_PROCESSES}")
     if plan.axis or plan.runs > 1:
-        return run_all(settings, plan, keep, as_json)
+        return run_all(settings, plan, results_file, as_json)
     result = measure(settings, print_progress)
-    append_result(keep, result)
+    append_result(results_file, result)
     print(json.dumps(result) if as_json else format_result(result))
     return 0 if result["complete"] else EXIT_INTERRUPTED
 
 
-def run_all(settings: ScaleSettings, plan: SeriesSettings, keep: Path | None, as_json: bool) -> int:
+def run_all(settings: ScaleSettings, plan: SeriesSettings, results_file: Path | None, as_json: bool) -> int:
     """Run a series, each run in a separate process."""
     all_settings = list(expand_series(settings, plan))
     for run_settings in all_settings:
@@ -58,7 +58,7 @@
     complete = True
     try:
         for result in series.run_series(all_settings, plan.processes, print_progress):
-            append_result(keep, result)
+            append_result(results_file, result)
             results.append(result)
             if not as_json:
                 print(format_result(result), flush=True)
